--- a/src/intake/tests.rs
+++ b/src/intake/tests.rs
@@ -31,3 +31,11 @@
     assert!(node.lock().foreign.is_some());
     assert!(node.sends_on(&[0x90]).is_none(), "what is no report is refused as before");
 }
+
+/// A worker that is sent elsewhere reads this answer.
+#[test]
+fn the_redirect_keeps_its_form() {
+    let answer = redirect(Some("b"));
+    let body: serde_json::Value = http::decode(&answer.body).expect("a body");
+    assert_eq!((answer.status, body), (421, serde_json::json!({ "answerTo": "b" })));
+}
