--- a/benches/history/main.rs
+++ b/benches/history/main.rs
@@ -16,7 +16,7 @@
 
 use clap::Parser;
 use coralnotch::http::{self, Client};
-use coralnotch::model::{Fate, FateRecord, Rank, Shape, Spec};
+use coralnotch::model::{Fate, FateRecord, JobSpec, Rank, Shape};
 use coralnotch::store::key;
 use coralnotch::telemetry::Status;
 use rmpv::Value;
@@ -77,8 +77,8 @@
     file
 }
 
-fn job(n: u32) -> Spec {
-    Spec {
+fn job(n: u32) -> JobSpec {
+    JobSpec {
         id: id(n),
         class: "history".into(),
         team: "team".into(),
--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -11,7 +11,7 @@
 
 use coralnotch::cluster::Cluster;
 use coralnotch::config::Config;
-use coralnotch::model::{MachineType, Rank, Shape, Spec};
+use coralnotch::model::{JobSpec, MachineType, Rank, Shape};
 use coralnotch::policy::Policy;
 use coralnotch::workers::Report;
 
@@ -50,7 +50,7 @@
         };
         cluster.report(&report, true, now);
     }
-    let spec = Spec {
+    let spec = JobSpec {
         id: "j-000001".into(),
         class: "demo".into(),
         team: "demo".into(),
--- a/packages/client/examples/nightly.rs
+++ b/packages/client/examples/nightly.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use coralnotch_client::{fresh_id, BlockingClient, Error as ClientError, Final, Settings};
-use coralnotch_wire::model::{Rank, Shape, Spec};
+use coralnotch_wire::model::{JobSpec, Rank, Shape};
 
-fn job(tasks: u32) -> Result<Spec, Box<dyn Error>> {
-    Ok(Spec {
+fn job(tasks: u32) -> Result<JobSpec, Box<dyn Error>> {
+    Ok(JobSpec {
         id: fresh_id()?,
         class: "demo".into(),
         team: "demo".into(),
--- a/packages/client/src/blocking.rs
+++ b/packages/client/src/blocking.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use coralnotch_wire::model::Spec;
+use coralnotch_wire::model::JobSpec;
 
 use crate::client::{Client, JobHandle, Settings};
 use crate::job::Final;
@@ -19,17 +19,17 @@
     }
 
     /// Submits a job, see [`Client::submit`].
-    pub fn submit(&self, spec: Spec) -> Result<JobHandle, Error> {
+    pub fn submit(&self, spec: JobSpec) -> Result<JobHandle, Error> {
         smol::block_on(self.0.submit(spec))
     }
 
     /// Submits jobs, all or none, see [`Client::submit_all`].
-    pub fn submit_all(&self, specs: Vec<Spec>) -> Result<Vec<JobHandle>, Error> {
+    pub fn submit_all(&self, specs: Vec<JobSpec>) -> Result<Vec<JobHandle>, Error> {
         smol::block_on(self.0.submit_all(specs))
     }
 
     /// Submits a batch once in the journal's life, see [`Client::submit_once`].
-    pub fn submit_once(&self, batch: &str, specs: Vec<Spec>) -> Result<Option<Vec<JobHandle>>, Error> {
+    pub fn submit_once(&self, batch: &str, specs: Vec<JobSpec>) -> Result<Option<Vec<JobHandle>>, Error> {
         smol::block_on(self.0.submit_once(batch, specs))
     }
 
--- a/packages/client/src/client.rs
+++ b/packages/client/src/client.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use coralnotch_wire::http;
-use coralnotch_wire::model::{Name, Spec};
+use coralnotch_wire::model::{JobSpec, Name};
 use event_listener::Event;
 use futures_lite::future::or;
 use futures_util::stream::{FuturesUnordered, StreamExt};
@@ -567,7 +567,7 @@
     /// Submits a job under its id.  When this returns, the job is on record
     /// and will be pursued to its end; the same submission again is the same
     /// job.  Waits while there are as many unfinished jobs as allowed.
-    pub async fn submit(&self, spec: Spec) -> Result<JobHandle, Error> {
+    pub async fn submit(&self, spec: JobSpec) -> Result<JobHandle, Error> {
         let mut handles = self.submit_all(vec![spec]).await?;
         handles.pop().ok_or(Error::Closed)
     }
@@ -575,18 +575,18 @@
     /// Submits jobs, all or none of them taken in; a batch costs the journal
     /// one write.  A job that needs others is sent once these are accepted, in
     /// whatever order they come.
-    pub async fn submit_all(&self, specs: Vec<Spec>) -> Result<Vec<JobHandle>, Error> {
+    pub async fn submit_all(&self, specs: Vec<JobSpec>) -> Result<Vec<JobHandle>, Error> {
         Ok(self.take_in(specs, None).await?.unwrap_or_default())
     }
 
     /// Submits a batch once in the journal's life: `None` if one of this name
     /// was taken in before, with whatever ids it had then.  So a program may
     /// make ids for its input and still start again at any moment.
-    pub async fn submit_once(&self, batch: &str, specs: Vec<Spec>) -> Result<Option<Vec<JobHandle>>, Error> {
+    pub async fn submit_once(&self, batch: &str, specs: Vec<JobSpec>) -> Result<Option<Vec<JobHandle>>, Error> {
         self.take_in(specs, Some(batch.to_owned())).await
     }
 
-    async fn take_in(&self, specs: Vec<Spec>, batch: Option<String>) -> Result<Option<Vec<JobHandle>>, Error> {
+    async fn take_in(&self, specs: Vec<JobSpec>, batch: Option<String>) -> Result<Option<Vec<JobHandle>>, Error> {
         for s in &specs {
             if let Some(why) = s.fault() {
                 return Err(Error::Input(format!("{}: bad value: {why}", s.id)));
@@ -596,12 +596,12 @@
             let most = self.shared.settings.open;
             return Err(Error::Input(format!("{} jobs in one batch, {most} may be unfinished at once", specs.len())));
         }
-        let specs: Vec<Arc<Spec>> = specs.into_iter().map(Arc::new).collect();
+        let specs: Vec<Arc<JobSpec>> = specs.into_iter().map(Arc::new).collect();
         self.room(specs.len()).await?;
         let records = match self.shared.journal.clone() {
             None => {
                 let of =
-                    |s: &Arc<Spec>| Record { spec: (**s).clone(), accepted: false, withdrawn: false, answer: None };
+                    |s: &Arc<JobSpec>| Record { spec: (**s).clone(), accepted: false, withdrawn: false, answer: None };
                 specs.iter().map(of).collect()
             }
             Some(j) => {
--- a/packages/client/src/job.rs
+++ b/packages/client/src/job.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use coralnotch_wire::model::{Shape, Spec};
+use coralnotch_wire::model::{JobSpec, Shape};
 use serde::{Deserialize, Serialize};
 
 use crate::journal::Record;
@@ -83,7 +83,7 @@
 /// A job that is pursued.
 #[derive(Debug, Clone)]
 pub struct Job {
-    spec: Arc<Spec>,
+    spec: Arc<JobSpec>,
     accepted: Option<Instant>,
     withdrawn: bool,
     answer: Option<Final>,
@@ -95,7 +95,7 @@
 
 impl Job {
     /// A job that is on record: as it was when the journal was last written.
-    pub fn new(spec: Arc<Spec>, accepted: bool, withdrawn: bool, now: Instant) -> Job {
+    pub fn new(spec: Arc<JobSpec>, accepted: bool, withdrawn: bool, now: Instant) -> Job {
         let accepted = accepted.then_some(now);
         Job { spec, accepted, withdrawn, answer: None, recorded: false, shown: Progress::default(), tries: 0, due: now }
     }
@@ -107,7 +107,7 @@
     }
 
     /// The submission.
-    pub fn spec(&self) -> &Arc<Spec> {
+    pub fn spec(&self) -> &Arc<JobSpec> {
         &self.spec
     }
 
--- a/packages/client/src/job/tests.rs
+++ b/packages/client/src/job/tests.rs
@@ -114,7 +114,7 @@
 #[test]
 fn polls_follow_the_expected_end() {
     let t0 = Instant::now();
-    let long = Arc::new(Spec { estimate_s: 40.0, ..(*spec("j-1", 1)).clone() });
+    let long = Arc::new(JobSpec { estimate_s: 40.0, ..(*spec("j-1", 1)).clone() });
     let wait = |after: u64, chance: f64| {
         let mut j = Job::new(long.clone(), true, false, t0);
         let now = t0 + Duration::from_secs(after);
--- a/packages/client/src/journal.rs
+++ b/packages/client/src/journal.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use coralnotch_wire::model::{Name, Spec};
+use coralnotch_wire::model::{JobSpec, Name};
 use redb::{Database, DatabaseError, ReadableTable, StorageError, TableDefinition};
 use serde::{Deserialize, Serialize};
 
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// The submission, with its id.
-    pub spec: Spec,
+    pub spec: JobSpec,
     /// A controller has it.
     pub accepted: bool,
     /// Its user wants it no more.
@@ -193,7 +193,7 @@
     /// Puts new jobs on record, all or none, durably.  A job that is there
     /// already with the same submission stays as it is.  Returns the records
     /// as they stand; `None` if a batch of this name was added before.
-    pub fn add(&self, specs: &[Arc<Spec>], batch: Option<&str>) -> Result<Option<Vec<Record>>, Fault> {
+    pub fn add(&self, specs: &[Arc<JobSpec>], batch: Option<&str>) -> Result<Option<Vec<Record>>, Fault> {
         let run = || -> Result<Result<Option<Vec<Record>>, Fault>, Trouble> {
             let txn = self.db.begin_write()?;
             if let Some(batch) = batch {
--- a/packages/core/src/answers.rs
+++ b/packages/core/src/answers.rs
@@ -275,7 +275,7 @@
 
 /// Submissions as one transaction, each guarded on being new; `doomed` ones with their own
 /// ends.  An id that comes twice is stored once, as it came first.
-pub fn submissions<'a>(all: impl Iterator<Item = (&'a Spec, bool)>) -> Txn {
+pub fn submissions<'a>(all: impl Iterator<Item = (&'a JobSpec, bool)>) -> Txn {
     let mut txn = Txn::default();
     for (spec, doomed) in all {
         let path = format!("{}{}", key::JOB, spec.id);
@@ -300,7 +300,7 @@
 
 /// Why a job can never run, if it cannot: its team, the machine types, their zones and the
 /// team's limit speak against it.
-pub fn impossible(spec: &Spec, teams: &[Team], types: &[MachineType]) -> Option<&'static str> {
+pub fn impossible(spec: &JobSpec, teams: &[Team], types: &[MachineType]) -> Option<&'static str> {
     let Some(team) = teams.iter().find(|t| *t.name == *spec.team) else {
         return Some("unknown team");
     };
--- a/packages/core/src/answers/tests.rs
+++ b/packages/core/src/answers/tests.rs
@@ -74,7 +74,7 @@
 #[test]
 fn an_id_that_comes_twice_is_stored_once() {
     let (one, other) = (spec("j-1", 1), spec("j-2", 1));
-    let sets = |all: &[(&Spec, bool)]| {
+    let sets = |all: &[(&JobSpec, bool)]| {
         let txn = submissions(all.iter().copied());
         assert_eq!(txn.guards.len(), txn.writes.len(), "each key is guarded");
         let set = |w: &Write| match w {
@@ -154,7 +154,7 @@
 fn all_that_a_job_needs_is_read_first() {
     let mut k = Known::new();
     let needs: Vec<Name> = (100..300).map(|n| format!("j-{n}").into()).collect();
-    k.ledger.seen(Arc::new(Spec { needs, ..(*spec("j-1", 1)).clone() }), 5);
+    k.ledger.seen(Arc::new(JobSpec { needs, ..(*spec("j-1", 1)).clone() }), 5);
     let mut q = Inquiry::new("j-1".into(), Wish::Query);
     assert_eq!(k.next(&mut q, 1), Step::Confirm);
     q.confirmed(Some(None));
@@ -194,12 +194,12 @@
         MachineType { zones: vec!["c".into()], cpus: 16.0, gpus: 2.0, ..machine_type("g") },
     ];
     let plain = spec("j-1", 2);
-    let with = |change: &dyn Fn(&mut Spec)| {
+    let with = |change: &dyn Fn(&mut JobSpec)| {
         let mut s = (*plain).clone();
         change(&mut s);
         impossible(&s, &teams(), &types)
     };
-    type Change = fn(&mut Spec);
+    type Change = fn(&mut JobSpec);
     let fine: [Change; 8] = [
         |_| {},
         |s| s.zone = Some("a".into()),
@@ -251,7 +251,7 @@
         }
         let mut bytes = Vec::new();
         rmpv::encode::write_value(&mut bytes, &rmpv::Value::Map(fields)).expect("to memory");
-        let read = coralnotch_wire::http::decode::<Spec>(&bytes);
+        let read = coralnotch_wire::http::decode::<JobSpec>(&bytes);
         prop_assert_eq!(read.is_ok(), kind < 2 && optional.contains(&name.as_str()), "{}", name);
     }
 }
--- a/packages/core/src/cluster/job.rs
+++ b/packages/core/src/cluster/job.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone)]
 pub struct Place {
     /// Its job.
-    pub spec: Arc<Spec>,
+    pub spec: Arc<JobSpec>,
     /// The attempt.
     pub attempt: u64,
     /// The worker's session the start is for.
@@ -59,7 +59,7 @@
 
 impl Place {
     /// A start that was just decided.
-    pub fn new(spec: Arc<Spec>, attempt: u64, session: u64, now: Instant) -> Place {
+    pub fn new(spec: Arc<JobSpec>, attempt: u64, session: u64, now: Instant) -> Place {
         Place {
             spec,
             attempt,
@@ -87,7 +87,7 @@
 #[derive(Debug, Clone)]
 pub struct Job {
     /// The submission.
-    pub spec: Arc<Spec>,
+    pub spec: Arc<JobSpec>,
     /// Stamp of the record: the order of arrival.
     pub stamp: u64,
     /// Its end.
@@ -122,7 +122,7 @@
 
 impl Job {
     /// A job nothing of which has run.
-    pub fn new(spec: Arc<Spec>, stamp: u64, fate: Option<Fate>, now: Instant) -> Job {
+    pub fn new(spec: Arc<JobSpec>, stamp: u64, fate: Option<Fate>, now: Instant) -> Job {
         let urgency = Urgency::own(&spec, now);
         let todo = if fate.is_some() { Ranges::default() } else { Ranges::span(0, spec.tasks) };
         Job {
@@ -226,7 +226,7 @@
 #[derive(Debug, Clone)]
 pub struct Want {
     /// Their job.
-    pub spec: Arc<Spec>,
+    pub spec: Arc<JobSpec>,
     /// How many.
     pub count: u32,
     /// Tasks of the job that are or may be in each zone already.
@@ -234,7 +234,7 @@
 }
 
 /// Whether one more task of the job may be in this zone.
-pub fn zone_ok(spec: &Spec, zone: &Name, zones: &BTreeMap<Name, u32>) -> bool {
+pub fn zone_ok(spec: &JobSpec, zone: &Name, zones: &BTreeMap<Name, u32>) -> bool {
     if spec.one_zone && zones.iter().any(|(z, n)| *n > 0 && z != zone) {
         return false;
     }
--- a/packages/core/src/cluster/mod.rs
+++ b/packages/core/src/cluster/mod.rs
@@ -162,7 +162,7 @@
 
     /// A job as the store has it.  One that needs others enters the queue only
     /// when the store has their ends.
-    pub fn add_job(&mut self, spec: Arc<Spec>, stamp: u64, fate: Option<Fate>, now: Instant) {
+    pub fn add_job(&mut self, spec: Arc<JobSpec>, stamp: u64, fate: Option<Fate>, now: Instant) {
         if self.jobs.contains_key(&spec.id) {
             return;
         }
@@ -181,7 +181,7 @@
 
     /// A job that may start, or has: a start on record, or a task that a worker
     /// reports, shows that all it needs was done before.
-    pub fn add_begun(&mut self, spec: Arc<Spec>, stamp: u64, fate: Option<Fate>, now: Instant) {
+    pub fn add_begun(&mut self, spec: Arc<JobSpec>, stamp: u64, fate: Option<Fate>, now: Instant) {
         if self.jobs.contains_key(&spec.id) {
             return;
         }
--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -154,7 +154,7 @@
     c.add_job(spec("j-000001", 40), 1, None, Instant::now());
     c.add_page(id, page.clone(), &places, Instant::now());
     same("page", Write::set("x", &c.page_record(&page)));
-    let job: Spec = read_value("x", value("job").data).expect("a job");
+    let job: JobSpec = read_value("x", value("job").data).expect("a job");
     assert!(job.needs.is_empty() && job.fault().is_none());
     same("job", Write::set("x", &job));
     let fate: FateRecord = read_value("x", value("fate").data).expect("an end");
@@ -165,7 +165,7 @@
     same("rentals", Write::set("x", &rentals));
     // production ignores fields that it does not know: that is why a job that
     // needs others is stored only once nobody is of that version any more
-    let chained = Spec { needs: vec!["j-1".into()], ..job };
+    let chained = JobSpec { needs: vec!["j-1".into()], ..job };
     assert_ne!(serde_json::to_value(&chained).expect("JSON"), golden["job"]);
 }
 
@@ -250,7 +250,7 @@
     let mut c = cluster(1, now);
     let needing = |id: &str, needs: &[&str]| {
         let needs = needs.iter().map(|n| Name::from(*n)).collect();
-        std::sync::Arc::new(Spec { needs, ..(*spec(id, 1)).clone() })
+        std::sync::Arc::new(JobSpec { needs, ..(*spec(id, 1)).clone() })
     };
     c.add_job(spec("j-1", 1), 1, None, now);
     c.add_job(spec("j-2", 1), 2, None, now);
@@ -290,7 +290,7 @@
     let now = Instant::now();
     for (fate, free) in [(Fate::Done, true), (Fate::Cancelled, false)] {
         let mut c = cluster(2, now);
-        let last = Spec { needs: vec!["j-1".into()], ..(*spec("j-2", 1)).clone() };
+        let last = JobSpec { needs: vec!["j-1".into()], ..(*spec("j-2", 1)).clone() };
         c.add_job(std::sync::Arc::new(last), 2, None, now);
         assert_eq!(c.dependency.unknown(), ["j-1".into()]);
         c.add_job(spec("j-1", 1), 1, Some(fate), now);
--- a/packages/core/src/dependency.rs
+++ b/packages/core/src/dependency.rs
@@ -78,7 +78,7 @@
 
 impl Urgency {
     /// What a job asks for itself, known since `known`.
-    pub fn own(spec: &Spec, known: Instant) -> Urgency {
+    pub fn own(spec: &JobSpec, known: Instant) -> Urgency {
         let due = |s| known.checked_add(Duration::try_from_secs_f64(s).ok()?);
         Urgency { rank: spec.rank, due: spec.deadline_s.and_then(due) }
     }
@@ -94,7 +94,7 @@
 #[derive(Debug, Clone)]
 pub struct Held {
     /// The submission.
-    pub spec: Arc<Spec>,
+    pub spec: Arc<JobSpec>,
     /// Stamp of its record.
     pub stamp: u64,
     /// When this leader first knew of it.
@@ -132,7 +132,7 @@
 impl Dependency {
     /// Takes a job in, if it has to wait; false if all that it needs is done.
     /// A job that needs a cancelled one waits for its own end.
-    pub fn hold(&mut self, spec: &Arc<Spec>, stamp: u64, now: Instant, look: impl Fn(&Name) -> Need) -> bool {
+    pub fn hold(&mut self, spec: &Arc<JobSpec>, stamp: u64, now: Instant, look: impl Fn(&Name) -> Need) -> bool {
         let id = &spec.id;
         if self.held.contains_key(id) {
             return true;
--- a/packages/core/src/dependency/tests.rs
+++ b/packages/core/src/dependency/tests.rs
@@ -7,26 +7,26 @@
     format!("j-{n:06}").into()
 }
 
-fn job(n: usize, needs: &[usize], rank: Rank) -> Arc<Spec> {
-    Arc::new(Spec { needs: needs.iter().map(|n| id(*n)).collect(), rank, ..(*spec(&id(n), 1)).clone() })
+fn job(n: usize, needs: &[usize], rank: Rank) -> Arc<JobSpec> {
+    Arc::new(JobSpec { needs: needs.iter().map(|n| id(*n)).collect(), rank, ..(*spec(&id(n), 1)).clone() })
 }
 
 /// The same, written plainly: all is worked out from the whole graph.
 #[derive(Default)]
 struct Plain {
-    jobs: Vec<Arc<Spec>>,
+    jobs: Vec<Arc<JobSpec>>,
     fates: HashMap<Name, Fate>,
     order: Vec<Name>,
 }
 
 impl Plain {
-    fn spec(&self, id: &Name) -> Option<&Arc<Spec>> {
+    fn spec(&self, id: &Name) -> Option<&Arc<JobSpec>> {
         self.jobs.iter().find(|j| j.id == *id)
     }
     fn open(&self, id: &Name) -> bool {
         !self.fates.contains_key(id)
     }
-    fn waits(&self, j: &Spec) -> bool {
+    fn waits(&self, j: &JobSpec) -> bool {
         self.open(&j.id) && j.needs.iter().any(|n| self.fates.get(n) != Some(&Fate::Done))
     }
     fn doomed(&self, id: &Name) -> bool {
--- a/packages/core/src/fleet.rs
+++ b/packages/core/src/fleet.rs
@@ -170,7 +170,7 @@
 
     /// One job of each class whose tasks should start sooner than a machine
     /// boots: room for the next ones has to be there before they come.
-    fn urgent(&self) -> Vec<std::sync::Arc<Spec>> {
+    fn urgent(&self) -> Vec<std::sync::Arc<JobSpec>> {
         let boot = self.types.values().map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
         let newest = |class: &Name| {
             let of = self.jobs.values().filter(|j| j.fate.is_none() && j.spec.class == *class);
@@ -181,7 +181,7 @@
 
     /// How many tasks of a job a machine could take at once, counting what
     /// would give way to them.
-    fn ready_room(&self, m: &Machine, spec: &Spec, now: Instant) -> usize {
+    fn ready_room(&self, m: &Machine, spec: &JobSpec, now: Instant) -> usize {
         if !m.usable(now, &self.policy) || !spec.allows(&m.kind, &m.zone, m.spot) {
             return 0;
         }
@@ -195,7 +195,7 @@
     /// How many tasks of a job's class are likely to come while a machine boots, by
     /// what has come lately.  What was there when this leader began tells nothing:
     /// it may have come over any time.
-    fn likely(&self, spec: &Spec, now: Instant) -> f64 {
+    fn likely(&self, spec: &JobSpec, now: Instant) -> f64 {
         let boot = self.types.values().map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
         let from = self.began + self.policy.ttl;
         let since = |t: Instant| now.saturating_duration_since(t).as_secs_f64();
@@ -208,7 +208,7 @@
         f64::from(came) * boot / window
     }
 
-    fn all_ready_room(&self, spec: &Spec, now: Instant) -> usize {
+    fn all_ready_room(&self, spec: &JobSpec, now: Instant) -> usize {
         self.machines.values().map(|m| self.ready_room(m, spec, now)).sum()
     }
 
@@ -459,7 +459,7 @@
         spare.take(&self.kept(g));
         free.take(&self.headroom_size(g));
         let boot = self.types.get(&m.kind).map_or(60.0, |t| t.boot_s);
-        let urgent = |spec: std::sync::Arc<Spec>| {
+        let urgent = |spec: std::sync::Arc<JobSpec>| {
             let lately = |j: &&Job| {
                 j.spec.class == spec.class && now.duration_since(j.known).as_secs_f64() < self.policy.horizon_s
             };
@@ -509,7 +509,7 @@
             let likely = self.likely(&spec, now).ceil() as usize;
             let count = likely.max(self.policy.urgent_room).saturating_sub(room).min(u32::MAX as usize) as u32;
             // it stands for several jobs: its own share of a zone is not theirs
-            let spec = std::sync::Arc::new(Spec { tasks: count.max(spec.tasks), ..(*spec).clone() });
+            let spec = std::sync::Arc::new(JobSpec { tasks: count.max(spec.tasks), ..(*spec).clone() });
             // first, or arrays would fill what is on its way in every pass
             wants.insert(0, Want { spec, count, zones: BTreeMap::new() });
         }
--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -50,7 +50,7 @@
 #[test]
 fn replicas_in_a_cut_zone_are_given_up_with_their_leases() {
     let t0 = Instant::now();
-    let service = |id| Arc::new(Spec { shape: Shape::Service, ..(*spec(id, 1000)).clone() });
+    let service = |id| Arc::new(JobSpec { shape: Shape::Service, ..(*spec(id, 1000)).clone() });
     for manned in [false, true] {
         let mut c = cluster(2, t0);
         let policy: Arc<Policy> = c.policy.clone();
@@ -122,7 +122,8 @@
         c.wait_aims.insert("c".into(), 5.0);
         let now = t0 + c.policy.ttl + Duration::from_secs(20);
         for n in 0..arrivals {
-            let s = Spec { shape: Shape::Service, spread: true, spot: false, ..(*spec(&format!("j-{n}"), 4)).clone() };
+            let s =
+                JobSpec { shape: Shape::Service, spread: true, spot: false, ..(*spec(&format!("j-{n}"), 4)).clone() };
             c.add_job(Arc::new(s), 1 + u64::from(n), None, now - Duration::from_secs(1));
         }
         c.list(&[], now);
--- a/packages/core/src/ledger.rs
+++ b/packages/core/src/ledger.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Open {
     /// The submission.
-    pub spec: Arc<Spec>,
+    pub spec: Arc<JobSpec>,
     /// Stamp of its record: the order of arrival.
     pub stamp: u64,
 }
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Ended {
     /// The submission.
-    pub spec: Arc<Spec>,
+    pub spec: Arc<JobSpec>,
     /// Stamp of its record.
     pub stamp: u64,
     /// Its end, which never changes.
@@ -164,7 +164,7 @@
 
     /// A record that the sweep or the watch shows; true if it is new here.
     /// Should it be over already, its end follows by the watch.
-    pub fn seen(&mut self, spec: Arc<Spec>, stamp: u64) -> bool {
+    pub fn seen(&mut self, spec: Arc<JobSpec>, stamp: u64) -> bool {
         if self.open.contains_key(&spec.id) || self.ended.contains(&spec.id) {
             return false;
         }
@@ -177,7 +177,7 @@
     /// is new here.  An answer may be read late, after the watch has shown the
     /// record and its end: then it tells nothing new, and must not bring the
     /// job back.
-    pub fn stored(&mut self, spec: Arc<Spec>, stamp: u64) -> bool {
+    pub fn stored(&mut self, spec: Arc<JobSpec>, stamp: u64) -> bool {
         stamp > self.floor && self.seen(spec, stamp)
     }
 
@@ -331,14 +331,14 @@
                         news(News::Ended(id.into(), f));
                     } else if self.wanted.contains(id) && ledger.fate(id).is_none() {
                         let stamp = job.stamp;
-                        if let Some(spec) = read_value::<Spec>(&job.path, job.data) {
+                        if let Some(spec) = read_value::<JobSpec>(&job.path, job.data) {
                             ledger.remember(Ended { spec: Arc::new(spec), stamp, fate: f });
                         }
                     }
                 }
                 None if ledger.open.contains_key(id) || self.ended.contains(id) => {}
                 None => {
-                    if let Some(spec) = read_value::<Spec>(&job.path, job.data) {
+                    if let Some(spec) = read_value::<JobSpec>(&job.path, job.data) {
                         let spec = Arc::new(spec);
                         if ledger.seen(spec.clone(), job.stamp) {
                             news(News::Open(Open { spec, stamp: job.stamp }));
--- a/packages/core/src/ledger/tests.rs
+++ b/packages/core/src/ledger/tests.rs
@@ -8,7 +8,7 @@
 fn a_chain_is_spoilt_by_any_of_it() {
     let job = |id: &str, needs: &[&str]| {
         let needs = needs.iter().map(|n| Name::from(*n)).collect();
-        Arc::new(Spec { needs, ..(*spec(id, 1)).clone() })
+        Arc::new(JobSpec { needs, ..(*spec(id, 1)).clone() })
     };
     let mut l = Ledger::new(2);
     l.seen(job("j-1", &[]), 1);
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -53,11 +53,11 @@
     up(&mut c, "i-0", now);
     up(&mut c, "i-1", now);
     c.machines.get_mut("i-1").expect("it is there").spot = false;
-    let low = |id: &str| Spec { rank: Rank::Low, ..(*spec(id, 1)).clone() };
+    let low = |id: &str| JobSpec { rank: Rank::Low, ..(*spec(id, 1)).clone() };
     c.add_job(Arc::new(low("j-1")), 1, None, now);
     c.add_job(Arc::new(low("j-2")), 2, None, now);
     c.add_job(Arc::new(low("j-4")), 4, None, now);
-    let last = Spec { needs: vec!["j-2".into()], rank: Rank::High, deadline_s: Some(60.0), ..low("j-3") };
+    let last = JobSpec { needs: vec!["j-2".into()], rank: Rank::High, deadline_s: Some(60.0), ..low("j-3") };
     c.add_job(Arc::new(last), 3, None, now);
     assert_eq!(c.jobs["j-2"].turn(), (true, Rank::High));
     c.place(now);
@@ -203,7 +203,7 @@
     zone(&mut c, "i-1", "z1", t0);
     zone(&mut c, "i-2", "z2", t0);
     let bound =
-        |id: &str, tasks, shape| Arc::new(Spec { zone: Some("z1".into()), shape, ..(*spec(id, tasks)).clone() });
+        |id: &str, tasks, shape| Arc::new(JobSpec { zone: Some("z1".into()), shape, ..(*spec(id, tasks)).clone() });
     c.add_job(bound("j-1", 8, Shape::Array), 1, None, t0);
     c.add_job(bound("j-2", 6, Shape::Gang), 2, None, t0);
     c.place(t0);
--- a/packages/core/src/sim/controllers.rs
+++ b/packages/core/src/sim/controllers.rs
@@ -147,9 +147,9 @@
 
     /// A job as a controller takes it in; without what it needs where that is
     /// left out on purpose.
-    fn held_or_not(&self, spec: &Arc<Spec>) -> Arc<Spec> {
+    fn held_or_not(&self, spec: &Arc<JobSpec>) -> Arc<JobSpec> {
         match self.sabotage {
-            Sabotage::HoldsNothing => Arc::new(Spec { needs: Vec::new(), ..(**spec).clone() }),
+            Sabotage::HoldsNothing => Arc::new(JobSpec { needs: Vec::new(), ..(**spec).clone() }),
             _ => spec.clone(),
         }
     }
--- a/packages/core/src/sim/history.rs
+++ b/packages/core/src/sim/history.rs
@@ -94,9 +94,9 @@
     since: Option<u64>,
     synced: bool,
     /// Submissions that wait to be stored: requests, and whether they end at once.
-    queue: Vec<(u64, Arc<Spec>, bool)>,
+    queue: Vec<(u64, Arc<JobSpec>, bool)>,
     /// Own transactions that were carried out, and whose answers are not read yet.
-    unread: Vec<(Arc<Spec>, u64)>,
+    unread: Vec<(Arc<JobSpec>, u64)>,
     /// A page that was read and is not taken in yet.
     held: Option<(&'static str, Vec<Item>, bool)>,
     /// What it has looked up; for a fault.
@@ -284,7 +284,7 @@
                 let f = read_value::<FateRecord>(path, data).expect("our own record");
                 desk.ends(id, f.fate, e.stamp, now);
             } else if path.starts_with(key::JOB) {
-                let spec = read_value::<Spec>(path, data).expect("our own record");
+                let spec = read_value::<JobSpec>(path, data).expect("our own record");
                 desk.ledger.seen(Arc::new(spec), e.stamp);
             }
         }
@@ -446,7 +446,7 @@
                         true => {
                             let item = self.service.job(&a.id).expect("what has an end has a record");
                             let fate = self.service.store.fate(&a.id).expect("it has an end");
-                            let spec = Arc::new(read_value::<Spec>(&item.path, item.data).expect("our own record"));
+                            let spec = Arc::new(read_value::<JobSpec>(&item.path, item.data).expect("our own record"));
                             let (now, stamp) = (self.at(), item.stamp);
                             self.desks[a.desk].ledger.remember(Ended { spec, stamp, fate });
                             if fate == Fate::Cancelled {
--- a/packages/core/src/sim/machines.rs
+++ b/packages/core/src/sim/machines.rs
@@ -237,7 +237,7 @@
         }
     }
 
-    pub(super) fn length(&mut self, spec: &Spec) -> Ms {
+    pub(super) fn length(&mut self, spec: &JobSpec) -> Ms {
         if spec.shape == Shape::Service {
             Ms::MAX / 2
         } else {
--- a/packages/core/src/sim/mod.rs
+++ b/packages/core/src/sim/mod.rs
@@ -193,7 +193,7 @@
     },
     Job {
         to: usize,
-        spec: Arc<Spec>,
+        spec: Arc<JobSpec>,
         stamp: u64,
     },
     Delete {
@@ -320,7 +320,7 @@
     cut: [Ms; 3],
     /// A zone without a controller inside: cut off, its leases run out.
     unmanned: Option<usize>,
-    jobs: BTreeMap<Name, (Arc<Spec>, u64)>,
+    jobs: BTreeMap<Name, (Arc<JobSpec>, u64)>,
     /// Since when a leader has acted and was served without a break.
     led: Ms,
     /// When each job's end was stored.
@@ -479,7 +479,7 @@
         let lately = n.saturating_sub(12);
         let needs = (0..named).map(|_| format!("j-{:06}", self.rng.usize(lately..n)).into());
         let needs: Vec<Name> = needs.filter(|id| self.jobs[id].0.shape != Shape::Service).collect();
-        let spec = Arc::new(Spec {
+        let spec = Arc::new(JobSpec {
             needs,
             team: if self.rng.bool() { "x" } else { "y" }.into(),
             shape,
--- a/packages/core/src/sim/rules.rs
+++ b/packages/core/src/sim/rules.rs
@@ -4,7 +4,7 @@
 
 impl World {
     /// The rules, at the moment a task gets onto a machine.
-    pub(super) fn started(&mut self, i: usize, task: &Task, spec: &Spec) {
+    pub(super) fn started(&mut self, i: usize, task: &Task, spec: &JobSpec) {
         let on = |w: &Work| !matches!(w, Work::Pulling { .. } | Work::Ended(_));
         let mut used = spec.cpus;
         let mut zones: BTreeMap<Name, u32> = BTreeMap::from([(self.workers[i].zone.clone(), 1)]);
--- a/packages/core/src/workers/tests.rs
+++ b/packages/core/src/workers/tests.rs
@@ -212,7 +212,7 @@
     let task = |job: &str| Task { job: job.into(), index: 0 };
     let leader = || {
         let mut c = cluster(5, now);
-        let gang = Spec { shape: Shape::Gang, ..(*spec("j-2", 1)).clone() };
+        let gang = JobSpec { shape: Shape::Gang, ..(*spec("j-2", 1)).clone() };
         c.add_begun(spec("j-1", 1), 1, None, now);
         c.add_begun(std::sync::Arc::new(gang), 2, None, now);
         let start = |job| Start { machine: machine.clone(), task: task(job), attempt, session: 1 };
--- a/packages/emulator/src/balancer.rs
+++ b/packages/emulator/src/balancer.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use coralnotch_wire::http;
-use coralnotch_wire::model::Spec;
+use coralnotch_wire::model::JobSpec;
 
 /// First pause of a controller that was removed; it doubles up to the last.
 const REMOVED_FIRST: Duration = Duration::from_secs(3);
@@ -132,7 +132,7 @@
 
 impl SubmissionReader {
     /// More bytes of a connection; the submissions that they complete.
-    pub fn take(&mut self, bytes: &[u8]) -> Vec<Spec> {
+    pub fn take(&mut self, bytes: &[u8]) -> Vec<JobSpec> {
         let mut found = Vec::new();
         if self.lost {
             return found;
@@ -147,7 +147,7 @@
                     }
                     self.requests += 1;
                     if head.method == "POST" && head.target == "/v2/runs" {
-                        found.extend(http::decode::<Spec>(&self.buf[head.len..end]).ok());
+                        found.extend(http::decode::<JobSpec>(&self.buf[head.len..end]).ok());
                     }
                     self.buf.drain(..end);
                 }
--- a/packages/emulator/src/balancer/tests.rs
+++ b/packages/emulator/src/balancer/tests.rs
@@ -57,7 +57,7 @@
     let bytes = [bytes.clone(), bytes].concat();
     for piece in [1, 7, 1000] {
         let mut tap = SubmissionReader::default();
-        let found: Vec<Spec> = bytes.chunks(piece).flat_map(|c| tap.take(c)).collect();
+        let found: Vec<JobSpec> = bytes.chunks(piece).flat_map(|c| tap.take(c)).collect();
         assert_eq!(found.len(), 2);
         assert_eq!(found[0], *spec);
     }
--- a/packages/emulator/src/load.rs
+++ b/packages/emulator/src/load.rs
@@ -15,7 +15,7 @@
 use coralnotch_client::{fresh_id, Client, Counters, Final, Settings};
 use coralnotch_wire::example;
 use coralnotch_wire::http::{self, Client as Http};
-use coralnotch_wire::model::{JobState, Name, Spec};
+use coralnotch_wire::model::{JobSpec, JobState, Name};
 use fastrand::Rng;
 use futures_lite::future::or;
 use hdrhistogram::Histogram;
@@ -143,8 +143,8 @@
         at.into_iter().map(Duration::from_secs_f64).collect()
     }
 
-    fn job(&self, id: Name) -> Spec {
-        Spec {
+    fn job(&self, id: Name) -> JobSpec {
+        JobSpec {
             class: "demo".into(),
             team: "demo".into(),
             cpus: 0.5,
@@ -237,7 +237,7 @@
 }
 
 /// One job of the one-request client, to its end.
-async fn one_request(to: SocketAddr, http: &Http, spec: Spec, due: Instant, notes: &Notes) {
+async fn one_request(to: SocketAddr, http: &Http, spec: JobSpec, due: Instant, notes: &Notes) {
     let body = http::encode(&spec);
     loop {
         match http.send(to, "POST", "/v2/runs", Some(&body), TRY).await {
@@ -260,7 +260,7 @@
 }
 
 /// One job of the library, to its end.
-async fn by_library(client: &Client, spec: Spec, due: Instant, notes: &Notes) {
+async fn by_library(client: &Client, spec: JobSpec, due: Instant, notes: &Notes) {
     let (id, mut changes) = (spec.id.clone(), client.changes());
     let Ok(handle) = client.submit(spec).await else { return };
     let accepted = async {
--- a/packages/emulator/src/scale/control.rs
+++ b/packages/emulator/src/scale/control.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coralnotch_wire::http::{self, Client};
-use coralnotch_wire::model::{Name, Spec};
+use coralnotch_wire::model::{JobSpec, Name};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
@@ -31,7 +31,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Upload {
     /// The jobs.
-    pub specs: Vec<Spec>,
+    pub specs: Vec<JobSpec>,
     /// The start of all their tasks is timed.
     pub timed: bool,
 }
--- a/packages/emulator/src/scale/users.rs
+++ b/packages/emulator/src/scale/users.rs
@@ -9,7 +9,7 @@
 
 use coralnotch_wire::example;
 use coralnotch_wire::http::{self, Client};
-use coralnotch_wire::model::{JobState, Name, Rank, Shape, Spec};
+use coralnotch_wire::model::{JobSpec, JobState, Name, Rank, Shape};
 use fastrand::Rng;
 use hdrhistogram::Histogram;
 use smol::LocalExecutor;
@@ -183,7 +183,7 @@
         self: &Rc<Self>,
         ex: &Rc<LocalExecutor<'static>>,
         rate: fn(&Users) -> f64,
-        make: fn(&Users) -> Spec,
+        make: fn(&Users) -> JobSpec,
         timed: bool,
     ) {
         let mut owed = 0.0;
@@ -231,10 +231,10 @@
         format!("j-{:02}{n:010}", self.region + 1).into()
     }
 
-    fn spec(&self, tasks: u32) -> Spec {
+    fn spec(&self, tasks: u32) -> JobSpec {
         let id = self.id();
         let team = self.rng.borrow_mut().usize(0..self.teams);
-        Spec {
+        JobSpec {
             team: format!("team-{team:04}").into(),
             memory: 1.0,
             image: "tools".into(),
@@ -244,16 +244,23 @@
         }
     }
 
-    fn service(&self) -> Spec {
+    fn service(&self) -> JobSpec {
         let spec = self.spec(SERVICE_TASKS);
-        Spec { class: "serve".into(), shape: Shape::Service, rank: Rank::High, spread: true, estimate_s: 0.0, ..spec }
+        JobSpec {
+            class: "serve".into(),
+            shape: Shape::Service,
+            rank: Rank::High,
+            spread: true,
+            estimate_s: 0.0,
+            ..spec
+        }
     }
 
-    fn array(&self) -> Spec {
-        Spec { class: "sweep".into(), estimate_s: self.arrays.get().run_s, ..self.spec(ARRAY_TASKS) }
+    fn array(&self) -> JobSpec {
+        JobSpec { class: "sweep".into(), estimate_s: self.arrays.get().run_s, ..self.spec(ARRAY_TASKS) }
     }
 
-    fn gang(&self) -> Spec {
+    fn gang(&self) -> JobSpec {
         let all: u32 = GANG_SIZES.iter().map(|g| g.1).sum();
         let mut at = self.rng.borrow_mut().u32(0..all);
         let mut tasks = GANG_SIZES[0].0;
@@ -265,12 +272,12 @@
             at -= times;
         }
         let spec = self.spec(tasks);
-        Spec { class: "train".into(), shape: Shape::Gang, one_zone: true, gpus: 1.0, estimate_s: GANG_RUN_S, ..spec }
+        JobSpec { class: "train".into(), shape: Shape::Gang, one_zone: true, gpus: 1.0, estimate_s: GANG_RUN_S, ..spec }
     }
 
-    fn urgent(&self) -> Spec {
+    fn urgent(&self) -> JobSpec {
         let spec = self.spec(URGENT_TASKS);
-        Spec { class: "urgent".into(), rank: Rank::Production, estimate_s: URGENT_RUN_S, ..spec }
+        JobSpec { class: "urgent".into(), rank: Rank::Production, estimate_s: URGENT_RUN_S, ..spec }
     }
 
     /// A healthy controller, at random.
@@ -294,14 +301,14 @@
     }
 
     /// One job, to its end.
-    async fn job(&self, spec: Spec, timed: bool) {
+    async fn job(&self, spec: JobSpec, timed: bool) {
         if self.submit(&spec, timed).await {
             self.follow(&spec).await;
         }
     }
 
     /// Uploads and submits a job; whether it was accepted.
-    async fn submit(&self, spec: &Spec, timed: bool) -> bool {
+    async fn submit(&self, spec: &JobSpec, timed: bool) -> bool {
         let upload = Upload { specs: vec![spec.clone()], timed };
         if let Err(e) = send::<_, Done>(&self.client, self.workers, path::UPLOAD, &upload).await {
             tracing::error!("{e}");
@@ -325,7 +332,7 @@
     }
 
     /// Polls a job until it is over, and once more after that.
-    async fn follow(&self, spec: &Spec) {
+    async fn follow(&self, spec: &JobSpec) {
         let target = format!("/v2/runs/{}", spec.id);
         loop {
             smol::Timer::after(POLL_EVERY).await;
--- a/packages/emulator/src/up.rs
+++ b/packages/emulator/src/up.rs
@@ -12,7 +12,7 @@
 
 use coralnotch_wire::example;
 use coralnotch_wire::http::{self, Client};
-use coralnotch_wire::model::{JobState, MachineType, Name, Spec};
+use coralnotch_wire::model::{JobSpec, JobState, MachineType, Name};
 use fastrand::Rng;
 use futures_lite::future::or;
 use serde::{Deserialize, Serialize};
@@ -327,10 +327,10 @@
 }
 
 /// The job that `--demo` submits.
-fn demo() -> Spec {
+fn demo() -> JobSpec {
     // the protocol's form; the time makes it new to the state service
     let id = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).map_or(1, |d| d.as_millis());
-    Spec {
+    JobSpec {
         class: "demo".into(),
         team: "demo".into(),
         image: "demo-image".into(),
@@ -341,7 +341,7 @@
 }
 
 /// Submits a job and prints each change until it is over.
-async fn follow(to: SocketAddr, spec: &Spec) -> Result<(), Error> {
+async fn follow(to: SocketAddr, spec: &JobSpec) -> Result<(), Error> {
     let (client, began, limit) = (Client::default(), Instant::now(), Duration::from_secs(5));
     let since = || format!("{:5.1} s", began.elapsed().as_secs_f64());
     loop {
--- a/packages/emulator/src/worker_pool.rs
+++ b/packages/emulator/src/worker_pool.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use coralnotch_wire::model::{MachineType, Name, Shape, Size, Spec, Task};
+use coralnotch_wire::model::{JobSpec, MachineType, Name, Shape, Size, Task};
 use coralnotch_wire::workers::{Answer, Cause, Command, DirectBody, Report, Reported, TaskState};
 use fastrand::Rng;
 
@@ -98,7 +98,7 @@
     holders: HashMap<Task, Vec<Name>>,
     /// Machines with something to report since this was last asked for.
     changed: Vec<Name>,
-    specs: HashMap<Name, Arc<Spec>>,
+    specs: HashMap<Name, Arc<JobSpec>>,
     /// Jobs whose start is timed, with how many of their tasks have yet to start.
     timed: HashMap<Name, u32>,
     /// Completed tasks of each job; their results are kept.
@@ -157,7 +157,7 @@
     }
 
     /// A user uploads a job's description; the first one stays.
-    pub fn upload(&mut self, spec: Spec) {
+    pub fn upload(&mut self, spec: JobSpec) {
         self.specs.entry(spec.id.clone()).or_insert_with(|| Arc::new(spec));
     }
 
@@ -388,13 +388,13 @@
     }
 
     /// Whose progress a task's is: its gang's, or its own.
-    fn unit(task: &Task, spec: &Spec) -> Task {
+    fn unit(task: &Task, spec: &JobSpec) -> Task {
         let index = if spec.shape == Shape::Gang { 0 } else { task.index };
         Task { job: task.job.clone(), index }
     }
 
     /// Progress made since a start, all of it or up to the last checkpoint.
-    fn keep(&mut self, task: &Task, spec: &Spec, ran: f64, checkpoints_only: bool) {
+    fn keep(&mut self, task: &Task, spec: &JobSpec, ran: f64, checkpoints_only: bool) {
         if spec.checkpoint_s <= 0.0 {
             return;
         }
@@ -501,7 +501,7 @@
         &mut self,
         name: &Name,
         task: &Task,
-        spec: &Spec,
+        spec: &JobSpec,
         work: Work,
         gang: Option<(u32, u32)>,
         now: Instant,
@@ -587,7 +587,7 @@
     }
 
     /// What the rules say of a start: one machine a task, and where it may be.
-    fn check(&mut self, name: &Name, task: &Task, spec: &Spec) {
+    fn check(&mut self, name: &Name, task: &Task, spec: &JobSpec) {
         let Some(m) = self.machines.get(name) else { return };
         let holds = |n: &&Name| {
             let held = self.machines.get(*n).and_then(|o| o.tasks.get(task));
--- a/packages/emulator/src/worker_pool/tests.rs
+++ b/packages/emulator/src/worker_pool/tests.rs
@@ -84,7 +84,7 @@
     let t0 = Instant::now();
     let at = |s| t0 + Duration::from_secs(s);
     let mut y = worker_pool(2, t0);
-    y.upload(Spec { shape: Shape::Gang, ..(*spec("j-000001", 2)).clone() });
+    y.upload(JobSpec { shape: Shape::Gang, ..(*spec("j-000001", 2)).clone() });
     run(&mut y, "i-0", 1, 0, t0);
     y.step(at(2));
     assert_eq!(states(&mut y, "i-0", at(2)), [(TaskState::Gathering, None)]);
--- a/packages/wire/src/example.rs
+++ b/packages/wire/src/example.rs
@@ -5,8 +5,8 @@
 use crate::model::*;
 
 /// An array of tasks of one core.
-pub fn spec(id: &str, tasks: u32) -> Arc<Spec> {
-    Arc::new(Spec {
+pub fn spec(id: &str, tasks: u32) -> Arc<JobSpec> {
+    Arc::new(JobSpec {
         id: id.into(),
         class: "c".into(),
         team: "x".into(),
--- a/packages/wire/src/http/tests.rs
+++ b/packages/wire/src/http/tests.rs
@@ -7,7 +7,7 @@
     fn strange_bytes_are_refused(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         let _ = parse_request(&bytes);
         let _ = parse_response(&bytes);
-        let _ = decode::<crate::model::Spec>(&bytes);
+        let _ = decode::<crate::model::JobSpec>(&bytes);
         let _ = decode::<crate::workers::Report>(&bytes);
     }
 
--- a/packages/wire/src/model.rs
+++ b/packages/wire/src/model.rs
@@ -108,7 +108,7 @@
 /// A submission as users send it and as the store keeps it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Spec {
+pub struct JobSpec {
     /// The job's id, chosen by its user.
     #[serde(rename = "nameId")]
     pub id: Name,
@@ -185,7 +185,7 @@
     id.strip_prefix("j-").is_some_and(|d| (1..=32).contains(&d.len()) && d.bytes().all(|b| b.is_ascii_digit()))
 }
 
-impl Spec {
+impl JobSpec {
     /// What one task takes.
     pub fn size(&self) -> Size {
         Size { cpus: self.cpus, gpus: self.gpus, memory: self.memory }
--- a/packages/wire/src/model/tests.rs
+++ b/packages/wire/src/model/tests.rs
@@ -25,9 +25,9 @@
     fn needs_survive_the_wire(ids in prop::collection::vec(0u32..30, 0..12)) {
         let names: Vec<Name> = ids.iter().map(|n| format!("j-{n}").into()).collect();
         let plain = crate::example::spec("j-000001", 1);
-        let told = Spec { needs: names.clone(), ..(*plain).clone() };
+        let told = JobSpec { needs: names.clone(), ..(*plain).clone() };
         let bytes = crate::http::encode(&told);
-        let back: Spec = crate::http::decode(&bytes).expect("our own bytes");
+        let back: JobSpec = crate::http::decode(&bytes).expect("our own bytes");
         let mut seen = std::collections::HashSet::new();
         let once: Vec<Name> = names.into_iter().filter(|n| seen.insert(n.clone())).collect();
         prop_assert_eq!(&back.needs, &once);
@@ -40,7 +40,7 @@
             fields.push(("awaits".into(), strange));
             let mut bytes = Vec::new();
             rmpv::encode::write_value(&mut bytes, &rmpv::Value::Map(fields.clone())).expect("to memory");
-            let read = crate::http::decode::<Spec>(&bytes);
+            let read = crate::http::decode::<JobSpec>(&bytes);
             prop_assert_eq!(read.ok().map(|s| s.needs.len()), good.then_some(0));
         }
     }
--- a/src/gates.rs
+++ b/src/gates.rs
@@ -9,7 +9,7 @@
 use crate::authority::Authority;
 use crate::node::Node;
 use crate::siblings::lock;
-use crate::store::{key, read_value, Error, Outcome, Txn, Write};
+use crate::store::{key, read_value, Error, Txn, TxnOutcome, Write};
 
 /// The state service gives no longer lease.
 const LONGEST_LEASE: Duration = Duration::from_secs(600);
@@ -131,8 +131,8 @@
                 txn.guard(key::LEADER, a.stamp);
                 txn.guard(key::GATES, stamp);
                 match self.store.txn(&txn).await {
-                    Ok(Outcome::Done(stamp)) => self.gates_are(&gates, stamp, Instant::now()),
-                    Ok(Outcome::Conflict(keys)) => tracing::info!("the gate is in conflict over {keys:?}"),
+                    Ok(TxnOutcome::Done(stamp)) => self.gates_are(&gates, stamp, Instant::now()),
+                    Ok(TxnOutcome::Conflict(keys)) => tracing::info!("the gate is in conflict over {keys:?}"),
                     Err(e) => tracing::debug!("the gate: {e}"),
                 }
             }
--- a/src/intake.rs
+++ b/src/intake.rs
@@ -23,7 +23,7 @@
 use crate::model::*;
 use crate::node::{Inner, Node};
 use crate::siblings::{lock, wire};
-use crate::store::{key, read_value, Error, Outcome, Txn, Write};
+use crate::store::{key, read_value, Error, Txn, TxnOutcome, Write};
 use crate::telemetry::{count, Timed};
 use crate::wait::timed;
 use crate::workers::{keep_alive, Answer, Origin, Report};
@@ -51,7 +51,7 @@
 const QUERY_LIMIT: Duration = Duration::from_millis(1700);
 
 /// Most bytes that a submission takes in the store, in the form that is counted.
-fn stored_bytes(spec: &Spec) -> usize {
+fn stored_bytes(spec: &JobSpec) -> usize {
     // a quarter for commas and colons, and what numbers need as text
     let bytes = http::encode(spec).len();
     bytes + bytes / 4 + 128
@@ -325,7 +325,7 @@
     }
 
     async fn submit(&self, body: &[u8]) -> Response {
-        let spec: Spec = match http::decode(body) {
+        let spec: JobSpec = match http::decode(body) {
             Ok(s) => s,
             Err(e) => return Response::refuse(400, &e.to_string()),
         };
@@ -338,7 +338,7 @@
     }
 
     /// What speaks against a submission that is not known here.
-    async fn validate(&self, spec: &Spec) -> Verdict {
+    async fn validate(&self, spec: &JobSpec) -> Verdict {
         {
             let i = self.lock();
             if !i.synced || i.types.is_empty() {
@@ -355,7 +355,7 @@
     }
 
     /// Hands a submission over to be stored, with those that wait meanwhile.
-    async fn stored(&self, spec: Arc<Spec>, doomed: bool) -> Accepted {
+    async fn stored(&self, spec: Arc<JobSpec>, doomed: bool) -> Accepted {
         let (reply, answer) = smol::channel::bounded(1);
         if self.intake.submissions.0.try_send((spec, doomed, reply)).is_err() {
             return Accepted::Unknown;
@@ -366,7 +366,7 @@
     /// Whether a job that needs others can be taken, and whether one of these is
     /// known to be cancelled, so that it ends with it.
     /// "Never accepted" is the store's word alone: what is known here may lag.
-    async fn validate_needs(&self, spec: &Spec) -> Verdict {
+    async fn validate_needs(&self, spec: &JobSpec) -> Verdict {
         if spec.needs.is_empty() {
             return Verdict::Fine { doomed: false };
         }
@@ -421,7 +421,7 @@
                         self.lookup_pause(1.0).await;
                         let path = format!("{}{id}", key::JOB);
                         let item = self.store.get(&path).await.ok()??;
-                        if read_value::<Spec>(&path, item.data)?.shape == Shape::Service {
+                        if read_value::<JobSpec>(&path, item.data)?.shape == Shape::Service {
                             return Some(Some("needs a service, which is never done"));
                         }
                     }
@@ -439,7 +439,7 @@
             let mut batch = vec![first];
             let mut bytes = 0;
             // one that needs a cancelled job is stored with its own end
-            let changes = |l: &[(Arc<Spec>, bool, _)]| l.iter().map(|s| 1 + usize::from(s.1)).sum::<usize>();
+            let changes = |l: &[(Arc<JobSpec>, bool, _)]| l.iter().map(|s| 1 + usize::from(s.1)).sum::<usize>();
             while changes(&batch) + 1 < self.store.most.writes && bytes < 20_000 {
                 let Ok(next) = queue.try_recv() else { break };
                 bytes += http::encode(&*next.0).len();
@@ -452,7 +452,7 @@
                 let outcome = self.store.txn(&txn).await;
                 let now = Instant::now();
                 match outcome {
-                    Ok(Outcome::Done(stamp)) => {
+                    Ok(TxnOutcome::Done(stamp)) => {
                         let slow = now.duration_since(sent) > self.policy.renew;
                         for (spec, _, reply) in batch.drain(..) {
                             let id = spec.id.clone();
@@ -466,7 +466,7 @@
                             let _ = reply.try_send(Accepted::New { slow });
                         }
                     }
-                    Ok(Outcome::Conflict(failed)) => {
+                    Ok(TxnOutcome::Conflict(failed)) => {
                         // those exist already, perhaps by a try of ours
                         for k in &failed {
                             for (_, _, reply) in batch.extract_if(.., |(s, ..)| *k == format!("{}{}", key::JOB, s.id)) {
@@ -496,7 +496,7 @@
         // the end last: it may come in between
         let Some(item) = self.store.get(&job).await? else { return Ok(None) };
         let end = self.store.get(&end).await?;
-        let spec = read_value::<Spec>(&job, item.data).ok_or(Error::Unreadable)?;
+        let spec = read_value::<JobSpec>(&job, item.data).ok_or(Error::Unreadable)?;
         let open = Open { spec: Arc::new(spec), stamp: item.stamp };
         let fate = match end {
             None => None,
@@ -537,9 +537,9 @@
         while let Some(txn) = asked.txn() {
             self.lookup_pause(1.0).await;
             match self.store.txn(&txn).await {
-                Ok(Outcome::Done(_)) => asked.as_guarded(),
-                Ok(Outcome::Conflict(keys)) if asked.conflict(&keys) => {}
-                Ok(Outcome::Conflict(_)) | Err(_) => return false,
+                Ok(TxnOutcome::Done(_)) => asked.as_guarded(),
+                Ok(TxnOutcome::Conflict(keys)) if asked.conflict(&keys) => {}
+                Ok(TxnOutcome::Conflict(_)) | Err(_) => return false,
             }
         }
         true
@@ -605,12 +605,12 @@
                     txn.guard(format!("{}{id}", key::FATE), 0);
                 }
                 match self.store.txn(&txn).await {
-                    Ok(Outcome::Done(_)) => {
+                    Ok(TxnOutcome::Done(_)) => {
                         for (_, reply) in batch.drain(..) {
                             let _ = reply.try_send(Some(None));
                         }
                     }
-                    Ok(Outcome::Conflict(failed)) => {
+                    Ok(TxnOutcome::Conflict(failed)) => {
                         for k in failed {
                             let fate = self.read_fate(&k).await;
                             for (_, reply) in batch.extract_if(.., |(id, _)| k == format!("{}{id}", key::FATE)) {
@@ -723,7 +723,7 @@
     }
 
     /// Answers a request as `core/answers` has it: asks what that wants asked.
-    async fn inquire(&self, id: &Name, wish: Wish, spec: Option<Arc<Spec>>) -> Word {
+    async fn inquire(&self, id: &Name, wish: Wish, spec: Option<Arc<JobSpec>>) -> Word {
         let (mut q, began, mut told_by) = (Inquiry::new(id.clone(), wish), Instant::now(), None);
         loop {
             let told = self.told.listen();
@@ -824,15 +824,15 @@
         loop {
             let txn = cancellations(&ends);
             match self.store.txn(&txn).await? {
-                Outcome::Done(stamp) => {
+                TxnOutcome::Done(stamp) => {
                     let now = Instant::now();
                     ends.iter().for_each(|id| self.learn_fate(id, Fate::Cancelled, stamp, now));
                     return Ok(Fate::Cancelled);
                 }
                 // one of the others has ended by itself: this one alone then
-                Outcome::Conflict(keys) if ends.len() > 1 && !keys.contains(&path) => ends.truncate(1),
+                TxnOutcome::Conflict(keys) if ends.len() > 1 && !keys.contains(&path) => ends.truncate(1),
                 // whoever loses the race says what the store says
-                Outcome::Conflict(_) => return self.read_fate(&path).await.ok_or(Error::Refused(503)),
+                TxnOutcome::Conflict(_) => return self.read_fate(&path).await.ok_or(Error::Refused(503)),
             }
         }
     }
--- a/src/leader/commits.rs
+++ b/src/leader/commits.rs
@@ -7,7 +7,7 @@
 use crate::cluster::Cluster;
 use crate::model::*;
 use crate::node::Node;
-use crate::store::{key, read_value, Error, Item, Outcome};
+use crate::store::{key, read_value, Error, Item, TxnOutcome};
 use crate::telemetry::{count, Timed};
 
 /// Needed jobs that the store is asked about at once.
@@ -30,11 +30,11 @@
             let outcome = self.store.txn(&batch.txn).await;
             let now = Instant::now();
             self.telemetry.took(Timed::Commit, now - began);
-            if !matches!(outcome, Ok(Outcome::Done(_))) {
+            if !matches!(outcome, Ok(TxnOutcome::Done(_))) {
                 count(&self.telemetry.counters.commits_failed);
             }
             match outcome {
-                Ok(Outcome::Done(revision)) => {
+                Ok(TxnOutcome::Done(revision)) => {
                     let ended = self.lock().cluster.as_mut().map(|c| c.committed(batch, revision, now));
                     for (id, fate) in ended.unwrap_or_default() {
                         tracing::debug!("{id} is {}", fate.word());
@@ -44,7 +44,7 @@
                     self.to_command.wake();
                     self.to_place.wake();
                 }
-                Ok(Outcome::Conflict(keys)) => {
+                Ok(TxnOutcome::Conflict(keys)) => {
                     if keys.iter().any(|k| k == key::LEADER) {
                         return "the leader key has changed";
                     }
--- a/src/leader/machines.rs
+++ b/src/leader/machines.rs
@@ -12,7 +12,7 @@
 use crate::http;
 use crate::model::*;
 use crate::node::Node;
-use crate::store::{key, Error, Outcome, Txn, Write};
+use crate::store::{key, Error, Txn, TxnOutcome, Write};
 
 #[derive(Deserialize)]
 struct Types {
@@ -183,8 +183,8 @@
         let Some(mut new) = new else { return true };
         for _ in 0..RECORD_TRIES {
             let tried = match self.store.txn(&new.txn(a.stamp)).await {
-                Ok(Outcome::Done(_)) => Tried::Done,
-                Ok(Outcome::Conflict(keys)) => Tried::Conflict(keys),
+                Ok(TxnOutcome::Done(_)) => Tried::Done,
+                Ok(TxnOutcome::Conflict(keys)) => Tried::Conflict(keys),
                 Err(Error::Doubt(e)) => {
                     tracing::debug!("a record of rentals is in doubt: {e}");
                     Tried::Doubt
@@ -221,7 +221,7 @@
         }
         let mut txn = Txn { guards: vec![], writes: gone.iter().map(Write::delete).collect() };
         txn.guard(key::LEADER, a.stamp);
-        if let Ok(Outcome::Done(_)) = self.store.txn(&txn).await {
+        if let Ok(TxnOutcome::Done(_)) = self.store.txn(&txn).await {
             if let Some(c) = self.lock().cluster.as_mut() {
                 c.fleet.records.retain(|k, _| !gone.contains(k));
             }
--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -8,7 +8,7 @@
 
 use crate::authority::{lasts_until, Authority, LeaderRecord, NO_WORKERS};
 use crate::node::Node;
-use crate::store::{key, read_value, Error, Guard, Outcome, Txn, Write};
+use crate::store::{key, read_value, Error, Guard, Txn, TxnOutcome, Write};
 
 #[derive(Serialize, Deserialize)]
 struct TermRecord {
@@ -113,13 +113,13 @@
             ],
         };
         match self.store.txn(&txn).await? {
-            Outcome::Done(stamp) => {
+            TxnOutcome::Done(stamp) => {
                 tracing::info!("leads from now on, term {}", record.term);
                 self.lock().leader = Some(crate::node::LeaderSeen { record: record.clone(), stamp });
                 let until = lasts_until(sent, ttl, self.policy.drift);
                 Ok(Some(Authority { term: record.term, stamp, hold, until, since: sent }))
             }
-            Outcome::Conflict(_) => {
+            TxnOutcome::Conflict(_) => {
                 let _ = self.store.revoke(hold).await;
                 Ok(None)
             }
--- a/src/node.rs
+++ b/src/node.rs
@@ -300,7 +300,7 @@
     }
 
     /// A job that the watch shows.
-    pub fn learn_job(&self, spec: Arc<Spec>, stamp: u64, now: Instant) {
+    pub fn learn_job(&self, spec: Arc<JobSpec>, stamp: u64, now: Instant) {
         let mut i = self.lock();
         if i.ledger.seen(spec.clone(), stamp) {
             self.opened(&mut i, spec, stamp, now);
@@ -308,14 +308,14 @@
     }
 
     /// A job that a transaction of this controller's has stored.
-    pub fn stored_job(&self, spec: Arc<Spec>, stamp: u64, now: Instant) {
+    pub fn stored_job(&self, spec: Arc<JobSpec>, stamp: u64, now: Instant) {
         let mut i = self.lock();
         if i.ledger.stored(spec.clone(), stamp) {
             self.opened(&mut i, spec, stamp, now);
         }
     }
 
-    pub(crate) fn opened(&self, i: &mut Inner, spec: Arc<Spec>, stamp: u64, now: Instant) {
+    pub(crate) fn opened(&self, i: &mut Inner, spec: Arc<JobSpec>, stamp: u64, now: Instant) {
         let Some(c) = i.cluster.as_mut() else { return };
         c.add_job(spec.clone(), stamp, None, now);
         for n in &spec.needs {
--- a/src/queues.rs
+++ b/src/queues.rs
@@ -18,7 +18,7 @@
 /// Users' requests on their way to the store, gathered into transactions.
 pub struct Intake {
     /// Submissions, and whether each ends with a cancelled job that it needs.
-    pub(crate) submissions: Queue<(Arc<Spec>, bool, Reply<Accepted>)>,
+    pub(crate) submissions: Queue<(Arc<JobSpec>, bool, Reply<Accepted>)>,
     pub(crate) checks: Queue<(Name, Reply<Option<Option<Fate>>>)>,
     /// Ids that are not known here.
     pub(crate) lookups: Queue<(Name, Reply<Option<Found>>)>,
--- a/src/store.rs
+++ b/src/store.rs
@@ -67,7 +67,7 @@
 
 /// What a transaction came to.
 #[derive(Debug)]
-pub enum Outcome {
+pub enum TxnOutcome {
     /// Carried out at this revision.
     Done(u64),
     /// Some keys had other stamps.
@@ -213,12 +213,12 @@
     }
 
     /// One transaction, once.
-    pub async fn txn(&self, txn: &Txn) -> Result<Outcome, Error> {
+    pub async fn txn(&self, txn: &Txn) -> Result<TxnOutcome, Error> {
         self.pace(txn.writes.len()).await;
         let (status, body) = self.call("POST", "/txn", Some(&http::encode(txn)), LIMIT).await?;
         match status {
-            200 => Ok(Outcome::Done(http::decode::<Epoch>(&body)?.epoch)),
-            409 => Ok(Outcome::Conflict(http::decode::<Failed>(&body)?.failed)),
+            200 => Ok(TxnOutcome::Done(http::decode::<Epoch>(&body)?.epoch)),
+            409 => Ok(TxnOutcome::Conflict(http::decode::<Failed>(&body)?.failed)),
             400 if String::from_utf8_lossy(&body).contains("no such lease") => Err(Error::NoLease),
             s => {
                 tracing::error!("state service answers {s} to a transaction of {} writes", txn.writes.len());
--- a/src/submit.rs
+++ b/src/submit.rs
@@ -19,7 +19,7 @@
 use sha2::{Digest, Sha256};
 
 use crate::client::{say, Controller, BAD_SETTINGS};
-use crate::model::{Name, Shape, Spec};
+use crate::model::{JobSpec, Name, Shape};
 
 /// How to submit.
 #[derive(Debug, Clone, clap::Args)]
@@ -103,13 +103,13 @@
 }
 
 /// Jobs of a text: one, or one a line.  The error is all that is wrong.
-fn jobs(file: &str, text: &str) -> Result<Vec<Spec>, String> {
-    let one = |text: &str| -> Result<Spec, String> {
+fn jobs(file: &str, text: &str) -> Result<Vec<JobSpec>, String> {
+    let one = |text: &str| -> Result<JobSpec, String> {
         let mut v: serde_json::Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
         if let Some(m) = v.as_object_mut().filter(|m| m.get("nameId").is_none_or(|i| i.is_null())) {
             m.insert("nameId".into(), fresh_id().map_err(|e| e.to_string())?.as_ref().into());
         }
-        let spec: Spec = serde_json::from_value(v).map_err(|e| e.to_string())?;
+        let spec: JobSpec = serde_json::from_value(v).map_err(|e| e.to_string())?;
         match spec.fault() {
             Some(why) => Err(format!("bad value: {why}")),
             None => Ok(spec),
@@ -142,15 +142,15 @@
 
 /// What is wrong with what the jobs of a file need, as far as the file tells: a
 /// service is never done, and jobs that wait for one another never start.
-fn chained(file: &str, specs: &[Spec]) -> Vec<String> {
-    let by_id: HashMap<&Name, &Spec> = specs.iter().map(|s| (&s.id, s)).collect();
+fn chained(file: &str, specs: &[JobSpec]) -> Vec<String> {
+    let by_id: HashMap<&Name, &JobSpec> = specs.iter().map(|s| (&s.id, s)).collect();
     let mut wrong = Vec::new();
     for s in specs {
         let services = s.needs.iter().filter_map(|n| by_id.get(n)).filter(|n| n.shape == Shape::Service);
         wrong.extend(services.map(|n| format!("{file}: {} needs {}, a service, which is never done", s.id, n.id)));
     }
     // what needs nothing else of the file goes first; what is left goes round
-    let inside = |s: &Spec| s.needs.iter().filter(|n| by_id.contains_key(*n)).count();
+    let inside = |s: &JobSpec| s.needs.iter().filter(|n| by_id.contains_key(*n)).count();
     let mut left: HashMap<&Name, usize> = specs.iter().map(|s| (&s.id, inside(s))).collect();
     let mut after: HashMap<&Name, Vec<&Name>> = HashMap::new();
     for s in specs {
@@ -175,7 +175,7 @@
 
 /// Names that the jobs need, that are not among them and that no controller
 /// knows.
-async fn strangers(file: &str, specs: &[Spec], how: &How) -> Result<Vec<String>, Failed> {
+async fn strangers(file: &str, specs: &[JobSpec], how: &How) -> Result<Vec<String>, Failed> {
     let own: HashSet<&Name> = specs.iter().map(|s| &s.id).collect();
     let mut known: HashMap<&Name, bool> = HashMap::new();
     let mut wrong = Vec::new();
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -18,7 +18,7 @@
         match (e.set, e.delete, e.data) {
             (Some(path), _, Some(data)) => {
                 if path.starts_with(key::JOB) {
-                    if let Some(spec) = read_value::<Spec>(&path, data) {
+                    if let Some(spec) = read_value::<JobSpec>(&path, data) {
                         self.learn_job(Arc::new(spec), e.stamp, now);
                     }
                 } else if let Some(id) = path.strip_prefix(key::FATE) {
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -11,7 +11,7 @@
 
 use common::{dir, job, Cluster};
 use coralnotch::http::{self, Client};
-use coralnotch::model::{JobState, Name, Shape, Spec};
+use coralnotch::model::{JobSpec, JobState, Name, Shape};
 use coralnotch_wire::history::{older, Answer, Said};
 
 /// What users were told, and when each job was submitted first.
@@ -61,7 +61,7 @@
         self.ask("GET", &format!("/v2/runs/{id}"), id, None).await
     }
 
-    async fn submit(&self, spec: &Spec) -> Option<Said> {
+    async fn submit(&self, spec: &JobSpec) -> Option<Said> {
         self.ask("POST", "/v2/runs", &spec.id, Some(&http::encode(spec))).await
     }
 
@@ -70,14 +70,14 @@
     }
 
     /// All at once, some of them with the same submission.
-    async fn look_closely(&self, spec: &Spec) {
+    async fn look_closely(&self, spec: &JobSpec) {
         let queries = futures_util::future::join_all((0..4).map(|_| self.query(&spec.id)));
         let repeats = futures_util::future::join_all((0..2).map(|_| self.submit(spec)));
         futures_util::future::join(queries, repeats).await;
     }
 
     /// A job from its submission to its end; `cancel` after so long.
-    async fn follow(&self, spec: Spec, cancel: Option<Duration>) -> bool {
+    async fn follow(&self, spec: JobSpec, cancel: Option<Duration>) -> bool {
         let began = Instant::now();
         while self.submit(&spec).await.is_none() && began.elapsed() < Duration::from_secs(60) {
             smol::Timer::after(Duration::from_millis(200)).await;
@@ -122,7 +122,7 @@
         jobs.push((job(format!("j-{n:06}").into()), after, cancel));
     }
     // odd ones: no such team, no such zone, spread over one zone, no task; and nobody's
-    let odd = |n: u64, change: fn(&mut Spec)| {
+    let odd = |n: u64, change: fn(&mut JobSpec)| {
         let mut spec = job(format!("j-9{n:05}").into());
         change(&mut spec);
         spec
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::thread;
 
-use coralnotch::model::{Name, Spec};
+use coralnotch::model::{JobSpec, Name};
 use coralnotch::store::key;
 use coralnotch_emulator::up::{up, Options, Report, Size};
 
@@ -81,8 +81,8 @@
     }
 }
 
-pub fn job(id: Name) -> Spec {
-    Spec {
+pub fn job(id: Name) -> JobSpec {
+    JobSpec {
         class: "demo".into(),
         team: "demo".into(),
         cpus: 0.5,
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -12,7 +12,7 @@
 
 use coralnotch::authority::LeaderRecord;
 use coralnotch::config::Config;
-use coralnotch::model::{Explained, Fate, FateRecord, JobState, MachineType, Ranges, Rank, Shape, Spec};
+use coralnotch::model::{Explained, Fate, FateRecord, JobSpec, JobState, MachineType, Ranges, Rank, Shape};
 use coralnotch::node::Node;
 use coralnotch::policy::Policy;
 use coralnotch::siblings::wire;
@@ -46,7 +46,7 @@
 #[test]
 fn submissions_and_answers_to_users_keep_their_form() {
     let golden = protocol();
-    let spec: Spec = keeps(&golden["spec"]);
+    let spec: JobSpec = keeps(&golden["spec"]);
     assert_eq!((&*spec.id, &*spec.class, &*spec.team), ("j-000412", "nightly", "team-a"));
     assert_eq!((spec.tasks, spec.cpus, spec.gpus, spec.memory), (4, 1.5, 1.0, 8.0));
     assert_eq!((&*spec.image, spec.image_gb, spec.estimate_s), ("img-1", 2.0, 30.0));
--- a/tests/roll.rs
+++ b/tests/roll.rs
@@ -15,14 +15,14 @@
 
 use common::{dir, job, stored, Cluster, PROGRAM};
 use coralnotch::http::{self, Client as HttpClient};
-use coralnotch::model::{Explained, Name, Shape, Spec};
+use coralnotch::model::{Explained, JobSpec, Name, Shape};
 use coralnotch_client::{fresh_id, Client, Final, JobHandle, Settings};
 
 /// A chain as users have them: a first stage, two that need it, a gang that needs
 /// both, and a last one that needs the first and the gang.
-fn chain() -> Vec<Spec> {
+fn chain() -> Vec<JobSpec> {
     let ids: Vec<Name> = (0..5).map(|_| fresh_id().expect("randomness")).collect();
-    let of = |n: usize, needs: &[usize], shape, tasks| Spec {
+    let of = |n: usize, needs: &[usize], shape, tasks| JobSpec {
         needs: needs.iter().map(|n| ids[*n].clone()).collect(),
         shape,
         tasks,
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use coralnotch::http::{self, Client};
-use coralnotch::model::{JobState, Name, Spec};
+use coralnotch::model::{JobSpec, JobState, Name};
 use coralnotch::telemetry::Status;
 use coralnotch_emulator::up::Size;
 
@@ -52,7 +52,7 @@
     let size = Size { sockets: SOCKETS, ..Size::default() };
     let cluster = common::Cluster::sized(&dir, faults, 20, size);
     let id: Name = "j-000077".into();
-    let spec = Spec { tasks: TASKS, cpus: 16.0, estimate_s: 16.0, spot: false, ..common::job(id.clone()) };
+    let spec = JobSpec { tasks: TASKS, cpus: 16.0, estimate_s: 16.0, spot: false, ..common::job(id.clone()) };
     let forwarded = smol::block_on(async {
         let client = Client::default();
         let at = controllers(&dir);
