--- a/benches/history/main.rs
+++ b/benches/history/main.rs
@@ -16,7 +16,7 @@
 
 use clap::Parser;
 use coralnotch::http::{self, Client};
-use coralnotch::model::{Fate, FateRecord, JobSpec, Rank, Shape};
+use coralnotch::model::{JobOutcome, JobSpec, OutcomeRecord, Rank, Shape};
 use coralnotch::store::key;
 use coralnotch::telemetry::Status;
 use rmpv::Value;
@@ -147,7 +147,7 @@
     for n in 0..ended + args.unfinished {
         store.fill(format!("{}{}", key::JOB, id(n)), &job(n));
         if n < ended {
-            store.fill(format!("{}{}", key::FATE, id(n)), &FateRecord { fate: Fate::Done });
+            store.fill(format!("{}{}", key::OUTCOME, id(n)), &OutcomeRecord { outcome: JobOutcome::Done });
         }
     }
     let types = r#"{"hulls":[{"label":"m","cpus":16,"accelerators":2,"memGb":64,"localGb":150,
--- a/packages/core/src/answers.rs
+++ b/packages/core/src/answers.rs
@@ -41,7 +41,7 @@
     /// Accepted, and not over.
     Unfinished,
     /// Over for good.
-    Over(Fate),
+    Over(JobOutcome),
     /// Never accepted.
     Never,
     /// Can never run, and was never accepted.
@@ -158,7 +158,7 @@
         if !self.accepted && !matches!(self.found, Some(Found::Never | Found::Over(_))) {
             // an end never changes, whoever learned of it in the meantime
             match v.ledger.standing(&self.id) {
-                Standing::Ended(e) => self.found = Some(Found::Over(e.fate)),
+                Standing::Ended(e) => self.found = Some(Found::Over(e.outcome)),
                 Standing::Open(_) => self.found = self.found.take().or(Some(Found::Open)),
                 Standing::Unknown => {}
             }
@@ -179,8 +179,8 @@
             (Some(Found::Open | Found::Confirmed), Wish::Withdraw) => Step::Cancel,
             (Some(Found::Open), _) => Step::Confirm,
             (Some(Found::Confirmed), _) => self.unfinished(v),
-            (Some(Found::Over(Fate::Done)), _) => Step::Say(Word::Over(Fate::Done)),
-            (Some(Found::Over(Fate::Cancelled)), _) => self.cancelled(v),
+            (Some(Found::Over(JobOutcome::Done)), _) => Step::Say(Word::Over(JobOutcome::Done)),
+            (Some(Found::Over(JobOutcome::Cancelled)), _) => self.cancelled(v),
         }
     }
 
@@ -206,7 +206,7 @@
     /// Whoever renews leases unknowing counts on it that nobody tells who may not have
     /// seen that all do so.
     fn cancelled(&self, v: &mut View) -> Step {
-        let told = Step::Say(Word::Over(Fate::Cancelled));
+        let told = Step::Say(Word::Over(JobOutcome::Cancelled));
         if !v.all_tell {
             return told;
         }
@@ -230,11 +230,11 @@
     }
 
     /// The end that the store has, if any; `None` if it can't be told now.
-    pub fn confirmed(&mut self, end: Option<Option<Fate>>) {
+    pub fn confirmed(&mut self, end: Option<Option<JobOutcome>>) {
         match end {
             None => self.failed = Some(SILENT),
             Some(None) => self.found = Some(Found::Confirmed),
-            Some(Some(fate)) => self.found = Some(Found::Over(fate)),
+            Some(Some(outcome)) => self.found = Some(Found::Over(outcome)),
         }
     }
 
@@ -251,17 +251,17 @@
             Accepted::Unknown => self.failed = Some(SILENT),
             Accepted::Before | Accepted::New { slow: true } => self.found = Some(Found::Open),
             // one that ends with what it needs is accepted first, by the same transaction
-            Accepted::New { .. } if ledger.fate(&self.id).is_some() && !doomed => self.found = Some(Found::Open),
+            Accepted::New { .. } if ledger.outcome(&self.id).is_some() && !doomed => self.found = Some(Found::Open),
             Accepted::New { .. } => (self.found, self.accepted) = (Some(Found::Confirmed), true),
         }
     }
 
     /// The end that the job has by now, this request's or another; `None` if that can't be
     /// told now.
-    pub fn ended(&mut self, fate: Option<Fate>) {
-        match fate {
+    pub fn ended(&mut self, outcome: Option<JobOutcome>) {
+        match outcome {
             None => self.failed = Some(SILENT),
-            Some(fate) => self.found = Some(Found::Over(fate)),
+            Some(outcome) => self.found = Some(Found::Over(outcome)),
         }
     }
 
@@ -285,7 +285,7 @@
         txn.guard(path.clone(), 0);
         txn.writes.push(Write::set(path, spec));
         if doomed {
-            key::end(&mut txn, &spec.id, Fate::Cancelled);
+            key::end(&mut txn, &spec.id, JobOutcome::Cancelled);
         }
     }
     txn
@@ -294,7 +294,7 @@
 /// The cancellation of jobs, each guarded on having no end.
 pub fn cancellations(ids: &[Name]) -> Txn {
     let mut txn = Txn::default();
-    ids.iter().for_each(|id| key::end(&mut txn, id, Fate::Cancelled));
+    ids.iter().for_each(|id| key::end(&mut txn, id, JobOutcome::Cancelled));
     txn
 }
 
--- a/packages/core/src/answers/tests.rs
+++ b/packages/core/src/answers/tests.rs
@@ -50,22 +50,26 @@
 #[test]
 fn a_slow_acceptance_is_confirmed() {
     let fine = Verdict::Fine { doomed: false };
-    let accepted = |slow: bool, ended: Option<Fate>| {
+    let accepted = |slow: bool, ended: Option<JobOutcome>| {
         let (mut k, mut q) = (Known::new(), Inquiry::new("j-1".into(), Wish::Submit));
         assert_eq!(k.next(&mut q, 1), Step::Judge);
         q.judged(fine);
         assert_eq!(k.next(&mut q, 1), Step::Store { doomed: false });
         k.ledger.stored(spec("j-1", 1), 5);
-        if let Some(fate) = ended {
-            k.ledger.ends("j-1", fate);
+        if let Some(outcome) = ended {
+            k.ledger.ends("j-1", outcome);
         }
         q.stored(Accepted::New { slow }, &mut k.ledger);
         k.next(&mut q, 2)
     };
     assert_eq!(accepted(false, None), Step::Say(Word::Accepted));
     assert_eq!(accepted(true, None), Step::Confirm);
-    assert_eq!(accepted(false, Some(Fate::Done)), Step::Say(Word::Over(Fate::Done)), "an end is known by now");
-    assert_eq!(accepted(false, Some(Fate::Cancelled)), Step::Tell);
+    assert_eq!(
+        accepted(false, Some(JobOutcome::Done)),
+        Step::Say(Word::Over(JobOutcome::Done)),
+        "an end is known by now"
+    );
+    assert_eq!(accepted(false, Some(JobOutcome::Cancelled)), Step::Tell);
 }
 
 /// Two requests for one id in one transaction, one of which came before the end of what
@@ -83,7 +87,7 @@
         };
         txn.writes.iter().map(set).collect::<Vec<_>>()
     };
-    let (job, end) = (|id| format!("{}{id}", key::JOB), |id| format!("{}{id}", key::FATE));
+    let (job, end) = (|id| format!("{}{id}", key::JOB), |id| format!("{}{id}", key::OUTCOME));
     assert_eq!(sets(&[(&one, false), (&one, true), (&other, false)]), [job("j-1"), job("j-2")]);
     assert_eq!(sets(&[(&one, true), (&one, false)]), [job("j-1"), end("j-1")]);
 }
@@ -97,7 +101,7 @@
     q.judged(Verdict::Fine { doomed: true });
     assert_eq!(k.next(&mut q, 1), Step::Store { doomed: true });
     k.ledger.stored(spec("j-1", 1), 5);
-    k.ledger.ends("j-1", Fate::Cancelled);
+    k.ledger.ends("j-1", JobOutcome::Cancelled);
     q.stored(Accepted::New { slow: false }, &mut k.ledger);
     assert_eq!(k.next(&mut q, 1), Step::Say(Word::Accepted));
 }
@@ -114,8 +118,8 @@
         let mut never = q.clone();
         never.looked_up(Some(Found::Never));
         assert_eq!(k.next(&mut never, 1), Step::Say(Word::Never));
-        q.looked_up(Some(Found::Over(Fate::Done)));
-        assert_eq!(k.next(&mut q, 1), Step::Say(Word::Over(Fate::Done)));
+        q.looked_up(Some(Found::Over(JobOutcome::Done)));
+        assert_eq!(k.next(&mut q, 1), Step::Say(Word::Over(JobOutcome::Done)));
     }
     // nor does one that knows it as unfinished
     let (mut k, mut q) = (Known::new(), Inquiry::new("j-1".into(), Wish::Query));
@@ -129,8 +133,8 @@
     // a cancellation that meets the end of the last task says what the store says
     let mut q = Inquiry::new("j-1".into(), Wish::Withdraw);
     assert_eq!(k.next(&mut q, 1), Step::Cancel);
-    q.ended(Some(Fate::Done));
-    assert_eq!(k.next(&mut q, 1), Step::Say(Word::Over(Fate::Done)));
+    q.ended(Some(JobOutcome::Done));
+    assert_eq!(k.next(&mut q, 1), Step::Say(Word::Over(JobOutcome::Done)));
 }
 
 /// What can never run is refused for good only if it was never accepted; a repeat of an
@@ -163,14 +167,14 @@
         match k.next(&mut q, 1) {
             Step::Read(ids) => {
                 reads += 1;
-                ids.iter().take(64).for_each(|id| assert!(!k.ledger.ends(id, Fate::Done)));
+                ids.iter().take(64).for_each(|id| assert!(!k.ledger.ends(id, JobOutcome::Done)));
                 q.read(true);
             }
             step => break step,
         }
     };
     assert_eq!((reads, answer), (4, Step::Say(Word::Unfinished)));
-    k.ledger.ends("j-150", Fate::Cancelled);
+    k.ledger.ends("j-150", JobOutcome::Cancelled);
     assert!(later(&k.next(&mut q, 1)));
     let mut q = Inquiry::new("j-1".into(), Wish::Query);
     k.next(&mut q, 1);
--- a/packages/core/src/cluster/job.rs
+++ b/packages/core/src/cluster/job.rs
@@ -91,7 +91,7 @@
     /// Stamp of the record: the order of arrival.
     pub stamp: u64,
     /// Its end.
-    pub fate: Option<Fate>,
+    pub outcome: Option<JobOutcome>,
     /// Completed and stored.
     pub done: Ranges,
     /// Completed, not stored yet.
@@ -122,13 +122,13 @@
 
 impl Job {
     /// A job nothing of which has run.
-    pub fn new(spec: Arc<JobSpec>, stamp: u64, fate: Option<Fate>, now: Instant) -> Job {
+    pub fn new(spec: Arc<JobSpec>, stamp: u64, outcome: Option<JobOutcome>, now: Instant) -> Job {
         let urgency = Urgency::own(&spec, now);
-        let todo = if fate.is_some() { Ranges::default() } else { Ranges::span(0, spec.tasks) };
+        let todo = if outcome.is_some() { Ranges::default() } else { Ranges::span(0, spec.tasks) };
         Job {
             spec,
             stamp,
-            fate,
+            outcome,
             done: Ranges::default(),
             finishing: Ranges::default(),
             todo,
@@ -170,7 +170,7 @@
 
     /// All its tasks completed, but its end is not stored.
     pub fn completing(&self) -> bool {
-        self.fate.is_none()
+        self.outcome.is_none()
             && self.spec.shape != Shape::Service
             && self.done.len() + self.finishing.len() >= self.spec.tasks
     }
@@ -200,7 +200,7 @@
 
     /// Puts a task back into the queue if nothing keeps it from there.
     pub fn requeue(&mut self, index: u32) {
-        if self.fate.is_none()
+        if self.outcome.is_none()
             && index < self.spec.tasks
             && !self.places.contains_key(&index)
             && !self.done.contains(index)
--- a/packages/core/src/cluster/mod.rs
+++ b/packages/core/src/cluster/mod.rs
@@ -162,13 +162,13 @@
 
     /// A job as the store has it.  One that needs others enters the queue only
     /// when the store has their ends.
-    pub fn add_job(&mut self, spec: Arc<JobSpec>, stamp: u64, fate: Option<Fate>, now: Instant) {
+    pub fn add_job(&mut self, spec: Arc<JobSpec>, stamp: u64, outcome: Option<JobOutcome>, now: Instant) {
         if self.jobs.contains_key(&spec.id) {
             return;
         }
-        if fate.is_none() && !spec.needs.is_empty() {
+        if outcome.is_none() && !spec.needs.is_empty() {
             let look = |n: &Name| match self.jobs.get(n) {
-                Some(j) => j.fate.map_or(Need::Open, Need::Over),
+                Some(j) => j.outcome.map_or(Need::Open, Need::Over),
                 None => Need::Unknown,
             };
             if self.dependency.hold(&spec, stamp, now, look) {
@@ -176,24 +176,24 @@
                 return;
             }
         }
-        self.add_begun(spec, stamp, fate, now);
+        self.add_begun(spec, stamp, outcome, now);
     }
 
     /// A job that may start, or has: a start on record, or a task that a worker
     /// reports, shows that all it needs was done before.
-    pub fn add_begun(&mut self, spec: Arc<JobSpec>, stamp: u64, fate: Option<Fate>, now: Instant) {
+    pub fn add_begun(&mut self, spec: Arc<JobSpec>, stamp: u64, outcome: Option<JobOutcome>, now: Instant) {
         if self.jobs.contains_key(&spec.id) {
             return;
         }
         self.dependency.started(&spec.id);
         // one that is over and still on record tells its end as well: taken for
         // known only, it was never asked about, and what needs it waited for ever
-        let free = match fate {
-            Some(fate) => self.dependency.ended(&spec.id, fate),
+        let free = match outcome {
+            Some(outcome) => self.dependency.ended(&spec.id, outcome),
             None => Vec::new(),
         };
         self.dependency.appears(&spec.id);
-        let mut job = Job::new(spec, stamp, fate, now);
+        let mut job = Job::new(spec, stamp, outcome, now);
         job.urgency = self.dependency.urgency(&job.spec.id, Urgency::own(&job.spec, now));
         self.jobs.insert(job.spec.id.clone(), job);
         for h in free {
@@ -257,7 +257,7 @@
         }
         let mut place = Place::new(job.spec.clone(), s.attempt, s.session, now);
         (place.stored, place.former, place.fenced) = (true, true, false);
-        if job.fate.is_some() {
+        if job.outcome.is_some() {
             // a stop is due, and if its machine stays silent, a deletion: the
             // former leader may have had no time for either
             (place.halt, place.halt_since) = (Some(0.0), Some(now));
@@ -279,7 +279,7 @@
         let (Some(job), Some(m)) = (self.jobs.get_mut(&task.job), self.machines.get_mut(machine)) else {
             return false;
         };
-        if job.fate.is_some() || !job.todo.remove(task.index) {
+        if job.outcome.is_some() || !job.todo.remove(task.index) {
             return false;
         }
         job.places.entry(task.index).or_default().push(machine.clone());
@@ -302,7 +302,7 @@
     /// Whether nothing of a job that is over is on any machine, or may still get onto
     /// one: what was ever started counts until it is proved to be gone.
     pub fn clear_of(&self, id: &str) -> bool {
-        self.jobs.get(id).is_none_or(|j| j.fate.is_some() && j.places.is_empty())
+        self.jobs.get(id).is_none_or(|j| j.outcome.is_some() && j.places.is_empty())
     }
 
     /// The token under which a machine's worker was spoken to last, if it is of this
@@ -343,7 +343,7 @@
     /// tasks complete together.
     pub fn complete(&mut self, task: &Task, now: Instant) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        if job.fate.is_some() || job.spec.shape == Shape::Service || task.index >= job.spec.tasks {
+        if job.outcome.is_some() || job.spec.shape == Shape::Service || task.index >= job.spec.tasks {
             return;
         }
         let all = if job.spec.shape == Shape::Gang { 0..job.spec.tasks } else { task.index..task.index + 1 };
@@ -365,16 +365,16 @@
     }
 
     /// A job's end, as the store has it.
-    pub fn set_fate(&mut self, id: &str, fate: Fate, now: Instant) {
-        for h in self.dependency.ended(id, fate) {
+    pub fn set_outcome(&mut self, id: &str, outcome: JobOutcome, now: Instant) {
+        for h in self.dependency.ended(id, outcome) {
             self.release(h);
         }
         self.urgencies();
         let Some(job) = self.jobs.get_mut(id) else { return };
-        if job.fate.is_some() {
+        if job.outcome.is_some() {
             return;
         }
-        job.fate = Some(fate);
+        job.outcome = Some(outcome);
         job.todo = Ranges::default();
         job.finishing = Ranges::default();
         self.queue_changed = true;
@@ -443,6 +443,6 @@
     pub fn tidy(&mut self, now: Instant) {
         let keep = self.policy.tombstone;
         self.machines.retain(|_, m| m.gone.is_none_or(|t| now.duration_since(t) < keep));
-        self.jobs.retain(|_, j| j.fate.is_none() || !j.places.is_empty());
+        self.jobs.retain(|_, j| j.outcome.is_none() || !j.places.is_empty());
     }
 }
--- a/packages/core/src/commit.rs
+++ b/packages/core/src/commit.rs
@@ -200,7 +200,7 @@
     starts: Vec<(Turn, Start)>,
     /// The completed tasks that are new.
     done: Vec<(Name, Ranges)>,
-    ends: Vec<(Name, Fate)>,
+    ends: Vec<(Name, JobOutcome)>,
 }
 
 impl Batch {
@@ -209,9 +209,9 @@
         self.txn.writes.len() + 1 < most.writes && self.txn.guards.len() + 2 < most.guards
     }
 
-    fn end(&mut self, id: Name, fate: Fate) {
-        key::end(&mut self.txn, &id, fate);
-        self.ends.push((id, fate));
+    fn end(&mut self, id: Name, outcome: JobOutcome) {
+        key::end(&mut self.txn, &id, outcome);
+        self.ends.push((id, outcome));
     }
 }
 
@@ -226,20 +226,20 @@
         let doomed: Vec<Name> = self.dependency.doomed().take(most.writes.div_ceil(2)).cloned().collect();
         for id in doomed {
             if b.room(most) {
-                b.end(id, Fate::Cancelled);
+                b.end(id, JobOutcome::Cancelled);
             }
         }
         // The end of a job says it all; no range is needed beside it, and none
         // is ever missing
         let mut partly = Vec::new();
         for id in std::mem::take(&mut self.finished) {
-            let Some(job) = self.jobs.get(&id).filter(|j| j.fate.is_none()) else { continue };
+            let Some(job) = self.jobs.get(&id).filter(|j| j.outcome.is_none()) else { continue };
             if !job.completing() {
                 if !job.finishing.is_empty() {
                     partly.push(id);
                 }
             } else if b.room(most) {
-                b.end(id, Fate::Done);
+                b.end(id, JobOutcome::Done);
             } else {
                 self.finished.insert(id);
             }
@@ -281,8 +281,8 @@
         while let Some((turn, s)) = self.unstored.pop_first() {
             let Some(m) = to_store(&self.machines, &s) else { continue };
             let at = (m.kind.clone(), m.zone.clone(), m.spot);
-            let path = format!("{}{}", key::FATE, s.task.job);
-            let over = self.jobs.get(&s.task.job).is_none_or(|j| j.fate.is_some());
+            let path = format!("{}{}", key::OUTCOME, s.task.job);
+            let over = self.jobs.get(&s.task.job).is_none_or(|j| j.outcome.is_some());
             let guards = b.txn.guards.len() + usize::from(!over && !b.txn.guarded(&path));
             if filling.bytes + filling.start(&s, &at) > most.page_bytes || guards > most.guards {
                 self.unstored.insert(turn, s);
@@ -312,7 +312,7 @@
             }
         }
         for (id, ranges) in &page.done {
-            if self.jobs.get(id).is_some_and(|j| j.fate.is_none()) {
+            if self.jobs.get(id).is_some_and(|j| j.outcome.is_none()) {
                 filling.add_done(id, ranges);
                 live.done.push((id.clone(), ranges.clone()));
             }
@@ -439,7 +439,7 @@
 
     /// The transaction was carried out at this revision.  Returns the jobs
     /// that ended by it.
-    pub fn committed(&mut self, b: Batch, revision: u64, now: Instant) -> Vec<(Name, Fate)> {
+    pub fn committed(&mut self, b: Batch, revision: u64, now: Instant) -> Vec<(Name, JobOutcome)> {
         for (_, s) in &b.starts {
             let Some(m) = self.machines.get_mut(&s.machine) else { continue };
             if let Some(p) = m.tasks.get_mut(&s.task).filter(|p| p.attempt == s.attempt && p.session == s.session) {
@@ -462,9 +462,9 @@
         if let Some((id, rest)) = b.divided {
             self.pages.insert(id, rest);
         }
-        for (id, fate) in &b.ends {
+        for (id, outcome) in &b.ends {
             self.clear_completed(id, None, now);
-            self.set_fate(id, *fate, now);
+            self.set_outcome(id, *outcome, now);
         }
         b.ends
     }
@@ -496,7 +496,7 @@
     pub fn not_committed(&mut self, b: Batch) {
         self.finished.extend(b.done.into_iter().map(|d| d.0));
         // those that end with a cancelled job are still known to
-        self.finished.extend(b.ends.into_iter().filter(|e| e.1 == Fate::Done).map(|e| e.0));
+        self.finished.extend(b.ends.into_iter().filter(|e| e.1 == JobOutcome::Done).map(|e| e.0));
         self.unstored.extend(b.starts);
     }
 
@@ -514,10 +514,10 @@
             if let Some(page) = stored {
                 self.pages.insert(id, page);
             }
-        } else if let Some(id) = path.strip_prefix(key::FATE) {
-            let fate = item.and_then(|i| read_value::<FateRecord>(path, i.data.clone()));
-            if let Some(f) = fate {
-                self.set_fate(id, f.fate, now);
+        } else if let Some(id) = path.strip_prefix(key::OUTCOME) {
+            let outcome = item.and_then(|i| read_value::<OutcomeRecord>(path, i.data.clone()));
+            if let Some(f) = outcome {
+                self.set_outcome(id, f.outcome, now);
             }
         }
     }
--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -101,7 +101,7 @@
     use crate::workers::{Report, Reported, TaskState};
     let now = Instant::now();
     let mut c = cluster(1, now);
-    c.add_job(spec("j-000001", 1), 1, Some(Fate::Cancelled), now);
+    c.add_job(spec("j-000001", 1), 1, Some(JobOutcome::Cancelled), now);
     c.add_job(spec("j-000002", 1), 2, None, now);
     let task = Task { job: "j-000001".into(), index: 0 };
     let found = Reported { task: task.clone(), attempt: 7, state: TaskState::Running, cause: None, saved: None };
@@ -120,8 +120,8 @@
     c.report(&report, true, now);
     c.place(now);
     let b = c.next_batch(5, &limits(1000)).expect("two starts to store");
-    let fate = |id: &str| b.txn.guarded(&format!("{}{id}", key::FATE));
-    assert_eq!((fate("j-000001"), fate("j-000002")), (false, true));
+    let outcome = |id: &str| b.txn.guarded(&format!("{}{id}", key::OUTCOME));
+    assert_eq!((outcome("j-000001"), outcome("j-000002")), (false, true));
     assert_eq!(b.starts.len(), 2);
     c.committed(b, 6, now);
     // on record, it counts and is stopped; nothing of it is ever sent
@@ -157,8 +157,8 @@
     let job: JobSpec = read_value("x", value("job").data).expect("a job");
     assert!(job.needs.is_empty() && job.fault().is_none());
     same("job", Write::set("x", &job));
-    let fate: FateRecord = read_value("x", value("fate").data).expect("an end");
-    same("fate", Write::set("x", &fate));
+    let outcome: OutcomeRecord = read_value("x", value("fate").data).expect("an end");
+    same("fate", Write::set("x", &outcome));
     let types: Vec<MachineType> = read_value("x", value("types").data).expect("types");
     same("types", Write::set("x", &types));
     let rentals: Vec<crate::cluster::Rental> = read_value("x", value("rentals").data).expect("rentals");
@@ -211,7 +211,7 @@
         let b = c.next_batch(5, most).expect("something to store");
         assert!(b.txn.writes.len() <= most.writes && b.txn.guards.len() <= most.guards);
         let held = |p: &String| store.get(p).map_or(0, |i: &Item| i.stamp);
-        assert!(b.txn.guards.iter().skip(1).all(|g| g.path.starts_with(key::FATE) || g.stamp == held(&g.path)));
+        assert!(b.txn.guards.iter().skip(1).all(|g| g.path.starts_with(key::OUTCOME) || g.stamp == held(&g.path)));
         if round % 3 == 2 {
             // refused, or without an answer and not carried out
             c.not_committed(b);
@@ -267,7 +267,7 @@
     assert!(!c.jobs.contains_key("j-3"), "in doubt");
     c.committed(b, 6, now);
     assert!(c.jobs.contains_key("j-3") && c.queue_changed);
-    c.set_fate("j-2", Fate::Cancelled, now);
+    c.set_outcome("j-2", JobOutcome::Cancelled, now);
     let (mut ended, mut tries) = (Vec::new(), 0);
     while let Some(b) = c.next_batch(5, &limits(4096)) {
         tries += 1;
@@ -279,7 +279,7 @@
         ended.extend(c.committed(b, 6 + tries, now));
     }
     assert_eq!(ended.len(), 20);
-    assert!(ended.iter().all(|(_, f)| *f == Fate::Cancelled));
+    assert!(ended.iter().all(|(_, f)| *f == JobOutcome::Cancelled));
     assert!(c.dependency.is_empty() && c.jobs.len() == 3);
 }
 
@@ -288,12 +288,12 @@
 #[test]
 fn an_ended_job_on_record_releases_what_needs_it() {
     let now = Instant::now();
-    for (fate, free) in [(Fate::Done, true), (Fate::Cancelled, false)] {
+    for (outcome, free) in [(JobOutcome::Done, true), (JobOutcome::Cancelled, false)] {
         let mut c = cluster(2, now);
         let last = JobSpec { needs: vec!["j-1".into()], ..(*spec("j-2", 1)).clone() };
         c.add_job(std::sync::Arc::new(last), 2, None, now);
         assert_eq!(c.dependency.unknown(), ["j-1".into()]);
-        c.add_job(spec("j-1", 1), 1, Some(fate), now);
+        c.add_job(spec("j-1", 1), 1, Some(outcome), now);
         assert_eq!(c.jobs.contains_key("j-2"), free);
         assert_eq!(c.dependency.doomed().count(), usize::from(!free));
     }
@@ -316,6 +316,6 @@
     // in doubt: said again, and only its success counts
     c.not_committed(b);
     let b = c.next_batch(5, &limits(4096)).expect("the end again");
-    assert_eq!(c.committed(b, 7, now), [("j-000001".into(), Fate::Done)]);
+    assert_eq!(c.committed(b, 7, now), [("j-000001".into(), JobOutcome::Done)]);
     assert!(c.next_batch(5, &limits(4096)).is_none());
 }
--- a/packages/core/src/dependency.rs
+++ b/packages/core/src/dependency.rs
@@ -111,7 +111,7 @@
     /// Nothing is known of it here: the store has to say.
     Unknown,
     /// Over.
-    Over(Fate),
+    Over(JobOutcome),
 }
 
 /// The jobs that wait for others.
@@ -140,11 +140,11 @@
         let (mut missing, mut doomed) = (BTreeSet::new(), false);
         for n in &spec.needs {
             let stands = if self.held.contains_key(n) { Need::Open } else { look(n) };
-            doomed |= stands == Need::Over(Fate::Cancelled) || self.doomed.contains(n);
+            doomed |= stands == Need::Over(JobOutcome::Cancelled) || self.doomed.contains(n);
             match stands {
-                Need::Over(Fate::Done) => continue,
+                Need::Over(JobOutcome::Done) => continue,
                 Need::Unknown => drop(self.unknown.entry(n.clone()).or_default()),
-                Need::Open | Need::Over(Fate::Cancelled) => {}
+                Need::Open | Need::Over(JobOutcome::Cancelled) => {}
             }
             missing.insert(n.clone());
         }
@@ -244,10 +244,10 @@
     /// A job is over, and the store has it so.  Returns the jobs that may start
     /// now.  What needs a cancelled one is doomed, through others too: it leaves
     /// when its own end is stored.
-    pub fn ended(&mut self, id: &str, fate: Fate) -> Vec<Held> {
+    pub fn ended(&mut self, id: &str, outcome: JobOutcome) -> Vec<Held> {
         self.appears(id);
         self.leave(id);
-        if fate == Fate::Cancelled {
+        if outcome == JobOutcome::Cancelled {
             for n in self.edges.direct(id).cloned().collect::<Vec<_>>() {
                 self.doom(n);
             }
--- a/packages/core/src/dependency/tests.rs
+++ b/packages/core/src/dependency/tests.rs
@@ -15,7 +15,7 @@
 #[derive(Default)]
 struct Plain {
     jobs: Vec<Arc<JobSpec>>,
-    fates: HashMap<Name, Fate>,
+    outcomes: HashMap<Name, JobOutcome>,
     order: Vec<Name>,
 }
 
@@ -24,15 +24,17 @@
         self.jobs.iter().find(|j| j.id == *id)
     }
     fn open(&self, id: &Name) -> bool {
-        !self.fates.contains_key(id)
+        !self.outcomes.contains_key(id)
     }
     fn waits(&self, j: &JobSpec) -> bool {
-        self.open(&j.id) && j.needs.iter().any(|n| self.fates.get(n) != Some(&Fate::Done))
+        self.open(&j.id) && j.needs.iter().any(|n| self.outcomes.get(n) != Some(&JobOutcome::Done))
     }
     fn doomed(&self, id: &Name) -> bool {
         let needs = self.spec(id).map(|j| j.needs.clone()).unwrap_or_default();
         self.open(id)
-            && needs.iter().any(|n| self.fates.get(n) == Some(&Fate::Cancelled) || self.open(n) && self.doomed(n))
+            && needs
+                .iter()
+                .any(|n| self.outcomes.get(n) == Some(&JobOutcome::Cancelled) || self.open(n) && self.doomed(n))
     }
     fn rank(&self, id: &Name) -> Rank {
         let own = self.spec(id).map_or(Rank::Low, |j| j.rank);
@@ -59,10 +61,10 @@
                     let needs: Vec<usize> = needs.into_iter().filter(|m| *m < n).collect();
                     let spec = job(n, &needs, ranks[rank]);
                     p.jobs.push(spec.clone());
-                    let fates = &p.fates;
+                    let outcomes = &p.outcomes;
                     // an end may have left memory: then the store is asked
                     let forgot = pick % 2 == 0;
-                    let look = |n: &Name| match fates.get(n) {
+                    let look = |n: &Name| match outcomes.get(n) {
                         None => Need::Open,
                         Some(_) if forgot => Need::Unknown,
                         Some(f) => Need::Over(*f),
@@ -71,7 +73,7 @@
                         free.insert(spec.id.clone());
                     }
                     for n in d.to_ask(99, Duration::from_secs(1), now) {
-                        if let Some(f) = p.fates.get(&n).copied() {
+                        if let Some(f) = p.outcomes.get(&n).copied() {
                             free.extend(d.ended(&n, f).into_iter().map(|h| h.spec.id.clone()));
                         }
                     }
@@ -80,22 +82,22 @@
                     let can: Vec<Name> = free.iter().filter(|n| p.open(n)).cloned().collect();
                     if can.is_empty() { continue; }
                     let n = can[pick % can.len()].clone();
-                    p.fates.insert(n.clone(), Fate::Done);
-                    free.extend(d.ended(&n, Fate::Done).into_iter().map(|h| h.spec.id.clone()));
+                    p.outcomes.insert(n.clone(), JobOutcome::Done);
+                    free.extend(d.ended(&n, JobOutcome::Done).into_iter().map(|h| h.spec.id.clone()));
                 }
                 6 => {
                     let can: Vec<Name> = p.jobs.iter().map(|j| j.id.clone()).filter(|n| p.open(n)).collect();
                     if can.is_empty() { continue; }
                     let n = can[pick % can.len()].clone();
-                    p.fates.insert(n.clone(), Fate::Cancelled);
-                    prop_assert!(d.ended(&n, Fate::Cancelled).is_empty());
+                    p.outcomes.insert(n.clone(), JobOutcome::Cancelled);
+                    prop_assert!(d.ended(&n, JobOutcome::Cancelled).is_empty());
                 }
                 _ => {
                     // some of the doomed get their own end
                     let due: Vec<Name> = d.doomed().take(2).cloned().collect();
                     for n in due {
-                        p.fates.insert(n.clone(), Fate::Cancelled);
-                        d.ended(&n, Fate::Cancelled);
+                        p.outcomes.insert(n.clone(), JobOutcome::Cancelled);
+                        d.ended(&n, JobOutcome::Cancelled);
                     }
                 }
             }
@@ -131,16 +133,16 @@
     let own = Urgency { rank: Rank::Low, due: None };
     assert!(d.hold(&job(N + 1, &[N], Rank::High), 1, now, open));
     assert_eq!(d.urgency(&id(0), own).rank, Rank::High, "through the whole chain");
-    d.ended(&id(N + 1), Fate::Cancelled);
+    d.ended(&id(N + 1), JobOutcome::Cancelled);
     assert_eq!(d.urgency(&id(0), own).rank, Rank::Low, "and back");
-    d.ended(&id(0), Fate::Cancelled);
+    d.ended(&id(0), JobOutcome::Cancelled);
     assert_eq!(d.doomed().count(), N);
 
     let mut d = Dependency::default();
     for n in 1..=N {
         d.hold(&job(n, &[0], Rank::High), n as u64, now, open);
     }
-    assert_eq!(d.ended(&id(0), Fate::Done).len(), N);
+    assert_eq!(d.ended(&id(0), JobOutcome::Done).len(), N);
     assert!(d.is_empty() && d.edges.is_empty() && d.inherited.is_empty());
 
     let mut d = Dependency::default();
@@ -148,7 +150,7 @@
         d.hold(&job(n, &needs, Rank::Normal), n as u64, now, open);
     }
     let freed = |d: &mut Dependency, n| {
-        let mut l: Vec<Name> = d.ended(&id(n), Fate::Done).into_iter().map(|h| h.spec.id.clone()).collect();
+        let mut l: Vec<Name> = d.ended(&id(n), JobOutcome::Done).into_iter().map(|h| h.spec.id.clone()).collect();
         l.sort();
         l
     };
--- a/packages/core/src/fleet.rs
+++ b/packages/core/src/fleet.rs
@@ -140,7 +140,7 @@
             return g;
         }
         let mut usage = self.usage();
-        for j in self.jobs.values().filter(|j| j.fate.is_none()) {
+        for j in self.jobs.values().filter(|j| j.outcome.is_none()) {
             let waits = j.spec.size().times(f64::from(j.waiting()));
             usage.entry(j.spec.team.clone()).or_default().give(&waits);
         }
@@ -173,7 +173,7 @@
     fn urgent(&self) -> Vec<std::sync::Arc<JobSpec>> {
         let boot = self.types.values().map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
         let newest = |class: &Name| {
-            let of = self.jobs.values().filter(|j| j.fate.is_none() && j.spec.class == *class);
+            let of = self.jobs.values().filter(|j| j.outcome.is_none() && j.spec.class == *class);
             of.max_by_key(|j| j.stamp).map(|j| j.spec.clone())
         };
         self.wait_aims.iter().filter(|(_, aim)| **aim < boot).filter_map(|(class, _)| newest(class)).collect()
@@ -352,7 +352,7 @@
                 Some("is idle")
             } else if m.tasks.values().any(|p| {
                 // stops of a cancelled job are pursued to the end
-                let over = self.jobs.get(&p.spec.id).is_none_or(|j| j.fate == Some(Fate::Cancelled));
+                let over = self.jobs.get(&p.spec.id).is_none_or(|j| j.outcome == Some(JobOutcome::Cancelled));
                 // at once where no stop arrives
                 let late = if silence > policy.missed { Duration::ZERO } else { policy.cancel.mul_f64(0.45) };
                 over && p.present() && p.halt_since.is_some_and(|t| now.duration_since(t) > late)
@@ -401,7 +401,7 @@
         }
         // replicas that are down for a move, or wait, and those that are not
         let (mut down, mut replicas) = (0, 0);
-        for j in self.jobs.values().filter(|j| j.fate.is_none() && j.waiting() > 0) {
+        for j in self.jobs.values().filter(|j| j.outcome.is_none() && j.waiting() > 0) {
             if j.spec.shape != Shape::Service {
                 return; // there is work for the room
             }
--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -197,7 +197,7 @@
 fn what_a_withdrawal_cannot_reach_is_deleted() {
     let t0 = Instant::now();
     let mut c = cluster(2, t0);
-    c.add_job(spec("j-000001", 1000), 1, Some(Fate::Cancelled), t0);
+    c.add_job(spec("j-000001", 1000), 1, Some(JobOutcome::Cancelled), t0);
     on_record(&mut c, 30, "z0", "j-000001", t0);
     let later = t0 + c.policy.fresh + Duration::from_secs(1);
     assert_eq!(c.plan(&[], later).delete.len(), 30);
@@ -279,7 +279,7 @@
     c.add_job(spec("j-000009", 1), 9, None, t0);
     c.plan(&[], now);
     assert!(drained(&c).is_empty());
-    c.set_fate("j-000009", Fate::Cancelled, now);
+    c.set_outcome("j-000009", JobOutcome::Cancelled, now);
     // its image is not where there is room
     c.machines.values_mut().for_each(|m| m.images.clear());
     c.plan(&[], now);
--- a/packages/core/src/key.rs
+++ b/packages/core/src/key.rs
@@ -2,7 +2,7 @@
 //! what lies below `w/` is watched by every controller, the rest only read by
 //! new leaders.
 
-use coralnotch_wire::model::{Fate, FateRecord};
+use coralnotch_wire::model::{JobOutcome, OutcomeRecord};
 use coralnotch_wire::state::{Txn, Write};
 
 /// Everything the controllers watch.
@@ -10,7 +10,7 @@
 /// Submissions.
 pub const JOB: &str = "c2/w/job/";
 /// Final states.
-pub const FATE: &str = "c2/w/fate/";
+pub const OUTCOME: &str = "c2/w/fate/";
 /// The leader, on its lease.
 pub const LEADER: &str = "c2/w/leader";
 /// The last term.
@@ -29,8 +29,8 @@
 pub const OUTDATED: &str = "c1/";
 
 /// A job's end, guarded on there being none: whoever comes first, it stays.
-pub fn end(txn: &mut Txn, id: &str, fate: Fate) {
-    let path = format!("{FATE}{id}");
+pub fn end(txn: &mut Txn, id: &str, outcome: JobOutcome) {
+    let path = format!("{OUTCOME}{id}");
     txn.guard(path.clone(), 0);
-    txn.writes.push(Write::set(path, &FateRecord { fate }));
+    txn.writes.push(Write::set(path, &OutcomeRecord { outcome }));
 }
--- a/packages/core/src/ledger.rs
+++ b/packages/core/src/ledger.rs
@@ -37,7 +37,7 @@
     /// Stamp of its record.
     pub stamp: u64,
     /// Its end, which never changes.
-    pub fate: Fate,
+    pub outcome: JobOutcome,
 }
 
 /// What is known of an id without asking the store.
@@ -70,7 +70,7 @@
     /// Which unfinished jobs name others as needed.
     edges: Edges,
     /// The ends of jobs that unfinished ones need.
-    judged: HashMap<Name, Fate>,
+    judged: HashMap<Name, JobOutcome>,
     ended: LruCache<Name, Ended>,
     /// Records up to this revision come by the sweep or the watch, with their
     /// ends, and in no other way.
@@ -119,8 +119,8 @@
     }
 
     /// The end of a job, if it is known here.
-    pub fn fate(&self, id: &str) -> Option<Fate> {
-        self.ended.peek(id).map(|e| e.fate)
+    pub fn outcome(&self, id: &str) -> Option<JobOutcome> {
+        self.ended.peek(id).map(|e| e.outcome)
     }
 
     /// Unfinished jobs that need a job, directly or through others; the nearest
@@ -138,10 +138,10 @@
             if !seen.insert(n) {
                 continue;
             }
-            match (self.open.get(n), self.judged.get(n).copied().or_else(|| self.fate(n))) {
+            match (self.open.get(n), self.judged.get(n).copied().or_else(|| self.outcome(n))) {
                 (Some(o), _) => next.extend(&o.spec.needs),
-                (None, Some(Fate::Cancelled)) => return Spoilt::Yes,
-                (None, Some(Fate::Done)) => {}
+                (None, Some(JobOutcome::Cancelled)) => return Spoilt::Yes,
+                (None, Some(JobOutcome::Done)) => {}
                 (None, None) => unknown.push(n.clone()),
             }
         }
@@ -182,14 +182,14 @@
     }
 
     /// A job's end, as the store has it; true if the job was unfinished here.
-    pub fn ends(&mut self, id: &str, fate: Fate) -> bool {
+    pub fn ends(&mut self, id: &str, outcome: JobOutcome) -> bool {
         // kept for as long as it is needed, whatever else leaves the memory
         if self.edges.direct(id).next().is_some() {
-            self.judged.insert(id.into(), fate);
+            self.judged.insert(id.into(), outcome);
         }
         let Some(o) = self.open.remove(id) else { return false };
         self.needs_no_more(id, &o.spec.needs);
-        self.remember(Ended { spec: o.spec, stamp: o.stamp, fate });
+        self.remember(Ended { spec: o.spec, stamp: o.stamp, outcome });
         true
     }
 
@@ -253,7 +253,7 @@
 #[derive(Debug)]
 pub struct Sweep {
     jobs: Listing,
-    fates: Listing,
+    outcomes: Listing,
     /// Ended jobs that are worth keeping all the same.
     wanted: HashSet<Name>,
     /// Jobs that the watch has shown to end since the sweep began: a page at
@@ -265,7 +265,7 @@
     /// A sweep that has read nothing.  `wanted`: ended jobs that may still
     /// have tasks somewhere.
     pub fn new(wanted: HashSet<Name>) -> Sweep {
-        Sweep { jobs: Listing::new(key::JOB), fates: Listing::new(key::FATE), wanted, ended: HashSet::new() }
+        Sweep { jobs: Listing::new(key::JOB), outcomes: Listing::new(key::OUTCOME), wanted, ended: HashSet::new() }
     }
 
     /// Jobs that the watch has shown to end.  Its changes may be taken in while
@@ -279,12 +279,12 @@
         if self.jobs.over && self.jobs.rows.is_empty() {
             return None;
         }
-        self.jobs.need().or_else(|| self.fates.need())
+        self.jobs.need().or_else(|| self.outcomes.need())
     }
 
     /// A page that was needed.
     pub fn page(&mut self, under: &str, rows: Vec<Item>, truncated: bool) {
-        let l = if under == key::JOB { &mut self.jobs } else { &mut self.fates };
+        let l = if under == key::JOB { &mut self.jobs } else { &mut self.outcomes };
         match rows.last() {
             Some(last) => l.since.clone_from(&last.path),
             None => l.over = true,
@@ -297,15 +297,17 @@
     fn next(&mut self) -> Option<(Item, Option<Item>)> {
         loop {
             let id = self.jobs.front()?;
-            let Some(end) = self.fates.front() else {
+            let Some(end) = self.outcomes.front() else {
                 // without the next page of ends nothing can be said of it
-                return self.fates.over.then(|| self.jobs.rows.pop_front().map(|j| (j, None))).flatten();
+                return self.outcomes.over.then(|| self.jobs.rows.pop_front().map(|j| (j, None))).flatten();
             };
             match end.cmp(id) {
                 std::cmp::Ordering::Less => {
-                    self.fates.rows.pop_front();
+                    self.outcomes.rows.pop_front();
+                }
+                std::cmp::Ordering::Equal => {
+                    return Some((self.jobs.rows.pop_front()?, self.outcomes.rows.pop_front()))
                 }
-                std::cmp::Ordering::Equal => return Some((self.jobs.rows.pop_front()?, self.fates.rows.pop_front())),
                 std::cmp::Ordering::Greater => return self.jobs.rows.pop_front().map(|j| (j, None)),
             }
         }
@@ -316,23 +318,23 @@
     pub fn enter(&mut self, ledger: &mut Ledger, mut news: impl FnMut(News)) {
         while let Some((job, end)) = self.next() {
             let id = job.path.strip_prefix(key::JOB).unwrap_or_default();
-            let fate = match &end {
+            let outcome = match &end {
                 None => None,
-                Some(e) => match read_value::<FateRecord>(&e.path, e.data.clone()).map(|r| r.fate) {
+                Some(e) => match read_value::<OutcomeRecord>(&e.path, e.data.clone()).map(|r| r.outcome) {
                     // an end that cannot be read is an end all the same: not
                     // taking the job for unfinished is right, whatever it was
                     None => continue,
-                    fate => fate,
+                    outcome => outcome,
                 },
             };
-            match fate {
+            match outcome {
                 Some(f) => {
                     if ledger.ends(id, f) {
                         news(News::Ended(id.into(), f));
-                    } else if self.wanted.contains(id) && ledger.fate(id).is_none() {
+                    } else if self.wanted.contains(id) && ledger.outcome(id).is_none() {
                         let stamp = job.stamp;
                         if let Some(spec) = read_value::<JobSpec>(&job.path, job.data) {
-                            ledger.remember(Ended { spec: Arc::new(spec), stamp, fate: f });
+                            ledger.remember(Ended { spec: Arc::new(spec), stamp, outcome: f });
                         }
                     }
                 }
@@ -356,7 +358,7 @@
     /// An unfinished job.
     Open(Open),
     /// A job that was unfinished here has ended.
-    Ended(Name, Fate),
+    Ended(Name, JobOutcome),
 }
 
 #[cfg(test)]
--- a/packages/core/src/ledger/tests.rs
+++ b/packages/core/src/ledger/tests.rs
@@ -17,17 +17,17 @@
     assert_eq!(l.spoilt("j-2"), Spoilt::No);
     assert_eq!(l.spoilt("j-3"), Spoilt::Unknown(vec!["j-0".into()]));
     // it ended before this controller began, and is read
-    assert!(!l.ends("j-0", Fate::Done));
+    assert!(!l.ends("j-0", JobOutcome::Done));
     assert_eq!(l.spoilt("j-3"), Spoilt::No);
-    l.ends("j-1", Fate::Cancelled);
+    l.ends("j-1", JobOutcome::Cancelled);
     assert_eq!((l.spoilt("j-2"), l.spoilt("j-3")), (Spoilt::Yes, Spoilt::Yes));
     // ended jobs leave the memory, but not what is needed
-    l.remember(Ended { spec: job("j-8", &[]), stamp: 8, fate: Fate::Done });
-    l.remember(Ended { spec: job("j-9", &[]), stamp: 9, fate: Fate::Done });
-    assert_eq!((l.fate("j-1"), l.spoilt("j-2")), (None, Spoilt::Yes));
+    l.remember(Ended { spec: job("j-8", &[]), stamp: 8, outcome: JobOutcome::Done });
+    l.remember(Ended { spec: job("j-9", &[]), stamp: 9, outcome: JobOutcome::Done });
+    assert_eq!((l.outcome("j-1"), l.spoilt("j-2")), (None, Spoilt::Yes));
     assert_eq!(l.judged.len(), 2);
-    l.ends("j-3", Fate::Cancelled);
-    l.ends("j-2", Fate::Cancelled);
+    l.ends("j-3", JobOutcome::Cancelled);
+    l.ends("j-2", JobOutcome::Cancelled);
     assert!(l.judged.is_empty());
     // thousands deep: nothing recurs
     for n in 100..5100 {
--- a/packages/core/src/lookup.rs
+++ b/packages/core/src/lookup.rs
@@ -1,7 +1,7 @@
 //! Looking up ids that a controller does not know: what to ask the store, and
 //! what its answers say.
 
-use coralnotch_wire::model::{Fate, Name};
+use coralnotch_wire::model::{JobOutcome, Name};
 use coralnotch_wire::state::Txn;
 
 use crate::key;
@@ -16,7 +16,7 @@
     /// Unfinished a moment ago, by the store's word.
     Confirmed,
     /// Over for good.
-    Over(Fate),
+    Over(JobOutcome),
 }
 
 /// Ids that are looked up together: each is guarded on having neither a record
@@ -49,7 +49,7 @@
             if !exists {
                 txn.guard(format!("{}{id}", key::JOB), 0);
             }
-            txn.guard(format!("{}{id}", key::FATE), 0);
+            txn.guard(format!("{}{id}", key::OUTCOME), 0);
         }
         (!self.settled && !txn.guards.is_empty()).then_some(txn)
     }
@@ -64,7 +64,7 @@
         let mut news = false;
         for k in keys {
             let job = k.strip_prefix(key::JOB);
-            let Some(id) = job.or_else(|| k.strip_prefix(key::FATE)) else { continue };
+            let Some(id) = job.or_else(|| k.strip_prefix(key::OUTCOME)) else { continue };
             for i in self.ids.iter_mut().filter(|i| *i.0 == *id) {
                 let known = if job.is_some() { &mut i.1 } else { &mut i.2 };
                 news |= !std::mem::replace(known, true);
--- a/packages/core/src/placement/mod.rs
+++ b/packages/core/src/placement/mod.rs
@@ -148,7 +148,7 @@
         if !self.teams.values().any(|t| t.guarantee.cpus > 0.0 || t.guarantee.gpus > 0.0) {
             return;
         }
-        let mut open: Vec<&mut Job> = self.jobs.values_mut().filter(|j| j.fate.is_none()).collect();
+        let mut open: Vec<&mut Job> = self.jobs.values_mut().filter(|j| j.outcome.is_none()).collect();
         open.sort_by(|a, b| (a.stamp, &a.spec.id).cmp(&(b.stamp, &b.spec.id)));
         let mut used: Table<Size> = Table::default();
         for j in open {
@@ -163,7 +163,7 @@
     /// The queue: production and work within its team's guarantee first, by
     /// rank, then as it arrived.
     fn ordered_queue(&self, now: Instant) -> Vec<Entry<'_>> {
-        let waits = |j: &&Job| j.fate.is_none() && j.waiting() > 0 && j.wait_until.is_none_or(|t| t <= now);
+        let waits = |j: &&Job| j.outcome.is_none() && j.waiting() > 0 && j.wait_until.is_none_or(|t| t <= now);
         let entries = self.jobs.values().filter(waits).flat_map(Entry::of);
         let mut q: Vec<(f64, Entry)> = entries.map(|e| (self.arrival(&e), e)).collect();
         q.sort_by(|(at, a), (bt, b)| {
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -66,9 +66,9 @@
     assert_eq!((at(&c, "j-1").as_deref(), at(&c, "j-4").as_deref()), (Some("i-0"), Some("i-0")));
     assert_eq!(at(&c, "j-3"), None);
     // the last is cancelled: what it needs is as urgent as it was by itself
-    c.set_fate("j-3", Fate::Cancelled, now);
+    c.set_outcome("j-3", JobOutcome::Cancelled, now);
     assert_eq!(c.jobs["j-2"].turn(), (true, Rank::Low));
-    c.set_fate("j-2", Fate::Done, now);
+    c.set_outcome("j-2", JobOutcome::Done, now);
     assert!(c.dependency.is_empty());
 }
 
@@ -115,7 +115,7 @@
     let leader = || {
         let mut c = cluster(5, now);
         c.teams = std::collections::HashMap::from([("x".into(), TeamLimit { guarantee: Size::default(), most })]);
-        c.add_job(spec("j-1", 4), 1, Some(Fate::Cancelled), now);
+        c.add_job(spec("j-1", 4), 1, Some(JobOutcome::Cancelled), now);
         let start =
             |index| Start { machine: old.clone(), task: Task { job: "j-1".into(), index }, attempt: 7, session: 1 };
         let page = Page { stamp: 1, starts: (0..4).map(start).collect(), done: vec![] };
--- a/packages/core/src/sim/controllers.rs
+++ b/packages/core/src/sim/controllers.rs
@@ -122,10 +122,10 @@
         let begun = begun(pages.iter().map(|p| &p.1));
         for (spec, stamp) in self.jobs.values() {
             // what is over is known only where a page names it
-            match (self.store.fate(&spec.id), begun.contains(&spec.id)) {
+            match (self.store.outcome(&spec.id), begun.contains(&spec.id)) {
                 (None, true) if self.sabotage != Sabotage::ForgetsBegun => c.add_begun(spec.clone(), *stamp, None, at),
                 (None, _) => c.add_job(self.held_or_not(spec), *stamp, None, at),
-                (fate, true) => c.add_job(spec.clone(), *stamp, fate, at),
+                (outcome, true) => c.add_job(spec.clone(), *stamp, outcome, at),
                 _ => {}
             }
         }
@@ -208,15 +208,15 @@
             let acts = self.now < c.until;
             if reaches {
                 for n in c.cluster.dependency.to_ask(3, Duration::from_secs(1), now) {
-                    if let Some(f) = self.store.fate(&n) {
-                        c.cluster.set_fate(&n, f, now);
+                    if let Some(f) = self.store.outcome(&n) {
+                        c.cluster.set_outcome(&n, f, now);
                     }
                 }
             }
             if self.sabotage == Sabotage::EarlyRelease {
                 let early = c.cluster.jobs.values().filter(|j| j.completing()).map(|j| j.spec.id.clone());
                 for id in early.collect::<Vec<_>>() {
-                    for h in c.cluster.dependency.ended(&id, Fate::Done) {
+                    for h in c.cluster.dependency.ended(&id, JobOutcome::Done) {
                         c.cluster.release(h);
                     }
                 }
@@ -350,7 +350,7 @@
                         return;
                     }
                     let ended =
-                        |id: &Name| over.contains(id) || c.cluster.jobs.get(id).is_some_and(|j| j.fate.is_some());
+                        |id: &Name| over.contains(id) || c.cluster.jobs.get(id).is_some_and(|j| j.outcome.is_some());
                     let answer = keep_alive(&report, c.cluster.token_for(&report.machine), ended);
                     self.answers(&report, number, answer);
                     return;
@@ -456,8 +456,8 @@
                 let Some((batch, ..)) = c.flying.take_if(|f| f.1 == number) else { return };
                 match outcome {
                     Some(Ok(rev)) => {
-                        for (id, fate) in c.cluster.committed(batch, rev, now) {
-                            self.learns(to, &id, fate, rev);
+                        for (id, outcome) in c.cluster.committed(batch, rev, now) {
+                            self.learns(to, &id, outcome, rev);
                         }
                     }
                     _ => {
@@ -469,9 +469,9 @@
                 }
             }
             Message::Job { to, spec, stamp } => {
-                let fate = self.store.fate(&spec.id);
+                let outcome = self.store.outcome(&spec.id);
                 let spec = self.held_or_not(&spec);
-                if let Some(c) = self.controllers[to].as_mut().filter(|_| fate.is_none()) {
+                if let Some(c) = self.controllers[to].as_mut().filter(|_| outcome.is_none()) {
                     c.cluster.add_job(spec, stamp, None, now);
                 }
             }
--- a/packages/core/src/sim/history.rs
+++ b/packages/core/src/sim/history.rs
@@ -120,11 +120,11 @@
     }
 
     /// Learns of an end, however.
-    fn ends(&mut self, id: &str, fate: Fate, stamp: u64, now: Instant) {
-        if fate == Fate::Cancelled {
+    fn ends(&mut self, id: &str, outcome: JobOutcome, stamp: u64, now: Instant) {
+        if outcome == JobOutcome::Cancelled {
             self.withdrawals.add(stamp, id, now);
         }
-        self.ledger.ends(id, fate);
+        self.ledger.ends(id, outcome);
     }
 }
 
@@ -143,9 +143,9 @@
     Queue,
     /// On its way back, with what the store said.
     Found(Option<Found>),
-    Confirmed(Option<Option<Fate>>),
+    Confirmed(Option<Option<JobOutcome>>),
     Stored(Accepted),
-    Ended(Option<Fate>),
+    Ended(Option<JobOutcome>),
     /// On its way to the user.
     Said(Word),
 }
@@ -274,15 +274,15 @@
         }
         let mut news: Vec<&Event> = self.service.changes.iter().filter(|c| c.0 > since).map(|c| &c.1).collect();
         // a job and its end may be of one transaction
-        news.sort_by_key(|e| (e.stamp, e.set.as_ref().is_some_and(|p| p.starts_with(key::FATE))));
+        news.sort_by_key(|e| (e.stamp, e.set.as_ref().is_some_and(|p| p.starts_with(key::OUTCOME))));
         for e in news {
             let (Some(path), Some(data)) = (e.set.as_deref(), e.data.clone()) else { continue };
-            if let Some(id) = path.strip_prefix(key::FATE) {
+            if let Some(id) = path.strip_prefix(key::OUTCOME) {
                 if let (Some(s), true) = (desk.sweep.as_mut(), self.fault != Fault::BlindSweep) {
                     s.ended([id.into()].into_iter());
                 }
-                let f = read_value::<FateRecord>(path, data).expect("our own record");
-                desk.ends(id, f.fate, e.stamp, now);
+                let f = read_value::<OutcomeRecord>(path, data).expect("our own record");
+                desk.ends(id, f.outcome, e.stamp, now);
             } else if path.starts_with(key::JOB) {
                 let spec = read_value::<JobSpec>(path, data).expect("our own record");
                 desk.ledger.seen(Arc::new(spec), e.stamp);
@@ -319,15 +319,15 @@
     /// A leader ends a job whose tasks are done.
     fn end(&mut self, d: usize) {
         let (id, now) = (self.id(), self.at());
-        if self.outage || self.service.job(&id).is_none() || self.service.store.fate(&id).is_some() {
+        if self.outage || self.service.job(&id).is_none() || self.service.store.outcome(&id).is_some() {
             return;
         }
         let mut txn = Txn::default();
-        key::end(&mut txn, &id, Fate::Done);
+        key::end(&mut txn, &id, JobOutcome::Done);
         let stamp = self.service.apply(&txn).expect("it has no end");
         // whoever wrote it knows at once, or by the watch alone
         if self.rng.bool() {
-            self.desks[d].ends(&id, Fate::Done, stamp, now);
+            self.desks[d].ends(&id, JobOutcome::Done, stamp, now);
         }
     }
 
@@ -361,12 +361,12 @@
             }
             Some(Ok(stamp)) => {
                 for (n, spec, doomed) in batch {
-                    let end = format!("{}{}", key::FATE, spec.id);
+                    let end = format!("{}{}", key::OUTCOME, spec.id);
                     let ends = txn.writes.iter().any(|w| matches!(w, Write::Set { set, .. } if *set == end));
                     self.desks[d].unread.push((spec.clone(), stamp));
                     if ends || doomed && self.fault == Fault::OwnIdeaOfEnds {
                         self.read_answers(d);
-                        self.desks[d].ends(&spec.id, Fate::Cancelled, stamp, now);
+                        self.desks[d].ends(&spec.id, JobOutcome::Cancelled, stamp, now);
                     }
                     let slow = self.rng.u32(0..4) == 0;
                     back.push((n, Accepted::New { slow }));
@@ -404,7 +404,7 @@
         let desk = &mut self.desks[d];
         let (told, _) = desk.telling.for_sibling(n, &desk.withdrawals, &self.policy, now);
         for w in &told {
-            self.desks[other].ends(&w.id, Fate::Cancelled, w.stamp, now);
+            self.desks[other].ends(&w.id, JobOutcome::Cancelled, w.stamp, now);
         }
         self.desks[d].telling.taken(n, &told);
     }
@@ -445,14 +445,14 @@
                         false => l.found(&a.id),
                         true => {
                             let item = self.service.job(&a.id).expect("what has an end has a record");
-                            let fate = self.service.store.fate(&a.id).expect("it has an end");
+                            let outcome = self.service.store.outcome(&a.id).expect("it has an end");
                             let spec = Arc::new(read_value::<JobSpec>(&item.path, item.data).expect("our own record"));
                             let (now, stamp) = (self.at(), item.stamp);
-                            self.desks[a.desk].ledger.remember(Ended { spec, stamp, fate });
-                            if fate == Fate::Cancelled {
+                            self.desks[a.desk].ledger.remember(Ended { spec, stamp, outcome });
+                            if outcome == JobOutcome::Cancelled {
                                 self.desks[a.desk].withdrawals.add(stamp, &a.id, now);
                             }
-                            Some(Found::Over(fate))
+                            Some(Found::Over(outcome))
                         }
                     };
                     if let Some(f) = &found {
@@ -462,7 +462,7 @@
                 }
             },
             At::Confirm => {
-                let end = self.service.store.fate(&a.id);
+                let end = self.service.store.outcome(&a.id);
                 a.at = At::Confirmed((!self.outage && !lost).then_some(end));
             }
             At::Cancel => a.at = At::Ended(self.cancels(&a, lost)),
@@ -481,8 +481,8 @@
                 a.q.stored(word, &mut self.desks[a.desk].ledger);
                 a.at = At::Desk;
             }
-            At::Ended(fate) => {
-                a.q.ended(fate);
+            At::Ended(outcome) => {
+                a.q.ended(outcome);
                 a.at = At::Desk;
             }
             At::Said(word) => return self.hears(&a, word),
@@ -491,7 +491,7 @@
     }
 
     /// The store gets a cancellation.
-    fn cancels(&mut self, a: &Asked, lost: bool) -> Option<Fate> {
+    fn cancels(&mut self, a: &Asked, lost: bool) -> Option<JobOutcome> {
         if self.outage {
             return None;
         }
@@ -499,17 +499,17 @@
         if lost && self.rng.bool() {
             self.late.push(txn);
             self.seen[4] += 1;
-            return (self.fault == Fault::DoubtIsCancelled).then_some(Fate::Cancelled);
+            return (self.fault == Fault::DoubtIsCancelled).then_some(JobOutcome::Cancelled);
         }
-        let outcome = self.service.apply(&txn);
+        let result = self.service.apply(&txn);
         if lost {
             self.seen[3] += 1;
-            return (self.fault == Fault::DoubtIsCancelled).then_some(Fate::Cancelled);
+            return (self.fault == Fault::DoubtIsCancelled).then_some(JobOutcome::Cancelled);
         }
-        let fate = self.service.store.fate(&a.id).expect("it has one now");
-        let stamp = outcome.unwrap_or(self.service.store.stamp(&format!("{}{}", key::FATE, a.id)));
-        self.desks[a.desk].ends(&a.id, fate, stamp, now);
-        Some(fate)
+        let outcome = self.service.store.outcome(&a.id).expect("it has one now");
+        let stamp = result.unwrap_or(self.service.store.stamp(&format!("{}{}", key::OUTCOME, a.id)));
+        self.desks[a.desk].ends(&a.id, outcome, stamp, now);
+        Some(outcome)
     }
 
     /// A controller looks what to do for a request.
@@ -574,19 +574,19 @@
         let said = match word {
             Word::Later(_) => return,
             Word::Accepted | Word::Unfinished => Said::Unfinished,
-            Word::Over(Fate::Done) => Said::Done,
-            Word::Over(Fate::Cancelled) => Said::Cancelled,
+            Word::Over(JobOutcome::Done) => Said::Done,
+            Word::Over(JobOutcome::Cancelled) => Said::Cancelled,
             Word::Never if a.wish == Wish::Submit => {
                 self.broken.push(format!("{}: a submission is answered with 404", a.id));
                 Said::Never
             }
             Word::Never | Word::Impossible(_) => Said::Never,
         };
-        let stored = match self.service.store.fate(&a.id) {
+        let stored = match self.service.store.outcome(&a.id) {
             _ if self.service.job(&a.id).is_none() => Said::Never,
             None => Said::Unfinished,
-            Some(Fate::Done) => Said::Done,
-            Some(Fate::Cancelled) => Said::Cancelled,
+            Some(JobOutcome::Done) => Said::Done,
+            Some(JobOutcome::Cancelled) => Said::Cancelled,
         };
         if said > stored || said >= Said::Done && said != stored {
             self.broken.push(format!("{} is called {said:?}, and {stored:?} by the store", a.id));
@@ -664,7 +664,8 @@
                 self.watch(d);
             }
             let jobs = self.service.store.kv.keys().filter_map(|k| k.strip_prefix(key::JOB));
-            let open: HashSet<Name> = jobs.filter(|id| self.service.store.fate(id).is_none()).map(Name::from).collect();
+            let open: HashSet<Name> =
+                jobs.filter(|id| self.service.store.outcome(id).is_none()).map(Name::from).collect();
             let known: HashSet<Name> = self.desks[d].ledger.open().map(|o| o.spec.id.clone()).collect();
             if known != open {
                 self.broken.push(format!("controller {d} takes {known:?} for unfinished, the store has {open:?}"));
--- a/packages/core/src/sim/mod.rs
+++ b/packages/core/src/sim/mod.rs
@@ -513,7 +513,7 @@
         if !self.served(by) {
             return None;
         }
-        let open: Vec<Name> = self.jobs.keys().filter(|id| self.store.fate(id).is_none()).cloned().collect();
+        let open: Vec<Name> = self.jobs.keys().filter(|id| self.store.outcome(id).is_none()).cloned().collect();
         if open.is_empty() {
             return None;
         }
@@ -533,7 +533,7 @@
         let txn = cancellations(&ends);
         if let Ok(stamp) = self.store.apply(&txn) {
             for id in ends {
-                self.learns(by, &id, Fate::Cancelled, stamp);
+                self.learns(by, &id, JobOutcome::Cancelled, stamp);
                 match self.told {
                     true => drop(self.withdrawn.insert(id)),
                     false => drop(self.cancelled.insert(id, self.now)),
@@ -707,7 +707,7 @@
             }
             for id in std::mem::take(&mut self.ending) {
                 let by = self.rng.usize(0..3);
-                if self.now < self.at_end && self.rng.bool() && self.served(by) && self.store.fate(&id).is_none() {
+                if self.now < self.at_end && self.rng.bool() && self.served(by) && self.store.outcome(&id).is_none() {
                     self.cancel_one(by, &id, &[]);
                 }
             }
@@ -759,7 +759,7 @@
         let w = World::new(seed, Sabotage::None).run(280_000, 180_000);
         assert!(w.broken.is_empty(), "seed {seed} at {} ms: {:?}", w.now, w.broken);
         assert_eq!(w.forgotten(), [] as [String; 0], "seed {seed}");
-        let through = || w.jobs.values().filter(|j| w.store.fate(&j.0.id) == Some(Fate::Done));
+        let through = || w.jobs.values().filter(|j| w.store.outcome(&j.0.id) == Some(JobOutcome::Done));
         done += through().count();
         taken += w.elections.1;
         repeated += w.repeated;
@@ -855,7 +855,7 @@
         let w = World::of(1000, seed, Sabotage::None).run(90_000, 70_000);
         assert!(w.broken.is_empty(), "seed {seed} at {} ms: {:?}", w.now, w.broken);
         terms += w.term;
-        done += w.jobs.keys().filter(|id| w.store.fate(id) == Some(Fate::Done)).count();
+        done += w.jobs.keys().filter(|id| w.store.outcome(id) == Some(JobOutcome::Done)).count();
         pages += w.store.kv.keys().filter(|k| k.starts_with(key::PAGE)).count();
     }
     assert!(terms > 3 && done > 60 && pages > 20, "too little to check: {terms} terms, {done} done, {pages} pages");
--- a/packages/core/src/sim/pictures.rs
+++ b/packages/core/src/sim/pictures.rs
@@ -72,7 +72,7 @@
     /// Whether a controller would call a job unfinished now: the store confirms that
     /// it has no end, and by a young picture nothing that it needs is cancelled.
     pub(super) fn calls_open(&self, i: usize, id: &Name) -> bool {
-        if !self.served(i) || self.store.fate(id).is_some() || self.pictures[i].watch.is_none() {
+        if !self.served(i) || self.store.outcome(id).is_some() || self.pictures[i].watch.is_none() {
             return false;
         }
         if self.sabotage == Sabotage::CallsUnlooked {
@@ -81,7 +81,7 @@
         let (mut next, mut seen) = (vec![id], std::collections::HashSet::new());
         while let Some(n) = next.pop().filter(|_| next.len() < 10_000) {
             let over = self.pictures[i].over.contains(n);
-            if over && self.store.fate(n) == Some(Fate::Cancelled) {
+            if over && self.store.outcome(n) == Some(JobOutcome::Cancelled) {
                 return false;
             }
             if !over && seen.insert(n) {
@@ -92,15 +92,15 @@
     }
 
     /// A controller learns of an end, and if it leads, its picture has it at once.
-    pub(super) fn learns(&mut self, i: usize, id: &Name, fate: Fate, stamp: u64) {
+    pub(super) fn learns(&mut self, i: usize, id: &Name, outcome: JobOutcome, stamp: u64) {
         let now = self.at(self.now);
         let p = &mut self.pictures[i];
-        if fate == Fate::Cancelled {
+        if outcome == JobOutcome::Cancelled {
             p.list.add(stamp, id, now);
         }
         p.over.insert(id.clone());
         if let Some(c) = self.controllers[i].as_mut() {
-            c.cluster.set_fate(id, fate, now);
+            c.cluster.set_outcome(id, outcome, now);
         }
     }
 
@@ -133,7 +133,7 @@
                     let p = &mut self.pictures[i];
                     let (told, _) = p.telling.for_sibling(j, &p.list, &self.policy, now);
                     for w in &told {
-                        self.learns(j, &w.id, Fate::Cancelled, w.stamp);
+                        self.learns(j, &w.id, JobOutcome::Cancelled, w.stamp);
                     }
                     self.pictures[i].telling.taken(j, &told);
                 }
@@ -179,8 +179,8 @@
             }
         };
         let news = self.store.ends.iter().rev().take_while(|e| e.0 > since);
-        for (stamp, id, fate) in news.cloned().collect::<Vec<_>>().into_iter().rev() {
-            self.learns(i, &id, fate, stamp);
+        for (stamp, id, outcome) in news.cloned().collect::<Vec<_>>().into_iter().rev() {
+            self.learns(i, &id, outcome, stamp);
         }
         let now = self.at(self.now);
         let p = &mut self.pictures[i];
@@ -198,7 +198,7 @@
         }
         let Some(a) = self.pictures[j].list.account(since, life, had) else { return };
         for w in &a.known {
-            self.learns(i, &w.id, Fate::Cancelled, w.stamp);
+            self.learns(i, &w.id, JobOutcome::Cancelled, w.stamp);
         }
         let now = self.at(self.now);
         self.pictures[i].knowledge.told(name, now, &a);
--- a/packages/core/src/sim/rules.rs
+++ b/packages/core/src/sim/rules.rs
@@ -41,7 +41,7 @@
         if self.cancelled.get(&task.job).is_some_and(|t| self.now - t > 60_000) {
             broken.push(format!("ran_cancelled: {task} starts"));
         }
-        if let Some(n) = spec.needs.iter().find(|n| self.store.fate(n) != Some(Fate::Done)) {
+        if let Some(n) = spec.needs.iter().find(|n| self.store.outcome(n) != Some(JobOutcome::Done)) {
             broken.push(format!("too_early: {task} starts before {n} is done"));
         }
         self.broken.extend(broken);
@@ -53,7 +53,7 @@
     pub(super) fn forgotten(&self) -> Vec<String> {
         let over = |n: &Name| {
             let long = self.ended.get(n).is_some_and(|t| self.now - t > 15_000);
-            long && self.store.fate(n) == Some(Fate::Done)
+            long && self.store.outcome(n) == Some(JobOutcome::Done)
         };
         let led = self.controllers.iter().flatten().filter(|c| self.now < c.until);
         let held = led.flat_map(|c| c.cluster.dependency.held());
@@ -89,10 +89,10 @@
             self.workers.iter().flat_map(|w| w.tasks.keys()).map(|t| &t.job).collect();
         let mut waiting = HashMap::new();
         for (id, (spec, _)) in &self.jobs {
-            let ready = spec.needs.iter().all(|n| self.store.fate(n) == Some(Fate::Done));
+            let ready = spec.needs.iter().all(|n| self.store.outcome(n) == Some(JobOutcome::Done));
             let done = |index| self.finished.contains_key(&Task { job: id.clone(), index });
             let begun = started.contains(id) || (0..spec.tasks).any(done);
-            if self.store.fate(id).is_some() || begun || !ready || self.mistaken.contains(id) {
+            if self.store.outcome(id).is_some() || begun || !ready || self.mistaken.contains(id) {
                 continue;
             }
             let n = if spec.shape == Shape::Gang { spec.tasks } else { 1 };
@@ -145,22 +145,22 @@
         // a job that needs a cancelled one, from when both were known to users
         let mut since: HashMap<&Name, Ms> = HashMap::new();
         for (id, (spec, _)) in &self.jobs {
-            let told = |n: &Name| match self.store.fate(n) {
-                Some(Fate::Cancelled) => since.get(n).or(self.cancelled.get(n)).copied(),
-                Some(Fate::Done) => None,
+            let told = |n: &Name| match self.store.outcome(n) {
+                Some(JobOutcome::Cancelled) => since.get(n).or(self.cancelled.get(n)).copied(),
+                Some(JobOutcome::Done) => None,
                 None => since.get(n).copied(),
             };
             let Some(t) = spec.needs.iter().filter_map(told).min().map(|t| t.max(self.came[id])) else { continue };
             // called so too late; or left as it is though somebody leads
             let called = self.now - t > 60_000 && (0..3).any(|i| self.calls_open(i, id));
-            let left = self.store.fate(id).is_none() && self.now - t.max(self.led) > 40_000;
+            let left = self.store.outcome(id).is_none() && self.now - t.max(self.led) > 40_000;
             if called || left {
                 self.broken.push(format!("orphaned: {id}, whose needs {:?} were cancelled at {t}", spec.needs));
             }
             since.insert(id, t);
         }
         for (id, (spec, _)) in &self.jobs {
-            if self.store.fate(id) == Some(Fate::Done) {
+            if self.store.outcome(id) == Some(JobOutcome::Done) {
                 let all = (0..spec.tasks).all(|index| self.finished.contains_key(&Task { job: id.clone(), index }));
                 if !all {
                     self.broken.push(format!("not_done: {id}"));
--- a/packages/core/src/sim/service.rs
+++ b/packages/core/src/sim/service.rs
@@ -11,7 +11,7 @@
     /// Leases, by when they end.
     pub(super) leases: BTreeMap<u64, Ms>,
     /// Ends in their order, with their revisions.
-    pub(super) ends: Vec<(u64, Name, Fate)>,
+    pub(super) ends: Vec<(u64, Name, JobOutcome)>,
     /// Whose lease the leader key hangs on.
     pub(super) leader: Option<(usize, u64)>,
 }
@@ -38,9 +38,9 @@
         self.epoch += 1;
         for w in &txn.writes {
             if let Write::Set { set, data, .. } = w {
-                if let Some(id) = set.strip_prefix(key::FATE) {
-                    let fate = read_value::<FateRecord>(set, data.clone()).expect("an end").fate;
-                    self.ends.push((self.epoch, id.into(), fate));
+                if let Some(id) = set.strip_prefix(key::OUTCOME) {
+                    let outcome = read_value::<OutcomeRecord>(set, data.clone()).expect("an end").outcome;
+                    self.ends.push((self.epoch, id.into(), outcome));
                 }
             }
             match w {
@@ -50,9 +50,9 @@
         }
         Ok(self.epoch)
     }
-    pub(super) fn fate(&self, id: &str) -> Option<Fate> {
-        let path = format!("{}{id}", key::FATE);
-        self.kv.get(&path).and_then(|(d, _)| read_value::<FateRecord>(&path, d.clone())).map(|f| f.fate)
+    pub(super) fn outcome(&self, id: &str) -> Option<JobOutcome> {
+        let path = format!("{}{id}", key::OUTCOME);
+        self.kv.get(&path).and_then(|(d, _)| read_value::<OutcomeRecord>(&path, d.clone())).map(|f| f.outcome)
     }
 }
 
--- a/packages/core/src/workers.rs
+++ b/packages/core/src/workers.rs
@@ -311,7 +311,7 @@
             // after the ends of all that the job needs
             self.release(h);
         }
-        let over = self.jobs.get(&t.task.job).is_none_or(|j| j.fate.is_some() || j.done.contains(t.task.index));
+        let over = self.jobs.get(&t.task.job).is_none_or(|j| j.outcome.is_some() || j.done.contains(t.task.index));
         let finishing = self.jobs.get(&t.task.job).is_some_and(|j| j.finishing.contains(t.task.index));
         let cache = self.types.get(&r.kind).map_or(f64::INFINITY, |x| x.cache_gb);
         let Some(m) = self.machines.get_mut(&r.machine) else { return };
--- a/packages/wire/src/model.rs
+++ b/packages/wire/src/model.rs
@@ -230,28 +230,29 @@
 /// How a job ended; created once and never changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Fate {
+pub enum JobOutcome {
     /// All tasks completed.
     Done,
     /// Its user withdrew it.
     Cancelled,
 }
 
-impl Fate {
+impl JobOutcome {
     /// The wire's word.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Fate::Done => "done",
-            Fate::Cancelled => "cancelled",
+            JobOutcome::Done => "done",
+            JobOutcome::Cancelled => "cancelled",
         }
     }
 }
 
 /// The stored value of a job's end.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct FateRecord {
+pub struct OutcomeRecord {
     /// How it ended.
-    pub fate: Fate,
+    #[serde(rename = "fate")]
+    pub outcome: JobOutcome,
 }
 
 /// One task of a job.
--- a/src/intake.rs
+++ b/src/intake.rs
@@ -320,8 +320,8 @@
     /// Renews the worker's lease without leading.
     fn keep_alive(&self, i: &Inner, report: &Report, token: u64) -> Answer {
         count(&self.telemetry.counters.kept_alive);
-        let led = |id: &Name| i.cluster.as_ref().and_then(|c| c.jobs.get(id)).and_then(|j| j.fate);
-        keep_alive(report, token, |id| i.withdrawals.knows(id) || i.ledger.fate(id).or_else(|| led(id)).is_some())
+        let led = |id: &Name| i.cluster.as_ref().and_then(|c| c.jobs.get(id)).and_then(|j| j.outcome);
+        keep_alive(report, token, |id| i.withdrawals.knows(id) || i.ledger.outcome(id).or_else(|| led(id)).is_some())
     }
 
     async fn submit(&self, body: &[u8]) -> Response {
@@ -380,7 +380,7 @@
                 let needed = match i.ledger.standing(n) {
                     Standing::Open(o) => o.spec,
                     Standing::Ended(e) => {
-                        doomed |= e.fate == Fate::Cancelled;
+                        doomed |= e.outcome == JobOutcome::Cancelled;
                         e.spec
                     }
                     Standing::Unknown => {
@@ -459,9 +459,9 @@
                             self.stored_job(spec, stamp, now);
                             // by what was stored: the same id may have come twice, and one
                             // of the two before the end of what it needs was known
-                            let end = format!("{}{id}", key::FATE);
+                            let end = format!("{}{id}", key::OUTCOME);
                             if txn.writes.iter().any(|w| matches!(w, Write::Set { set, .. } if *set == end)) {
-                                self.learn_fate(&id, Fate::Cancelled, stamp, now);
+                                self.apply_stored_outcome(&id, JobOutcome::Cancelled, stamp, now);
                             }
                             let _ = reply.try_send(Accepted::New { slow });
                         }
@@ -491,25 +491,25 @@
 
     /// A job and its end as stored, or nothing if it was never accepted.  What
     /// is over is kept for the next question; what is not comes by the watch.
-    pub(crate) async fn read_job(&self, id: &str) -> Result<Option<(Open, Option<Fate>)>, Error> {
-        let (job, end) = (format!("{}{id}", key::JOB), format!("{}{id}", key::FATE));
+    pub(crate) async fn read_job(&self, id: &str) -> Result<Option<(Open, Option<JobOutcome>)>, Error> {
+        let (job, end) = (format!("{}{id}", key::JOB), format!("{}{id}", key::OUTCOME));
         // the end last: it may come in between
         let Some(item) = self.store.get(&job).await? else { return Ok(None) };
         let end = self.store.get(&end).await?;
         let spec = read_value::<JobSpec>(&job, item.data).ok_or(Error::Unreadable)?;
         let open = Open { spec: Arc::new(spec), stamp: item.stamp };
-        let fate = match end {
+        let outcome = match end {
             None => None,
-            Some(e) => Some((read_value::<FateRecord>(&e.path, e.data).ok_or(Error::Unreadable)?.fate, e.stamp)),
+            Some(e) => Some((read_value::<OutcomeRecord>(&e.path, e.data).ok_or(Error::Unreadable)?.outcome, e.stamp)),
         };
-        if let Some((fate, at)) = fate {
+        if let Some((outcome, at)) = outcome {
             let mut i = self.lock();
-            if fate == Fate::Cancelled {
+            if outcome == JobOutcome::Cancelled {
                 i.withdrawals.add(at, id, Instant::now());
             }
-            i.ledger.remember(Ended { spec: open.spec.clone(), stamp: open.stamp, fate });
+            i.ledger.remember(Ended { spec: open.spec.clone(), stamp: open.stamp, outcome });
         }
-        Ok(Some((open, fate.map(|f| f.0))))
+        Ok(Some((open, outcome.map(|f| f.0))))
     }
 
     /// What the store says of an id, asked from now on; `None` if it can't be told now.
@@ -568,7 +568,7 @@
                 self.lookup_pause(2.0).await;
                 let read = self.read_job(&id).await;
                 let found = match read {
-                    Ok(Some((_, Some(fate)))) => Some(Found::Over(fate)),
+                    Ok(Some((_, Some(outcome)))) => Some(Found::Over(outcome)),
                     _ => None,
                 };
                 for (_, reply) in batch.extract_if(.., |(i, _)| *i == id) {
@@ -582,7 +582,7 @@
     }
 
     /// The job's end, or none by the store's word; `None` if it can't be told now.
-    async fn end_of(&self, id: &Name) -> Option<Option<Fate>> {
+    async fn end_of(&self, id: &Name) -> Option<Option<JobOutcome>> {
         let (reply, answer) = smol::channel::bounded(1);
         self.intake.checks.0.try_send((id.clone(), reply)).ok()?;
         timed(QUERY_LIMIT, answer.recv()).await?.ok()?
@@ -602,7 +602,7 @@
             while !batch.is_empty() {
                 let mut txn = Txn::default();
                 for (id, _) in &batch {
-                    txn.guard(format!("{}{id}", key::FATE), 0);
+                    txn.guard(format!("{}{id}", key::OUTCOME), 0);
                 }
                 match self.store.txn(&txn).await {
                     Ok(TxnOutcome::Done(_)) => {
@@ -612,9 +612,9 @@
                     }
                     Ok(TxnOutcome::Conflict(failed)) => {
                         for k in failed {
-                            let fate = self.read_fate(&k).await;
-                            for (_, reply) in batch.extract_if(.., |(id, _)| k == format!("{}{id}", key::FATE)) {
-                                let _ = reply.try_send(fate.map(Some));
+                            let outcome = self.read_outcome(&k).await;
+                            for (_, reply) in batch.extract_if(.., |(id, _)| k == format!("{}{id}", key::OUTCOME)) {
+                                let _ = reply.try_send(outcome.map(Some));
                             }
                         }
                     }
@@ -633,23 +633,23 @@
         }
     }
 
-    async fn read_fate(&self, path: &str) -> Option<Fate> {
+    async fn read_outcome(&self, path: &str) -> Option<JobOutcome> {
         let item = self.store.get(path).await.ok()??;
-        let f = read_value::<FateRecord>(path, item.data)?.fate;
-        if let Some(id) = path.strip_prefix(key::FATE) {
-            self.learn_fate(id, f, item.stamp, Instant::now());
+        let f = read_value::<OutcomeRecord>(path, item.data)?.outcome;
+        if let Some(id) = path.strip_prefix(key::OUTCOME) {
+            self.apply_stored_outcome(id, f, item.stamp, Instant::now());
         }
         Some(f)
     }
 
     /// A job's state for display.
-    fn state(&self, id: &Name, fate: Option<Fate>) -> JobState {
+    fn state(&self, id: &Name, outcome: Option<JobOutcome>) -> JobState {
         let i = self.lock();
         let tasks = i.ledger.tasks(id).unwrap_or(0);
         let (mut done, mut running) = (0, 0);
-        match fate {
-            Some(Fate::Done) => done = tasks,
-            Some(Fate::Cancelled) => {}
+        match outcome {
+            Some(JobOutcome::Done) => done = tasks,
+            Some(JobOutcome::Cancelled) => {}
             None => {
                 if let Some((c, j)) = i.cluster.as_ref().and_then(|c| Some((c, c.jobs.get(id)?))) {
                     done = j.done.len();
@@ -666,8 +666,8 @@
                 }
             }
         }
-        let stage = match fate {
-            Some(f) => f.word(),
+        let stage = match outcome {
+            Some(f) => f.as_str(),
             None if running > 0 => "running",
             None => "pending",
         };
@@ -700,7 +700,7 @@
             done: j.done.len(),
             running: running.get(&j.spec.id).copied().unwrap_or(0),
         };
-        let mut jobs: Vec<_> = c.jobs.values().filter(|j| j.fate.is_none()).map(of).collect();
+        let mut jobs: Vec<_> = c.jobs.values().filter(|j| j.outcome.is_none()).map(of).collect();
         jobs.retain(|j| j.done + j.running > 0);
         jobs
     }
@@ -714,8 +714,8 @@
             Standing::Unknown => None,
         };
         let needs = spec.map(|s| s.needs.clone()).unwrap_or_default();
-        let cancelled = state.stage == Fate::Cancelled.word();
-        let of = |n: &&Name| i.ledger.fate(n) == Some(Fate::Cancelled);
+        let cancelled = state.stage == JobOutcome::Cancelled.as_str();
+        let of = |n: &&Name| i.ledger.outcome(n) == Some(JobOutcome::Cancelled);
         let cancelled_with = needs.iter().filter(|_| cancelled).find(of).cloned();
         let open = |n: &Name| matches!(i.ledger.standing(n), Standing::Open(_));
         let waits_for = needs.into_iter().filter(open).filter(|_| !cancelled).collect();
@@ -776,7 +776,7 @@
                 Response::new(201, &JobState { id: id.clone(), stage: "pending".into(), done: 0, running: 0 })
             }
             Word::Unfinished => Response::new(200, &self.state(id, None)),
-            Word::Over(fate) => Response::new(200, &self.state(id, Some(fate))),
+            Word::Over(outcome) => Response::new(200, &self.state(id, Some(outcome))),
             Word::Never => Response::refuse(404, "no such job"),
             Word::Impossible(why) => Response::refuse(422, why),
             Word::Later(why) => Response::refuse(503, why),
@@ -790,7 +790,7 @@
         let id: Name = id.into();
         match self.inquire(&id, Wish::Query, None).await {
             Word::Unfinished if why => Response::new(200, &self.explained(self.state(&id, None))),
-            Word::Over(fate) if why => Response::new(200, &self.explained(self.state(&id, Some(fate)))),
+            Word::Over(outcome) if why => Response::new(200, &self.explained(self.state(&id, Some(outcome)))),
             word => self.say(&id, word),
         }
     }
@@ -808,31 +808,31 @@
     /// read is kept.  Whether all of them have one.
     async fn read_ends(&self, ids: Vec<Name>) -> bool {
         let reads = ids.into_iter().take(MOST_READ).map(|n: Name| async move {
-            let path = format!("{}{n}", key::FATE);
-            self.read_fate(&path).await.is_some()
+            let path = format!("{}{n}", key::OUTCOME);
+            self.read_outcome(&path).await.is_some()
         });
         let read = futures_util::stream::iter(reads).buffer_unordered(8).collect::<Vec<_>>();
         timed(QUERY_LIMIT, read).await.is_some_and(|ends| ends.into_iter().all(|known| known))
     }
 
     /// Stores the cancellation of a job; what became of it.
-    async fn cancel(&self, id: &str) -> Result<Fate, Error> {
+    async fn cancel(&self, id: &str) -> Result<JobOutcome, Error> {
         // with it as many of those that need it as fit; the leader has the rest
         let mut ends = vec![Name::from(id)];
         ends.extend(self.lock().ledger.after(id, self.store.most.writes.saturating_sub(1)));
-        let path = format!("{}{id}", key::FATE);
+        let path = format!("{}{id}", key::OUTCOME);
         loop {
             let txn = cancellations(&ends);
             match self.store.txn(&txn).await? {
                 TxnOutcome::Done(stamp) => {
                     let now = Instant::now();
-                    ends.iter().for_each(|id| self.learn_fate(id, Fate::Cancelled, stamp, now));
-                    return Ok(Fate::Cancelled);
+                    ends.iter().for_each(|id| self.apply_stored_outcome(id, JobOutcome::Cancelled, stamp, now));
+                    return Ok(JobOutcome::Cancelled);
                 }
                 // one of the others has ended by itself: this one alone then
                 TxnOutcome::Conflict(keys) if ends.len() > 1 && !keys.contains(&path) => ends.truncate(1),
                 // whoever loses the race says what the store says
-                TxnOutcome::Conflict(_) => return self.read_fate(&path).await.ok_or(Error::Refused(503)),
+                TxnOutcome::Conflict(_) => return self.read_outcome(&path).await.ok_or(Error::Refused(503)),
             }
         }
     }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -26,14 +26,14 @@
     rentals: Vec<Item>,
     /// Jobs that pages name and that were read one by one; `None` where the
     /// store has no record of them, or none that can be read.
-    over: HashMap<Name, Option<(Open, Option<Fate>)>>,
+    over: HashMap<Name, Option<(Open, Option<JobOutcome>)>>,
 }
 
 impl Stored {
     /// Takes in what a job that pages name was read as.  A record that is
     /// missing or strange is read once a term: it will not get better, and
     /// nobody would lead for it.
-    fn read(&mut self, id: Name, job: Result<Option<(Open, Option<Fate>)>, Error>) -> Result<(), Error> {
+    fn read(&mut self, id: Name, job: Result<Option<(Open, Option<JobOutcome>)>, Error>) -> Result<(), Error> {
         let job = match job {
             Err(Error::Unreadable) => None,
             other => other?,
@@ -129,8 +129,8 @@
                 continue;
             }
             match (i.ledger.standing(id), stored.over.get(id)) {
-                (Standing::Ended(e), _) => c.add_job(e.spec, e.stamp, Some(e.fate), now),
-                (_, Some(Some((o, fate)))) => c.add_job(o.spec.clone(), o.stamp, *fate, now),
+                (Standing::Ended(e), _) => c.add_job(e.spec, e.stamp, Some(e.outcome), now),
+                (_, Some(Some((o, outcome)))) => c.add_job(o.spec.clone(), o.stamp, *outcome, now),
                 (_, Some(None)) => {}
                 (_, None) => {
                     missing.insert(id.clone());
@@ -149,8 +149,8 @@
             }
         }
         for n in c.dependency.unknown() {
-            if let Some(fate) = i.ledger.fate(&n) {
-                c.set_fate(&n, fate, now);
+            if let Some(outcome) = i.ledger.outcome(&n) {
+                c.set_outcome(&n, outcome, now);
             }
         }
         c.tidy(now);
--- a/src/leader/commits.rs
+++ b/src/leader/commits.rs
@@ -36,9 +36,9 @@
             match outcome {
                 Ok(TxnOutcome::Done(revision)) => {
                     let ended = self.lock().cluster.as_mut().map(|c| c.committed(batch, revision, now));
-                    for (id, fate) in ended.unwrap_or_default() {
-                        tracing::debug!("{id} is {}", fate.word());
-                        self.learn_fate(&id, fate, revision, now);
+                    for (id, outcome) in ended.unwrap_or_default() {
+                        tracing::debug!("{id} is {}", outcome.as_str());
+                        self.apply_stored_outcome(&id, outcome, revision, now);
                     }
                     self.stored.notify(usize::MAX);
                     self.to_command.wake();
@@ -97,7 +97,9 @@
                 continue;
             }
             match self.ends_of(ids).await {
-                Ok(ends) => ends.into_iter().for_each(|(id, fate, at)| self.learn_fate(&id, fate, at, Instant::now())),
+                Ok(ends) => ends
+                    .into_iter()
+                    .for_each(|(id, outcome, at)| self.apply_stored_outcome(&id, outcome, at, Instant::now())),
                 Err(e) => {
                     tracing::debug!("ends of needed jobs: {e}");
                     smol::Timer::after(self.policy.renew / 4).await;
@@ -108,25 +110,25 @@
 
     /// The ends of these jobs with their stamps, as far as they have one: a few one by one, many
     /// from the pages of all ends.
-    async fn ends_of(&self, mut ids: Vec<Name>) -> Result<Vec<(Name, Fate, u64)>, Error> {
+    async fn ends_of(&self, mut ids: Vec<Name>) -> Result<Vec<(Name, JobOutcome, u64)>, Error> {
         let read = |i: Item| {
-            let fate = read_value::<FateRecord>(&i.path, i.data)?.fate;
-            Some((Name::from(i.path.strip_prefix(key::FATE)?), fate, i.stamp))
+            let outcome = read_value::<OutcomeRecord>(&i.path, i.data)?.outcome;
+            Some((Name::from(i.path.strip_prefix(key::OUTCOME)?), outcome, i.stamp))
         };
         let mut ends = Vec::new();
         if ids.len() <= FEW_ASKED {
             for id in ids {
                 self.lookup_pause(1.0).await;
-                ends.extend(self.store.get(&format!("{}{id}", key::FATE)).await?.and_then(read));
+                ends.extend(self.store.get(&format!("{}{id}", key::OUTCOME)).await?.and_then(read));
             }
             return Ok(ends);
         }
         ids.sort();
         let wanted: HashSet<Name> = ids.iter().cloned().collect();
         let mut since = String::new();
-        while let Some(last) = ids.last().filter(|l| since.as_str() < format!("{}{l}", key::FATE).as_str()) {
+        while let Some(last) = ids.last().filter(|l| since.as_str() < format!("{}{l}", key::OUTCOME).as_str()) {
             tracing::debug!("ends of {} needed jobs up to {last}, from {since}", ids.len());
-            let page = self.store.page(key::FATE, &since).await?;
+            let page = self.store.page(key::OUTCOME, &since).await?;
             let Some(row) = page.rows.last() else { break };
             since.clone_from(&row.path);
             ends.extend(page.rows.into_iter().filter_map(read).filter(|e| wanted.contains(&e.0)));
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -15,15 +15,15 @@
     for id in ["j-000001", "j-000002", "j-000003"] {
         node.learn_job(spec(id, 1), 1, now);
     }
-    node.learn_fate("j-000001", Fate::Cancelled, 2, now);
+    node.apply_stored_outcome("j-000001", JobOutcome::Cancelled, 2, now);
     let a = Authority { term: 2, stamp: 1, hold: 1, until: now, since: now };
     assert!(node.take_over(a, Stored::default(), now).is_ok());
-    node.learn_fate("j-000002", Fate::Cancelled, 3, now);
+    node.apply_stored_outcome("j-000002", JobOutcome::Cancelled, 3, now);
     node.learn_job(spec("j-000004", 1), 2, now);
     let i = node.lock();
     let c = i.cluster.as_ref().expect("it leads");
     let open: std::collections::BTreeSet<&str> =
-        c.jobs.values().filter(|j| j.fate.is_none()).map(|j| &*j.spec.id).collect();
+        c.jobs.values().filter(|j| j.outcome.is_none()).map(|j| &*j.spec.id).collect();
     assert_eq!(open.into_iter().collect::<Vec<_>>(), ["j-000003", "j-000004"]);
 }
 
@@ -50,7 +50,7 @@
     assert_eq!(missing, ["j-000002".into()]);
     assert!(node.lock().cluster.is_none(), "no half of a picture");
     let open = Open { spec: spec("j-000002", 1), stamp: 2 };
-    assert!(stored.read("j-000002".into(), Ok(Some((open, Some(Fate::Cancelled))))).is_ok());
+    assert!(stored.read("j-000002".into(), Ok(Some((open, Some(JobOutcome::Cancelled))))).is_ok());
     assert!(node.take_over(a, stored, now).is_ok());
     let i = node.lock();
     let tasks = &i.cluster.as_ref().expect("it leads").machines["i-1"].tasks;
--- a/src/node.rs
+++ b/src/node.rs
@@ -320,8 +320,8 @@
         c.add_job(spec.clone(), stamp, None, now);
         for n in &spec.needs {
             if c.dependency.is_unknown(n) {
-                match i.ledger.fate(n) {
-                    Some(fate) => c.set_fate(n, fate, now),
+                match i.ledger.outcome(n) {
+                    Some(outcome) => c.set_outcome(n, outcome, now),
                     None => self.to_ask.wake(),
                 }
             }
@@ -331,18 +331,18 @@
     }
 
     /// A job's end, as stored at this revision.
-    pub fn learn_fate(&self, id: &str, fate: Fate, stamp: u64, now: Instant) {
+    pub fn apply_stored_outcome(&self, id: &str, outcome: JobOutcome, stamp: u64, now: Instant) {
         let mut i = self.lock();
-        if fate == Fate::Cancelled {
+        if outcome == JobOutcome::Cancelled {
             i.withdrawals.add(stamp, id, now);
         }
-        i.ledger.ends(id, fate);
-        self.closed(&mut i, id, fate, now);
+        i.ledger.ends(id, outcome);
+        self.closed(&mut i, id, outcome, now);
     }
 
-    pub(crate) fn closed(&self, i: &mut Inner, id: &str, fate: Fate, now: Instant) {
+    pub(crate) fn closed(&self, i: &mut Inner, id: &str, outcome: JobOutcome, now: Instant) {
         if let Some(c) = i.cluster.as_mut() {
-            c.set_fate(id, fate, now);
+            c.set_outcome(id, outcome, now);
             self.to_place.wake();
             self.to_commit.wake();
         }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -18,7 +18,7 @@
 use crate::cluster::{Learned, Machine};
 use crate::gates;
 use crate::http::{Request, Response};
-use crate::model::Fate;
+use crate::model::JobOutcome;
 use crate::node::Node;
 use crate::siblings::wire::peer_server::{Peer, PeerServer};
 use crate::siblings::{from_wire, lock, to_wire, wire, Link, Seen, Work};
@@ -79,7 +79,7 @@
         let known = a.known.into_iter().map(|w| Withdrawal { stamp: w.stamp, id: w.id.into() });
         let a = Account { life: a.life, known: known.collect(), next: a.next, whole: a.whole };
         for w in &a.known {
-            self.learn_fate(&w.id, Fate::Cancelled, w.stamp, now);
+            self.apply_stored_outcome(&w.id, JobOutcome::Cancelled, w.stamp, now);
         }
         self.lock().knowledge.told(name, sent, &a);
     }
@@ -254,7 +254,7 @@
     ) -> Result<tonic::Response<wire::TellResponse>, tonic::Status> {
         let (known, now) = (r.into_inner().known, Instant::now());
         for w in &known {
-            self.0.learn_fate(&w.id, Fate::Cancelled, w.stamp, now);
+            self.0.apply_stored_outcome(&w.id, JobOutcome::Cancelled, w.stamp, now);
         }
         let i = self.0.lock();
         let clear = known.into_iter().map(|w| w.id).filter(|id| i.clear_of(&id.as_str().into(), now)).collect();
--- a/src/queues.rs
+++ b/src/queues.rs
@@ -19,7 +19,7 @@
 pub struct Intake {
     /// Submissions, and whether each ends with a cancelled job that it needs.
     pub(crate) submissions: Queue<(Arc<JobSpec>, bool, Reply<Accepted>)>,
-    pub(crate) checks: Queue<(Name, Reply<Option<Option<Fate>>>)>,
+    pub(crate) checks: Queue<(Name, Reply<Option<Option<JobOutcome>>>)>,
     /// Ids that are not known here.
     pub(crate) lookups: Queue<(Name, Reply<Option<Found>>)>,
     /// Requests to the store for these.
--- a/src/status.rs
+++ b/src/status.rs
@@ -44,7 +44,7 @@
                 f.placed += m.tasks.len();
                 f.in_doubt += usize::from(m.doubt.is_some());
             }
-            let open: Vec<_> = c.jobs.values().filter(|j| j.fate.is_none()).collect();
+            let open: Vec<_> = c.jobs.values().filter(|j| j.outcome.is_none()).collect();
             f.jobs = open.len();
             f.waiting = open.iter().map(|j| u64::from(j.todo.len())).sum();
             let mut waiting: Vec<_> = open.into_iter().filter(|j| !j.todo.is_empty()).collect();
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -21,9 +21,9 @@
                     if let Some(spec) = read_value::<JobSpec>(&path, data) {
                         self.learn_job(Arc::new(spec), e.stamp, now);
                     }
-                } else if let Some(id) = path.strip_prefix(key::FATE) {
-                    if let Some(f) = read_value::<FateRecord>(&path, data) {
-                        self.learn_fate(id, f.fate, e.stamp, now);
+                } else if let Some(id) = path.strip_prefix(key::OUTCOME) {
+                    if let Some(f) = read_value::<OutcomeRecord>(&path, data) {
+                        self.apply_stored_outcome(id, f.outcome, e.stamp, now);
                     }
                 } else if path == key::LEADER {
                     if let Some(record) = read_value::<LeaderRecord>(&path, data) {
@@ -123,7 +123,7 @@
                 looked = Instant::now();
                 match self.store.changes(key::WATCHED, since, Duration::ZERO).await {
                     Ok((news, epoch)) => {
-                        let ended = |e: &Event| Some(Name::from(e.set.as_ref()?.strip_prefix(key::FATE)?));
+                        let ended = |e: &Event| Some(Name::from(e.set.as_ref()?.strip_prefix(key::OUTCOME)?));
                         sweep.ended(news.iter().filter_map(ended));
                         since = self.changed(news, epoch.max(since));
                     }
@@ -145,7 +145,7 @@
         for n in news {
             match n {
                 News::Open(o) => self.opened(i, o.spec, o.stamp, now),
-                News::Ended(id, fate) => self.closed(i, &id, fate, now),
+                News::Ended(id, outcome) => self.closed(i, &id, outcome, now),
             }
         }
     }
@@ -155,7 +155,7 @@
     fn changed(&self, mut news: Vec<Event>, epoch: u64) -> u64 {
         // a job and its end may be of one transaction: an end that came first
         // would find no job, and the job would never end here
-        news.sort_by_key(|e| (e.stamp, e.set.as_ref().is_some_and(|p| p.starts_with(key::FATE))));
+        news.sort_by_key(|e| (e.stamp, e.set.as_ref().is_some_and(|p| p.starts_with(key::OUTCOME))));
         for e in news {
             self.event(e);
         }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -12,7 +12,7 @@
 
 use coralnotch::authority::LeaderRecord;
 use coralnotch::config::Config;
-use coralnotch::model::{Explained, Fate, FateRecord, JobSpec, JobState, MachineType, Ranges, Rank, Shape};
+use coralnotch::model::{Explained, JobOutcome, JobSpec, JobState, MachineType, OutcomeRecord, Ranges, Rank, Shape};
 use coralnotch::node::Node;
 use coralnotch::policy::Policy;
 use coralnotch::siblings::wire;
@@ -56,9 +56,9 @@
     assert_eq!((spec.types.map(|t| t.len()), spec.needs.len()), (Some(1), 1));
     assert_eq!(keeps_each::<Shape>(&golden["shapes"]), [Shape::Array, Shape::Gang, Shape::Service]);
     assert_eq!(keeps_each::<Rank>(&golden["ranks"]), [Rank::Production, Rank::High, Rank::Normal, Rank::Low]);
-    let fates = keeps_each::<FateRecord>(&golden["fates"]);
-    assert_eq!(fates.iter().map(|f| f.fate).collect::<Vec<_>>(), [Fate::Done, Fate::Cancelled]);
-    assert_eq!([Fate::Done.word(), Fate::Cancelled.word()], ["done", "cancelled"]);
+    let outcomes = keeps_each::<OutcomeRecord>(&golden["fates"]);
+    assert_eq!(outcomes.iter().map(|f| f.outcome).collect::<Vec<_>>(), [JobOutcome::Done, JobOutcome::Cancelled]);
+    assert_eq!([JobOutcome::Done.as_str(), JobOutcome::Cancelled.as_str()], ["done", "cancelled"]);
     keeps::<JobState>(&golden["job_state"]);
     let explained: Explained = keeps(&golden["explained"]);
     assert_eq!((explained.waits_for.len(), explained.cancelled_with.as_deref()), (1, Some("j-000410")));
@@ -145,7 +145,7 @@
     assert_eq!(gates.on, coralnotch_core::gate::KNOWN);
     let ranges: Ranges = keeps(&golden["ranges"]);
     assert_eq!(ranges.iter().collect::<Vec<_>>(), [0, 1, 2, 7]);
-    let keys = [key::WATCHED, key::JOB, key::FATE, key::LEADER, key::TERM, key::GATES, key::MEMBER, key::TYPES];
+    let keys = [key::WATCHED, key::JOB, key::OUTCOME, key::LEADER, key::TERM, key::GATES, key::MEMBER, key::TYPES];
     let names = ["", "job/", "fate/", "leader"].map(|k| format!("c2/w/{k}"));
     assert_eq!(keys[..4], names);
     assert_eq!(keys[4..], ["c2/p/term", "c2/w/gates", "c2/p/member/", "c2/w/types"]);
