--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -13,7 +13,7 @@
 use coralnotch::config::Config;
 use coralnotch::model::{JobSpec, MachineType, Rank, Shape};
 use coralnotch::policy::Policy;
-use coralnotch::workers::Report;
+use coralnotch::workers::Heartbeat;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let file = std::env::args().nth(1).ok_or("usage: embed SETTINGS")?;
@@ -36,16 +36,16 @@
         zones: vec!["a".into()],
     }]);
     for (name, spot) in [("i-000001", false), ("i-000002", true)] {
-        let report = Report {
+        let report = Heartbeat {
             machine: name.into(),
             address: "127.0.0.1:9000".into(),
             kind: "m8".into(),
             zone: "a".into(),
             spot,
-            session: 1,
-            tally: 1,
-            token: 0,
-            notice_s: None,
+            incarnation: 1,
+            sequence: 1,
+            fencing_token: 0,
+            reclaim_in_s: None,
             tasks: Vec::new(),
         };
         cluster.report(&report, true, now);
--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -98,23 +98,23 @@
 /// got through for as long as they did.
 #[test]
 fn a_task_found_of_a_job_that_is_over_holds_nothing_up() {
-    use crate::workers::{Report, Reported, TaskState};
+    use crate::workers::{Heartbeat, TaskState, TaskStatus};
     let now = Instant::now();
     let mut c = cluster(1, now);
     c.add_job(spec("j-000001", 1), 1, Some(JobOutcome::Cancelled), now);
     c.add_job(spec("j-000002", 1), 2, None, now);
     let task = Task { job: "j-000001".into(), index: 0 };
-    let found = Reported { task: task.clone(), attempt: 7, state: TaskState::Running, cause: None, saved: None };
-    let report = Report {
+    let found = TaskStatus { task: task.clone(), attempt: 7, state: TaskState::Running, cause: None, saved: None };
+    let report = Heartbeat {
         machine: "i-1".into(),
         address: "127.0.0.1:9".into(),
         kind: "t".into(),
         zone: "z0".into(),
         spot: false,
-        session: 1,
-        tally: 1,
-        token: 0,
-        notice_s: None,
+        incarnation: 1,
+        sequence: 1,
+        fencing_token: 0,
+        reclaim_in_s: None,
         tasks: vec![found],
     };
     c.report(&report, true, now);
@@ -126,8 +126,8 @@
     c.committed(b, 6, now);
     // on record, it counts and is stopped; nothing of it is ever sent
     assert!(c.machines["i-1"].tasks[&task].halt.is_some());
-    let sent = c.answer(&report, now).orders;
-    assert!(sent.iter().all(|o| !matches!(o, crate::workers::Command::Run { task: t, .. } if *t == task)));
+    let sent = c.answer(&report, now).commands;
+    assert!(sent.iter().all(|o| !matches!(o, crate::workers::Command::Start { task: t, .. } if *t == task)));
 }
 
 /// What the version in production stored (values that its own code wrote) is
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -161,16 +161,16 @@
 #[test]
 fn a_start_on_a_machine_that_no_list_has_counts_for_the_next_leader() {
     use crate::commit::{read_page, TxnLimits};
-    use crate::workers::Report;
+    use crate::workers::Heartbeat;
     use coralnotch_wire::state::{Item, Write};
     let now = Instant::now();
     let mut c = cluster(4, now);
-    let first = Report { spot: true, ..report("i-7", "z2", 1, 1, 0) };
+    let first = Heartbeat { spot: true, ..report("i-7", "z2", 1, 1, 0) };
     assert_eq!(c.report(&first, true, now), Some(true));
     c.add_job(spec("j-1", 1), 1, None, now);
     c.place(now);
     assert_eq!(c.jobs["j-1"].places.len(), 1, "it gets work at once");
-    assert!(c.answer(&first, now).orders.is_empty(), "not before the start is stored: writes lag");
+    assert!(c.answer(&first, now).commands.is_empty(), "not before the start is stored: writes lag");
     let limits = TxnLimits { writes: 8, guards: 32, page_bytes: 4096, value_bytes: 4096 };
     let batch = c.next_batch(9, &limits).expect("a start is to be stored");
     let Some(Write::Set { set, data, .. }) = batch.txn.writes.first().cloned() else { panic!("a page") };
--- a/packages/core/src/reporting.rs
+++ b/packages/core/src/reporting.rs
@@ -12,7 +12,7 @@
 use std::hash::BuildHasher;
 use std::time::{Duration, Instant};
 
-use coralnotch_wire::workers::Report;
+use coralnotch_wire::workers::Heartbeat;
 use foldhash::fast::FixedState;
 
 use crate::model::Name;
@@ -61,7 +61,7 @@
 /// The last report of a machine that a leader took from here.
 #[derive(Debug)]
 struct Taken {
-    report: Report,
+    report: Heartbeat,
     term: u64,
     at: Instant,
 }
@@ -74,22 +74,22 @@
 
 impl Forwarding {
     /// How a report is sent to the leader of this term.
-    pub fn message(&self, r: &Report, term: u64) -> Forwarded {
+    pub fn message(&self, r: &Heartbeat, term: u64) -> Forwarded {
         let known = self.taken.get(&r.machine).filter(|t| t.term == term);
         match known.filter(|t| same_content(&t.report, r)) {
             Some(t) => Forwarded::Unchanged(Unchanged {
                 machine: r.machine.clone(),
-                session: r.session,
-                tally: r.tally,
-                after: t.report.tally,
+                session: r.incarnation,
+                tally: r.sequence,
+                after: t.report.sequence,
             }),
             None => Forwarded::Full,
         }
     }
 
     /// The leader of this term has taken a report.
-    pub fn taken(&mut self, report: Report, term: u64, now: Instant) {
-        let older = |t: &Taken| (t.report.session, t.report.tally) > (report.session, report.tally);
+    pub fn taken(&mut self, report: Heartbeat, term: u64, now: Instant) {
+        let older = |t: &Taken| (t.report.incarnation, t.report.sequence) > (report.incarnation, report.sequence);
         if !self.taken.get(&report.machine).is_some_and(older) {
             self.taken.insert(report.machine.clone(), Taken { report, term, at: now });
         }
@@ -117,8 +117,8 @@
 }
 
 /// Whether a report says what an earlier one said.
-fn same_content(earlier: &Report, r: &Report) -> bool {
-    r.tally > earlier.tally && *earlier == Report { tally: earlier.tally, ..r.clone() }
+fn same_content(earlier: &Heartbeat, r: &Heartbeat) -> bool {
+    r.sequence > earlier.sequence && *earlier == Heartbeat { sequence: earlier.sequence, ..r.clone() }
 }
 
 /// Whether a leader of so many machines has the other controllers take their reports.  It goes
--- a/packages/core/src/reporting/tests.rs
+++ b/packages/core/src/reporting/tests.rs
@@ -2,7 +2,7 @@
 use crate::cluster::Cluster;
 use crate::model::Task;
 use crate::sim::{cluster, report, spec};
-use crate::workers::{Command, Reported, TaskState};
+use crate::workers::{Command, TaskState, TaskStatus};
 
 const NAMES: [&str; 5] = ["c0", "c1", "c2", "c3", "c4"];
 
@@ -31,11 +31,16 @@
     assert_eq!(assigned("i-1", "a", &[]), None);
 }
 
-fn running(c: &mut Cluster, tally: u64, now: Instant) -> Report {
+fn running(c: &mut Cluster, tally: u64, now: Instant) -> Heartbeat {
     let mut r = report("i-000001", "z1", 1, tally, c.token());
     let state = TaskState::Running;
-    r.tasks =
-        vec![Reported { task: Task { job: "j-000001".into(), index: 0 }, attempt: 1, state, cause: None, saved: None }];
+    r.tasks = vec![TaskStatus {
+        task: Task { job: "j-000001".into(), index: 0 },
+        attempt: 1,
+        state,
+        cause: None,
+        saved: None,
+    }];
     if c.jobs.is_empty() {
         c.add_job(spec("j-000001", 1), 1, None, now);
     }
@@ -43,9 +48,9 @@
 }
 
 /// A report of a task that was started by a command, and all of it is known to the leader.
-fn settled(c: &mut Cluster, now: Instant) -> Report {
+fn settled(c: &mut Cluster, now: Instant) -> Heartbeat {
     let first = running(c, 1, now);
-    assert_eq!(c.report(&Report { tasks: Vec::new(), ..first.clone() }, true, now), Some(true));
+    assert_eq!(c.report(&Heartbeat { tasks: Vec::new(), ..first.clone() }, true, now), Some(true));
     let task = first.tasks[0].task.clone();
     assert!(c.assign(&task, &first.machine, 1, now));
     if let Some(p) = c.machines.get_mut(&first.machine).and_then(|m| m.tasks.get_mut(&task)) {
@@ -56,8 +61,8 @@
     second
 }
 
-fn unchanged(r: &Report, tally: u64) -> Unchanged {
-    Unchanged { machine: r.machine.clone(), session: r.session, tally, after: r.tally }
+fn unchanged(r: &Heartbeat, tally: u64) -> Unchanged {
+    Unchanged { machine: r.machine.clone(), session: r.incarnation, tally, after: r.sequence }
 }
 
 /// A report without news renews, and is no news; one that repeats anything but the last report
@@ -69,7 +74,7 @@
     let r = settled(&mut c, now);
     let later = now + Duration::from_secs(9);
     let answer = c.unchanged(&unchanged(&r, 3), later).expect("nothing is to be done there");
-    assert_eq!((answer.token, answer.orders.len()), (c.token(), 0));
+    assert_eq!((answer.fencing_token, answer.commands.len()), (c.token(), 0));
     assert_eq!(c.machines[&r.machine].heard, Some(later));
     // late copies, and one after a report that this leader has not had
     assert!(c.unchanged(&unchanged(&r, 3), later).is_none());
@@ -109,7 +114,7 @@
     let mut next = cluster(4, now);
     assert!(next.unchanged(&unchanged(&r, 3), now).is_none());
     let answer = c.answer(&running(&mut next, 2, now), now);
-    assert!(answer.orders.iter().all(|o| matches!(o, Command::Run { .. })));
+    assert!(answer.commands.iter().all(|o| matches!(o, Command::Start { .. })));
 }
 
 /// What is sent on is short only if a leader of this term took the same content from here.
@@ -123,7 +128,7 @@
     assert_eq!(f.message(&r(4), 3), Forwarded::Unchanged(unchanged(&r(1), 4)));
     assert_eq!(f.message(&r(4), 4), Forwarded::Full, "another leader");
     assert_eq!(f.message(&r(1), 3), Forwarded::Full, "the same once more");
-    assert_eq!(f.message(&Report { token: 8, ..r(4) }, 3), Forwarded::Full);
+    assert_eq!(f.message(&Heartbeat { fencing_token: 8, ..r(4) }, 3), Forwarded::Full);
     f.taken(r(4), 3, now);
     f.taken(r(2), 3, now);
     assert_eq!(f.message(&r(5), 3), Forwarded::Unchanged(unchanged(&r(4), 5)), "an older answer came later");
--- a/packages/core/src/sim/controllers.rs
+++ b/packages/core/src/sim/controllers.rs
@@ -284,9 +284,9 @@
         }
     }
 
-    fn answers(&mut self, report: &Report, number: u64, answer: Answer) {
+    fn answers(&mut self, report: &Heartbeat, number: u64, answer: HeartbeatReply) {
         let Some(machine) = self.workers.iter().position(|w| w.name == report.machine) else { return };
-        self.send(Message::Answer { machine, number, session: report.session, answer });
+        self.send(Message::Answer { machine, number, session: report.incarnation, answer });
     }
 
     pub(super) fn controller(&mut self, i: usize, life: u64) -> Option<&mut Controller> {
@@ -335,7 +335,7 @@
                     return;
                 }
                 if self.sabotage == Sabotage::ReadingOrder {
-                    report.tally = t;
+                    report.sequence = t;
                 }
                 let whole = self.whole(to);
                 let blind = self.sabotage == Sabotage::RenewsBlindly;
@@ -374,7 +374,7 @@
                 if !w.alive
                     || self.now < w.hung_until.max(w.deaf_until)
                     || w.session != session
-                    || answer.token < w.token
+                    || answer.fencing_token < w.token
                 {
                     return;
                 }
@@ -382,9 +382,9 @@
                     return;
                 }
                 w.flight = None;
-                w.token = answer.token;
+                w.token = answer.fencing_token;
                 w.renewed = w.renewed.max(sent);
-                self.execute(machine, &answer.orders);
+                self.execute(machine, &answer.commands);
             }
             Message::Direct { from, life, call } => {
                 let Some(i) = self.workers.iter().position(|w| w.name == call.machine) else { return };
@@ -406,9 +406,9 @@
                 let mut report = None;
                 if self.workers[i].alive {
                     let w = &mut self.workers[i];
-                    if call.body.token >= w.token && call.body.session == w.session {
-                        w.token = call.body.token;
-                        self.execute(i, &call.body.orders);
+                    if call.body.fencing_token >= w.token && call.body.incarnation == w.session {
+                        w.token = call.body.fencing_token;
+                        self.execute(i, &call.body.commands);
                     }
                     report = Some(self.workers[i].report());
                 }
@@ -422,7 +422,7 @@
                         .cluster
                         .machines
                         .get(&call.machine)
-                        .is_some_and(|m| m.doubt.is_none_or(|d| d == call.body.token));
+                        .is_some_and(|m| m.doubt.is_none_or(|d| d == call.body.fencing_token));
                     if flying && current {
                         c.cluster.direct_over(&call, report.as_ref(), now);
                     }
@@ -502,7 +502,7 @@
     }
 
     /// Sends a report on to whoever leads by what is known there, which may be old.
-    fn forward(&mut self, by: usize, report: Report, number: u64) {
+    fn forward(&mut self, by: usize, report: Heartbeat, number: u64) {
         let believes = |c: &Option<Controller>| c.as_ref().is_some_and(|c| self.now < c.until);
         let leaders: Vec<usize> = (0..3).filter(|i| *i != by && believes(&self.controllers[*i])).collect();
         if leaders.is_empty() {
@@ -518,7 +518,7 @@
     }
 
     /// The leader takes a forwarded report, in full or as a sign of life.
-    fn takes_forwarded(&mut self, by: usize, term: u64, to: usize, message: Forwarded, report: Report, number: u64) {
+    fn takes_forwarded(&mut self, by: usize, term: u64, to: usize, message: Forwarded, report: Heartbeat, number: u64) {
         let now = self.at(self.now);
         let whole = self.whole(to);
         let leads = may_lead(whole, &self.policy, now);
@@ -538,7 +538,7 @@
             // taken for news, however late it comes
             Forwarded::Unchanged(u) if careless => {
                 let last = c.cluster.machines.get(&u.machine).map_or(0, |m| m.tally);
-                let news = Report { tally: last + 1, ..report.clone() };
+                let news = Heartbeat { sequence: last + 1, ..report.clone() };
                 c.cluster.report(&news, true, now).map(|_| c.cluster.answer(&news, now))
             }
             Forwarded::Unchanged(u) => c.cluster.unchanged(u, now),
@@ -576,7 +576,7 @@
                     .cluster
                     .machines
                     .get(&call.machine)
-                    .is_some_and(|m| m.flying && m.doubt.is_none_or(|d| d == call.body.token));
+                    .is_some_and(|m| m.flying && m.doubt.is_none_or(|d| d == call.body.fencing_token));
                 if current {
                     c.cluster.direct_over(&call, None, now);
                     if forget {
--- a/packages/core/src/sim/machines.rs
+++ b/packages/core/src/sim/machines.rs
@@ -8,7 +8,7 @@
     Pulling { until: Ms },
     Gathering { since: Ms },
     Running { until: Ms },
-    Ended(Cause),
+    Ended(ExitCause),
 }
 
 pub(super) struct Worker {
@@ -53,30 +53,30 @@
         }
     }
 
-    pub(super) fn report(&mut self) -> Report {
+    pub(super) fn report(&mut self) -> Heartbeat {
         self.tally += 1;
-        let one = |(task, (attempt, work)): (&Task, &(u64, Work))| Reported {
+        let one = |(task, (attempt, work)): (&Task, &(u64, Work))| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
             state: match work {
                 Work::Pulling { .. } => TaskState::Pulling,
-                Work::Gathering { .. } => TaskState::Gathering,
+                Work::Gathering { .. } => TaskState::WaitingForGang,
                 Work::Running { .. } => TaskState::Running,
-                Work::Ended(_) => TaskState::Ended,
+                Work::Ended(_) => TaskState::Exited,
             },
             cause: if let Work::Ended(c) = work { Some(*c) } else { None },
             saved: None,
         };
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             address: "127.0.0.1:9".into(),
             kind: "t".into(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            tally: self.tally,
-            token: self.token,
-            notice_s: None,
+            incarnation: self.session,
+            sequence: self.tally,
+            fencing_token: self.token,
+            reclaim_in_s: None,
             tasks: self.tasks.iter().map(one).collect(),
         }
     }
@@ -94,7 +94,7 @@
     pub(super) fn execute(&mut self, i: usize, orders: &[Command]) {
         for o in orders {
             match o {
-                Command::Run { task, attempt } => {
+                Command::Start { task, attempt } => {
                     let known = self.workers[i].tasks.get(task);
                     if known.is_some_and(|(a, _)| a == attempt) {
                         continue;
@@ -105,16 +105,16 @@
                     let until = self.now + self.rng.u64(0..30) * STEP;
                     self.workers[i].tasks.insert(task.clone(), (*attempt, Work::Pulling { until }));
                 }
-                Command::Halt { task, attempt, .. } => {
+                Command::Stop { task, attempt, .. } => {
                     let w = &mut self.workers[i];
                     if let Some((_, work)) =
                         w.tasks.get_mut(task).filter(|(a, w)| a == attempt && !matches!(w, Work::Ended(_)))
                     {
-                        *work = Work::Ended(Cause::Stopped);
+                        *work = Work::Ended(ExitCause::StoppedByCommand);
                         w.next = w.next.min(self.now + 500);
                     }
                 }
-                Command::Reap { task, attempt } => {
+                Command::Acknowledge { task, attempt } => {
                     let w = &mut self.workers[i];
                     if w.tasks.get(task).is_some_and(|(a, w)| a == attempt && matches!(w, Work::Ended(_))) {
                         w.tasks.remove(task);
@@ -140,7 +140,7 @@
                 let over = |t: &Task| self.pictures[i % 3].over.contains(&t.job);
                 for (_, work) in w.tasks.iter_mut().filter(|(t, _)| over(t)).map(|(_, v)| v) {
                     if !matches!(work, Work::Ended(_)) {
-                        *work = Work::Ended(Cause::Stopped);
+                        *work = Work::Ended(ExitCause::StoppedByCommand);
                     }
                 }
             }
@@ -160,9 +160,9 @@
                     Work::Pulling { until } if until <= self.now => {
                         self.started(i, &task, &spec);
                         if self.workers[i].sick || self.mistaken.contains(&task.job) {
-                            Work::Ended(Cause::Error)
+                            Work::Ended(ExitCause::Failed)
                         } else if self.finished.contains_key(&task) {
-                            Work::Ended(Cause::Done)
+                            Work::Ended(ExitCause::Completed)
                         } else if spec.shape == Shape::Gang {
                             Work::Gathering { since: self.now }
                         } else {
@@ -183,7 +183,7 @@
                         if mates as u32 >= spec.tasks {
                             Work::Running { until: since / 10_000 * 10_000 + 40_000 }
                         } else if self.now - since > 20_000 {
-                            Work::Ended(Cause::Alone)
+                            Work::Ended(ExitCause::GangTimeout)
                         } else {
                             work
                         }
@@ -199,7 +199,7 @@
                         if (0..spec.tasks).all(done) {
                             self.ending.push(task.job.clone());
                         }
-                        Work::Ended(Cause::Done)
+                        Work::Ended(ExitCause::Completed)
                     }
                     w => w,
                 };
@@ -220,7 +220,7 @@
                 let w = &mut self.workers[i];
                 w.next = self.now + 3000;
                 let report = w.report();
-                w.flight = Some((report.tally, self.now));
+                w.flight = Some((report.sequence, self.now));
                 if self.now < w.mute_until {
                     continue; // it is lost, and given up
                 }
@@ -232,7 +232,7 @@
                     0 => self.rng.usize(0..3),
                     _ => to.unwrap_or(0),
                 };
-                self.send(Message::Report { to, number: report.tally, report });
+                self.send(Message::Report { to, number: report.sequence, report });
             }
         }
     }
--- a/packages/core/src/sim/mod.rs
+++ b/packages/core/src/sim/mod.rs
@@ -45,17 +45,17 @@
 }
 
 /// A report of a machine without tasks.
-pub fn report(machine: &str, zone: &str, session: u64, tally: u64, token: u64) -> Report {
-    Report {
+pub fn report(machine: &str, zone: &str, session: u64, tally: u64, token: u64) -> Heartbeat {
+    Heartbeat {
         machine: machine.into(),
         address: "127.0.0.1:9".into(),
         kind: "t".into(),
         zone: zone.into(),
         spot: false,
-        session,
-        tally,
-        token,
-        notice_s: None,
+        incarnation: session,
+        sequence: tally,
+        fencing_token: token,
+        reclaim_in_s: None,
         tasks: vec![],
     }
 }
@@ -142,7 +142,7 @@
     },
     Report {
         to: usize,
-        report: Report,
+        report: Heartbeat,
         number: u64,
     },
     /// A report by way of a controller that does not lead.
@@ -151,21 +151,21 @@
         term: u64,
         to: usize,
         message: Forwarded,
-        report: Report,
+        report: Heartbeat,
         number: u64,
     },
     /// The leader took a report that was forwarded, or wants it in full.
     Taken {
         by: usize,
         term: u64,
-        report: Report,
+        report: Heartbeat,
         whole: bool,
     },
     Answer {
         machine: usize,
         number: u64,
         session: u64,
-        answer: Answer,
+        answer: HeartbeatReply,
     },
     Direct {
         from: usize,
@@ -176,7 +176,7 @@
         to: usize,
         life: u64,
         call: Direct,
-        report: Option<Report>,
+        report: Option<Heartbeat>,
     },
     Txn {
         from: usize,
@@ -275,7 +275,7 @@
     /// When controllers end once more; `LEADER`: whoever leads then.
     kills: Vec<(Ms, usize)>,
     /// Copies of reports that are kept for the next leader.
-    for_next: Vec<Report>,
+    for_next: Vec<Heartbeat>,
     /// Until when one-task jobs come five a second, a little faster than the users', and until when jobs are cancelled as
     /// their last tasks end.
     burst: Ms,
--- a/packages/core/src/workers.rs
+++ b/packages/core/src/workers.rs
@@ -23,7 +23,7 @@
     /// Its worker.
     pub address: std::net::SocketAddr,
     /// What it says.
-    pub body: DirectBody,
+    pub body: DirectCommandBody,
 }
 
 /// Why a machine that fails the tasks of several jobs is drained.
@@ -39,10 +39,13 @@
 /// An answer that renews the worker's lease, starts nothing, and stops what
 /// belongs to jobs that are known to be over: that is right at any time and by
 /// whomever.
-pub fn keep_alive(r: &Report, token: u64, over: impl Fn(&Name) -> bool) -> Answer {
-    let stops = |t: &&Reported| t.state != TaskState::Ended && over(&t.task.job);
-    let halt = |t: &Reported| Command::Halt { task: t.task.clone(), attempt: t.attempt, grace: 0.0 };
-    Answer { token, orders: r.tasks.iter().filter(stops).take(MOST_COMMANDS).map(halt).collect() }
+pub fn keep_alive(r: &Heartbeat, token: u64, over: impl Fn(&Name) -> bool) -> HeartbeatReply {
+    let stops = |t: &&TaskStatus| t.state != TaskState::Exited && over(&t.task.job);
+    let halt = |t: &TaskStatus| Command::Stop { task: t.task.clone(), attempt: t.attempt, grace: 0.0 };
+    HeartbeatReply {
+        fencing_token: token,
+        commands: r.tasks.iter().filter(stops).take(MOST_COMMANDS).map(halt).collect(),
+    }
 }
 
 impl Cluster {
@@ -52,11 +55,11 @@
     /// `closing`: it is a report proper, and no answer to an earlier one can
     /// be carried out any more.  The report in the answer to a direct command
     /// says nothing of that.
-    pub fn report(&mut self, r: &Report, closing: bool, now: Instant) -> Option<bool> {
+    pub fn report(&mut self, r: &Heartbeat, closing: bool, now: Instant) -> Option<bool> {
         let token = self.token();
         let mut raised = None;
-        if r.token > token + self.machines.get(&r.machine).map_or(0, |m| m.fence) {
-            raised = Some(self.raised(r.token)?);
+        if r.fencing_token > token + self.machines.get(&r.machine).map_or(0, |m| m.fence) {
+            raised = Some(self.raised(r.fencing_token)?);
         }
         let kind_size = self.types.get(&r.kind).map(|t| t.size());
         let new = !self.machines.contains_key(&r.machine);
@@ -67,28 +70,28 @@
         if new {
             tracing::info!("machine {} reports: {} in {}, spot {}", r.machine, r.kind, r.zone, r.spot);
         }
-        if m.gone.is_some() || (r.session, r.tally) <= (m.session, m.tally) {
+        if m.gone.is_some() || (r.incarnation, r.sequence) <= (m.session, m.tally) {
             // old news, delivered late; its worker waits for no answer
             return Some(false);
         }
         if m.heard.is_none() {
             self.queue_changed = true;
         }
-        let session_changed = r.session != m.session;
-        (m.session, m.tally) = (r.session, r.tally);
-        m.token = m.token.max(r.token);
+        let session_changed = r.incarnation != m.session;
+        (m.session, m.tally) = (r.incarnation, r.sequence);
+        m.token = m.token.max(r.fencing_token);
         m.fence = m.fence.max(raised.unwrap_or(0));
         m.heard = Some(now);
         m.address = r.address.parse().ok();
         // direct starts of a lower token, or for an earlier session, are dead
-        if session_changed || m.doubt.is_some_and(|t| r.token > t) {
+        if session_changed || m.doubt.is_some_and(|t| r.fencing_token > t) {
             m.doubt = None;
         }
         let settled = closing && m.doubt.is_none();
         if let Some(size) = kind_size {
             m.size = size;
         }
-        match r.notice_s {
+        match r.reclaim_in_s {
             Some(s) if m.notice.is_none() => {
                 tracing::info!("machine {} is taken back in {s} s", r.machine);
                 m.notice = Some(now + Duration::from_secs_f64(s.clamp(0.0, 3600.0)));
@@ -99,7 +102,7 @@
         }
         // a report under this term's token: no earlier leader's start is on
         // its way to this worker any more
-        let fenced = r.token >= token;
+        let fenced = r.fencing_token >= token;
 
         // 1. what is placed here and not listed
         let gone: Vec<Task> = m
@@ -110,7 +113,7 @@
                 if listed {
                     return false;
                 }
-                if p.session < r.session {
+                if p.session < r.incarnation {
                     return true; // an earlier session's tasks were killed
                 }
                 if !p.fenced {
@@ -154,7 +157,7 @@
     ///
     /// It is taken only if nothing came of this machine in between and nothing on it is open:
     /// then all of the report would change nothing either.
-    pub fn unchanged(&mut self, u: &Unchanged, now: Instant) -> Option<Answer> {
+    pub fn unchanged(&mut self, u: &Unchanged, now: Instant) -> Option<HeartbeatReply> {
         let token = self.token_for(&u.machine);
         let m = self.machines.get_mut(&u.machine)?;
         let last = (m.session, m.tally) == (u.session, u.after) && u.tally > u.after;
@@ -163,35 +166,35 @@
         }
         m.tally = u.tally;
         m.heard = Some(now);
-        Some(Answer { token, orders: Vec::new() })
+        Some(HeartbeatReply { fencing_token: token, commands: Vec::new() })
     }
 
     /// Whether something on this machine is on its way into the store, a
     /// start or a completed task: the answer that waits for it saves the next
     /// task a report interval.
-    pub fn start_pending(&self, r: &Report) -> bool {
+    pub fn start_pending(&self, r: &Heartbeat) -> bool {
         let Some(m) = self.machines.get(&r.machine) else { return false };
         let pending = |p: &Place| !p.stored && p.halt.is_none() || p.phase == Phase::Completed;
-        (m.session, m.tally) == (r.session, r.tally) && m.tasks.values().any(pending)
+        (m.session, m.tally) == (r.incarnation, r.sequence) && m.tasks.values().any(pending)
     }
 
     /// The answer to a report that has been taken in.
-    pub fn answer(&mut self, r: &Report, now: Instant) -> Answer {
+    pub fn answer(&mut self, r: &Heartbeat, now: Instant) -> HeartbeatReply {
         let base = self.token();
         let mut orders = Vec::new();
         let Some(m) = self.machines.get_mut(&r.machine).filter(|m| m.gone.is_none()) else {
-            return Answer { token: base, orders };
+            return HeartbeatReply { fencing_token: base, commands: orders };
         };
         let token = base + m.fence;
         m.answering = false;
-        if (m.session, m.tally) != (r.session, r.tally) {
+        if (m.session, m.tally) != (r.incarnation, r.sequence) {
             // newer news is in; the next answer has the commands
-            return Answer { token, orders };
+            return HeartbeatReply { fencing_token: token, commands: orders };
         }
         // a reap must not overtake a start in doubt: the worker would forget
         // the attempt, and the late start would run it again
         for (task, attempt) in m.exited.iter().filter(|_| m.doubt.is_none()) {
-            orders.push(Command::Reap { task: task.clone(), attempt: *attempt });
+            orders.push(Command::Acknowledge { task: task.clone(), attempt: *attempt });
         }
         // nor may a late copy of one that was answered do that: with the reap
         // comes a token above the one that such a start left under
@@ -203,11 +206,11 @@
             if let (Some(grace), true) = (p.halt, p.phase != Phase::Ordered) {
                 let grace = if p.phase == Phase::Flushing { continue_save(p, grace, now) } else { Some(grace) };
                 if let Some(grace) = grace {
-                    orders.push(Command::Halt { task: task.clone(), attempt: p.attempt, grace });
+                    orders.push(Command::Stop { task: task.clone(), attempt: p.attempt, grace });
                 }
             }
         }
-        let order = (r.session, r.tally);
+        let order = (r.incarnation, r.sequence);
         for (task, p) in m.tasks.iter_mut() {
             if orders.len() >= MOST_COMMANDS {
                 break;
@@ -217,15 +220,15 @@
                 && p.stored
                 && !p.former
                 && p.halt.is_none()
-                && p.session == r.session
+                && p.session == r.incarnation
                 && m.deleting.is_none()
             {
                 p.sent = Some(order);
-                orders.push(Command::Run { task: task.clone(), attempt: p.attempt });
+                orders.push(Command::Start { task: task.clone(), attempt: p.attempt });
             }
         }
         orders.truncate(MOST_COMMANDS);
-        Answer { token, orders }
+        HeartbeatReply { fencing_token: token, commands: orders }
     }
 
     /// The token that answers to a machine carry.
@@ -259,7 +262,7 @@
             for (task, p) in m.tasks.iter_mut().filter(|(_, p)| !p.halt_sent && p.phase != Phase::Ordered) {
                 if let Some(grace) = p.halt {
                     p.halt_sent = true;
-                    orders.push(Command::Halt { task: task.clone(), attempt: p.attempt, grace });
+                    orders.push(Command::Stop { task: task.clone(), attempt: p.attempt, grace });
                 }
             }
             for (task, p) in m.tasks.iter_mut() {
@@ -267,7 +270,7 @@
                 if ready && p.sent.is_none() && p.session == m.session && orders.len() < MOST_COMMANDS {
                     p.sent = Some((m.session, m.tally));
                     starts = true;
-                    orders.push(Command::Run { task: task.clone(), attempt: p.attempt });
+                    orders.push(Command::Start { task: task.clone(), attempt: p.attempt });
                 }
             }
             if !orders.is_empty() {
@@ -276,7 +279,7 @@
                     m.doubt = Some(token);
                     m.direct = Some(m.fence);
                 }
-                let body = DirectBody { token, session: m.session, orders };
+                let body = DirectCommandBody { fencing_token: token, incarnation: m.session, commands: orders };
                 calls.push(Direct { machine: m.name.clone(), address, body });
             }
         }
@@ -284,14 +287,14 @@
     }
 
     /// A direct command was answered (with the worker's report), or not.
-    pub fn direct_over(&mut self, d: &Direct, answer: Option<&Report>, now: Instant) {
+    pub fn direct_over(&mut self, d: &Direct, answer: Option<&Heartbeat>, now: Instant) {
         let Some(m) = self.machines.get_mut(&d.machine) else { return };
         m.flying = false;
         self.tell.insert(d.machine.clone());
         match answer {
             Some(r) => {
                 // carried out or refused, but nothing of it is under way
-                if m.doubt == Some(d.body.token) {
+                if m.doubt == Some(d.body.fencing_token) {
                     m.doubt = None;
                 }
                 self.report(r, false, now);
@@ -305,7 +308,7 @@
     /// `fenced`: the report is under this term's token.  One that is not may be of any
     /// age, and this leader has nothing to hold it against.
     #[expect(clippy::too_many_lines, reason = "longer than the limit since before it; to be divided")]
-    fn reported(&mut self, r: &Report, t: &Reported, fenced: bool, now: Instant) {
+    fn reported(&mut self, r: &Heartbeat, t: &TaskStatus, fenced: bool, now: Instant) {
         if let Some(h) = self.dependency.started(&t.task.job) {
             // a command leaves only after its start is stored, and that only
             // after the ends of all that the job needs
@@ -316,12 +319,12 @@
         let cache = self.types.get(&r.kind).map_or(f64::INFINITY, |x| x.cache_gb);
         let Some(m) = self.machines.get_mut(&r.machine) else { return };
         let known = m.tasks.get(&t.task).is_some_and(|p| p.attempt == t.attempt);
-        if t.state == TaskState::Ended {
+        if t.state == TaskState::Exited {
             if !known && m.exited.contains_key(&t.task) {
                 return;
             }
-            let cause = t.cause.unwrap_or(Cause::Unknown);
-            if cause == Cause::Done && !over {
+            let cause = t.cause.unwrap_or(ExitCause::Unknown);
+            if cause == ExitCause::Completed && !over {
                 // completed under whatever attempt: the result is kept
                 if let Some(p) = m.tasks.get_mut(&t.task).filter(|p| p.attempt == t.attempt) {
                     if p.phase != Phase::Completed {
@@ -352,7 +355,7 @@
         }
         let phase = match t.state {
             TaskState::Pulling => Phase::Pulling,
-            TaskState::Gathering => Phase::Gathering,
+            TaskState::WaitingForGang => Phase::Gathering,
             TaskState::Running => Phase::Running,
             _ => Phase::Flushing,
         };
@@ -376,12 +379,12 @@
             }
             let keep = free && job.spec.shape != Shape::Gang;
             let halt = (!keep).then_some(0.0);
-            let mut place = Place::new(job.spec.clone(), t.attempt, r.session, now);
+            let mut place = Place::new(job.spec.clone(), t.attempt, r.incarnation, now);
             (place.halt, place.halt_since) = (halt, halt.map(|_| now));
             m.idle = None;
             m.tasks.insert(t.task.clone(), place);
             self.tell.insert(r.machine.clone());
-            self.record(&t.task, &r.machine, t.attempt, r.session);
+            self.record(&t.task, &r.machine, t.attempt, r.incarnation);
         }
         let Some(m) = self.machines.get_mut(&r.machine) else { return };
         let Some(p) = m.tasks.get_mut(&t.task) else { return };
@@ -418,22 +421,26 @@
     }
 
     /// A task that was placed at `since` ended without completing.
-    fn ended(&mut self, machine: &Name, task: &Task, cause: Cause, over: bool, since: Instant, now: Instant) {
+    fn ended(&mut self, machine: &Name, task: &Task, cause: ExitCause, over: bool, since: Instant, now: Instant) {
         let rest = self.policy.failure_rest;
-        if !matches!(cause, Cause::Stopped) {
+        if !matches!(cause, ExitCause::StoppedByCommand) {
             tracing::debug!("{task} on {machine} ended: {cause:?}");
         }
         if over {
             return;
         }
-        if cause == Cause::Error {
+        if cause == ExitCause::Failed {
             return self.failed(machine, &task.job, since, now);
         }
         let (Some(m), Some(job)) = (self.machines.get_mut(machine), self.jobs.get_mut(&task.job)) else { return };
         match cause {
-            Cause::NoRoom | Cause::Busy => m.rest_until = Some(now + rest),
-            Cause::NoSuch | Cause::Unknown => job.wait_until = Some(now + rest),
-            Cause::Error | Cause::Done | Cause::Stopped | Cause::MatesGone | Cause::Alone => {}
+            ExitCause::NoRoom | ExitCause::AttemptConflict => m.rest_until = Some(now + rest),
+            ExitCause::UnknownJob | ExitCause::Unknown => job.wait_until = Some(now + rest),
+            ExitCause::Failed
+            | ExitCause::Completed
+            | ExitCause::StoppedByCommand
+            | ExitCause::GangMemberLost
+            | ExitCause::GangTimeout => {}
         }
     }
 
--- a/packages/core/src/workers/tests.rs
+++ b/packages/core/src/workers/tests.rs
@@ -19,7 +19,7 @@
     // the cut heals: it speaks the leader's term, and a token that it never gave
     assert_eq!(c.report(&report(2, held), true, now), Some(true));
     assert_eq!(c.machines["i-1"].doubt, None, "the start is refused by now");
-    assert!(c.answer(&report(2, held), now).token >= held, "or the answer would be dropped");
+    assert!(c.answer(&report(2, held), now).fencing_token >= held, "or the answer would be dropped");
     assert_eq!(c.report(&report(3, 4 << 24), true, now), None, "a later term's");
 }
 
@@ -27,11 +27,11 @@
 use crate::sim::{cluster, spec};
 
 const RUNNING: Told = (TaskState::Running, None);
-const FAILED: Told = (TaskState::Ended, Some(Cause::Error));
-const DONE: Told = (TaskState::Ended, Some(Cause::Done));
+const FAILED: Told = (TaskState::Exited, Some(ExitCause::Failed));
+const DONE: Told = (TaskState::Exited, Some(ExitCause::Completed));
 
 /// State and cause, as reported.
-type Told = (TaskState, Option<Cause>);
+type Told = (TaskState, Option<ExitCause>);
 
 /// Machines that report, and what the leader makes of it.
 struct Floor {
@@ -53,23 +53,23 @@
 
     fn reports(&mut self, machine: usize, tasks: &[(Task, u64, Told)]) {
         self.tally += 1;
-        let task = |(task, attempt, (state, cause)): &(Task, u64, _)| Reported {
+        let task = |(task, attempt, (state, cause)): &(Task, u64, _)| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
             state: *state,
             cause: *cause,
             saved: None,
         };
-        let r = Report {
+        let r = Heartbeat {
             machine: format!("i-{machine:04}").into(),
             address: "127.0.0.1:9".into(),
             kind: "t".into(),
             zone: format!("z{}", machine % 3).into(),
             spot: false,
-            session: 1,
-            tally: self.tally,
-            token: self.c.token(),
-            notice_s: None,
+            incarnation: 1,
+            sequence: self.tally,
+            fencing_token: self.c.token(),
+            reclaim_in_s: None,
             tasks: tasks.iter().map(task).collect(),
         };
         assert_eq!(self.c.report(&r, true, self.now), Some(true));
@@ -193,7 +193,7 @@
         assert_eq!(c.report(&old, true, now), Some(true));
         assert!(c.machines[&machine].tasks.values().any(|p| p.present()), "{order:?}: the place is free");
         // a later session is a proof, and so is this term's token
-        let later = Report { session: 4, tally: 10, ..old.clone() };
+        let later = Heartbeat { incarnation: 4, sequence: 10, ..old.clone() };
         assert_eq!(c.report(&later, true, now), Some(true));
         assert!(c.machines[&machine].tasks.is_empty());
     }
@@ -221,10 +221,10 @@
         c.add_page(0, page, &at, now);
         c
     };
-    let report = |tally, token, tasks: &[(&str, u64, Told)]| Report {
+    let report = |tally, token, tasks: &[(&str, u64, Told)]| Heartbeat {
         tasks: tasks
             .iter()
-            .map(|(job, attempt, (state, cause))| Reported {
+            .map(|(job, attempt, (state, cause))| TaskStatus {
                 task: task(job),
                 attempt: *attempt,
                 state: *state,
@@ -239,7 +239,7 @@
         (of("j-1"), of("j-2"))
     };
     let (old, this) = (3 << 24, 5 << 24);
-    const ALONE: Told = (TaskState::Ended, Some(Cause::Alone));
+    const ALONE: Told = (TaskState::Exited, Some(ExitCause::GangTimeout));
     type Word<'a> = (u64, u64, &'a [(&'a str, u64, Told)]);
     let days: [&[Word]; 3] = [
         // an earlier attempt, and then none
@@ -263,6 +263,6 @@
     }
     // another session is a proof whatever its token
     let mut c = leader();
-    assert_eq!(c.report(&Report { session: 2, ..report(1, old, &[]) }, true, now), Some(true));
+    assert_eq!(c.report(&Heartbeat { incarnation: 2, ..report(1, old, &[]) }, true, now), Some(true));
     assert_eq!(there(&c), (None, None));
 }
--- a/packages/emulator/src/serve.rs
+++ b/packages/emulator/src/serve.rs
@@ -9,7 +9,7 @@
 
 use coralnotch_wire::http::{self, Client, Request, Response, ServerLimits};
 use coralnotch_wire::model::{MachineType, Name};
-use coralnotch_wire::workers::{Answer, DirectBody};
+use coralnotch_wire::workers::{DirectCommandBody, HeartbeatReply};
 use fastrand::Rng;
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -318,7 +318,7 @@
         let (mut worker_pool, now) = (self.worker_pool.borrow_mut(), Instant::now());
         let status = match (r.method.as_str(), r.path.as_str()) {
             ("GET", "/status") => 200,
-            ("POST", "/commands") => match http::decode::<DirectBody>(&r.body) {
+            ("POST", "/commands") => match http::decode::<DirectCommandBody>(&r.body) {
                 Ok(body) => match worker_pool.command(name, body, now) {
                     true => 200,
                     false => 409,
@@ -362,7 +362,7 @@
             self.count_answer(&answer);
             let wait = match answer {
                 Ok((200, body)) => {
-                    if let Ok(a) = http::decode::<Answer>(&body) {
+                    if let Ok(a) = http::decode::<HeartbeatReply>(&body) {
                         self.worker_pool.borrow_mut().answered(&name, sent, a, Instant::now());
                     }
                     Duration::from_secs_f64(self.report_s * (0.75 + 0.5 * self.rng.borrow_mut().f64()))
--- a/packages/emulator/src/worker_pool.rs
+++ b/packages/emulator/src/worker_pool.rs
@@ -8,7 +8,9 @@
 use std::time::{Duration, Instant};
 
 use coralnotch_wire::model::{JobSpec, MachineType, Name, Shape, Size, Task};
-use coralnotch_wire::workers::{Answer, Cause, Command, DirectBody, Report, Reported, TaskState};
+use coralnotch_wire::workers::{
+    Command, DirectCommandBody, ExitCause, Heartbeat, HeartbeatReply, TaskState, TaskStatus,
+};
 use fastrand::Rng;
 
 /// How workers behave, all in seconds.
@@ -41,7 +43,7 @@
         told_by: Instant,
     },
     Ended {
-        cause: Cause,
+        cause: ExitCause,
         saved: Option<bool>,
     },
 }
@@ -247,30 +249,30 @@
     }
 
     /// A machine's report; `None` if there is no such machine.
-    pub fn report(&mut self, name: &str, now: Instant) -> Option<(Report, Sent)> {
+    pub fn report(&mut self, name: &str, now: Instant) -> Option<(Heartbeat, Sent)> {
         let m = self.machines.get_mut(name)?;
         m.tally += 1;
         m.changed = false;
         let one = |(task, held): (&Task, &Held)| {
             let (state, cause, saved) = match held.work {
                 Work::Pulling => (TaskState::Pulling, None, None),
-                Work::Gathering { .. } => (TaskState::Gathering, None, None),
+                Work::Gathering { .. } => (TaskState::WaitingForGang, None, None),
                 Work::Running { .. } | Work::Alone { .. } => (TaskState::Running, None, None),
-                Work::Flushing { .. } => (TaskState::Flushing, None, None),
-                Work::Ended { cause, saved } => (TaskState::Ended, Some(cause), saved),
+                Work::Flushing { .. } => (TaskState::Checkpointing, None, None),
+                Work::Ended { cause, saved } => (TaskState::Exited, Some(cause), saved),
             };
-            Reported { task: task.clone(), attempt: held.attempt, state, cause, saved }
+            TaskStatus { task: task.clone(), attempt: held.attempt, state, cause, saved }
         };
-        let report = Report {
+        let report = Heartbeat {
             machine: name.into(),
             address: m.address.clone(),
             kind: m.kind.name.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
-            session: m.session,
-            tally: m.tally,
-            token: m.token,
-            notice_s: m.taken.map(|t| t.saturating_duration_since(now).as_secs_f64()),
+            incarnation: m.session,
+            sequence: m.tally,
+            fencing_token: m.token,
+            reclaim_in_s: m.taken.map(|t| t.saturating_duration_since(now).as_secs_f64()),
             tasks: m.tasks.iter().map(one).collect(),
         };
         Some((report, Sent { session: m.session, at: now }))
@@ -278,40 +280,40 @@
 
     /// The answer to a report.  One for an earlier session, or with a lower
     /// token, is dropped.
-    pub fn answered(&mut self, name: &str, sent: Sent, answer: Answer, now: Instant) {
+    pub fn answered(&mut self, name: &str, sent: Sent, answer: HeartbeatReply, now: Instant) {
         let Some(m) = self.machines.get_mut(name) else { return };
-        if sent.session != m.session || answer.token < m.token {
+        if sent.session != m.session || answer.fencing_token < m.token {
             return;
         }
-        let raised = answer.token > m.token;
+        let raised = answer.fencing_token > m.token;
         m.changed |= raised;
-        m.token = answer.token;
+        m.token = answer.fencing_token;
         m.renewed = sent.at;
         if raised {
             self.changed.push(name.into());
         }
-        if !answer.orders.is_empty() {
-            self.execute(name, answer.orders, now);
+        if !answer.commands.is_empty() {
+            self.execute(name, answer.commands, now);
         }
     }
 
     /// A direct command; whether it was executed.
-    pub fn command(&mut self, name: &str, body: DirectBody, now: Instant) -> bool {
+    pub fn command(&mut self, name: &str, body: DirectCommandBody, now: Instant) -> bool {
         let Some(m) = self.machines.get_mut(name) else { return false };
-        if body.session != m.session || body.token < m.token {
+        if body.incarnation != m.session || body.fencing_token < m.token {
             return false;
         }
-        m.token = body.token;
-        self.execute(name, body.orders, now);
+        m.token = body.fencing_token;
+        self.execute(name, body.commands, now);
         true
     }
 
     fn execute(&mut self, name: &str, orders: Vec<Command>, now: Instant) {
         for o in orders {
             match o {
-                Command::Run { task, attempt } => self.run(name, task, attempt, now),
-                Command::Halt { task, attempt, grace } => self.halt(name, &task, attempt, grace, now),
-                Command::Reap { task, attempt } => {
+                Command::Start { task, attempt } => self.run(name, task, attempt, now),
+                Command::Stop { task, attempt, grace } => self.halt(name, &task, attempt, grace, now),
+                Command::Acknowledge { task, attempt } => {
                     let Some(m) = self.machines.get_mut(name) else { return };
                     if m.tasks.get(&task).is_some_and(|h| h.attempt == attempt && matches!(h.work, Work::Ended { .. }))
                     {
@@ -342,14 +344,14 @@
         let held = match (m.tasks.get(&task), &spec) {
             // again, or busy with another attempt: the listing shows which
             (Some(_), _) => return,
-            (None, None) => refuse(Cause::NoSuch),
+            (None, None) => refuse(ExitCause::UnknownJob),
             (None, Some(s)) => {
                 let mut free = m.kind.size();
                 free.take(&used);
                 if free.holds(&s.size()) {
                     Held { attempt, work: Work::Pulling }
                 } else {
-                    refuse(Cause::NoRoom)
+                    refuse(ExitCause::NoRoom)
                 }
             }
         };
@@ -380,10 +382,10 @@
             Work::Flushing { .. } if grace > 0.0 => {}
             Work::Ended { .. } => {}
             Work::Running { since } => {
-                held.work = Work::Ended { cause: Cause::Stopped, saved: None };
+                held.work = Work::Ended { cause: ExitCause::StoppedByCommand, saved: None };
                 self.keep(task, &spec, now.saturating_duration_since(since).as_secs_f64() * speed, true);
             }
-            _ => held.work = Work::Ended { cause: Cause::Stopped, saved: None },
+            _ => held.work = Work::Ended { cause: ExitCause::StoppedByCommand, saved: None },
         }
     }
 
@@ -442,7 +444,7 @@
             match h.work {
                 Work::Gathering { .. } => c.0 += 1,
                 Work::Running { .. } | Work::Flushing { .. } => c.1 += 1,
-                Work::Ended { cause: Cause::Done, .. } | Work::Ended { saved: Some(true), .. } => c.1 += 1,
+                Work::Ended { cause: ExitCause::Completed, .. } | Work::Ended { saved: Some(true), .. } => c.1 += 1,
                 _ => {}
             }
         }
@@ -519,7 +521,7 @@
                     self.broken.push(format!("too_early: {task} starts before {n} is done"));
                 }
                 if self.done.get(&task.job).is_some_and(|d| d.contains(&task.index)) {
-                    ended(Cause::Done, None)
+                    ended(ExitCause::Completed, None)
                 } else if gang.is_some() {
                     Work::Gathering { since: now }
                 } else {
@@ -533,7 +535,7 @@
                     self.begins(&task.job, now);
                     Work::Running { since: now }
                 } else if now.saturating_duration_since(since) > seconds(self.settings.gang_wait_s) {
-                    ended(Cause::Alone, None)
+                    ended(ExitCause::GangTimeout, None)
                 } else {
                     work
                 }
@@ -550,26 +552,26 @@
                     if done.len() as u32 >= spec.tasks {
                         self.completed.entry(task.job.clone()).or_insert(now);
                     }
-                    ended(Cause::Done, None)
+                    ended(ExitCause::Completed, None)
                 } else if gang.is_some() && self.done.get(&task.job).is_some_and(|d| d.contains(&task.index)) {
-                    ended(Cause::Done, None)
+                    ended(ExitCause::Completed, None)
                 } else if gang.is_some_and(|(gathered, going)| gathered + going < spec.tasks) {
                     Work::Alone { until: now + peer }
                 } else {
                     work
                 }
             }
-            Work::Alone { until } if until <= now => ended(Cause::MatesGone, None),
+            Work::Alone { until } if until <= now => ended(ExitCause::GangMemberLost, None),
             Work::Flushing { until, told_by } if until <= now => match gang {
                 // a gang's save counts once all of it was told in time
                 Some((_, going)) if going < spec.tasks => {
                     if told_by <= now {
-                        ended(Cause::MatesGone, None)
+                        ended(ExitCause::GangMemberLost, None)
                     } else {
                         work
                     }
                 }
-                _ => ended(Cause::Stopped, Some(true)),
+                _ => ended(ExitCause::StoppedByCommand, Some(true)),
             },
             w => w,
         }
--- a/packages/emulator/src/worker_pool/tests.rs
+++ b/packages/emulator/src/worker_pool/tests.rs
@@ -27,11 +27,11 @@
 }
 
 fn run(y: &mut WorkerPool, machine: &str, token: u64, index: u32, now: Instant) -> bool {
-    let orders = vec![Command::Run { task: task(index), attempt: 1 }];
-    y.command(machine, DirectBody { token, session: 1, orders }, now)
+    let orders = vec![Command::Start { task: task(index), attempt: 1 }];
+    y.command(machine, DirectCommandBody { fencing_token: token, incarnation: 1, commands: orders }, now)
 }
 
-fn states(y: &mut WorkerPool, machine: &str, now: Instant) -> Vec<(TaskState, Option<Cause>)> {
+fn states(y: &mut WorkerPool, machine: &str, now: Instant) -> Vec<(TaskState, Option<ExitCause>)> {
     y.report(machine, now).map(|r| r.0.tasks.iter().map(|t| (t.state, t.cause)).collect()).unwrap_or_default()
 }
 
@@ -45,14 +45,19 @@
     assert!(run(&mut y, "i-0", 5, 0, t0));
     assert!(!run(&mut y, "i-0", 4, 1, t0), "a former leader's");
     assert!(run(&mut y, "i-0", 5, 1, t0) && run(&mut y, "i-0", 5, 2, t0));
-    let refused = (TaskState::Ended, Some(Cause::NoRoom));
+    let refused = (TaskState::Exited, Some(ExitCause::NoRoom));
     assert_eq!(states(&mut y, "i-0", t0), [(TaskState::Pulling, None), (TaskState::Pulling, None), refused]);
     let (_, sent) = y.report("i-0", t0).expect("it is there");
     let later = t0 + Duration::from_secs(11);
     y.step(later);
     assert!(states(&mut y, "i-0", later).is_empty());
     assert_eq!(y.killed, 2);
-    y.answered("i-0", sent, Answer { token: 9, orders: vec![Command::Run { task: task(0), attempt: 2 }] }, later);
+    y.answered(
+        "i-0",
+        sent,
+        HeartbeatReply { fencing_token: 9, commands: vec![Command::Start { task: task(0), attempt: 2 }] },
+        later,
+    );
     assert!(states(&mut y, "i-0", later).is_empty(), "an answer to an earlier session");
 }
 
@@ -71,10 +76,10 @@
     assert_eq!(y.broken.len(), 1, "{:?}", y.broken);
     for m in ["i-0", "i-1"] {
         let (_, sent) = y.report(m, at(4)).expect("it is there");
-        y.answered(m, sent, Answer { token: 1, orders: vec![] }, at(4));
+        y.answered(m, sent, HeartbeatReply { fencing_token: 1, commands: vec![] }, at(4));
     }
     y.step(at(13));
-    assert_eq!(states(&mut y, "i-0", at(13)), [(TaskState::Ended, Some(Cause::Done))]);
+    assert_eq!(states(&mut y, "i-0", at(13)), [(TaskState::Exited, Some(ExitCause::Completed))]);
     assert_eq!(y.done("j-000001"), 1);
 }
 
@@ -87,7 +92,7 @@
     y.upload(JobSpec { shape: Shape::Gang, ..(*spec("j-000001", 2)).clone() });
     run(&mut y, "i-0", 1, 0, t0);
     y.step(at(2));
-    assert_eq!(states(&mut y, "i-0", at(2)), [(TaskState::Gathering, None)]);
+    assert_eq!(states(&mut y, "i-0", at(2)), [(TaskState::WaitingForGang, None)]);
     run(&mut y, "i-1", 1, 1, at(2));
     y.step(at(4));
     y.step(at(4));
@@ -96,5 +101,5 @@
     y.gone("i-1");
     y.step(at(5));
     y.step(at(7));
-    assert_eq!(states(&mut y, "i-0", at(7)), [(TaskState::Ended, Some(Cause::MatesGone))]);
+    assert_eq!(states(&mut y, "i-0", at(7)), [(TaskState::Exited, Some(ExitCause::GangMemberLost))]);
 }
--- a/packages/wire/src/http/tests.rs
+++ b/packages/wire/src/http/tests.rs
@@ -8,7 +8,7 @@
         let _ = parse_request(&bytes);
         let _ = parse_response(&bytes);
         let _ = decode::<crate::model::JobSpec>(&bytes);
-        let _ = decode::<crate::workers::Report>(&bytes);
+        let _ = decode::<crate::workers::Heartbeat>(&bytes);
     }
 
     /// A request means the same however it is cut into packets.
--- a/packages/wire/src/workers.rs
+++ b/packages/wire/src/workers.rs
@@ -6,7 +6,7 @@
 
 /// A task as its worker reports it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Reported {
+pub struct TaskStatus {
     /// Task.
     #[serde(rename = "piece")]
     pub task: Task,
@@ -18,7 +18,7 @@
     pub state: TaskState,
     /// Why it ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
     /// Its progress was saved.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
@@ -31,35 +31,45 @@
     /// Waits for its image.
     Pulling,
     /// Waits for its gang.
-    Gathering,
+    #[serde(rename = "gathering")]
+    WaitingForGang,
     /// Runs.
     Running,
     /// Saves.
-    Flushing,
+    #[serde(rename = "flushing")]
+    Checkpointing,
     /// Ended.
-    Ended,
+    #[serde(rename = "ended")]
+    Exited,
 }
 
 /// Why a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum ExitCause {
     /// Completed.
-    Done,
+    #[serde(rename = "done")]
+    Completed,
     /// Stopped by command.
-    Stopped,
+    #[serde(rename = "stopped")]
+    StoppedByCommand,
     /// Another task of the gang is gone.
-    MatesGone,
+    #[serde(rename = "mates_gone")]
+    GangMemberLost,
     /// The gang was not complete in time.
-    Alone,
+    #[serde(rename = "alone")]
+    GangTimeout,
     /// Failed.
-    Error,
+    #[serde(rename = "error")]
+    Failed,
     /// Refused: no room.
     NoRoom,
     /// Refused: here with another attempt.
-    Busy,
+    #[serde(rename = "busy")]
+    AttemptConflict,
     /// Refused: no such job.
-    NoSuch,
+    #[serde(rename = "no_such")]
+    UnknownJob,
     /// A cause this version does not know; the task has ended all the same.
     #[serde(other)]
     Unknown,
@@ -68,7 +78,7 @@
 /// Where a report comes from: as much of it as a controller reads that sends its
 /// worker on.
 #[derive(Debug, Deserialize)]
-pub struct Origin {
+pub struct HeartbeatOrigin {
     /// Zone.
     #[serde(rename = "bay")]
     pub zone: Name,
@@ -76,7 +86,7 @@
 
 /// A report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// Machine.
     #[serde(rename = "polyp")]
     pub machine: Name,
@@ -93,18 +103,19 @@
     pub spot: bool,
     /// Session.
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Number of the report.
-    pub tally: u64,
+    #[serde(rename = "tally")]
+    pub sequence: u64,
     /// Highest token seen.
     #[serde(rename = "baton", default)]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Seconds until the cloud takes the machine.
     #[serde(rename = "warningS", default)]
-    pub notice_s: Option<f64>,
+    pub reclaim_in_s: Option<f64>,
     /// Tasks.
     #[serde(rename = "pieces", default)]
-    pub tasks: Vec<Reported>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A command.
@@ -112,7 +123,8 @@
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum Command {
     /// Start.
-    Run {
+    #[serde(rename = "run")]
+    Start {
         /// Task.
         #[serde(rename = "piece")]
         task: Task,
@@ -121,7 +133,8 @@
         attempt: u64,
     },
     /// Stop.
-    Halt {
+    #[serde(rename = "halt")]
+    Stop {
         /// Task.
         #[serde(rename = "piece")]
         task: Task,
@@ -133,7 +146,8 @@
         grace: f64,
     },
     /// Forget an exited task.
-    Reap {
+    #[serde(rename = "reap")]
+    Acknowledge {
         /// Task.
         #[serde(rename = "piece")]
         task: Task,
@@ -145,23 +159,25 @@
 
 /// An answer to a report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct HeartbeatReply {
     /// Token.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Commands, in order.
-    pub orders: Vec<Command>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// A direct command's body.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct DirectBody {
+pub struct DirectCommandBody {
     /// Token.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Session.
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Commands, in order.
-    pub orders: Vec<Command>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
--- a/src/intake.rs
+++ b/src/intake.rs
@@ -26,7 +26,7 @@
 use crate::store::{key, read_value, Error, Txn, TxnOutcome, Write};
 use crate::telemetry::{count, Timed};
 use crate::wait::timed;
-use crate::workers::{keep_alive, Answer, Origin, Report};
+use crate::workers::{keep_alive, Heartbeat, HeartbeatOrigin, HeartbeatReply};
 
 #[derive(Serialize)]
 struct Redirect<'a> {
@@ -159,7 +159,7 @@
     /// leader all of them come here first.  Where the state service does not
     /// serve this controller it may have to keep leases, and reads.
     fn sends_on(&self, body: &[u8]) -> Option<Response> {
-        let origin: Origin = http::decode(body).ok()?;
+        let origin: HeartbeatOrigin = http::decode(body).ok()?;
         let mut i = self.lock();
         let now = Instant::now();
         if i.authority.is_some() || i.cluster.is_some() || self.store.failing() {
@@ -182,7 +182,7 @@
         if let Some(elsewhere) = self.sends_on(body) {
             return elsewhere;
         }
-        let report: Report = match http::decode(body) {
+        let report: Heartbeat = match http::decode(body) {
             Ok(r) => r,
             Err(e) => return Response::refuse(400, &e.to_string()),
         };
@@ -200,7 +200,7 @@
 
     /// What a report frees is filled with its very answer, if the store is quick about it;
     /// commands leave only once stored.
-    pub(crate) async fn await_commit(&self, reports: &[&Report]) {
+    pub(crate) async fn await_commit(&self, reports: &[&Heartbeat]) {
         let _ = timed(self.policy.commit_wait, async {
             loop {
                 let stored = self.stored.listen();
@@ -215,7 +215,7 @@
     }
 
     /// The leader's answer to a report that it has taken in.
-    pub(crate) fn answer(&self, report: &Report) -> Response {
+    pub(crate) fn answer(&self, report: &Heartbeat) -> Response {
         let mut i = self.lock();
         let now = Instant::now();
         // checked at the moment of answering: the lease may have run out
@@ -229,7 +229,7 @@
 
     /// Takes a report into the leader's state; whether its answer should wait
     /// for the store.  `direct`: its worker sent it here.
-    pub(crate) fn take_in(&self, report: &Report, direct: bool) -> Result<bool, Response> {
+    pub(crate) fn take_in(&self, report: &Heartbeat, direct: bool) -> Result<bool, Response> {
         let mut i = self.lock();
         let now = Instant::now();
         self.beat(&mut i, now);
@@ -258,7 +258,7 @@
             } else if self.alone(&i, report, now) {
                 // a start that is held up on its way finds a higher token: a
                 // withdrawal that is known here could not stop it
-                let token = if self.all_tell(&i, now) { raise(report.token) } else { report.token };
+                let token = if self.all_tell(&i, now) { raise(report.fencing_token) } else { report.fencing_token };
                 return Err(Response::new(200, &self.keep_alive(&i, report, token)));
             }
             return Err(match &i.leader {
@@ -303,7 +303,7 @@
     /// here: renewals end in time for it.  Users belong to no zone: where one
     /// comes, or a probe for them, it is this controller alone that is cut off,
     /// and its zone's workers can turn to another.
-    fn alone(&self, i: &Inner, report: &Report, now: Instant) -> bool {
+    fn alone(&self, i: &Inner, report: &Heartbeat, now: Instant) -> bool {
         let age = |t: Instant| now.saturating_duration_since(t);
         let state = Cut {
             unserved: age(self.store.last_served()),
@@ -318,7 +318,7 @@
     }
 
     /// Renews the worker's lease without leading.
-    fn keep_alive(&self, i: &Inner, report: &Report, token: u64) -> Answer {
+    fn keep_alive(&self, i: &Inner, report: &Heartbeat, token: u64) -> HeartbeatReply {
         count(&self.telemetry.counters.kept_alive);
         let led = |id: &Name| i.cluster.as_ref().and_then(|c| c.jobs.get(id)).and_then(|j| j.outcome);
         keep_alive(report, token, |id| i.withdrawals.knows(id) || i.ledger.outcome(id).or_else(|| led(id)).is_some())
--- a/src/leader/placing.rs
+++ b/src/leader/placing.rs
@@ -9,7 +9,7 @@
 use crate::http;
 use crate::node::{Inner, Node};
 use crate::telemetry::{count, Timed};
-use crate::workers::Report;
+use crate::workers::Heartbeat;
 
 impl Node {
     /// Passes over the queue: when something changed, and now and then.
@@ -62,7 +62,7 @@
                         let sent =
                             self.workers.send(d.address, "POST", "/commands", Some(&body), self.policy.direct_limit);
                         let report = match sent.await {
-                            Ok((200 | 409, body)) => http::decode::<Report>(&body).ok(),
+                            Ok((200 | 409, body)) => http::decode::<Heartbeat>(&body).ok(),
                             Ok((s, _)) => {
                                 tracing::info!("{} answers {s} to commands", d.machine);
                                 None
--- a/src/queues.rs
+++ b/src/queues.rs
@@ -10,7 +10,7 @@
 use crate::http::Response;
 use crate::model::*;
 use crate::store::Budget;
-use crate::workers::Report;
+use crate::workers::Heartbeat;
 
 pub(crate) type Reply<T> = smol::channel::Sender<T>;
 pub(crate) type Queue<T> = (smol::channel::Sender<T>, smol::channel::Receiver<T>);
@@ -48,7 +48,7 @@
 
 /// A report on its way to the leader.
 pub(crate) struct WaitingReport {
-    pub(crate) report: Report,
+    pub(crate) report: Heartbeat,
     /// As the worker sent it.
     pub(crate) body: Vec<u8>,
     /// Its worker waits no longer.
--- a/src/reports.rs
+++ b/src/reports.rs
@@ -18,7 +18,7 @@
 use crate::siblings::{lock, wire};
 use crate::telemetry::count;
 use crate::wait::timed;
-use crate::workers::{Answer, Report};
+use crate::workers::{Heartbeat, HeartbeatReply};
 
 /// Most reports in one message, and most messages under way.
 const BATCH_MOST: usize = 256;
@@ -44,7 +44,7 @@
     /// Forwards a report and gives the leader's answer; `None`: this controller has to see to it
     /// itself.
     pub(crate) async fn forward(&self, body: &[u8]) -> Option<Response> {
-        let report: Report = http::decode(body).ok()?;
+        let report: Heartbeat = http::decode(body).ok()?;
         {
             let now = Instant::now();
             let mut i = self.lock();
@@ -174,7 +174,7 @@
                 continue;
             }
             let mut response = match a.body.is_empty() {
-                true => Response::new(status, &Answer { token: a.token, orders: Vec::new() }),
+                true => Response::new(status, &HeartbeatReply { fencing_token: a.token, commands: Vec::new() }),
                 false => Response { status, body: a.body, retry_after: None, seldom: false },
             };
             response.seldom = true;
@@ -214,7 +214,7 @@
         if r.full.is_empty() {
             return Taken::Answered(self.take_unchanged(r));
         }
-        let report: Report = match http::decode(&r.full) {
+        let report: Heartbeat = match http::decode(&r.full) {
             Ok(report) => report,
             Err(e) => return Taken::Answered(to_answer(&Response::refuse(400, &e.to_string()))),
         };
@@ -237,7 +237,7 @@
             false => None,
         };
         match answer {
-            Some(a) => wire::ReportAnswer { status: 200, token: a.token, body: Vec::new() },
+            Some(a) => wire::ReportAnswer { status: 200, token: a.fencing_token, body: Vec::new() },
             None => wire::ReportAnswer::default(),
         }
     }
@@ -273,7 +273,7 @@
     /// It is answered once all of the batch is in; `pending`: after the commit.
     In {
         /// The report.
-        report: Report,
+        report: Heartbeat,
         /// Something on its machine is on its way into the store.
         pending: bool,
     },
--- a/src/reports/tests.rs
+++ b/src/reports/tests.rs
@@ -30,27 +30,27 @@
     n
 }
 
-fn report(tally: u64, token: u64) -> Report {
-    Report {
+fn report(tally: u64, token: u64) -> Heartbeat {
+    Heartbeat {
         machine: "i-000001".into(),
         address: "127.0.0.1:9".into(),
         kind: "t".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
-        tally,
-        token,
-        notice_s: None,
+        incarnation: 1,
+        sequence: tally,
+        fencing_token: token,
+        reclaim_in_s: None,
         tasks: vec![],
     }
 }
 
-fn full(r: &Report) -> wire::Report {
+fn full(r: &Heartbeat) -> wire::Report {
     wire::Report { full: http::encode(r), ..wire::Report::default() }
 }
 
-fn repeats(r: &Report, after: u64) -> wire::Report {
-    let (machine, session, tally) = (r.machine.to_string(), r.session, r.tally);
+fn repeats(r: &Heartbeat, after: u64) -> wire::Report {
+    let (machine, session, tally) = (r.machine.to_string(), r.incarnation, r.sequence);
     wire::Report { full: Vec::new(), machine, session, tally, after }
 }
 
@@ -64,13 +64,13 @@
 fn each_report_of_a_batch_is_answered() {
     let n = leader();
     let token = TERM << 24;
-    let other = Report { machine: "i-000002".into(), ..report(5, 0) };
+    let other = Heartbeat { machine: "i-000002".into(), ..report(5, 0) };
     let reports =
         vec![full(&report(1, 0)), repeats(&other, 4), wire::Report { full: vec![0x90], ..Default::default() }];
     let a = smol::block_on(n.take_batch(batch(TERM, reports)));
     assert_eq!((a.term, a.answers.iter().map(|a| a.status).collect::<Vec<_>>()), (TERM, vec![200, 0, 400]));
-    let first: Answer = http::decode(&a.answers[0].body).expect("an answer to a worker");
-    assert_eq!((first.token, first.orders.len()), (token, 0));
+    let first: HeartbeatReply = http::decode(&a.answers[0].body).expect("an answer to a worker");
+    assert_eq!((first.fencing_token, first.commands.len()), (token, 0));
     let a = smol::block_on(n.take_batch(batch(TERM, vec![repeats(&report(2, 0), 1), repeats(&report(2, 0), 1)])));
     let short = wire::ReportAnswer { status: 200, body: vec![], token };
     assert_eq!(a.answers, [short, wire::ReportAnswer::default()], "the second comes too late");
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -22,7 +22,7 @@
 use coralnotch_wire::cloud::{Listed, Rental, Stage};
 use coralnotch_wire::http;
 use coralnotch_wire::state::{Event, Item, Page, Txn};
-use coralnotch_wire::workers::{Answer, Cause, Command, DirectBody, Report, TaskState};
+use coralnotch_wire::workers::{Command, DirectCommandBody, ExitCause, Heartbeat, HeartbeatReply, TaskState};
 
 fn protocol() -> Value {
     serde_json::from_str(include_str!("golden/protocol.json")).expect("golden values")
@@ -67,37 +67,46 @@
 #[test]
 fn messages_of_workers_keep_their_form() {
     let golden = protocol();
-    let report: Report = keeps(&golden["report"]);
+    let report: Heartbeat = keeps(&golden["report"]);
     assert_eq!((&*report.machine, &*report.kind, &*report.zone, report.spot), ("i-1", "large", "z1", false));
-    assert_eq!((report.session, report.tally, report.token, report.notice_s), (2, 17, 50_331_648, Some(30.0)));
+    assert_eq!(
+        (report.incarnation, report.sequence, report.fencing_token, report.reclaim_in_s),
+        (2, 17, 50_331_648, Some(30.0))
+    );
     let task = &report.tasks[0];
-    assert_eq!((task.task.index, task.attempt, task.state), (3, 50_331_649, TaskState::Ended));
-    assert_eq!((task.cause, task.saved), (Some(Cause::MatesGone), Some(true)));
+    assert_eq!((task.task.index, task.attempt, task.state), (3, 50_331_649, TaskState::Exited));
+    assert_eq!((task.cause, task.saved), (Some(ExitCause::GangMemberLost), Some(true)));
     assert_eq!(
         keeps_each::<TaskState>(&golden["task_states"]),
-        [TaskState::Pulling, TaskState::Gathering, TaskState::Running, TaskState::Flushing, TaskState::Ended]
+        [
+            TaskState::Pulling,
+            TaskState::WaitingForGang,
+            TaskState::Running,
+            TaskState::Checkpointing,
+            TaskState::Exited
+        ]
     );
     assert_eq!(
-        keeps_each::<Cause>(&golden["causes"]),
+        keeps_each::<ExitCause>(&golden["causes"]),
         [
-            Cause::Done,
-            Cause::Stopped,
-            Cause::MatesGone,
-            Cause::Alone,
-            Cause::Error,
-            Cause::NoRoom,
-            Cause::Busy,
-            Cause::NoSuch,
-            Cause::Unknown
+            ExitCause::Completed,
+            ExitCause::StoppedByCommand,
+            ExitCause::GangMemberLost,
+            ExitCause::GangTimeout,
+            ExitCause::Failed,
+            ExitCause::NoRoom,
+            ExitCause::AttemptConflict,
+            ExitCause::UnknownJob,
+            ExitCause::Unknown
         ]
     );
-    let answer: Answer = keeps(&golden["answer"]);
-    assert_eq!((answer.token, answer.orders.len()), (50_331_648, 3));
-    assert!(matches!(answer.orders[0], Command::Run { attempt: 50_331_649, .. }));
-    assert!(matches!(answer.orders[1], Command::Halt { attempt: 50_331_650, grace: 5.0, .. }));
-    assert!(matches!(answer.orders[2], Command::Reap { attempt: 50_331_651, .. }));
-    let direct: DirectBody = keeps(&golden["direct"]);
-    assert_eq!((direct.token, direct.session, direct.orders.len()), (50_331_649, 2, 1));
+    let answer: HeartbeatReply = keeps(&golden["answer"]);
+    assert_eq!((answer.fencing_token, answer.commands.len()), (50_331_648, 3));
+    assert!(matches!(answer.commands[0], Command::Start { attempt: 50_331_649, .. }));
+    assert!(matches!(answer.commands[1], Command::Stop { attempt: 50_331_650, grace: 5.0, .. }));
+    assert!(matches!(answer.commands[2], Command::Acknowledge { attempt: 50_331_651, .. }));
+    let direct: DirectCommandBody = keeps(&golden["direct"]);
+    assert_eq!((direct.fencing_token, direct.incarnation, direct.commands.len()), (50_331_649, 2, 1));
 }
 
 #[test]
