--- a/benches/history/main.rs
+++ b/benches/history/main.rs
@@ -16,7 +16,7 @@
 
 use clap::Parser;
 use coralnotch::http::{self, Client};
-use coralnotch::model::{JobOutcome, JobSpec, OutcomeRecord, Rank, Shape};
+use coralnotch::model::{JobOutcome, JobSpec, OutcomeRecord, Priority, Shape};
 use coralnotch::store::key;
 use coralnotch::telemetry::Status;
 use rmpv::Value;
@@ -83,7 +83,7 @@
         class: "history".into(),
         team: "team".into(),
         shape: Shape::Array,
-        rank: Rank::Normal,
+        priority: Priority::Normal,
         tasks: 3,
         cpus: 6.0,
         gpus: 1.0,
--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -11,7 +11,7 @@
 
 use coralnotch::cluster::Cluster;
 use coralnotch::config::Config;
-use coralnotch::model::{JobSpec, MachineType, Rank, Shape};
+use coralnotch::model::{JobSpec, MachineType, Priority, Shape};
 use coralnotch::policy::Policy;
 use coralnotch::workers::Heartbeat;
 
@@ -55,7 +55,7 @@
         class: "demo".into(),
         team: "demo".into(),
         shape: Shape::Array,
-        rank: Rank::Normal,
+        priority: Priority::Normal,
         tasks: 5,
         cpus: 3.0,
         gpus: 0.0,
--- a/packages/client/examples/nightly.rs
+++ b/packages/client/examples/nightly.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use coralnotch_client::{fresh_id, BlockingClient, Error as ClientError, Final, Settings};
-use coralnotch_wire::model::{JobSpec, Rank, Shape};
+use coralnotch_wire::model::{JobSpec, Priority, Shape};
 
 fn job(tasks: u32) -> Result<JobSpec, Box<dyn Error>> {
     Ok(JobSpec {
@@ -16,7 +16,7 @@
         class: "demo".into(),
         team: "demo".into(),
         shape: Shape::Array,
-        rank: Rank::Normal,
+        priority: Priority::Normal,
         tasks,
         cpus: 1.0,
         gpus: 0.0,
--- a/packages/client/src/client.rs
+++ b/packages/client/src/client.rs
@@ -588,7 +588,7 @@
 
     async fn take_in(&self, specs: Vec<JobSpec>, batch: Option<String>) -> Result<Option<Vec<JobHandle>>, Error> {
         for s in &specs {
-            if let Some(why) = s.fault() {
+            if let Some(why) = s.validation_error() {
                 return Err(Error::Input(format!("{}: bad value: {why}", s.id)));
             }
         }
--- a/packages/core/src/answers.rs
+++ b/packages/core/src/answers.rs
@@ -279,10 +279,10 @@
     let mut txn = Txn::default();
     for (spec, doomed) in all {
         let path = format!("{}{}", key::JOB, spec.id);
-        if txn.guards.iter().any(|g| g.path == path) {
+        if txn.preconditions.iter().any(|g| g.key == path) {
             continue;
         }
-        txn.guard(path.clone(), 0);
+        txn.require(path.clone(), 0);
         txn.writes.push(Write::set(path, spec));
         if doomed {
             key::end(&mut txn, &spec.id, JobOutcome::Cancelled);
--- a/packages/core/src/answers/tests.rs
+++ b/packages/core/src/answers/tests.rs
@@ -80,7 +80,7 @@
     let (one, other) = (spec("j-1", 1), spec("j-2", 1));
     let sets = |all: &[(&JobSpec, bool)]| {
         let txn = submissions(all.iter().copied());
-        assert_eq!(txn.guards.len(), txn.writes.len(), "each key is guarded");
+        assert_eq!(txn.preconditions.len(), txn.writes.len(), "each key is guarded");
         let set = |w: &Write| match w {
             Write::Set { set, .. } => set.clone(),
             Write::Delete { delete } => panic!("{delete} is removed"),
--- a/packages/core/src/cluster/job.rs
+++ b/packages/core/src/cluster/job.rs
@@ -186,9 +186,9 @@
     /// stopped for it.
     ///
     /// The rank is the highest of its own and of those that wait for it.
-    pub fn turn(&self) -> (bool, Rank) {
+    pub fn turn(&self) -> (bool, Priority) {
         let rank = self.urgency.rank;
-        (!self.guaranteed && rank != Rank::Production, rank)
+        (!self.guaranteed && rank != Priority::Production, rank)
     }
 
     /// Part of a chain that has a deadline: it needs others, or others wait for
--- a/packages/core/src/cluster/machine.rs
+++ b/packages/core/src/cluster/machine.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-use super::{Phase, Place, Stage};
+use super::{MachineState, Phase, Place};
 use crate::model::*;
 use crate::policy::Policy;
 
@@ -19,7 +19,7 @@
     /// Spot or ordinary.
     pub spot: bool,
     /// What it offers when empty; nothing while its type is unknown.
-    pub size: Size,
+    pub size: Resources,
     /// The worker's session, 0 before its first report in this term.
     pub session: u64,
     /// Number of the newest report.
@@ -37,7 +37,7 @@
     /// reap can't be followed by the same start.
     pub exited: BTreeMap<Task, u64>,
     /// As listed.
-    pub stage: Option<Stage>,
+    pub stage: Option<MachineState>,
     /// When it was last seen in a list, and when first known.
     pub listed: Option<Instant>,
     /// When this leader first knew of it.
@@ -98,7 +98,7 @@
             kind,
             zone,
             spot,
-            size: Size::default(),
+            size: Resources::default(),
             session: 0,
             tally: 0,
             token: 0,
@@ -129,7 +129,7 @@
     }
 
     /// Room left, with all that may be present counted.
-    pub fn free(&self) -> Size {
+    pub fn free(&self) -> Resources {
         let mut free = self.size;
         for p in self.tasks.values().filter(|p| p.present()) {
             free.take(&p.spec.size());
@@ -144,7 +144,7 @@
             && self.drain.is_none()
             && self.deleting.is_none()
             && self.notice.is_none()
-            && self.stage != Some(Stage::Failed)
+            && self.stage != Some(MachineState::Failed)
             && self.heard.is_some_and(|t| now.duration_since(t) < policy.fresh)
             && self.rest_until.is_none_or(|t| t <= now)
             && self.tasks.len() + self.exited.len() < policy.most_tasks
--- a/packages/core/src/cluster/mod.rs
+++ b/packages/core/src/cluster/mod.rs
@@ -31,7 +31,7 @@
     next_attempt: u64,
     /// Jobs that are not over, or still have tasks somewhere; those that wait
     /// for others are not among them yet.
-    pub jobs: Table<Job>,
+    pub jobs: NameMap<Job>,
     /// Jobs that wait for others.
     pub dependency: Dependency,
     /// Machines.
@@ -79,14 +79,14 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TeamLimit {
     /// Guaranteed.
-    pub guarantee: Size,
+    pub guarantee: Resources,
     /// Most at any time, 0 for no limit.
-    pub most: Size,
+    pub most: Resources,
 }
 
 impl TeamLimit {
     /// Whether `used` more `size` stays within the limit.
-    pub fn allows(&self, used: &Size, size: &Size) -> bool {
+    pub fn allows(&self, used: &Resources, size: &Resources) -> bool {
         let ok = |most: f64, used: f64, add: f64| most <= 0.0 || used + add <= most + 1e-6;
         ok(self.most.cpus, used.cpus, size.cpus) && ok(self.most.gpus, used.gpus, size.gpus)
     }
@@ -113,7 +113,7 @@
         Cluster {
             term,
             next_attempt: 0,
-            jobs: Table::default(),
+            jobs: NameMap::default(),
             dependency: Dependency::default(),
             machines: BTreeMap::new(),
             types: BTreeMap::new(),
@@ -144,7 +144,7 @@
 
     /// Whether any team has a limit or a guarantee.
     pub fn has_limits(&self) -> bool {
-        let any = |s: &Size| s.cpus > 0.0 || s.gpus > 0.0;
+        let any = |s: &Resources| s.cpus > 0.0 || s.gpus > 0.0;
         self.teams.values().any(|t| any(&t.guarantee) || any(&t.most))
     }
 
@@ -408,8 +408,8 @@
     }
 
     /// What each team may be using now.
-    pub fn usage(&self) -> Table<Size> {
-        let mut used: Table<Size> = Table::default();
+    pub fn usage(&self) -> NameMap<Resources> {
+        let mut used: NameMap<Resources> = NameMap::default();
         for p in self.machines.values().flat_map(|m| m.tasks.values()).filter(|p| p.present()) {
             match used.get_mut(&p.spec.team) {
                 Some(u) => u.give(&p.spec.size()),
--- a/packages/core/src/cluster/page.rs
+++ b/packages/core/src/cluster/page.rs
@@ -31,4 +31,4 @@
 
 /// The order in which starts are stored: by the turn of their jobs, then as
 /// they were decided.
-pub type Turn = ((bool, Rank), u64);
+pub type Turn = ((bool, Priority), u64);
--- a/packages/core/src/cluster/rented.rs
+++ b/packages/core/src/cluster/rented.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-pub use coralnotch_wire::cloud::{Listed, Rental, Stage};
+pub use coralnotch_wire::cloud::{ListedMachine, MachineState, Rental};
 
 use crate::model::*;
 use crate::policy::Policy;
@@ -72,9 +72,9 @@
     /// The transaction, the same at each try: whatever of it comes late finds the key
     /// there, or another leader.
     pub fn txn(&self, leader: u64) -> Txn {
-        let mut txn = Txn { guards: vec![], writes: vec![Write::set(self.path.clone(), &self.rentals)] };
-        txn.guard(crate::key::LEADER, leader);
-        txn.guard(self.path.clone(), 0);
+        let mut txn = Txn { preconditions: vec![], writes: vec![Write::set(self.path.clone(), &self.rentals)] };
+        txn.require(crate::key::LEADER, leader);
+        txn.require(self.path.clone(), 0);
         txn
     }
 
@@ -105,7 +105,7 @@
     /// Those of these rentals that are not on record yet.
     pub(crate) fn unrecorded(&self, rentals: &[Rental]) -> Vec<Rental> {
         let on = |c: &Name| self.records.values().flatten().any(|r| r.0 == *c);
-        rentals.iter().filter(|r| !on(&r.charter)).cloned().collect()
+        rentals.iter().filter(|r| !on(&r.request_id)).cloned().collect()
     }
 
     /// A key for a new record, never used before: one that stayed in doubt may
@@ -117,7 +117,7 @@
 
     /// These rentals are on record.
     pub fn recorded(&mut self, key: String, rentals: &[Rental]) {
-        self.records.insert(key, rentals.iter().map(|r| (r.charter.clone(), None)).collect());
+        self.records.insert(key, rentals.iter().map(|r| (r.request_id.clone(), None)).collect());
     }
 
     /// A previous leader's record.  What it asked for is asked for again under the
@@ -125,7 +125,7 @@
     pub fn inherit(&mut self, key: String, rentals: Vec<Rental>) {
         self.recorded(key, &rentals);
         for r in rentals {
-            if !self.open.iter().any(|o| o.charter == r.charter) {
+            if !self.open.iter().any(|o| o.request_id == r.request_id) {
                 self.open.push(r);
             }
         }
@@ -133,7 +133,7 @@
 
     /// The cloud has answered a rental, one way or the other.
     pub fn answered(&mut self, charter: &Name, now: Instant) {
-        self.open.retain(|o| o.charter != *charter);
+        self.open.retain(|o| o.request_id != *charter);
         for r in self.records.values_mut().flatten().filter(|r| r.0 == *charter) {
             r.1.get_or_insert(now);
         }
--- a/packages/core/src/cluster/rented/tests.rs
+++ b/packages/core/src/cluster/rented/tests.rs
@@ -62,7 +62,7 @@
         for (one, two, three, then) in steps {
             charter += 1;
             let wants = [Rental {
-                charter: format!("{term}-{charter}").into(),
+                request_id: format!("{term}-{charter}").into(),
                 kind: "t".into(),
                 zone: "a".into(),
                 spot: false,
@@ -101,11 +101,11 @@
                     prop_assert!(store.has(&r.path), "called on record, and is not");
                     fleet.recorded(r.path.clone(), &r.rentals);
                     for rental in &r.rentals {
-                        let before = asked.insert(rental.charter.clone(), rental.clone());
+                        let before = asked.insert(rental.request_id.clone(), rental.clone());
                         prop_assert!(before.is_none_or(|b| b == *rental), "asked for with another content");
                         if then % 2 == 0 {
-                            fleet.answered(&rental.charter, now);
-                            heard.insert(rental.charter.clone());
+                            fleet.answered(&rental.request_id, now);
+                            heard.insert(rental.request_id.clone());
                         }
                     }
                 }
@@ -117,7 +117,7 @@
                 fleet = Fleet::default();
                 store.rentals().into_iter().for_each(|(key, rentals)| fleet.inherit(key, rentals));
                 for charter in asked.keys().filter(|c| !heard.contains(*c)) {
-                    prop_assert!(fleet.open.iter().any(|o| o.charter == *charter), "{charter} is forgotten");
+                    prop_assert!(fleet.open.iter().any(|o| o.request_id == *charter), "{charter} is forgotten");
                 }
             }
             if then == 4 {
@@ -129,7 +129,7 @@
             }
             let mut seen = HashSet::new();
             for r in store.rentals().into_iter().flat_map(|(_, l)| l) {
-                prop_assert!(seen.insert(r.charter.clone()), "{} is on record twice", r.charter);
+                prop_assert!(seen.insert(r.request_id.clone()), "{} is on record twice", r.request_id);
             }
         }
     }
--- a/packages/core/src/commit.rs
+++ b/packages/core/src/commit.rs
@@ -16,7 +16,7 @@
 use crate::cluster::{Cluster, Machine, Page, Phase, Start, Turn, Whereabouts};
 use crate::key;
 use crate::model::*;
-use coralnotch_wire::state::{read_value, Guard, Item, Txn, Write};
+use coralnotch_wire::state::{read_value, KeyValue, Precondition, Txn, Write};
 
 /// Task, attempt, machine (as an index) and session of a start.
 type StartRecord = (u32, u64, usize, u64);
@@ -32,9 +32,9 @@
 }
 
 /// Turns a stored page into starts, with type, zone and kind of each machine.
-pub fn read_page(path: &str, item: &Item) -> Option<(u32, Page, HashMap<Name, Whereabouts>)> {
+pub fn read_page(path: &str, item: &KeyValue) -> Option<(u32, Page, HashMap<Name, Whereabouts>)> {
     let id = path.strip_prefix(key::PAGE)?.parse().ok()?;
-    let r: PageRecord = read_value(path, item.data.clone())?;
+    let r: PageRecord = read_value(path, item.value.clone())?;
     let mut places = HashMap::new();
     for (name, pool) in &r.machines {
         places.insert(name.clone(), r.pools.get(*pool)?.clone());
@@ -46,12 +46,12 @@
             starts.push(Start { machine, task: Task { job: job.clone(), index }, attempt, session });
         }
     }
-    Some((id, Page { stamp: item.stamp, starts, done: r.done }, places))
+    Some((id, Page { stamp: item.revision, starts, done: r.done }, places))
 }
 
 /// The jobs that a stored page names as started.
-pub fn jobs_of_page(item: &Item) -> Vec<Name> {
-    let r: Option<PageRecord> = read_value(&item.path, item.data.clone());
+pub fn jobs_of_page(item: &KeyValue) -> Vec<Name> {
+    let r: Option<PageRecord> = read_value(&item.key, item.value.clone());
     r.map(|r| r.starts.into_iter().map(|s| s.0).collect()).unwrap_or_default()
 }
 
@@ -87,13 +87,13 @@
 struct Filling {
     bytes: usize,
     pools: Vec<Whereabouts>,
-    machines: Table<()>,
-    jobs: Table<()>,
+    machines: NameMap<()>,
+    jobs: NameMap<()>,
 }
 
 impl Filling {
     fn new() -> Filling {
-        Filling { bytes: EMPTY, pools: Vec::new(), machines: Table::default(), jobs: Table::default() }
+        Filling { bytes: EMPTY, pools: Vec::new(), machines: NameMap::default(), jobs: NameMap::default() }
     }
 
     /// What one more start takes.
@@ -206,7 +206,7 @@
 impl Batch {
     /// Whether one more change and its condition fit, with room left for a page.
     fn room(&self, most: &TxnLimits) -> bool {
-        self.txn.writes.len() + 1 < most.writes && self.txn.guards.len() + 2 < most.guards
+        self.txn.writes.len() + 1 < most.writes && self.txn.preconditions.len() + 2 < most.guards
     }
 
     fn end(&mut self, id: Name, outcome: JobOutcome) {
@@ -220,7 +220,7 @@
     /// stamp of the leader key: no write of a former leader gets through.
     pub fn next_batch(&mut self, leader: u64, most: &TxnLimits) -> Option<Batch> {
         let mut b = Batch::default();
-        b.txn.guards.push(Guard { path: key::LEADER.into(), stamp: leader });
+        b.txn.preconditions.push(Precondition { key: key::LEADER.into(), revision: leader });
         // what needs a cancelled job ends with it; half of a transaction is left
         // to those that completed, whose users wait
         let doomed: Vec<Name> = self.dependency.doomed().take(most.writes.div_ceil(2)).cloned().collect();
@@ -262,7 +262,7 @@
     fn fill_page(&mut self, b: &mut Batch, partly: Vec<Name>, most: &TxnLimits) {
         let news = partly.len() + self.unstored.len();
         let (id, mut page, mut filling) = self.page_with_room(b, news, most);
-        b.txn.guard(page_key(id), page.stamp);
+        b.txn.require(page_key(id), page.stamp);
         for job in partly {
             let Some(j) = self.jobs.get(&job) else { continue };
             let part = filling.fitting(&job, &j.finishing, most.page_bytes);
@@ -283,13 +283,13 @@
             let at = (m.kind.clone(), m.zone.clone(), m.spot);
             let path = format!("{}{}", key::OUTCOME, s.task.job);
             let over = self.jobs.get(&s.task.job).is_none_or(|j| j.outcome.is_some());
-            let guards = b.txn.guards.len() + usize::from(!over && !b.txn.guarded(&path));
+            let guards = b.txn.preconditions.len() + usize::from(!over && !b.txn.requires(&path));
             if filling.bytes + filling.start(&s, &at) > most.page_bytes || guards > most.guards {
                 self.unstored.insert(turn, s);
                 break;
             }
             if !over {
-                b.txn.guard(path, 0);
+                b.txn.require(path, 0);
             }
             filling.add_start(&s, &at);
             b.starts.push((turn, s));
@@ -363,7 +363,7 @@
         let mut filling = Filling::new();
         // one change is the ordinary page's, one this page's own
         let room = most.writes.saturating_sub(b.txn.writes.len() + 2).min(MOST_DIVIDED / most.page_bytes.max(1));
-        if b.divided.is_some() || room == 0 || most.guards < b.txn.guards.len() + room + 2 {
+        if b.divided.is_some() || room == 0 || most.guards < b.txn.preconditions.len() + room + 2 {
             return;
         }
         let place =
@@ -407,7 +407,7 @@
             // what is whole has its first part in the old place
             let to = if n == 0 && whole { id } else { self.new_page() };
             part.stamp = self.pages.get(&to).map_or(0, |p| p.stamp);
-            b.txn.guard(page_key(to), part.stamp);
+            b.txn.require(page_key(to), part.stamp);
             b.txn.writes.push(Write::set(page_key(to), &self.page_record(&part)));
             b.pages.push((to, part));
         }
@@ -502,7 +502,7 @@
 
     /// What a key in conflict really holds: an earlier transaction of ours in
     /// doubt was carried out after all, or a user withdrew a job.
-    pub fn resolve(&mut self, path: &str, item: Option<&Item>, now: Instant) {
+    pub fn resolve(&mut self, path: &str, item: Option<&KeyValue>, now: Instant) {
         if let Some(id) = path.strip_prefix(key::PAGE).and_then(|p| p.parse().ok()) {
             // only a try of our own, in doubt until now, can have written it: it
             // may hold what this page never did, as one that divided another, and
@@ -515,7 +515,7 @@
                 self.pages.insert(id, page);
             }
         } else if let Some(id) = path.strip_prefix(key::OUTCOME) {
-            let outcome = item.and_then(|i| read_value::<OutcomeRecord>(path, i.data.clone()));
+            let outcome = item.and_then(|i| read_value::<OutcomeRecord>(path, i.value.clone()));
             if let Some(f) = outcome {
                 self.set_outcome(id, f.outcome, now);
             }
--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -15,7 +15,7 @@
     fn pages_hold_what_is_true(ops in prop::collection::vec((0u8..5, 0u32..40, 0usize..6), 1..120)) {
         let now = Instant::now();
         let mut c = cluster(1, now);
-        let mut store: HashMap<String, Item> = HashMap::new();
+        let mut store: HashMap<String, KeyValue> = HashMap::new();
         let mut revision = 10;
         c.add_job(spec("j-000001", 40), 1, None, now);
         for i in 0..6 {
@@ -45,10 +45,10 @@
                 _ => {
                     if let Some(b) = c.next_batch(5, &limits(most)) {
                         revision += 1;
-                        let stamp = |p: &str| store.get(p).map_or(0, |i: &Item| i.stamp);
-                        let pages = b.txn.guards.iter().filter(|g| g.path.starts_with(key::PAGE));
+                        let stamp = |p: &str| store.get(p).map_or(0, |i: &KeyValue| i.revision);
+                        let pages = b.txn.preconditions.iter().filter(|g| g.key.starts_with(key::PAGE));
                         let failed: Vec<_> =
-                            pages.filter(|g| stamp(&g.path) != g.stamp).map(|g| g.path.clone()).collect();
+                            pages.filter(|g| stamp(&g.key) != g.revision).map(|g| g.key.clone()).collect();
                         if !failed.is_empty() {
                             c.not_committed(b);
                             for k in &failed {
@@ -61,7 +61,7 @@
                             if let Write::Set { set, data, .. } = w {
                                 let size = serde_json::to_string(&data).map_or(0, |s| s.len());
                                 prop_assert!(size <= most, "a page of {} bytes", size);
-                                let item = Item { path: set.clone(), data: data.clone(), stamp: revision };
+                                let item = KeyValue { key: set.clone(), value: data.clone(), revision: revision };
                                 store.insert(set.clone(), item);
                             }
                         }
@@ -120,7 +120,7 @@
     c.report(&report, true, now);
     c.place(now);
     let b = c.next_batch(5, &limits(1000)).expect("two starts to store");
-    let outcome = |id: &str| b.txn.guarded(&format!("{}{id}", key::OUTCOME));
+    let outcome = |id: &str| b.txn.requires(&format!("{}{id}", key::OUTCOME));
     assert_eq!((outcome("j-000001"), outcome("j-000002")), (false, true));
     assert_eq!(b.starts.len(), 2);
     c.committed(b, 6, now);
@@ -139,7 +139,7 @@
         serde_json::from_str(include_str!("../golden/production.json")).expect("values of production");
     let value = |what: &str| {
         let data = rmpv::decode::read_value(&mut &coralnotch_wire::http::encode(&golden[what])[..]);
-        Item { path: page_key(3), data: data.expect("a value"), stamp: 9 }
+        KeyValue { key: page_key(3), value: data.expect("a value"), revision: 9 }
     };
     let same = |what: &str, w: Write| {
         let Write::Set { data, .. } = w else { panic!("a put") };
@@ -154,14 +154,14 @@
     c.add_job(spec("j-000001", 40), 1, None, Instant::now());
     c.add_page(id, page.clone(), &places, Instant::now());
     same("page", Write::set("x", &c.page_record(&page)));
-    let job: JobSpec = read_value("x", value("job").data).expect("a job");
-    assert!(job.needs.is_empty() && job.fault().is_none());
+    let job: JobSpec = read_value("x", value("job").value).expect("a job");
+    assert!(job.needs.is_empty() && job.validation_error().is_none());
     same("job", Write::set("x", &job));
-    let outcome: OutcomeRecord = read_value("x", value("fate").data).expect("an end");
+    let outcome: OutcomeRecord = read_value("x", value("fate").value).expect("an end");
     same("fate", Write::set("x", &outcome));
-    let types: Vec<MachineType> = read_value("x", value("types").data).expect("types");
+    let types: Vec<MachineType> = read_value("x", value("types").value).expect("types");
     same("types", Write::set("x", &types));
-    let rentals: Vec<crate::cluster::Rental> = read_value("x", value("rentals").data).expect("rentals");
+    let rentals: Vec<crate::cluster::Rental> = read_value("x", value("rentals").value).expect("rentals");
     same("rentals", Write::set("x", &rentals));
     // production ignores fields that it does not know: that is why a job that
     // needs others is stored only once nobody is of that version any more
@@ -191,7 +191,7 @@
     }
     (400..1000).step_by(2).for_each(|n| c.complete(&Task { job: "j-000001".into(), index: n }, now));
     let wide = TxnLimits { writes: 24, guards: 96, page_bytes: 15_000, value_bytes: 15_000 };
-    let mut store: HashMap<String, Item> = HashMap::new();
+    let mut store: HashMap<String, KeyValue> = HashMap::new();
     let mut revision = 10;
     let mut most = &wide;
     let narrow = TxnLimits { writes: 8, guards: 32, page_bytes: 1900, value_bytes: 1900 };
@@ -209,9 +209,14 @@
             started += 1;
         }
         let b = c.next_batch(5, most).expect("something to store");
-        assert!(b.txn.writes.len() <= most.writes && b.txn.guards.len() <= most.guards);
-        let held = |p: &String| store.get(p).map_or(0, |i: &Item| i.stamp);
-        assert!(b.txn.guards.iter().skip(1).all(|g| g.path.starts_with(key::OUTCOME) || g.stamp == held(&g.path)));
+        assert!(b.txn.writes.len() <= most.writes && b.txn.preconditions.len() <= most.guards);
+        let held = |p: &String| store.get(p).map_or(0, |i: &KeyValue| i.revision);
+        assert!(b
+            .txn
+            .preconditions
+            .iter()
+            .skip(1)
+            .all(|g| g.key.starts_with(key::OUTCOME) || g.revision == held(&g.key)));
         if round % 3 == 2 {
             // refused, or without an answer and not carried out
             c.not_committed(b);
@@ -222,14 +227,14 @@
             let Write::Set { set, data, .. } = w else { continue };
             let size = serde_json::to_string(&data).map_or(0, |s| s.len());
             assert!(size <= most.page_bytes, "a value of {size} bytes");
-            store.insert(set.clone(), Item { path: set.clone(), data: data.clone(), stamp: revision });
+            store.insert(set.clone(), KeyValue { key: set.clone(), value: data.clone(), revision: revision });
         }
         c.committed(b, revision, now);
         let mut next = cluster(2, now);
         next.add_job(spec("j-000001", 1000), 1, None, now);
         largest = 0;
         for (path, item) in &store {
-            largest = largest.max(serde_json::to_string(&item.data).map_or(0, |s| s.len()));
+            largest = largest.max(serde_json::to_string(&item.value).map_or(0, |s| s.len()));
             let (id, page, machines) = read_page(path, item).expect("our own page");
             next.add_page(id, page, &machines, now);
         }
@@ -312,7 +317,7 @@
     assert!(c.committed(b, 6, now).is_empty());
     c.complete(&task(1), now);
     let b = c.next_batch(5, &limits(4096)).expect("the end");
-    assert!(b.txn.guarded("c2/w/fate/j-000001"));
+    assert!(b.txn.requires("c2/w/fate/j-000001"));
     // in doubt: said again, and only its success counts
     c.not_committed(b);
     let b = c.next_batch(5, &limits(4096)).expect("the end again");
--- a/packages/core/src/dependency.rs
+++ b/packages/core/src/dependency.rs
@@ -17,7 +17,7 @@
 
 /// Who needs whom, seen from the needed ones.
 #[derive(Debug, Default)]
-pub struct Edges(Table<BTreeSet<Name>>);
+pub struct Edges(NameMap<BTreeSet<Name>>);
 
 impl Edges {
     /// A job with what it needs.
@@ -71,7 +71,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Urgency {
     /// The highest rank.
-    pub rank: Rank,
+    pub rank: Priority,
     /// The tightest deadline.
     pub due: Option<Instant>,
 }
@@ -80,7 +80,7 @@
     /// What a job asks for itself, known since `known`.
     pub fn own(spec: &JobSpec, known: Instant) -> Urgency {
         let due = |s| known.checked_add(Duration::try_from_secs_f64(s).ok()?);
-        Urgency { rank: spec.rank, due: spec.deadline_s.and_then(due) }
+        Urgency { rank: spec.priority, due: spec.deadline_s.and_then(due) }
     }
 
     /// The more urgent of both, in each respect.
@@ -117,12 +117,12 @@
 /// The jobs that wait for others.
 #[derive(Debug, Default)]
 pub struct Dependency {
-    held: Table<Held>,
+    held: NameMap<Held>,
     edges: Edges,
     /// Needed jobs of which nothing is known here, with when to ask the store.
     unknown: BTreeMap<Name, Option<Instant>>,
     /// What those that need a job make of it; only of jobs that are needed.
-    inherited: Table<Urgency>,
+    inherited: NameMap<Urgency>,
     /// Held jobs that need a cancelled one: their own end has to be stored.
     doomed: BTreeSet<Name>,
     /// Jobs whose inherited urgency has changed since it was last asked.
--- a/packages/core/src/dependency/tests.rs
+++ b/packages/core/src/dependency/tests.rs
@@ -7,8 +7,8 @@
     format!("j-{n:06}").into()
 }
 
-fn job(n: usize, needs: &[usize], rank: Rank) -> Arc<JobSpec> {
-    Arc::new(JobSpec { needs: needs.iter().map(|n| id(*n)).collect(), rank, ..(*spec(&id(n), 1)).clone() })
+fn job(n: usize, needs: &[usize], rank: Priority) -> Arc<JobSpec> {
+    Arc::new(JobSpec { needs: needs.iter().map(|n| id(*n)).collect(), priority: rank, ..(*spec(&id(n), 1)).clone() })
 }
 
 /// The same, written plainly: all is worked out from the whole graph.
@@ -36,10 +36,10 @@
                 .iter()
                 .any(|n| self.outcomes.get(n) == Some(&JobOutcome::Cancelled) || self.open(n) && self.doomed(n))
     }
-    fn rank(&self, id: &Name) -> Rank {
-        let own = self.spec(id).map_or(Rank::Low, |j| j.rank);
+    fn rank(&self, id: &Name) -> Priority {
+        let own = self.spec(id).map_or(Priority::Low, |j| j.priority);
         let needing = self.jobs.iter().filter(|j| self.waits(j) && j.needs.contains(id));
-        needing.map(|j| self.rank(&j.id)).fold(own, Rank::min)
+        needing.map(|j| self.rank(&j.id)).fold(own, Priority::min)
     }
 }
 
@@ -51,7 +51,7 @@
         ops in prop::collection::vec((0u8..8, 0usize..24, prop::collection::vec(0usize..24, 0..4), 0usize..4), 1..80),
     ) {
         let (mut d, mut p, now) = (Dependency::default(), Plain::default(), Instant::now());
-        let ranks = [Rank::Production, Rank::High, Rank::Normal, Rank::Low];
+        let ranks = [Priority::Production, Priority::High, Priority::Normal, Priority::Low];
         let mut free: BTreeSet<Name> = BTreeSet::new();
         for (op, pick, needs, rank) in ops {
             match op {
@@ -126,28 +126,28 @@
     let open = |_: &Name| Need::Open;
     let mut d = Dependency::default();
     for n in 1..=N {
-        assert!(d.hold(&job(n, &[n - 1], Rank::Low), n as u64, now, open));
+        assert!(d.hold(&job(n, &[n - 1], Priority::Low), n as u64, now, open));
     }
     assert_eq!(d.edges.after(&id(0), usize::MAX).len(), N);
     assert_eq!(d.edges.after(&id(0), 7), (1..8).map(id).collect::<Vec<_>>());
-    let own = Urgency { rank: Rank::Low, due: None };
-    assert!(d.hold(&job(N + 1, &[N], Rank::High), 1, now, open));
-    assert_eq!(d.urgency(&id(0), own).rank, Rank::High, "through the whole chain");
+    let own = Urgency { rank: Priority::Low, due: None };
+    assert!(d.hold(&job(N + 1, &[N], Priority::High), 1, now, open));
+    assert_eq!(d.urgency(&id(0), own).rank, Priority::High, "through the whole chain");
     d.ended(&id(N + 1), JobOutcome::Cancelled);
-    assert_eq!(d.urgency(&id(0), own).rank, Rank::Low, "and back");
+    assert_eq!(d.urgency(&id(0), own).rank, Priority::Low, "and back");
     d.ended(&id(0), JobOutcome::Cancelled);
     assert_eq!(d.doomed().count(), N);
 
     let mut d = Dependency::default();
     for n in 1..=N {
-        d.hold(&job(n, &[0], Rank::High), n as u64, now, open);
+        d.hold(&job(n, &[0], Priority::High), n as u64, now, open);
     }
     assert_eq!(d.ended(&id(0), JobOutcome::Done).len(), N);
     assert!(d.is_empty() && d.edges.is_empty() && d.inherited.is_empty());
 
     let mut d = Dependency::default();
     for (n, needs) in [(1, vec![0]), (2, vec![0]), (3, vec![1, 2])] {
-        d.hold(&job(n, &needs, Rank::Normal), n as u64, now, open);
+        d.hold(&job(n, &needs, Priority::Normal), n as u64, now, open);
     }
     let freed = |d: &mut Dependency, n| {
         let mut l: Vec<Name> = d.ended(&id(n), JobOutcome::Done).into_iter().map(|h| h.spec.id.clone()).collect();
--- a/packages/core/src/fleet.rs
+++ b/packages/core/src/fleet.rs
@@ -4,7 +4,9 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use crate::cluster::{zone_ok, Cluster, Job, Listed, Machine, Phase, Place, Pool, Rental, Stage, TeamLimit, Want};
+use crate::cluster::{
+    zone_ok, Cluster, Job, ListedMachine, Machine, MachineState, Phase, Place, Pool, Rental, TeamLimit, Want,
+};
 use crate::model::*;
 
 /// Most names in one deletion.
@@ -24,17 +26,17 @@
 /// What all teams are guaranteed, and what those teams use or wait for.
 #[derive(Debug, Default)]
 struct Guarantees {
-    all: Size,
-    drawn: Size,
+    all: Resources,
+    drawn: Resources,
 }
 
 impl Guarantees {
     /// A share of the guarantees, but no more than a multiple of what is drawn
     /// on: a guarantee that nobody draws on keeps no machine.
-    fn part(&self, share: f64, multiple: f64) -> Size {
+    fn part(&self, share: f64, multiple: f64) -> Resources {
         let part = |g: f64, u: f64| (g * share).min(u * multiple);
         let (all, drawn) = (&self.all, &self.drawn);
-        Size { cpus: part(all.cpus, drawn.cpus), gpus: part(all.gpus, drawn.gpus), memory: 0.0 }
+        Resources { cpus: part(all.cpus, drawn.cpus), gpus: part(all.gpus, drawn.gpus), memory: 0.0 }
     }
 }
 
@@ -54,7 +56,7 @@
 
     /// A whole list of the cloud's.  Absence from it proves nothing: lists
     /// lag and go backwards.
-    pub fn list(&mut self, list: &[Listed], now: Instant) {
+    pub fn list(&mut self, list: &[ListedMachine], now: Instant) {
         for l in list {
             let types = &self.types;
             let new = !self.machines.contains_key(&l.name);
@@ -70,14 +72,14 @@
                     l.kind,
                     l.zone,
                     l.spot,
-                    l.stage
+                    l.state
                 );
-                let held = Duration::from_secs_f64(l.held_s.clamp(0.0, 1e6));
+                let held = Duration::from_secs_f64(l.age_s.clamp(0.0, 1e6));
                 m.rented = now.checked_sub(held).unwrap_or(now);
             }
             m.listed = Some(now);
-            if m.stage != Some(Stage::Failed) {
-                m.stage = Some(l.stage);
+            if m.stage != Some(MachineState::Failed) {
+                m.stage = Some(l.state);
             }
         }
         self.fleet.listed = Some(now);
@@ -85,7 +87,7 @@
 
     /// Names the cloud rented to us.
     pub fn rented(&mut self, r: &Rental, names: &[Name], now: Instant) {
-        self.fleet.answered(&r.charter, now);
+        self.fleet.answered(&r.request_id, now);
         tracing::info!("rented {} of {} {} in {}, spot {}: {names:?}", names.len(), r.count, r.kind, r.zone, r.spot);
         if (names.len() as u32) < r.count {
             self.no_capacity(&(r.kind.clone(), r.zone.clone(), r.spot), now);
@@ -151,17 +153,17 @@
         g
     }
 
-    fn kept(&self, g: &Guarantees) -> Size {
+    fn kept(&self, g: &Guarantees) -> Resources {
         g.part(self.policy.kept_share, self.policy.kept_multiple)
     }
 
-    fn headroom_size(&self, g: &Guarantees) -> Size {
+    fn headroom_size(&self, g: &Guarantees) -> Resources {
         g.part(self.policy.headroom_share, self.policy.headroom_multiple)
     }
 
     /// Room on machines that can be used now.
-    fn free_room(&self, now: Instant) -> Size {
-        let mut free = Size::default();
+    fn free_room(&self, now: Instant) -> Resources {
+        let mut free = Resources::default();
         for m in self.machines.values().filter(|m| m.usable(now, &self.policy)) {
             free.give(&m.free());
         }
@@ -186,7 +188,7 @@
             return 0;
         }
         let mut room = m.free();
-        for p in m.tasks.values().filter(|p| p.present() && p.spec.rank > spec.rank) {
+        for p in m.tasks.values().filter(|p| p.present() && p.spec.priority > spec.priority) {
             room.give(&p.spec.size());
         }
         room.count(&spec.size(), 1000)
@@ -221,8 +223,8 @@
         now: Instant,
         unit: impl Fn(&MachineType) -> Option<f64>,
         allowed: impl Fn(&Pool) -> bool,
-    ) -> Option<(Pool, Size)> {
-        let mut best: Option<(f64, usize, Pool, Size)> = None;
+    ) -> Option<(Pool, Resources)> {
+        let mut best: Option<(f64, usize, Pool, Resources)> = None;
         for t in self.types.values() {
             let Some(unit) = unit(t) else { continue };
             for (zone, spot) in t.zones.iter().flat_map(|z| [(z, true), (z, false)]) {
@@ -264,7 +266,7 @@
     #[expect(clippy::too_many_lines, reason = "longer than the limit since before it; to be divided")]
     fn returns(&mut self, g: &Guarantees, plan: &mut Plan, now: Instant) {
         let policy = self.policy.clone();
-        let mut spare = Size::default();
+        let mut spare = Resources::default();
         for m in self.machines.values().filter(|m| m.gone.is_none() && m.deleting.is_none() && m.drain.is_none()) {
             spare.give(&m.size);
         }
@@ -272,10 +274,10 @@
         // nothing is returned that would have to be rented again at once
         let mut free = self.free_room(now);
         free.take(&self.headroom_size(g));
-        let bare = |size: &Size| Size { memory: 0.0, ..*size };
+        let bare = |size: &Resources| Resources { memory: 0.0, ..*size };
         let silences: Vec<Duration> = self.machines.values().map(|m| self.silence(m, now)).collect();
         let up = |m: &&Machine| {
-            m.gone.is_none() && (m.heard.is_some() || m.stage == Some(Stage::Running) || !m.tasks.is_empty())
+            m.gone.is_none() && (m.heard.is_some() || m.stage == Some(MachineState::Running) || !m.tasks.is_empty())
         };
         // many of a zone, or of all, at once: that is the network, and they may
         // well be working
@@ -318,13 +320,13 @@
             let reason = if m.deleting.is_some() {
                 // a deletion may be carried out at any time now
                 Some("is being returned")
-            } else if m.stage == Some(Stage::Failed) {
+            } else if m.stage == Some(MachineState::Failed) {
                 Some("has failed")
             } else if m.notice.is_some_and(|t| t <= now) && silence > policy.fresh / 2 {
                 Some("was taken back")
             } else if unlisted && silence > policy.missed {
                 Some("is silent and not listed")
-            } else if m.heard.is_none() && m.stage != Some(Stage::Running) && m.tasks.is_empty() {
+            } else if m.heard.is_none() && m.stage != Some(MachineState::Running) && m.tasks.is_empty() {
                 (now.duration_since(m.rented) > boot_limit && silence > policy.fresh).then_some("does not come up")
             } else if silence > policy.silent && !everywhere && !cut.contains(&m.zone) {
                 Some("is silent")
@@ -425,7 +427,7 @@
         if down + used > most.max(used) || !self.room_without(g, from, now) {
             return;
         }
-        let mut others: Vec<(&Machine, Size)> = self
+        let mut others: Vec<(&Machine, Resources)> = self
             .machines
             .values()
             .filter(|m| m.name != from.name && m.zone == from.zone && m.usable(now, &p))
@@ -434,7 +436,7 @@
             .collect();
         for t in from.tasks.values() {
             let size = t.spec.size();
-            let fits = |o: &&mut (&Machine, Size)| {
+            let fits = |o: &&mut (&Machine, Resources)| {
                 o.1.holds(&size) && o.0.has_image(&t.spec.image) && t.spec.allows(&o.0.kind, &o.0.zone, o.0.spot)
             };
             let Some(o) = others.iter_mut().find(fits) else { return };
@@ -451,8 +453,8 @@
     /// others: for guarantees, and for what is likely to come of classes that
     /// should start sooner than a machine boots.
     fn room_without(&self, g: &Guarantees, m: &Machine, now: Instant) -> bool {
-        let bare = |size: &Size| Size { memory: 0.0, ..*size };
-        let (mut spare, mut free) = (Size::default(), self.free_room(now));
+        let bare = |size: &Resources| Resources { memory: 0.0, ..*size };
+        let (mut spare, mut free) = (Resources::default(), self.free_room(now));
         for m in self.machines.values().filter(|m| m.gone.is_none() && m.deleting.is_none() && m.drain.is_none()) {
             spare.give(&m.size);
         }
@@ -479,7 +481,7 @@
         // may lack from the records, which count until they are answered
         let Some(_) = self.fleet.listed else { return };
         plan.rent.extend(self.fleet.open.iter().cloned());
-        let mut coming: Vec<(Pool, Size)> = self
+        let mut coming: Vec<(Pool, Resources)> = self
             .machines
             .values()
             .filter(|m| m.gone.is_none() && m.heard.is_none() && m.deleting.is_none() && m.tasks.is_empty())
@@ -592,7 +594,7 @@
                 self.fleet.next_charter += 1;
                 let charter = format!("c-{}-{}", self.term, self.fleet.next_charter).into();
                 let (kind, zone) = (kind.clone(), zone.clone());
-                let r = Rental { charter, kind, zone, spot, count: count.min(MOST_RENTED) };
+                let r = Rental { request_id: charter, kind, zone, spot, count: count.min(MOST_RENTED) };
                 count -= r.count;
                 left -= 1;
                 self.fleet.open.push(r.clone());
@@ -606,12 +608,12 @@
     fn headroom(
         &self,
         g: &Guarantees,
-        coming: &mut Vec<(Pool, Size)>,
+        coming: &mut Vec<(Pool, Resources)>,
         new: &mut BTreeMap<Pool, u32>,
         per_zone: &mut HashMap<Name, usize>,
         now: Instant,
     ) {
-        let Size { cpus, gpus, .. } = self.headroom_size(g);
+        let Resources { cpus, gpus, .. } = self.headroom_size(g);
         let mut free = self.free_room(now);
         for (_, size) in coming.iter() {
             free.give(size);
--- a/packages/core/src/key.rs
+++ b/packages/core/src/key.rs
@@ -31,6 +31,6 @@
 /// A job's end, guarded on there being none: whoever comes first, it stays.
 pub fn end(txn: &mut Txn, id: &str, outcome: JobOutcome) {
     let path = format!("{OUTCOME}{id}");
-    txn.guard(path.clone(), 0);
+    txn.require(path.clone(), 0);
     txn.writes.push(Write::set(path, &OutcomeRecord { outcome }));
 }
--- a/packages/core/src/ledger.rs
+++ b/packages/core/src/ledger.rs
@@ -18,7 +18,7 @@
 use crate::dependency::Edges;
 use crate::key;
 use crate::model::*;
-use coralnotch_wire::state::{read_value, Item};
+use coralnotch_wire::state::{read_value, KeyValue};
 
 /// An unfinished job.
 #[derive(Debug, Clone, PartialEq)]
@@ -224,7 +224,7 @@
 #[derive(Debug)]
 struct Listing {
     under: &'static str,
-    rows: VecDeque<Item>,
+    rows: VecDeque<KeyValue>,
     since: String,
     over: bool,
 }
@@ -239,7 +239,7 @@
     }
 
     fn front(&self) -> Option<&str> {
-        self.rows.front().and_then(|i| i.path.strip_prefix(self.under))
+        self.rows.front().and_then(|i| i.key.strip_prefix(self.under))
     }
 }
 
@@ -283,10 +283,10 @@
     }
 
     /// A page that was needed.
-    pub fn page(&mut self, under: &str, rows: Vec<Item>, truncated: bool) {
+    pub fn page(&mut self, under: &str, rows: Vec<KeyValue>, truncated: bool) {
         let l = if under == key::JOB { &mut self.jobs } else { &mut self.outcomes };
         match rows.last() {
-            Some(last) => l.since.clone_from(&last.path),
+            Some(last) => l.since.clone_from(&last.key),
             None => l.over = true,
         }
         l.over |= !truncated;
@@ -294,7 +294,7 @@
     }
 
     /// The next record with its end, as far as the pages at hand tell.
-    fn next(&mut self) -> Option<(Item, Option<Item>)> {
+    fn next(&mut self) -> Option<(KeyValue, Option<KeyValue>)> {
         loop {
             let id = self.jobs.front()?;
             let Some(end) = self.outcomes.front() else {
@@ -317,10 +317,10 @@
     /// jobs that are new as unfinished, and with those that ended unseen.
     pub fn enter(&mut self, ledger: &mut Ledger, mut news: impl FnMut(News)) {
         while let Some((job, end)) = self.next() {
-            let id = job.path.strip_prefix(key::JOB).unwrap_or_default();
+            let id = job.key.strip_prefix(key::JOB).unwrap_or_default();
             let outcome = match &end {
                 None => None,
-                Some(e) => match read_value::<OutcomeRecord>(&e.path, e.data.clone()).map(|r| r.outcome) {
+                Some(e) => match read_value::<OutcomeRecord>(&e.key, e.value.clone()).map(|r| r.outcome) {
                     // an end that cannot be read is an end all the same: not
                     // taking the job for unfinished is right, whatever it was
                     None => continue,
@@ -332,18 +332,18 @@
                     if ledger.ends(id, f) {
                         news(News::Ended(id.into(), f));
                     } else if self.wanted.contains(id) && ledger.outcome(id).is_none() {
-                        let stamp = job.stamp;
-                        if let Some(spec) = read_value::<JobSpec>(&job.path, job.data) {
+                        let stamp = job.revision;
+                        if let Some(spec) = read_value::<JobSpec>(&job.key, job.value) {
                             ledger.remember(Ended { spec: Arc::new(spec), stamp, outcome: f });
                         }
                     }
                 }
                 None if ledger.open.contains_key(id) || self.ended.contains(id) => {}
                 None => {
-                    if let Some(spec) = read_value::<JobSpec>(&job.path, job.data) {
+                    if let Some(spec) = read_value::<JobSpec>(&job.key, job.value) {
                         let spec = Arc::new(spec);
-                        if ledger.seen(spec.clone(), job.stamp) {
-                            news(News::Open(Open { spec, stamp: job.stamp }));
+                        if ledger.seen(spec.clone(), job.revision) {
+                            news(News::Open(Open { spec, stamp: job.revision }));
                         }
                     }
                 }
--- a/packages/core/src/lookup.rs
+++ b/packages/core/src/lookup.rs
@@ -47,11 +47,11 @@
         let mut txn = Txn::default();
         for (id, exists, _) in self.ids.iter().filter(|i| !i.2) {
             if !exists {
-                txn.guard(format!("{}{id}", key::JOB), 0);
+                txn.require(format!("{}{id}", key::JOB), 0);
             }
-            txn.guard(format!("{}{id}", key::OUTCOME), 0);
+            txn.require(format!("{}{id}", key::OUTCOME), 0);
         }
-        (!self.settled && !txn.guards.is_empty()).then_some(txn)
+        (!self.settled && !txn.preconditions.is_empty()).then_some(txn)
     }
 
     /// The last transaction went through.
--- a/packages/core/src/placement/mod.rs
+++ b/packages/core/src/placement/mod.rs
@@ -150,7 +150,7 @@
         }
         let mut open: Vec<&mut Job> = self.jobs.values_mut().filter(|j| j.outcome.is_none()).collect();
         open.sort_by(|a, b| (a.stamp, &a.spec.id).cmp(&(b.stamp, &b.spec.id)));
-        let mut used: Table<Size> = Table::default();
+        let mut used: NameMap<Resources> = NameMap::default();
         for j in open {
             let limit = self.teams.get(&j.spec.team).copied().unwrap_or_default();
             let team = used.entry(j.spec.team.clone()).or_default();
@@ -208,7 +208,7 @@
         ask: &Ask<'a>,
         entry: Entry<'a>,
         pass: &mut Pass<'a>,
-        later: impl Fn() -> Vec<(Size, usize)>,
+        later: impl Fn() -> Vec<(Resources, usize)>,
         out: &mut Decisions,
     ) -> Option<(u32, Vec<u32>)> {
         let job = ask.job;
@@ -252,7 +252,7 @@
         &self,
         ask: &Ask<'a>,
         pass: &mut Pass<'a>,
-        later: impl Fn() -> Vec<(Size, usize)>,
+        later: impl Fn() -> Vec<(Resources, usize)>,
         out: &mut Decisions,
     ) -> Option<(u32, Vec<u32>)> {
         let (job, spec) = (ask.job, &ask.job.spec);
@@ -406,8 +406,8 @@
 
 /// Sizes of the next tasks behind the head as runs of equal ones, for the dry
 /// run: a hundred thousand tasks are one run.
-fn lookahead(queue: &[Entry], most: usize) -> Vec<(Size, usize)> {
-    let mut runs: Vec<(Size, usize)> = Vec::new();
+fn lookahead(queue: &[Entry], most: usize) -> Vec<(Resources, usize)> {
+    let mut runs: Vec<(Resources, usize)> = Vec::new();
     let mut left = most;
     for (i, e) in queue.iter().enumerate() {
         let j = e.job;
@@ -424,14 +424,14 @@
 }
 
 /// Whether this much lies within a guarantee; none is given where both are 0.
-fn within(guarantee: &Size, used: &Size) -> bool {
+fn within(guarantee: &Resources, used: &Resources) -> bool {
     let ok = |g: f64, u: f64| g <= 0.0 || u <= g + 1e-6;
     (guarantee.cpus > 0.0 || guarantee.gpus > 0.0) && ok(guarantee.cpus, used.cpus) && ok(guarantee.gpus, used.gpus)
 }
 
 /// Whether a task of `of` has to give way to `to`: to a higher rank, or, where
 /// it is work beyond its team's guarantee, to another team within its own.
-fn gives_way(to: &Job, of: &Job, teams: &HashMap<Name, TeamLimit>, used: &Table<Size>) -> bool {
+fn gives_way(to: &Job, of: &Job, teams: &HashMap<Name, TeamLimit>, used: &NameMap<Resources>) -> bool {
     if of.turn() <= to.turn() {
         return false;
     }
--- a/packages/core/src/placement/pass.rs
+++ b/packages/core/src/placement/pass.rs
@@ -18,19 +18,19 @@
     /// Its zone, as an index.
     pub zone: usize,
     /// Free now, less what is held for blocked heads.
-    free: Size,
+    free: Resources,
     /// Free once the stops under way are through, less what is held.
-    soon: Size,
+    soon: Resources,
     /// Stops are under way: `soon` is more than `free`.
     stopping: bool,
     /// Free once all but services have gone: services are packed by it, or
     /// each would sit where some short task just ended, and keep a machine of
     /// its own when those are through.
-    lasting: Size,
+    lasting: Resources,
     /// Tasks that may yet be added.
     room: usize,
     /// The latest turn that work here can have; none without work.
-    latest: Option<(bool, Rank)>,
+    latest: Option<(bool, Priority)>,
     /// Images that starts of this pass will fetch.
     fetches: Vec<(&'a Name, f64)>,
     /// Its tier has changed for the job that asks now: `moved` has it.
@@ -45,7 +45,7 @@
 /// A job that asks for room.
 pub(super) struct Ask<'a> {
     pub job: &'a Job,
-    pub size: Size,
+    pub size: Resources,
     /// Which pools it may use.
     allowed: Vec<bool>,
     /// Its image, as an index.
@@ -63,11 +63,11 @@
     /// The same by what is free on them, once a dry run has asked for it.
     classes: Option<Classes>,
     /// The smallest queued task in each respect.
-    least: Size,
+    least: Resources,
     /// Looks when `open` was last gone through.
     pruned: usize,
     /// What teams use; left empty where no team has a limit or a guarantee.
-    used: Table<Size>,
+    used: NameMap<Resources>,
     variance: f64,
     free_cpus: f64,
     waiting: f64,
@@ -93,7 +93,7 @@
 /// A job that found no machine where anything could give way to it.
 struct Hopeless<'a> {
     job: &'a Job,
-    size: Size,
+    size: Resources,
     allowed: Vec<bool>,
 }
 
@@ -137,8 +137,8 @@
                 moved: false,
             });
         }
-        let inf = Size { cpus: f64::INFINITY, gpus: f64::INFINITY, memory: f64::INFINITY };
-        let least = queue.iter().map(|e| e.job.spec.size()).fold(inf, |a, b| Size {
+        let inf = Resources { cpus: f64::INFINITY, gpus: f64::INFINITY, memory: f64::INFINITY };
+        let least = queue.iter().map(|e| e.job.spec.size()).fold(inf, |a, b| Resources {
             cpus: a.cpus.min(b.cpus),
             gpus: a.gpus.min(b.gpus),
             memory: a.memory.min(b.memory),
@@ -153,7 +153,7 @@
             classes: None,
             least,
             pruned: 0,
-            used: if c.has_limits() { c.usage() } else { Table::default() },
+            used: if c.has_limits() { c.usage() } else { NameMap::default() },
             variance: variance(slots.iter().map(|s| s.m.speed)),
             free_cpus: slots.iter().map(|s| s.free.cpus.max(0.0)).sum(),
             waiting: queue.iter().map(|e| e.job.spec.cpus * f64::from(e.count)).sum(),
@@ -239,7 +239,7 @@
         let Some(limit) = self.c.teams.get(team) else { return most };
         let used = self.used.get(team).copied().unwrap_or_default();
         let part = |most: f64, used: f64| if most > 0.0 { most - used } else { f64::INFINITY };
-        let left = Size {
+        let left = Resources {
             cpus: part(limit.most.cpus, used.cpus),
             gpus: part(limit.most.gpus, used.gpus),
             memory: f64::INFINITY,
@@ -328,7 +328,7 @@
         ask: &Ask<'a>,
         zones: &[u32],
         only: Option<usize>,
-        later: &impl Fn() -> Vec<(Size, usize)>,
+        later: &impl Fn() -> Vec<(Resources, usize)>,
     ) -> Option<(usize, How)> {
         let fits = match self.fits.take() {
             Some(f) => f,
@@ -382,7 +382,7 @@
     }
 
     /// Changes the free room of a slot, and the sum over all with it.
-    fn free_changes(&mut self, slot: usize, change: impl FnOnce(&mut Size)) {
+    fn free_changes(&mut self, slot: usize, change: impl FnOnce(&mut Resources)) {
         let before = self.candidate(slot);
         let free = &mut self.slots[slot].free;
         self.free_cpus -= free.cpus.max(0.0);
@@ -396,7 +396,7 @@
     }
 
     /// Takes room away.
-    pub fn take(&mut self, slot: usize, size: &Size) {
+    pub fn take(&mut self, slot: usize, size: &Resources) {
         self.free_changes(slot, |free| free.take(size));
         let s = &mut self.slots[slot];
         s.soon.take(size);
@@ -404,7 +404,7 @@
     }
 
     /// Undoes [`Pass::take`].
-    pub fn give_back(&mut self, slot: usize, size: &Size) {
+    pub fn give_back(&mut self, slot: usize, size: &Resources) {
         self.free_changes(slot, |free| free.give(size));
         let s = &mut self.slots[slot];
         s.soon.give(size);
@@ -471,7 +471,7 @@
         // an image to fetch delays the start: prefer where it is
         let image = self.image_wait(ask, slot).0;
         let s = &self.slots[slot];
-        let mut victims: Vec<(f64, &'a Task, &'a Place, Rank)> = Vec::new();
+        let mut victims: Vec<(f64, &'a Task, &'a Place, Priority)> = Vec::new();
         for (t, p) in &s.m.tasks {
             let stays = !p.present()
                 || p.halt.is_some()
@@ -482,7 +482,7 @@
             if of.is_some_and(|of| gives_way(ask.job, of, &self.c.teams, &self.used)) {
                 // a gang goes as a whole
                 let mates = of.map_or(1, |of| if of.spec.shape == Shape::Gang { of.places.len() } else { 1 });
-                let rank = of.map_or(p.spec.rank, |of| of.urgency.rank);
+                let rank = of.map_or(p.spec.priority, |of| of.urgency.rank);
                 victims.push((loss(p, self.now) * mates.max(1) as f64, t, p, rank));
             }
         }
--- a/packages/core/src/placement/tai2.rs
+++ b/packages/core/src/placement/tai2.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::model::Size;
+use crate::model::Resources;
 
 /// A machine as the switch sees it.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -15,9 +15,9 @@
     /// Which machine.
     pub at: usize,
     /// Room left before the task.
-    pub free: Size,
+    pub free: Resources,
     /// What it offers when empty.
-    pub whole: Size,
+    pub whole: Resources,
     /// Its speed.
     pub speed: f64,
 }
@@ -34,7 +34,7 @@
 }
 
 /// Room left after the task, as the sum of free fractions.
-pub fn leftover(free: &Size, whole: &Size, task: &Size) -> f64 {
+pub fn leftover(free: &Resources, whole: &Resources, task: &Resources) -> f64 {
     let part = |f: f64, t: f64, w: f64| if w > 0.0 { (f - t) / w } else { 0.0 };
     part(free.cpus, task.cpus, whole.cpus)
         + part(free.gpus, task.gpus, whole.gpus)
@@ -50,7 +50,7 @@
 
 impl Picks {
     /// One more machine.
-    pub fn show(&mut self, c: Candidate, task: &Size) {
+    pub fn show(&mut self, c: Candidate, task: &Resources) {
         let left = leftover(&c.free, &c.whole, task);
         if self.best.is_none_or(|b| left < b.0) {
             self.best = Some((left, c));
@@ -69,7 +69,13 @@
     /// The paper's decision.  `all` are the machines of the dry run and
     /// `later` the queue behind the head as runs of equal tasks; both may be
     /// empty where no dry run is needed.
-    pub fn decide(&self, head: &Size, w: &Weather, all: &Classes, later: &[(Size, usize)]) -> Option<(usize, How)> {
+    pub fn decide(
+        &self,
+        head: &Resources,
+        w: &Weather,
+        all: &Classes,
+        later: &[(Resources, usize)],
+    ) -> Option<(usize, How)> {
         let (bf, ff) = (self.best?.1, self.fastest?.1);
         let mixed = w.variance >= w.variance_threshold;
         let loaded = w.load >= w.load_threshold;
@@ -108,8 +114,8 @@
 
 #[derive(Debug)]
 struct Class {
-    free: Size,
-    whole: Size,
+    free: Resources,
+    whole: Resources,
     /// Speeds, by the machines' places in the picture.
     members: BTreeMap<usize, f64>,
 }
@@ -148,7 +154,7 @@
 ///
 /// A machine that is the best fit for a task stays so for equal ones, as what
 /// is left of it only shrinks: one scan serves for as many as it holds.
-pub fn dry_run(all: &Classes, head: &Size, at: usize, later: &[(Size, usize)]) -> f64 {
+pub fn dry_run(all: &Classes, head: &Resources, at: usize, later: &[(Resources, usize)]) -> f64 {
     // machines that the run has changed, and the others in their classes
     let mut changed: Vec<Candidate> = Vec::new();
     let mut rest: Vec<_> = Vec::with_capacity(all.len());
--- a/packages/core/src/placement/tai2/tests.rs
+++ b/packages/core/src/placement/tai2/tests.rs
@@ -2,8 +2,14 @@
 use proptest::prelude::*;
 
 /// The paper read plainly, for comparison.
-fn plain(fitting: &[Candidate], all: &[Candidate], head: &Size, later: &[Size], w: &Weather) -> Option<(usize, How)> {
-    fn best_fit(options: &[Candidate], task: &Size) -> Option<Candidate> {
+fn plain(
+    fitting: &[Candidate],
+    all: &[Candidate],
+    head: &Resources,
+    later: &[Resources],
+    w: &Weather,
+) -> Option<(usize, How)> {
+    fn best_fit(options: &[Candidate], task: &Resources) -> Option<Candidate> {
         let fits = options.iter().filter(|o| o.free.holds(task));
         let room = |o: &Candidate| leftover(&o.free, &o.whole, task);
         fits.min_by(|a, b| room(a).total_cmp(&room(b))).copied()
@@ -40,12 +46,18 @@
     Some((if score > 1.0 { ff.at } else { bf.at }, How::Ai2(score)))
 }
 
-fn pick(fitting: &[Candidate], all: &[Candidate], head: &Size, later: &[Size], w: &Weather) -> Option<(usize, How)> {
+fn pick(
+    fitting: &[Candidate],
+    all: &[Candidate],
+    head: &Resources,
+    later: &[Resources],
+    w: &Weather,
+) -> Option<(usize, How)> {
     let mut picks = Picks::default();
     for c in fitting.iter().filter(|c| c.free.holds(head)) {
         picks.show(*c, head);
     }
-    let runs: Vec<(Size, usize)> = later.chunk_by(|a, b| a == b).map(|c| (c[0], c.len())).collect();
+    let runs: Vec<(Resources, usize)> = later.chunk_by(|a, b| a == b).map(|c| (c[0], c.len())).collect();
     let mut classes = Classes::default();
     all.iter().for_each(|c| classes.add(c));
     // what comes and goes leaves no trace
@@ -55,8 +67,8 @@
     picks.decide(head, w, &classes, &runs)
 }
 
-fn size(cpus: f64) -> Size {
-    Size { cpus, gpus: 0.0, memory: 0.0 }
+fn size(cpus: f64) -> Resources {
+    Resources { cpus, gpus: 0.0, memory: 0.0 }
 }
 fn machine(at: usize, free: f64, speed: f64) -> Candidate {
     Candidate { at, free: size(free), whole: size(8.0), speed }
@@ -75,7 +87,7 @@
         variance in prop::sample::select(vec![0.0, 0.06]),
         load in prop::sample::select(vec![0.5, 2.0]),
     ) {
-        let sized = |c: u32, g: u32| Size { cpus: f64::from(c), gpus: f64::from(g), memory: f64::from(c) };
+        let sized = |c: u32, g: u32| Resources { cpus: f64::from(c), gpus: f64::from(g), memory: f64::from(c) };
         let all: Vec<Candidate> = machines
             .iter()
             .enumerate()
@@ -87,7 +99,7 @@
             })
             .collect();
         let fitting: Vec<Candidate> = all.iter().filter(|c| machines[c.at].3).copied().collect();
-        let later: Vec<Size> =
+        let later: Vec<Resources> =
             later.iter().flat_map(|(c, g, n)| std::iter::repeat_n(sized(*c, *g), *n)).collect();
         let (head, w) = (sized(head.0, head.1), weather(variance, load));
         let (quick, plain) = (pick(&fitting, &all, &head, &later, &w), plain(&fitting, &all, &head, &later, &w));
@@ -106,7 +118,7 @@
 fn the_switch_goes_by_variance_and_load() {
     let m = [machine(0, 2.0, 1.0), machine(1, 8.0, 1.5)];
     let head = size(2.0);
-    let at = |v, l, later: &[Size]| pick(&m, &m, &head, later, &weather(v, l));
+    let at = |v, l, later: &[Resources]| pick(&m, &m, &head, later, &weather(v, l));
     assert_eq!(at(0.0, 2.0, &[]), Some((0, How::BestFit)));
     assert_eq!(at(0.05, 0.99, &[]), Some((1, How::FastestFirst)));
     // empty queue: the fastest only if it is faster
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
-use crate::cluster::{Machine, Stage};
+use crate::cluster::{Machine, MachineState};
 use crate::sim::{cluster, report, spec};
 use std::sync::Arc;
 use std::time::Duration;
 
 fn up(c: &mut Cluster, name: &str, now: Instant) {
     let mut m = Machine::new(name.into(), "t".into(), "z0".into(), true, now);
-    (m.session, m.heard, m.stage, m.size) = (1, Some(now), Some(Stage::Running), c.types["t"].size());
+    (m.session, m.heard, m.stage, m.size) = (1, Some(now), Some(MachineState::Running), c.types["t"].size());
     c.machines.insert(name.into(), m);
 }
 
@@ -39,7 +39,7 @@
     assert_eq!(c.jobs["j-000002"].places.len(), 0);
     // what of the first has never run waits behind the second
     c.vacate_all(&"i-1".into(), now);
-    c.machines.get_mut("i-1").expect("it is there").size = Size { cpus: 18.0, gpus: 0.0, memory: 64.0 };
+    c.machines.get_mut("i-1").expect("it is there").size = Resources { cpus: 18.0, gpus: 0.0, memory: 64.0 };
     c.place(now);
     assert_eq!((c.jobs["j-000001"].places.len(), c.jobs["j-000002"].places.len()), (40, 10));
 }
@@ -53,13 +53,13 @@
     up(&mut c, "i-0", now);
     up(&mut c, "i-1", now);
     c.machines.get_mut("i-1").expect("it is there").spot = false;
-    let low = |id: &str| JobSpec { rank: Rank::Low, ..(*spec(id, 1)).clone() };
+    let low = |id: &str| JobSpec { priority: Priority::Low, ..(*spec(id, 1)).clone() };
     c.add_job(Arc::new(low("j-1")), 1, None, now);
     c.add_job(Arc::new(low("j-2")), 2, None, now);
     c.add_job(Arc::new(low("j-4")), 4, None, now);
-    let last = JobSpec { needs: vec!["j-2".into()], rank: Rank::High, deadline_s: Some(60.0), ..low("j-3") };
+    let last = JobSpec { needs: vec!["j-2".into()], priority: Priority::High, deadline_s: Some(60.0), ..low("j-3") };
     c.add_job(Arc::new(last), 3, None, now);
-    assert_eq!(c.jobs["j-2"].turn(), (true, Rank::High));
+    assert_eq!(c.jobs["j-2"].turn(), (true, Priority::High));
     c.place(now);
     let at = |c: &Cluster, id: &str| c.jobs.get(id).and_then(|j| Some(j.places.get(&0)?[0].clone()));
     assert_eq!(at(&c, "j-2").as_deref(), Some("i-1"), "under the deadline of the last");
@@ -67,7 +67,7 @@
     assert_eq!(at(&c, "j-3"), None);
     // the last is cancelled: what it needs is as urgent as it was by itself
     c.set_outcome("j-3", JobOutcome::Cancelled, now);
-    assert_eq!(c.jobs["j-2"].turn(), (true, Rank::Low));
+    assert_eq!(c.jobs["j-2"].turn(), (true, Priority::Low));
     c.set_outcome("j-2", JobOutcome::Done, now);
     assert!(c.dependency.is_empty());
 }
@@ -110,11 +110,11 @@
 fn places_of_a_cancelled_job_count_until_there_is_a_proof() {
     use crate::cluster::{Page, Start, TeamLimit};
     let now = Instant::now();
-    let most = Size { cpus: 4.0, gpus: 0.0, memory: 0.0 };
+    let most = Resources { cpus: 4.0, gpus: 0.0, memory: 0.0 };
     let old: Name = "i-9".into();
     let leader = || {
         let mut c = cluster(5, now);
-        c.teams = std::collections::HashMap::from([("x".into(), TeamLimit { guarantee: Size::default(), most })]);
+        c.teams = std::collections::HashMap::from([("x".into(), TeamLimit { guarantee: Resources::default(), most })]);
         c.add_job(spec("j-1", 4), 1, Some(JobOutcome::Cancelled), now);
         let start =
             |index| Start { machine: old.clone(), task: Task { job: "j-1".into(), index }, attempt: 7, session: 1 };
@@ -162,7 +162,7 @@
 fn a_start_on_a_machine_that_no_list_has_counts_for_the_next_leader() {
     use crate::commit::{read_page, TxnLimits};
     use crate::workers::Heartbeat;
-    use coralnotch_wire::state::{Item, Write};
+    use coralnotch_wire::state::{KeyValue, Write};
     let now = Instant::now();
     let mut c = cluster(4, now);
     let first = Heartbeat { spot: true, ..report("i-7", "z2", 1, 1, 0) };
@@ -174,7 +174,8 @@
     let limits = TxnLimits { writes: 8, guards: 32, page_bytes: 4096, value_bytes: 4096 };
     let batch = c.next_batch(9, &limits).expect("a start is to be stored");
     let Some(Write::Set { set, data, .. }) = batch.txn.writes.first().cloned() else { panic!("a page") };
-    let (id, page, at) = read_page(&set, &Item { path: set.clone(), data, stamp: 11 }).expect("our own page");
+    let (id, page, at) =
+        read_page(&set, &KeyValue { key: set.clone(), value: data, revision: 11 }).expect("our own page");
     // the next leader: no list has the machine, and it was never heard
     let mut next = cluster(5, now);
     next.add_job(spec("j-1", 1), 1, None, now);
--- a/packages/core/src/sim/controllers.rs
+++ b/packages/core/src/sim/controllers.rs
@@ -59,14 +59,14 @@
                 continue;
             }
             let mut txn = Txn::default();
-            txn.guard(key::LEADER, self.store.stamp(key::LEADER));
-            txn.guard(key::TERM, self.store.stamp(key::TERM));
+            txn.require(key::LEADER, self.store.stamp(key::LEADER));
+            txn.require(key::TERM, self.store.stamp(key::TERM));
             let last = self.store.kv.get(key::TERM).and_then(|(d, _)| read_value::<u64>(key::TERM, d.clone()));
             let term = last.unwrap_or(0) + 1;
             txn.writes.push(Write::set(key::LEADER, &term));
             txn.writes.push(Write::set(key::TERM, &term));
             if self.sabotage == Sabotage::UnguardedElection {
-                txn.guards.clear();
+                txn.preconditions.clear();
             }
             self.lives += 1;
             self.serial += 1;
@@ -115,7 +115,7 @@
             .iter()
             .filter(|(p, _)| p.starts_with(key::PAGE))
             .map(|(path, (data, stamp))| {
-                let item = Item { path: path.clone(), data: data.clone(), stamp: *stamp };
+                let item = KeyValue { key: path.clone(), value: data.clone(), revision: *stamp };
                 read_page(path, &item).expect("own page")
             })
             .collect();
@@ -155,8 +155,8 @@
     }
 
     /// A list of the cloud's, of now or of some seconds ago.
-    pub(super) fn some_list(&mut self) -> Vec<Listed> {
-        let now: Vec<Listed> = self.workers.iter().filter(|w| w.alive).map(listed).collect();
+    pub(super) fn some_list(&mut self) -> Vec<ListedMachine> {
+        let now: Vec<ListedMachine> = self.workers.iter().filter(|w| w.alive).map(listed).collect();
         match self.lists.len() {
             0 => now,
             n => self.lists[self.rng.usize(0..n)].clone(),
@@ -273,7 +273,7 @@
             if c.flying.is_none() {
                 if let Some(mut batch) = c.cluster.next_batch(c.stamp, &self.limits) {
                     if believes {
-                        batch.txn.guards.retain(|g| g.path != key::LEADER && !g.path.starts_with(key::PAGE));
+                        batch.txn.preconditions.retain(|g| g.key != key::LEADER && !g.key.starts_with(key::PAGE));
                     }
                     let (number, at) = (self.serial, self.now);
                     self.send(Message::Txn { from: i, life: c.life, number, txn: batch.txn.clone(), at });
@@ -446,7 +446,7 @@
             }
             Message::TxnAnswer { to, life, number, outcome } => {
                 let items = |s: &Store, k: &str| {
-                    s.kv.get(k).map(|(data, stamp)| Item { path: k.into(), data: data.clone(), stamp: *stamp })
+                    s.kv.get(k).map(|(data, stamp)| KeyValue { key: k.into(), value: data.clone(), revision: *stamp })
                 };
                 let mut found = Vec::new();
                 if let Some(Err(keys)) = &outcome {
--- a/packages/core/src/sim/history.rs
+++ b/packages/core/src/sim/history.rs
@@ -12,7 +12,7 @@
 use crate::ledger::{Ended, Ledger, Standing, Sweep};
 use crate::lookup::{Found, Lookup};
 use coralnotch_wire::history::{older, Answer, Said};
-use coralnotch_wire::state::Event;
+use coralnotch_wire::state::WatchEvent;
 
 /// What is left out on purpose, to see that it is noticed.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -49,7 +49,7 @@
 #[derive(Default)]
 struct Service {
     store: Store,
-    changes: VecDeque<(u64, Event)>,
+    changes: VecDeque<(u64, WatchEvent)>,
     forgotten: u64,
 }
 
@@ -58,7 +58,7 @@
         let stamp = self.store.apply(txn)?;
         for w in &txn.writes {
             if let Write::Set { set, data, .. } = w {
-                let e = Event { set: Some(set.clone()), delete: None, data: Some(data.clone()), stamp };
+                let e = WatchEvent { set: Some(set.clone()), delete: None, value: Some(data.clone()), revision: stamp };
                 self.changes.push_back((stamp, e));
             }
         }
@@ -68,19 +68,19 @@
         Ok(stamp)
     }
 
-    fn page(&self, under: &str, since: &str, most: usize) -> (Vec<Item>, bool) {
+    fn page(&self, under: &str, since: &str, most: usize) -> (Vec<KeyValue>, bool) {
         let after = |k: &&String| k.starts_with(under) && k.as_str() > since;
         let rows = self.store.kv.iter().filter(|(k, _)| after(k)).take(most + 1);
-        let mut rows: Vec<Item> =
-            rows.map(|(k, (data, stamp))| Item { path: k.clone(), data: data.clone(), stamp: *stamp }).collect();
+        let mut rows: Vec<KeyValue> =
+            rows.map(|(k, (data, stamp))| KeyValue { key: k.clone(), value: data.clone(), revision: *stamp }).collect();
         let truncated = rows.len() > most;
         rows.truncate(most);
         (rows, truncated)
     }
 
-    fn job(&self, id: &str) -> Option<Item> {
+    fn job(&self, id: &str) -> Option<KeyValue> {
         let path = format!("{}{id}", key::JOB);
-        self.store.kv.get(&path).map(|(d, s)| Item { path: path.clone(), data: d.clone(), stamp: *s })
+        self.store.kv.get(&path).map(|(d, s)| KeyValue { key: path.clone(), value: d.clone(), revision: *s })
     }
 }
 
@@ -98,7 +98,7 @@
     /// Own transactions that were carried out, and whose answers are not read yet.
     unread: Vec<(Arc<JobSpec>, u64)>,
     /// A page that was read and is not taken in yet.
-    held: Option<(&'static str, Vec<Item>, bool)>,
+    held: Option<(&'static str, Vec<KeyValue>, bool)>,
     /// What it has looked up; for a fault.
     old: HashMap<Name, Found>,
 }
@@ -272,20 +272,20 @@
             (desk.sweep, desk.held, desk.synced, desk.since) = (None, None, false, None);
             return;
         }
-        let mut news: Vec<&Event> = self.service.changes.iter().filter(|c| c.0 > since).map(|c| &c.1).collect();
+        let mut news: Vec<&WatchEvent> = self.service.changes.iter().filter(|c| c.0 > since).map(|c| &c.1).collect();
         // a job and its end may be of one transaction
-        news.sort_by_key(|e| (e.stamp, e.set.as_ref().is_some_and(|p| p.starts_with(key::OUTCOME))));
+        news.sort_by_key(|e| (e.revision, e.set.as_ref().is_some_and(|p| p.starts_with(key::OUTCOME))));
         for e in news {
-            let (Some(path), Some(data)) = (e.set.as_deref(), e.data.clone()) else { continue };
+            let (Some(path), Some(data)) = (e.set.as_deref(), e.value.clone()) else { continue };
             if let Some(id) = path.strip_prefix(key::OUTCOME) {
                 if let (Some(s), true) = (desk.sweep.as_mut(), self.fault != Fault::BlindSweep) {
                     s.ended([id.into()].into_iter());
                 }
                 let f = read_value::<OutcomeRecord>(path, data).expect("our own record");
-                desk.ends(id, f.outcome, e.stamp, now);
+                desk.ends(id, f.outcome, e.revision, now);
             } else if path.starts_with(key::JOB) {
                 let spec = read_value::<JobSpec>(path, data).expect("our own record");
-                desk.ledger.seen(Arc::new(spec), e.stamp);
+                desk.ledger.seen(Arc::new(spec), e.revision);
             }
         }
         desk.since = Some(self.service.store.epoch);
@@ -446,8 +446,8 @@
                         true => {
                             let item = self.service.job(&a.id).expect("what has an end has a record");
                             let outcome = self.service.store.outcome(&a.id).expect("it has an end");
-                            let spec = Arc::new(read_value::<JobSpec>(&item.path, item.data).expect("our own record"));
-                            let (now, stamp) = (self.at(), item.stamp);
+                            let spec = Arc::new(read_value::<JobSpec>(&item.key, item.value).expect("our own record"));
+                            let (now, stamp) = (self.at(), item.revision);
                             self.desks[a.desk].ledger.remember(Ended { spec, stamp, outcome });
                             if outcome == JobOutcome::Cancelled {
                                 self.desks[a.desk].withdrawals.add(stamp, &a.id, now);
--- a/packages/core/src/sim/machines.rs
+++ b/packages/core/src/sim/machines.rs
@@ -246,13 +246,13 @@
     }
 }
 
-pub(super) fn listed(w: &Worker) -> Listed {
-    Listed {
+pub(super) fn listed(w: &Worker) -> ListedMachine {
+    ListedMachine {
         name: w.name.clone(),
         kind: "t".into(),
         zone: w.zone.clone(),
         spot: w.spot,
-        stage: Stage::Running,
-        held_s: 60.0,
+        state: MachineState::Running,
+        age_s: 60.0,
     }
 }
--- a/packages/core/src/sim/mod.rs
+++ b/packages/core/src/sim/mod.rs
@@ -15,8 +15,8 @@
 use std::time::{Duration, Instant};
 
 use crate::answers::{cancellations, submissions};
-use crate::cluster::Listed;
-use crate::cluster::{Cluster, Stage, TeamLimit};
+use crate::cluster::ListedMachine;
+use crate::cluster::{Cluster, MachineState, TeamLimit};
 use crate::commit::TxnLimits;
 use crate::commit::{begun, read_page, Batch};
 use crate::config::Config;
@@ -26,7 +26,7 @@
 use crate::reporting::{Forwarded, Forwarding};
 use crate::workers::*;
 use controllers::{Controller, Standing};
-use coralnotch_wire::state::{read_value, Item, Txn, Write};
+use coralnotch_wire::state::{read_value, KeyValue, Txn, Write};
 use machines::{listed, Work, Worker};
 use pictures::Picture;
 use service::Store;
@@ -312,7 +312,7 @@
     /// Until when each controller and the workers do not reach one another.
     deaf: [Ms; 3],
     /// Lists of the last seconds: what the cloud tells may be any of them.
-    lists: Vec<Vec<Listed>>,
+    lists: Vec<Vec<ListedMachine>>,
     /// Jobs submitted with a mistake.
     mistaken: std::collections::HashSet<Name>,
     /// Until when each zone is cut off.  A controller inside renews the
@@ -361,7 +361,8 @@
     fn of(scale: usize, seed: u64, sabotage: Sabotage) -> World {
         let config = Config::parse("sim", SETTINGS).expect("settings of the simulation");
         let quota = 20.0 * (scale as f64 / 9.0).round();
-        let limit = TeamLimit { guarantee: Size::default(), most: Size { cpus: quota, gpus: 0.0, memory: 0.0 } };
+        let limit =
+            TeamLimit { guarantee: Resources::default(), most: Resources { cpus: quota, gpus: 0.0, memory: 0.0 } };
         let mut rng = fastrand::Rng::with_seed(seed);
         let workers = (0..scale).map(|i| Worker::new(i, 0, rng.u64(0..3000))).collect();
         World {
@@ -483,7 +484,7 @@
             needs,
             team: if self.rng.bool() { "x" } else { "y" }.into(),
             shape,
-            rank: [Rank::Production, Rank::High, Rank::Normal, Rank::Low][self.rng.usize(0..4)],
+            priority: [Priority::Production, Priority::High, Priority::Normal, Priority::Low][self.rng.usize(0..4)],
             cpus: if tiny { 0.25 } else { f64::from(self.rng.u32(1..4)) },
             image: format!("img-{}", self.rng.u32(0..3)).into(),
             zone: (self.rng.u32(0..6) == 0).then(|| "z1".into()),
--- a/packages/core/src/sim/service.rs
+++ b/packages/core/src/sim/service.rs
@@ -31,7 +31,7 @@
     }
     pub(super) fn apply(&mut self, txn: &Txn) -> Result<u64, Vec<String>> {
         let bad: Vec<String> =
-            txn.guards.iter().filter(|g| self.stamp(&g.path) != g.stamp).map(|g| g.path.clone()).collect();
+            txn.preconditions.iter().filter(|g| self.stamp(&g.key) != g.revision).map(|g| g.key.clone()).collect();
         if !bad.is_empty() {
             return Err(bad);
         }
--- a/packages/emulator/src/cloud.rs
+++ b/packages/emulator/src/cloud.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use coralnotch_wire::cloud::{Listed, Rental, Stage};
+use coralnotch_wire::cloud::{ListedMachine, MachineState, Rental};
 use coralnotch_wire::http::{self, Request, Response};
 use coralnotch_wire::model::{MachineType, Name};
 use fastrand::Rng;
@@ -88,7 +88,7 @@
 }
 
 /// A picture of the list at a time.
-type Picture = (Instant, Vec<Listed>);
+type Picture = (Instant, Vec<ListedMachine>);
 
 /// The cloud.
 #[derive(Debug)]
@@ -212,21 +212,21 @@
         Some(Event::Gone(name.into()))
     }
 
-    fn picture(&self, now: Instant) -> Vec<Listed> {
-        let one = |(name, m): (&Name, &Rented)| Listed {
+    fn picture(&self, now: Instant) -> Vec<ListedMachine> {
+        let one = |(name, m): (&Name, &Rented)| ListedMachine {
             name: name.clone(),
             kind: m.kind.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
-            stage: if m.up.is_some_and(|t| t <= now) { Stage::Running } else { Stage::Booting },
-            held_s: now.saturating_duration_since(m.since).as_secs_f64(),
+            state: if m.up.is_some_and(|t| t <= now) { MachineState::Running } else { MachineState::Booting },
+            age_s: now.saturating_duration_since(m.since).as_secs_f64(),
         };
         self.machines.iter().map(one).collect()
     }
 
     fn rent(&mut self, body: &[u8], rng: &mut Rng, now: Instant) -> Response {
         let Ok(r) = http::decode::<Rental>(body) else { return Response::refuse(400, "malformed") };
-        if let Some(names) = self.charters.get(&r.charter) {
+        if let Some(names) = self.charters.get(&r.request_id) {
             return Response::new(200, &Machines { machines: names.clone(), truncated: false });
         }
         let Some(t) = self.settings.types.iter().find(|t| t.name == r.kind && t.zones.contains(&r.zone)) else {
@@ -252,7 +252,7 @@
             self.booting.push(name.clone());
             names.push(name);
         }
-        self.charters.insert(r.charter, names.clone());
+        self.charters.insert(r.request_id, names.clone());
         Response::new(200, &Machines { machines: names, truncated: false })
     }
 
@@ -265,9 +265,10 @@
         let lag = self.settings.list_lag_s * (0.5 + rng.f64()) * if rng.u8(0..8) == 0 { 1.33 } else { 1.0 };
         let of = now.checked_sub(Duration::from_secs_f64(lag));
         let Some((_, all)) = self.pictures.iter().rev().find(|p| of.is_some_and(|t| p.0 <= t)) else {
-            return Response::new(200, &Machines::<Listed> { machines: Vec::new(), truncated: false });
+            return Response::new(200, &Machines::<ListedMachine> { machines: Vec::new(), truncated: false });
         };
-        let mut machines: Vec<Listed> = all.iter().filter(|l| *l.name > *since).take(most + 1).cloned().collect();
+        let mut machines: Vec<ListedMachine> =
+            all.iter().filter(|l| *l.name > *since).take(most + 1).cloned().collect();
         let truncated = machines.len() > most;
         machines.truncate(most);
         Response::new(200, &Machines { machines, truncated })
--- a/packages/emulator/src/cloud/tests.rs
+++ b/packages/emulator/src/cloud/tests.rs
@@ -17,7 +17,7 @@
 }
 
 fn rent(c: &mut Cloud, charter: &str, now: Instant) -> (u16, Vec<Name>) {
-    let r = Rental { charter: charter.into(), kind: "small".into(), zone: "z".into(), spot: true, count: 2 };
+    let r = Rental { request_id: charter.into(), kind: "small".into(), zone: "z".into(), spot: true, count: 2 };
     let q = Request { method: "POST".into(), path: "/rentals".into(), query: String::new(), body: http::encode(&r) };
     let (a, _) = c.ask(&q, &mut Rng::with_seed(1), now);
     (a.status, http::decode::<Names>(&a.body).map(|n| n.machines).unwrap_or_default())
--- a/packages/emulator/src/scale/users.rs
+++ b/packages/emulator/src/scale/users.rs
@@ -9,7 +9,7 @@
 
 use coralnotch_wire::example;
 use coralnotch_wire::http::{self, Client};
-use coralnotch_wire::model::{JobSpec, JobState, Name, Rank, Shape};
+use coralnotch_wire::model::{JobSpec, JobState, Name, Priority, Shape};
 use fastrand::Rng;
 use hdrhistogram::Histogram;
 use smol::LocalExecutor;
@@ -249,7 +249,7 @@
         JobSpec {
             class: "serve".into(),
             shape: Shape::Service,
-            rank: Rank::High,
+            priority: Priority::High,
             spread: true,
             estimate_s: 0.0,
             ..spec
@@ -277,7 +277,7 @@
 
     fn urgent(&self) -> JobSpec {
         let spec = self.spec(URGENT_TASKS);
-        JobSpec { class: "urgent".into(), rank: Rank::Production, estimate_s: URGENT_RUN_S, ..spec }
+        JobSpec { class: "urgent".into(), priority: Priority::Production, estimate_s: URGENT_RUN_S, ..spec }
     }
 
     /// A healthy controller, at random.
--- a/packages/emulator/src/state.rs
+++ b/packages/emulator/src/state.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use coralnotch_wire::http::{self, Request, Response};
-use coralnotch_wire::state::{Guard, Write};
+use coralnotch_wire::state::{Precondition, Write};
 use rmpv::Value;
 use serde::{Deserialize, Serialize};
 
@@ -156,7 +156,7 @@
 #[derive(Deserialize)]
 struct Txn {
     #[serde(default)]
-    guards: Vec<Guard>,
+    guards: Vec<Precondition>,
     #[serde(default)]
     writes: Vec<Write>,
 }
@@ -278,7 +278,7 @@
         let mut writes = Vec::with_capacity(t.writes.len());
         for w in t.writes {
             match w {
-                Write::Set { set, data, hold } => {
+                Write::Set { set, data, lease_id: hold } => {
                     let bytes = http::encode(&data);
                     if !valid_key(&set) || counted(bytes.len()) as f64 > self.limits.value_kb * 1024.0 {
                         return Response::refuse(400, "bad key, or value too large");
@@ -297,7 +297,7 @@
         }
         let stamp = |k: &str| self.keys.get(k).map_or(0, |v| v.stamp);
         let failed: Vec<String> =
-            t.guards.iter().filter(|g| stamp(&g.path) != g.stamp).map(|g| g.path.clone()).collect();
+            t.guards.iter().filter(|g| stamp(&g.key) != g.revision).map(|g| g.key.clone()).collect();
         if !failed.is_empty() {
             return Response::new(409, &Failed { failed, epoch: self.epoch });
         }
--- a/packages/emulator/src/state/tests.rs
+++ b/packages/emulator/src/state/tests.rs
@@ -11,8 +11,8 @@
 }
 
 fn put(s: &mut State, key: &str, hold: Option<u64>, now: Instant) -> u16 {
-    let w = hold.map_or_else(|| Write::set(key, &1), |h| Write::set_on(key, &1, h));
-    ask(s, "POST", "/txn", http::encode(&state::Txn { guards: vec![], writes: vec![w] }), now).status
+    let w = hold.map_or_else(|| Write::set(key, &1), |h| Write::set_with_lease(key, &1, h));
+    ask(s, "POST", "/txn", http::encode(&state::Txn { preconditions: vec![], writes: vec![w] }), now).status
 }
 
 /// Conditions on an expired lease: the key goes, and a set on it is
@@ -56,7 +56,7 @@
     let now = Instant::now();
     let mut s = State::new(Limits { rps: 5.0, write_rps: 2.0, value_kb: 1.0, txn_ops: 2 });
     let big = Write::set("k", &"x".repeat(2000));
-    let body = http::encode(&state::Txn { guards: vec![], writes: vec![big] });
+    let body = http::encode(&state::Txn { preconditions: vec![], writes: vec![big] });
     assert_eq!(ask(&mut s, "POST", "/txn", body, now).status, 400);
     assert_eq!([put(&mut s, "a", None, now), put(&mut s, "b", None, now)], [200, 200]);
     assert_eq!(put(&mut s, "c", None, now), 429, "more writes than a second's");
--- a/packages/emulator/src/worker_pool.rs
+++ b/packages/emulator/src/worker_pool.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use coralnotch_wire::model::{JobSpec, MachineType, Name, Shape, Size, Task};
+use coralnotch_wire::model::{JobSpec, MachineType, Name, Resources, Shape, Task};
 use coralnotch_wire::workers::{
     Command, DirectCommandBody, ExitCause, Heartbeat, HeartbeatReply, TaskState, TaskStatus,
 };
@@ -334,7 +334,7 @@
         let spec = self.specs.get(&task.job).filter(|s| task.index < s.tasks).cloned();
         let Some(m) = self.machines.get_mut(name) else { return };
         m.gangs |= spec.as_ref().is_some_and(|s| s.shape == Shape::Gang);
-        let mut used = Size::default();
+        let mut used = Resources::default();
         for (t, _) in m.tasks.iter().filter(|(_, h)| !matches!(h.work, Work::Ended { .. })) {
             if let Some(s) = self.specs.get(&t.job) {
                 used.give(&s.size());
--- a/packages/wire/src/cloud.rs
+++ b/packages/wire/src/cloud.rs
@@ -7,7 +7,7 @@
 /// What the cloud's list says of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Stage {
+pub enum MachineState {
     /// Not up yet.
     Booting,
     /// Up.
@@ -20,7 +20,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Rental {
     /// Name of the request.
-    pub charter: Name,
+    #[serde(rename = "charter")]
+    pub request_id: Name,
     /// Type.
     #[serde(rename = "hull")]
     pub kind: Name,
@@ -36,7 +37,7 @@
 
 /// A machine as listed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedMachine {
     /// Name.
     #[serde(rename = "nameId")]
     pub name: Name,
@@ -50,8 +51,9 @@
     #[serde(rename = "driftwood")]
     pub spot: bool,
     /// State.
-    pub stage: Stage,
+    #[serde(rename = "stage")]
+    pub state: MachineState,
     /// Time since its rental.
     #[serde(rename = "heldS", default)]
-    pub held_s: f64,
+    pub age_s: f64,
 }
--- a/packages/wire/src/example.rs
+++ b/packages/wire/src/example.rs
@@ -11,7 +11,7 @@
         class: "c".into(),
         team: "x".into(),
         shape: Shape::Array,
-        rank: Rank::Normal,
+        priority: Priority::Normal,
         tasks,
         cpus: 1.0,
         gpus: 0.0,
--- a/packages/wire/src/model.rs
+++ b/packages/wire/src/model.rs
@@ -10,7 +10,7 @@
 
 /// Values by name, with a seeded hash that is quicker than the standard one:
 /// a pass looks up the job of every task.
-pub type Table<V> = std::collections::HashMap<Name, V, foldhash::fast::RandomState>;
+pub type NameMap<V> = std::collections::HashMap<Name, V, foldhash::fast::RandomState>;
 
 /// Where a value stands in a short list; it is added if it is not there.
 /// The place of `x` in the list, where it is put if it is not there yet.
@@ -37,7 +37,7 @@
 
 /// Priority, the most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Rank {
+pub enum Priority {
     /// Before everything.
     #[serde(rename = "production")]
     Production,
@@ -54,7 +54,7 @@
 
 /// What a task takes of a machine, or what is left of one.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Size {
+pub struct Resources {
     /// Cores.
     pub cpus: f64,
     /// Accelerators.
@@ -66,29 +66,29 @@
 /// Rounding in sums of decimal amounts must not turn a fit into a refusal.
 const SLACK: f64 = 1e-6;
 
-impl Size {
+impl Resources {
     /// Whether a task of size `s` fits into this.
-    pub fn holds(&self, s: &Size) -> bool {
+    pub fn holds(&self, s: &Resources) -> bool {
         s.cpus <= self.cpus + SLACK && s.gpus <= self.gpus + SLACK && s.memory <= self.memory + SLACK
     }
     /// Takes `s` away.
-    pub fn take(&mut self, s: &Size) {
+    pub fn take(&mut self, s: &Resources) {
         self.cpus -= s.cpus;
         self.gpus -= s.gpus;
         self.memory -= s.memory;
     }
     /// Adds `s`.
-    pub fn give(&mut self, s: &Size) {
+    pub fn give(&mut self, s: &Resources) {
         self.cpus += s.cpus;
         self.gpus += s.gpus;
         self.memory += s.memory;
     }
     /// `n` of it.
-    pub fn times(&self, n: f64) -> Size {
-        Size { cpus: self.cpus * n, gpus: self.gpus * n, memory: self.memory * n }
+    pub fn times(&self, n: f64) -> Resources {
+        Resources { cpus: self.cpus * n, gpus: self.gpus * n, memory: self.memory * n }
     }
     /// How many tasks of size `s` fit, at most `most`.
-    pub fn count(&self, s: &Size, most: usize) -> usize {
+    pub fn count(&self, s: &Resources, most: usize) -> usize {
         let part = |have: f64, need: f64| {
             if need <= 0.0 {
                 f64::INFINITY
@@ -121,7 +121,8 @@
     /// Shape.
     pub shape: Shape,
     /// Priority.
-    pub rank: Rank,
+    #[serde(rename = "rank")]
+    pub priority: Priority,
     /// Number of tasks.
     #[serde(rename = "pieces")]
     pub tasks: u32,
@@ -136,7 +137,7 @@
     /// Image.
     #[serde(rename = "bundle")]
     pub image: Name,
-    /// Size of the image.
+    /// Resources of the image.
     #[serde(rename = "sizeGb")]
     pub image_gb: f64,
     /// Allowed machine types.
@@ -187,12 +188,12 @@
 
 impl JobSpec {
     /// What one task takes.
-    pub fn size(&self) -> Size {
-        Size { cpus: self.cpus, gpus: self.gpus, memory: self.memory }
+    pub fn size(&self) -> Resources {
+        Resources { cpus: self.cpus, gpus: self.gpus, memory: self.memory }
     }
 
     /// What makes the submission malformed, if anything does.
-    pub fn fault(&self) -> Option<&'static str> {
+    pub fn validation_error(&self) -> Option<&'static str> {
         if !valid_id(&self.id) {
             return Some("nameId");
         }
@@ -310,7 +311,7 @@
 
 /// A job's state with what it has to do with other jobs, for people who ask why.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Explained {
+pub struct JobExplanation {
     /// Its state.
     #[serde(flatten)]
     pub state: JobState,
@@ -358,8 +359,8 @@
 
 impl MachineType {
     /// What an empty machine of this type offers.
-    pub fn size(&self) -> Size {
-        Size { cpus: self.cpus, gpus: self.gpus, memory: self.memory }
+    pub fn size(&self) -> Resources {
+        Resources { cpus: self.cpus, gpus: self.gpus, memory: self.memory }
     }
 }
 
--- a/packages/wire/src/state.rs
+++ b/packages/wire/src/state.rs
@@ -7,11 +7,13 @@
 
 /// A compare in a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Guard {
+pub struct Precondition {
     /// Key.
-    pub path: String,
+    #[serde(rename = "path")]
+    pub key: String,
     /// Stamp it must have, 0 for absence.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
 }
 
 /// A change in a transaction.
@@ -26,7 +28,8 @@
         data: Value,
         /// Lease it hangs on.
         #[serde(skip_serializing_if = "Option::is_none", default)]
-        hold: Option<u64>,
+        #[serde(rename = "hold")]
+        lease_id: Option<u64>,
     },
     /// Removes a key.
     Delete {
@@ -39,12 +42,12 @@
     /// A put without a lease.
     pub fn set<T: Serialize>(path: impl Into<String>, value: &T) -> Write {
         let data = rmpv::decode::read_value(&mut &http::encode(value)[..]).unwrap_or(Value::Nil);
-        Write::Set { set: path.into(), data, hold: None }
+        Write::Set { set: path.into(), data, lease_id: None }
     }
     /// A put on a lease.
-    pub fn set_on<T: Serialize>(path: impl Into<String>, value: &T, hold: u64) -> Write {
+    pub fn set_with_lease<T: Serialize>(path: impl Into<String>, value: &T, hold: u64) -> Write {
         match Write::set(path, value) {
-            Write::Set { set, data, .. } => Write::Set { set, data, hold: Some(hold) },
+            Write::Set { set, data, .. } => Write::Set { set, data, lease_id: Some(hold) },
             w => w,
         }
     }
@@ -58,7 +61,8 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Txn {
     /// Conditions.
-    pub guards: Vec<Guard>,
+    #[serde(rename = "guards")]
+    pub preconditions: Vec<Precondition>,
     /// Changes.
     #[serde(skip_serializing_if = "Vec::is_empty", default)]
     pub writes: Vec<Write>,
@@ -66,33 +70,36 @@
 
 impl Txn {
     /// Adds a condition.
-    pub fn guard(&mut self, path: impl Into<String>, stamp: u64) {
+    pub fn require(&mut self, path: impl Into<String>, stamp: u64) {
         let path = path.into();
-        if !self.guarded(&path) {
-            self.guards.push(Guard { path, stamp });
+        if !self.requires(&path) {
+            self.preconditions.push(Precondition { key: path, revision: stamp });
         }
     }
     /// Whether there is a condition on this key.
-    pub fn guarded(&self, path: &str) -> bool {
+    pub fn requires(&self, path: &str) -> bool {
         // starts come by job: mostly it is the last one
-        self.guards.iter().rev().any(|g| g.path == path)
+        self.preconditions.iter().rev().any(|g| g.key == path)
     }
 }
 
 /// A key with its value.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Item {
+pub struct KeyValue {
     /// Key.
-    pub path: String,
+    #[serde(rename = "path")]
+    pub key: String,
     /// Value.
-    pub data: Value,
+    #[serde(rename = "data")]
+    pub value: Value,
     /// Revision of its last change.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
 }
 
 /// A change seen by the watch.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Event {
+pub struct WatchEvent {
     /// Key put.
     #[serde(default)]
     pub set: Option<String>,
@@ -101,23 +108,27 @@
     pub delete: Option<String>,
     /// New value.
     #[serde(default)]
-    pub data: Option<Value>,
+    #[serde(rename = "data")]
+    pub value: Option<Value>,
     /// Revision.
     #[serde(default)]
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
 }
 
 /// A page of keys with a prefix.
 #[derive(Debug, Deserialize)]
-pub struct Page {
+pub struct KeyPage {
     /// Keys in their order.
-    pub rows: Vec<Item>,
+    #[serde(rename = "rows")]
+    pub items: Vec<KeyValue>,
     /// There are more.
     #[serde(default)]
     pub truncated: bool,
     /// Revision that the page is of.
     #[serde(default)]
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub revision: u64,
 }
 /// Decodes a stored value; a strange one is logged and passed over.
 pub fn read_value<T: serde::de::DeserializeOwned>(path: &str, data: Value) -> Option<T> {
--- a/src/client.rs
+++ b/src/client.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::http::{self, Client};
-use crate::model::{valid_id, Explained, JobState};
+use crate::model::{valid_id, JobExplanation, JobState};
 use crate::telemetry::Status;
 
 /// Why a command came to nothing.
@@ -85,7 +85,7 @@
     }
 
     /// How a job stands.
-    pub async fn show(&self, id: &str) -> Result<Explained, Error> {
+    pub async fn show(&self, id: &str) -> Result<JobExplanation, Error> {
         self.ask("GET", &format!("/v2/runs/{}?why", checked(id)?), None).await
     }
 
@@ -124,7 +124,7 @@
 }
 
 /// A job's state and what it has to do with others, in words.
-pub fn explained_text(e: &Explained) -> String {
+pub fn explained_text(e: &JobExplanation) -> String {
     let mut text = job_text(&e.state);
     if !e.waits_for.is_empty() {
         let names: Vec<&str> = e.waits_for.iter().map(|n| &**n).collect();
--- a/src/gates.rs
+++ b/src/gates.rs
@@ -81,7 +81,7 @@
                         let h = self.store.grant(self.policy.cut_keep.min(LONGEST_LEASE)).await?;
                         let member = Member { knows: known(), version: VERSION.to_owned() };
                         let path = format!("{}{}", key::MEMBER, self.config.name);
-                        let txn = Txn { guards: vec![], writes: vec![Write::set_on(path, &member, h)] };
+                        let txn = Txn { preconditions: vec![], writes: vec![Write::set_with_lease(path, &member, h)] };
                         self.store.txn(&txn).await.map(|_| h)
                     }
                 }
@@ -106,8 +106,8 @@
                     // is, only that says
                     let now = Instant::now();
                     for m in members {
-                        let name = m.path.strip_prefix(key::MEMBER).unwrap_or_default().to_owned();
-                        if let Some(r) = read_value::<Member>(&m.path, m.data) {
+                        let name = m.key.strip_prefix(key::MEMBER).unwrap_or_default().to_owned();
+                        if let Some(r) = read_value::<Member>(&m.key, m.value) {
                             self.record_found(&name, r, now);
                         }
                     }
@@ -127,9 +127,9 @@
             };
             if let Some(on) = on {
                 let gates = Gates { on, term: a.term };
-                let mut txn = Txn { guards: vec![], writes: vec![Write::set(key::GATES, &gates)] };
-                txn.guard(key::LEADER, a.stamp);
-                txn.guard(key::GATES, stamp);
+                let mut txn = Txn { preconditions: vec![], writes: vec![Write::set(key::GATES, &gates)] };
+                txn.require(key::LEADER, a.stamp);
+                txn.require(key::GATES, stamp);
                 match self.store.txn(&txn).await {
                     Ok(TxnOutcome::Done(stamp)) => self.gates_are(&gates, stamp, Instant::now()),
                     Ok(TxnOutcome::Conflict(keys)) => tracing::info!("the gate is in conflict over {keys:?}"),
--- a/src/intake.rs
+++ b/src/intake.rs
@@ -329,7 +329,7 @@
             Ok(s) => s,
             Err(e) => return Response::refuse(400, &e.to_string()),
         };
-        if let Some(why) = spec.fault() {
+        if let Some(why) = spec.validation_error() {
             return Response::refuse(400, why);
         }
         let id = spec.id.clone();
@@ -421,7 +421,7 @@
                         self.lookup_pause(1.0).await;
                         let path = format!("{}{id}", key::JOB);
                         let item = self.store.get(&path).await.ok()??;
-                        if read_value::<JobSpec>(&path, item.data)?.shape == Shape::Service {
+                        if read_value::<JobSpec>(&path, item.value)?.shape == Shape::Service {
                             return Some(Some("needs a service, which is never done"));
                         }
                     }
@@ -496,11 +496,13 @@
         // the end last: it may come in between
         let Some(item) = self.store.get(&job).await? else { return Ok(None) };
         let end = self.store.get(&end).await?;
-        let spec = read_value::<JobSpec>(&job, item.data).ok_or(Error::Unreadable)?;
-        let open = Open { spec: Arc::new(spec), stamp: item.stamp };
+        let spec = read_value::<JobSpec>(&job, item.value).ok_or(Error::Unreadable)?;
+        let open = Open { spec: Arc::new(spec), stamp: item.revision };
         let outcome = match end {
             None => None,
-            Some(e) => Some((read_value::<OutcomeRecord>(&e.path, e.data).ok_or(Error::Unreadable)?.outcome, e.stamp)),
+            Some(e) => {
+                Some((read_value::<OutcomeRecord>(&e.key, e.value).ok_or(Error::Unreadable)?.outcome, e.revision))
+            }
         };
         if let Some((outcome, at)) = outcome {
             let mut i = self.lock();
@@ -602,7 +604,7 @@
             while !batch.is_empty() {
                 let mut txn = Txn::default();
                 for (id, _) in &batch {
-                    txn.guard(format!("{}{id}", key::OUTCOME), 0);
+                    txn.require(format!("{}{id}", key::OUTCOME), 0);
                 }
                 match self.store.txn(&txn).await {
                     Ok(TxnOutcome::Done(_)) => {
@@ -635,9 +637,9 @@
 
     async fn read_outcome(&self, path: &str) -> Option<JobOutcome> {
         let item = self.store.get(path).await.ok()??;
-        let f = read_value::<OutcomeRecord>(path, item.data)?.outcome;
+        let f = read_value::<OutcomeRecord>(path, item.value)?.outcome;
         if let Some(id) = path.strip_prefix(key::OUTCOME) {
-            self.apply_stored_outcome(id, f, item.stamp, Instant::now());
+            self.apply_stored_outcome(id, f, item.revision, Instant::now());
         }
         Some(f)
     }
@@ -706,7 +708,7 @@
     }
 
     /// What a job has to do with other jobs, as far as is known here.
-    fn explained(&self, state: JobState) -> Explained {
+    fn explained(&self, state: JobState) -> JobExplanation {
         let mut i = self.lock();
         let spec = match i.ledger.standing(&state.id) {
             Standing::Open(o) => Some(o.spec),
@@ -719,7 +721,7 @@
         let cancelled_with = needs.iter().filter(|_| cancelled).find(of).cloned();
         let open = |n: &Name| matches!(i.ledger.standing(n), Standing::Open(_));
         let waits_for = needs.into_iter().filter(open).filter(|_| !cancelled).collect();
-        Explained { state, waits_for, cancelled_with }
+        JobExplanation { state, waits_for, cancelled_with }
     }
 
     /// Answers a request as `core/answers` has it: asks what that wants asked.
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -16,14 +16,14 @@
 use crate::ledger::{Open, Standing};
 use crate::model::*;
 use crate::node::Node;
-use crate::store::{key, read_value, Error, Item};
+use crate::store::{key, read_value, Error, KeyValue};
 use crate::wait::timed;
 
 /// What a new leader has read.
 #[derive(Default)]
 struct Stored {
     pages: Vec<(u32, Page, HashMap<Name, Whereabouts>)>,
-    rentals: Vec<Item>,
+    rentals: Vec<KeyValue>,
     /// Jobs that pages name and that were read one by one; `None` where the
     /// store has no record of them, or none that can be read.
     over: HashMap<Name, Option<(Open, Option<JobOutcome>)>>,
@@ -76,7 +76,7 @@
         let asked = timed(self.policy.renew, self.ask_all(true));
         let stored = futures_util::future::join(self.store.list(key::PAGE), self.store.list(key::RENTAL));
         let ((pages, rentals), _) = futures_util::future::join(stored, asked).await;
-        let pages: Vec<_> = pages?.into_iter().filter_map(|i| read_page(&i.path, &i)).collect();
+        let pages: Vec<_> = pages?.into_iter().filter_map(|i| read_page(&i.key, &i)).collect();
         let mut stored = Stored { pages, rentals: rentals?, over: HashMap::new() };
         loop {
             let missing = match self.take_over(a, stored, Instant::now()) {
@@ -144,8 +144,8 @@
             c.add_page(id, page, &machines, now);
         }
         for item in stored.rentals {
-            if let Some(r) = read_value::<Vec<Rental>>(&item.path, item.data) {
-                c.fleet.inherit(item.path, r);
+            if let Some(r) = read_value::<Vec<Rental>>(&item.key, item.value) {
+                c.fleet.inherit(item.key, r);
             }
         }
         for n in c.dependency.unknown() {
--- a/src/leader/commits.rs
+++ b/src/leader/commits.rs
@@ -7,7 +7,7 @@
 use crate::cluster::Cluster;
 use crate::model::*;
 use crate::node::Node;
-use crate::store::{key, read_value, Error, Item, TxnOutcome};
+use crate::store::{key, read_value, Error, KeyValue, TxnOutcome};
 use crate::telemetry::{count, Timed};
 
 /// Needed jobs that the store is asked about at once.
@@ -111,9 +111,9 @@
     /// The ends of these jobs with their stamps, as far as they have one: a few one by one, many
     /// from the pages of all ends.
     async fn ends_of(&self, mut ids: Vec<Name>) -> Result<Vec<(Name, JobOutcome, u64)>, Error> {
-        let read = |i: Item| {
-            let outcome = read_value::<OutcomeRecord>(&i.path, i.data)?.outcome;
-            Some((Name::from(i.path.strip_prefix(key::OUTCOME)?), outcome, i.stamp))
+        let read = |i: KeyValue| {
+            let outcome = read_value::<OutcomeRecord>(&i.key, i.value)?.outcome;
+            Some((Name::from(i.key.strip_prefix(key::OUTCOME)?), outcome, i.revision))
         };
         let mut ends = Vec::new();
         if ids.len() <= FEW_ASKED {
@@ -129,9 +129,9 @@
         while let Some(last) = ids.last().filter(|l| since.as_str() < format!("{}{l}", key::OUTCOME).as_str()) {
             tracing::debug!("ends of {} needed jobs up to {last}, from {since}", ids.len());
             let page = self.store.page(key::OUTCOME, &since).await?;
-            let Some(row) = page.rows.last() else { break };
-            since.clone_from(&row.path);
-            ends.extend(page.rows.into_iter().filter_map(read).filter(|e| wanted.contains(&e.0)));
+            let Some(row) = page.items.last() else { break };
+            since.clone_from(&row.key);
+            ends.extend(page.items.into_iter().filter_map(read).filter(|e| wanted.contains(&e.0)));
             if !page.truncated {
                 break;
             }
--- a/src/leader/machines.rs
+++ b/src/leader/machines.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::authority::Authority;
-use crate::cluster::{Listed, Rental, Tried};
+use crate::cluster::{ListedMachine, Rental, Tried};
 use crate::fleet::Plan;
 use crate::http;
 use crate::model::*;
@@ -22,7 +22,7 @@
 #[derive(Deserialize)]
 struct ListPage {
     #[serde(rename = "polyps")]
-    machines: Vec<Listed>,
+    machines: Vec<ListedMachine>,
     #[serde(default)]
     truncated: bool,
 }
@@ -99,8 +99,8 @@
                 // have jobs refused for good
                 let fits = http::encode(&types).len() * 2 <= self.store.most.value_bytes;
                 if fits && stored.as_deref().map(sizes) != Some(sizes(&types)) {
-                    let mut txn = Txn { guards: vec![], writes: vec![Write::set(key::TYPES, &types)] };
-                    txn.guard(key::LEADER, a.stamp);
+                    let mut txn = Txn { preconditions: vec![], writes: vec![Write::set(key::TYPES, &types)] };
+                    txn.require(key::LEADER, a.stamp);
                     if self.store.txn(&txn).await.is_ok() {
                         stored = Some(types);
                     }
@@ -118,7 +118,7 @@
         }
     }
 
-    async fn whole_list(&self) -> Result<Vec<Listed>, String> {
+    async fn whole_list(&self) -> Result<Vec<ListedMachine>, String> {
         let (mut all, mut after) = (Vec::new(), String::new());
         loop {
             let target = match after.as_str() {
@@ -219,8 +219,8 @@
         if gone.is_empty() {
             return;
         }
-        let mut txn = Txn { guards: vec![], writes: gone.iter().map(Write::delete).collect() };
-        txn.guard(key::LEADER, a.stamp);
+        let mut txn = Txn { preconditions: vec![], writes: gone.iter().map(Write::delete).collect() };
+        txn.require(key::LEADER, a.stamp);
         if let Ok(TxnOutcome::Done(_)) = self.store.txn(&txn).await {
             if let Some(c) = self.lock().cluster.as_mut() {
                 c.fleet.records.retain(|k, _| !gone.contains(k));
@@ -267,21 +267,21 @@
         match answer {
             Ok((200, body)) => match http::decode::<Machines>(&body) {
                 Ok(m) => c.rented(r, &m.machines, now),
-                Err(e) => tracing::error!("rental {}: {e}", r.charter),
+                Err(e) => tracing::error!("rental {}: {e}", r.request_id),
             },
             Ok((503, body)) if String::from_utf8_lossy(&body).contains("capacity") => {
                 tracing::info!("no capacity: {} in {}, spot {}", r.kind, r.zone, r.spot);
-                c.fleet.answered(&r.charter, now);
+                c.fleet.answered(&r.request_id, now);
                 c.no_capacity(&(r.kind.clone(), r.zone.clone(), r.spot), now);
             }
             Ok((400, _)) => {
-                tracing::error!("rental {} is malformed to the cloud", r.charter);
-                c.fleet.answered(&r.charter, now);
+                tracing::error!("rental {} is malformed to the cloud", r.request_id);
+                c.fleet.answered(&r.request_id, now);
                 c.no_capacity(&(r.kind.clone(), r.zone.clone(), r.spot), now);
             }
             // in doubt: asked again under the same charter
-            Ok((s, _)) => tracing::debug!("rental {}: status {s}", r.charter),
-            Err(e) => tracing::debug!("rental {}: {e}", r.charter),
+            Ok((s, _)) => tracing::debug!("rental {}: status {s}", r.request_id),
+            Err(e) => tracing::debug!("rental {}: {e}", r.request_id),
         }
     }
 
--- a/src/leader/placing.rs
+++ b/src/leader/placing.rs
@@ -5,7 +5,7 @@
 use futures_util::stream::{FuturesUnordered, StreamExt};
 
 use crate::authority::{WorkerContact, NO_WORKERS};
-use crate::cluster::{Machine, Stage};
+use crate::cluster::{Machine, MachineState};
 use crate::http;
 use crate::node::{Inner, Node};
 use crate::telemetry::{count, Timed};
@@ -114,7 +114,8 @@
                 let mut i = self.lock();
                 self.beat(&mut i, now);
                 let Some(c) = &i.cluster else { continue };
-                let up = |m: &&Machine| m.gone.is_none() && (m.heard.is_some() || m.stage == Some(Stage::Running));
+                let up =
+                    |m: &&Machine| m.gone.is_none() && (m.heard.is_some() || m.stage == Some(MachineState::Running));
                 let last = i.heard.unwrap_or(c.began).max(c.began).max(c.awake);
                 if !i.acts(now) || c.machines.values().filter(up).count() < 2 {
                     continue;
--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -8,7 +8,7 @@
 
 use crate::authority::{lasts_until, Authority, LeaderRecord, NO_WORKERS};
 use crate::node::Node;
-use crate::store::{key, read_value, Error, Guard, Txn, TxnOutcome, Write};
+use crate::store::{key, read_value, Error, Precondition, Txn, TxnOutcome, Write};
 
 #[derive(Serialize, Deserialize)]
 struct TermRecord {
@@ -86,29 +86,29 @@
         let old = self.store.get(key::LEADER).await?;
         let stamp = match &old {
             None => 0,
-            Some(i) => match read_value::<LeaderRecord>(key::LEADER, i.data.clone()) {
-                Some(r) if r.name == self.config.name => i.stamp,
+            Some(i) => match read_value::<LeaderRecord>(key::LEADER, i.value.clone()) {
+                Some(r) if r.name == self.config.name => i.revision,
                 Some(record) => {
                     let mut inner = self.lock();
-                    inner.leader = Some(crate::node::LeaderSeen { record, stamp: i.stamp });
+                    inner.leader = Some(crate::node::LeaderSeen { record, stamp: i.revision });
                     return Ok(None);
                 }
                 None => return Ok(None),
             },
         };
         let term = self.store.get(key::TERM).await?;
-        let term_stamp = term.as_ref().map_or(0, |i| i.stamp);
-        let last = term.and_then(|i| read_value::<TermRecord>(key::TERM, i.data)).map_or(0, |t| t.term);
+        let term_stamp = term.as_ref().map_or(0, |i| i.revision);
+        let last = term.and_then(|i| read_value::<TermRecord>(key::TERM, i.value)).map_or(0, |t| t.term);
         let sent = Instant::now();
         let hold = self.store.grant(ttl).await?;
         let record = LeaderRecord { name: self.config.name.clone(), term: last + 1 };
         let txn = Txn {
-            guards: vec![
-                Guard { path: key::LEADER.into(), stamp },
-                Guard { path: key::TERM.into(), stamp: term_stamp },
+            preconditions: vec![
+                Precondition { key: key::LEADER.into(), revision: stamp },
+                Precondition { key: key::TERM.into(), revision: term_stamp },
             ],
             writes: vec![
-                Write::set_on(key::LEADER, &record, hold),
+                Write::set_with_lease(key::LEADER, &record, hold),
                 Write::set(key::TERM, &TermRecord { term: record.term }),
             ],
         };
--- a/src/node.rs
+++ b/src/node.rs
@@ -293,7 +293,7 @@
     /// The teams' limits.
     pub fn teams(&self) -> HashMap<Name, TeamLimit> {
         let team = |t: &crate::config::Team| {
-            let size = |cpus, gpus| Size { cpus, gpus, memory: 0.0 };
+            let size = |cpus, gpus| Resources { cpus, gpus, memory: 0.0 };
             (t.name.as_str().into(), TeamLimit { guarantee: size(t.cpus, t.gpus), most: size(t.cpus_max, t.gpus_max) })
         };
         self.config.deployment.teams.iter().map(team).collect()
--- a/src/store.rs
+++ b/src/store.rs
@@ -14,7 +14,7 @@
 
 pub use coralnotch_core::commit::TxnLimits;
 pub use coralnotch_core::key;
-pub use coralnotch_wire::state::{read_value, Event, Guard, Item, Page, Txn, Write};
+pub use coralnotch_wire::state::{read_value, KeyPage, KeyValue, Precondition, Txn, WatchEvent, Write};
 
 use crate::config::State as Limits;
 use crate::http;
@@ -33,7 +33,7 @@
 struct Changes {
     epoch: u64,
     #[serde(default)]
-    news: Vec<Event>,
+    news: Vec<WatchEvent>,
 }
 #[derive(Deserialize, Serialize)]
 struct Lease {
@@ -228,7 +228,7 @@
     }
 
     /// One key.
-    pub async fn get(&self, path: &str) -> Result<Option<Item>, Error> {
+    pub async fn get(&self, path: &str) -> Result<Option<KeyValue>, Error> {
         self.pace(0).await;
         match self.call("GET", &format!("/kv/{path}"), None, LIMIT).await? {
             (200, body) => Ok(Some(http::decode(&body)?)),
@@ -241,14 +241,14 @@
     pub async fn any(&self, prefix: &str) -> Result<bool, Error> {
         self.pace(0).await;
         match self.call("GET", &format!("/kv?under={prefix}&page=1"), None, LIMIT).await? {
-            (200, body) => Ok(!http::decode::<Page>(&body)?.rows.is_empty()),
+            (200, body) => Ok(!http::decode::<KeyPage>(&body)?.items.is_empty()),
             (s, _) => Err(Error::Refused(s)),
         }
     }
 
     /// Some keys with a prefix, after one of them or from the first, within the
     /// rate for reads of many pages.
-    pub async fn page(&self, prefix: &str, since: &str) -> Result<Page, Error> {
+    pub async fn page(&self, prefix: &str, since: &str) -> Result<KeyPage, Error> {
         let wait = self.reads.lock().unwrap_or_else(|e| e.into_inner()).take(1.0, Instant::now());
         if !wait.is_zero() {
             smol::Timer::after(wait).await;
@@ -263,12 +263,12 @@
     }
 
     /// All keys with a prefix; for what is bounded by the work at hand.
-    pub async fn list(&self, prefix: &str) -> Result<Vec<Item>, Error> {
+    pub async fn list(&self, prefix: &str) -> Result<Vec<KeyValue>, Error> {
         let (mut all, mut after) = (Vec::new(), String::new());
         loop {
             let page = self.page(prefix, &after).await?;
-            let last = page.rows.last().map(|r| r.path.clone());
-            all.extend(page.rows);
+            let last = page.items.last().map(|r| r.key.clone());
+            all.extend(page.items);
             match last {
                 Some(l) if page.truncated => after = l,
                 _ => return Ok(all),
@@ -277,7 +277,7 @@
     }
 
     /// Waits for changes after a revision.
-    pub async fn changes(&self, prefix: &str, since: u64, block: Duration) -> Result<(Vec<Event>, u64), Error> {
+    pub async fn changes(&self, prefix: &str, since: u64, block: Duration) -> Result<(Vec<WatchEvent>, u64), Error> {
         self.pace(0).await;
         let target = format!("/changes?under={prefix}&since={since}&blockMs={}", block.as_millis());
         // a watch that hangs must not keep a withdrawal from the leader: it is
--- a/src/submit.rs
+++ b/src/submit.rs
@@ -110,7 +110,7 @@
             m.insert("nameId".into(), fresh_id().map_err(|e| e.to_string())?.as_ref().into());
         }
         let spec: JobSpec = serde_json::from_value(v).map_err(|e| e.to_string())?;
-        match spec.fault() {
+        match spec.validation_error() {
             Some(why) => Err(format!("bad value: {why}")),
             None => Ok(spec),
         }
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -10,30 +10,30 @@
 use crate::ledger::{News, Sweep};
 use crate::model::*;
 use crate::node::{LeaderSeen, Node};
-use crate::store::{key, read_value, Error, Event, Item};
+use crate::store::{key, read_value, Error, KeyValue, WatchEvent};
 
 impl Node {
-    fn event(&self, e: Event) {
+    fn event(&self, e: WatchEvent) {
         let now = Instant::now();
-        match (e.set, e.delete, e.data) {
+        match (e.set, e.delete, e.value) {
             (Some(path), _, Some(data)) => {
                 if path.starts_with(key::JOB) {
                     if let Some(spec) = read_value::<JobSpec>(&path, data) {
-                        self.learn_job(Arc::new(spec), e.stamp, now);
+                        self.learn_job(Arc::new(spec), e.revision, now);
                     }
                 } else if let Some(id) = path.strip_prefix(key::OUTCOME) {
                     if let Some(f) = read_value::<OutcomeRecord>(&path, data) {
-                        self.apply_stored_outcome(id, f.outcome, e.stamp, now);
+                        self.apply_stored_outcome(id, f.outcome, e.revision, now);
                     }
                 } else if path == key::LEADER {
                     if let Some(record) = read_value::<LeaderRecord>(&path, data) {
                         tracing::info!("{} leads, term {}", record.name, record.term);
-                        self.lock().leader = Some(LeaderSeen { record, stamp: e.stamp });
+                        self.lock().leader = Some(LeaderSeen { record, stamp: e.revision });
                         self.to_lead.wake();
                     }
                 } else if path == key::GATES {
                     if let Some(g) = read_value::<Gates>(&path, data) {
-                        self.gates_are(&g, e.stamp, now);
+                        self.gates_are(&g, e.revision, now);
                     }
                 } else if path == key::TYPES {
                     if let Some(t) = read_value::<Vec<MachineType>>(&path, data) {
@@ -83,17 +83,19 @@
         let first = !self.lock().synced;
         let sent = Instant::now();
         let page = self.store.page(key::LEADER, "").await?;
-        let epoch = page.epoch;
-        let seen = |i: Item| self.event(Event { set: Some(i.path), delete: None, data: Some(i.data), stamp: i.stamp });
+        let epoch = page.revision;
+        let seen = |i: KeyValue| {
+            self.event(WatchEvent { set: Some(i.key), delete: None, value: Some(i.value), revision: i.revision })
+        };
         {
             let mut i = self.lock();
             i.ledger.begins(epoch);
             i.withdrawals.begins(epoch, sent);
-            if page.rows.is_empty() {
+            if page.items.is_empty() {
                 i.leader = None;
             }
         }
-        page.rows.into_iter().for_each(seen);
+        page.items.into_iter().for_each(seen);
         self.store.get(key::TYPES).await?.into_iter().for_each(seen);
         self.store.get(key::GATES).await?.into_iter().for_each(seen);
         // ended jobs whose tasks may still be somewhere: a controller that
@@ -108,7 +110,7 @@
         let (mut since, mut looked) = (epoch, Instant::now());
         while let Some(need) = sweep.need() {
             match self.store.page(need.under, &need.since).await {
-                Ok(page) => sweep.page(need.under, page.rows, page.truncated),
+                Ok(page) => sweep.page(need.under, page.items, page.truncated),
                 // only this page is read again: a long read has to come to its
                 // end though the service fails now and then
                 Err(e) => {
@@ -123,7 +125,7 @@
                 looked = Instant::now();
                 match self.store.changes(key::WATCHED, since, Duration::ZERO).await {
                     Ok((news, epoch)) => {
-                        let ended = |e: &Event| Some(Name::from(e.set.as_ref()?.strip_prefix(key::OUTCOME)?));
+                        let ended = |e: &WatchEvent| Some(Name::from(e.set.as_ref()?.strip_prefix(key::OUTCOME)?));
                         sweep.ended(news.iter().filter_map(ended));
                         since = self.changed(news, epoch.max(since));
                     }
@@ -152,10 +154,10 @@
 
     /// Changes up to a revision, in their order and with no await between them:
     /// the ledger's floor is the last one's.
-    fn changed(&self, mut news: Vec<Event>, epoch: u64) -> u64 {
+    fn changed(&self, mut news: Vec<WatchEvent>, epoch: u64) -> u64 {
         // a job and its end may be of one transaction: an end that came first
         // would find no job, and the job would never end here
-        news.sort_by_key(|e| (e.stamp, e.set.as_ref().is_some_and(|p| p.starts_with(key::OUTCOME))));
+        news.sort_by_key(|e| (e.revision, e.set.as_ref().is_some_and(|p| p.starts_with(key::OUTCOME))));
         for e in news {
             self.event(e);
         }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -12,16 +12,18 @@
 
 use coralnotch::authority::LeaderRecord;
 use coralnotch::config::Config;
-use coralnotch::model::{Explained, JobOutcome, JobSpec, JobState, MachineType, OutcomeRecord, Ranges, Rank, Shape};
+use coralnotch::model::{
+    JobExplanation, JobOutcome, JobSpec, JobState, MachineType, OutcomeRecord, Priority, Ranges, Shape,
+};
 use coralnotch::node::Node;
 use coralnotch::policy::Policy;
 use coralnotch::siblings::wire;
 use coralnotch::store::key;
 use coralnotch::telemetry::{Status, Timed};
 use coralnotch_core::gate::{Gates, Member};
-use coralnotch_wire::cloud::{Listed, Rental, Stage};
+use coralnotch_wire::cloud::{ListedMachine, MachineState, Rental};
 use coralnotch_wire::http;
-use coralnotch_wire::state::{Event, Item, Page, Txn};
+use coralnotch_wire::state::{KeyPage, KeyValue, Txn, WatchEvent};
 use coralnotch_wire::workers::{Command, DirectCommandBody, ExitCause, Heartbeat, HeartbeatReply, TaskState};
 
 fn protocol() -> Value {
@@ -55,12 +57,15 @@
     assert_eq!((spec.one_zone, spec.spread, spec.spot), (true, false, true));
     assert_eq!((spec.types.map(|t| t.len()), spec.needs.len()), (Some(1), 1));
     assert_eq!(keeps_each::<Shape>(&golden["shapes"]), [Shape::Array, Shape::Gang, Shape::Service]);
-    assert_eq!(keeps_each::<Rank>(&golden["ranks"]), [Rank::Production, Rank::High, Rank::Normal, Rank::Low]);
+    assert_eq!(
+        keeps_each::<Priority>(&golden["ranks"]),
+        [Priority::Production, Priority::High, Priority::Normal, Priority::Low]
+    );
     let outcomes = keeps_each::<OutcomeRecord>(&golden["fates"]);
     assert_eq!(outcomes.iter().map(|f| f.outcome).collect::<Vec<_>>(), [JobOutcome::Done, JobOutcome::Cancelled]);
     assert_eq!([JobOutcome::Done.as_str(), JobOutcome::Cancelled.as_str()], ["done", "cancelled"]);
     keeps::<JobState>(&golden["job_state"]);
-    let explained: Explained = keeps(&golden["explained"]);
+    let explained: JobExplanation = keeps(&golden["explained"]);
     assert_eq!((explained.waits_for.len(), explained.cancelled_with.as_deref()), (1, Some("j-000410")));
 }
 
@@ -116,30 +121,36 @@
     assert_eq!((t.cpus, t.gpus, t.memory, t.cache_gb, t.fetch_gb_per_s), (8.0, 2.0, 64.0, 100.0, 0.5));
     assert_eq!((&*t.name, t.price, t.spot_price, t.boot_s, t.zones.len()), ("large", 1.0, 0.3, 40.0, 2));
     let rental: Rental = keeps(&golden["rental"]);
-    assert_eq!((&*rental.charter, &*rental.kind, &*rental.zone), ("c-3-1", "large", "z1"));
+    assert_eq!((&*rental.request_id, &*rental.kind, &*rental.zone), ("c-3-1", "large", "z1"));
     assert_eq!((rental.spot, rental.count), (true, 12));
-    let listed: Listed = keeps(&golden["listed"]);
-    assert_eq!((listed.stage, listed.held_s, listed.spot), (Stage::Booting, 12.5, true));
-    assert_eq!(keeps_each::<Stage>(&golden["stages"]), [Stage::Booting, Stage::Running, Stage::Failed]);
+    let listed: ListedMachine = keeps(&golden["listed"]);
+    assert_eq!((listed.state, listed.age_s, listed.spot), (MachineState::Booting, 12.5, true));
+    assert_eq!(
+        keeps_each::<MachineState>(&golden["stages"]),
+        [MachineState::Booting, MachineState::Running, MachineState::Failed]
+    );
 }
 
 #[test]
 fn messages_of_the_state_service_keep_their_form() {
     let golden = protocol();
     let txn: Txn = keeps(&golden["txn"]);
-    assert_eq!((txn.guards[0].path.as_str(), txn.guards[0].stamp, txn.writes.len()), ("c2/w/leader", 7, 3));
+    assert_eq!(
+        (txn.preconditions[0].key.as_str(), txn.preconditions[0].revision, txn.writes.len()),
+        ("c2/w/leader", 7, 3)
+    );
     let item = serde_json::json!({"path": "c2/p/term", "data": {"term": 3}, "stamp": 9});
-    let read: Item = http::decode(&http::encode(&item)).expect("a key");
-    assert_eq!((read.path.as_str(), read.stamp, read.data.is_map()), ("c2/p/term", 9, true));
+    let read: KeyValue = http::decode(&http::encode(&item)).expect("a key");
+    assert_eq!((read.key.as_str(), read.revision, read.value.is_map()), ("c2/p/term", 9, true));
     let page = serde_json::json!({"rows": [item], "truncated": true, "epoch": 10});
-    let read: Page = http::decode(&http::encode(&page)).expect("a page");
-    assert_eq!((read.rows.len(), read.truncated, read.epoch), (1, true, 10));
+    let read: KeyPage = http::decode(&http::encode(&page)).expect("a page");
+    assert_eq!((read.items.len(), read.truncated, read.revision), (1, true, 10));
     let put = serde_json::json!({"set": "c2/p/term", "data": {"term": 3}, "stamp": 9});
-    let read: Event = http::decode(&http::encode(&put)).expect("a change");
-    assert_eq!((read.set.as_deref(), read.delete, read.stamp), (Some("c2/p/term"), None, 9));
-    let removed: Event =
+    let read: WatchEvent = http::decode(&http::encode(&put)).expect("a change");
+    assert_eq!((read.set.as_deref(), read.delete, read.revision), (Some("c2/p/term"), None, 9));
+    let removed: WatchEvent =
         http::decode(&http::encode(&serde_json::json!({"delete": "x", "stamp": 9}))).expect("a change");
-    assert_eq!((removed.set, removed.delete.as_deref(), removed.stamp), (None, Some("x"), 9));
+    assert_eq!((removed.set, removed.delete.as_deref(), removed.revision), (None, Some("x"), 9));
 }
 
 #[test]
--- a/tests/roll.rs
+++ b/tests/roll.rs
@@ -15,7 +15,7 @@
 
 use common::{dir, job, stored, Cluster, PROGRAM};
 use coralnotch::http::{self, Client as HttpClient};
-use coralnotch::model::{Explained, JobSpec, Name, Shape};
+use coralnotch::model::{JobExplanation, JobSpec, Name, Shape};
 use coralnotch_client::{fresh_id, Client, Final, JobHandle, Settings};
 
 /// A chain as users have them: a first stage, two that need it, a gang that needs
@@ -69,7 +69,7 @@
                         // what a controller says of it tells whose fault it is
                         let path = format!("/v2/runs/{}?why", h.id());
                         let got = HttpClient::default().send(to, "GET", &path, None, Duration::from_secs(5)).await;
-                        let got = got.map(|(status, b)| (status, http::decode::<Explained>(&b).ok()));
+                        let got = got.map(|(status, b)| (status, http::decode::<JobExplanation>(&b).ok()));
                         missing.push(format!("chain {chain} stage {stage}: {got:?}, client {:?}", client.counters()));
                     }
                 }
