--- a/packages/core/src/cluster/job.rs
+++ b/packages/core/src/cluster/job.rs
@@ -11,15 +11,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
     /// Decided; the machine has not shown it yet.
-    Ordered,
+    Assigned,
     /// Waits for its image.
     Pulling,
     /// Waits for its gang.
-    Gathering,
+    WaitingForGang,
     /// Runs.
     Running,
     /// Saves.
-    Flushing,
+    Checkpointing,
     /// Completed, which is not stored yet.
     Completed,
 }
@@ -32,27 +32,27 @@
     /// The attempt.
     pub attempt: u64,
     /// The worker's session the start is for.
-    pub session: u64,
+    pub incarnation: u64,
     /// What it does.
     pub phase: Phase,
     /// The start is in the store; only then may the command leave.
     pub stored: bool,
     /// Order of the report whose answer last carried the start.
-    pub sent: Option<(u64, u64)>,
+    pub start_sent_in: Option<(u64, u64)>,
     /// The stop has been sent directly; answers to reports repeat it.
-    pub halt_sent: bool,
+    pub stop_sent: bool,
     /// Stop it, with this grace.
-    pub halt: Option<f64>,
+    pub stop_grace_s: Option<f64>,
     /// When the stop was decided.
-    pub halt_since: Option<Instant>,
+    pub stop_requested_at: Option<Instant>,
     /// Placed by an earlier leader and not yet confirmed: only a report under
     /// this term's token says anything of its absence.
-    pub former: bool,
+    pub inherited: bool,
     /// A report under this term's token has listed it, or this leader decided it.  Until
     /// then reports may be of any age, and prove nothing of it.
-    pub fenced: bool,
+    pub confirmed: bool,
     /// When it was placed, or first seen.
-    pub since: Instant,
+    pub assigned_at: Instant,
     /// When it was first seen running.
     pub running_since: Option<Instant>,
 }
@@ -63,22 +63,22 @@
         Place {
             spec,
             attempt,
-            session,
-            phase: Phase::Ordered,
+            incarnation: session,
+            phase: Phase::Assigned,
             stored: false,
-            sent: None,
-            halt_sent: false,
-            halt: None,
-            halt_since: None,
-            former: false,
-            fenced: true,
-            since: now,
+            start_sent_in: None,
+            stop_sent: false,
+            stop_grace_s: None,
+            stop_requested_at: None,
+            inherited: false,
+            confirmed: true,
+            assigned_at: now,
             running_since: None,
         }
     }
 
     /// Whether it takes room, quota and its zone.
-    pub fn present(&self) -> bool {
+    pub fn occupies_resources(&self) -> bool {
         self.phase != Phase::Completed
     }
 }
@@ -89,17 +89,17 @@
     /// The submission.
     pub spec: Arc<JobSpec>,
     /// Stamp of the record: the order of arrival.
-    pub stamp: u64,
+    pub revision: u64,
     /// Its end.
     pub outcome: Option<JobOutcome>,
     /// Completed and stored.
-    pub done: Ranges,
+    pub completed: Ranges,
     /// Completed, not stored yet.
-    pub finishing: Ranges,
+    pub completed_unstored: Ranges,
     /// Neither done nor placed.
-    pub todo: Ranges,
+    pub pending: Ranges,
     /// Where its tasks may be; mostly one machine a task.
-    pub places: BTreeMap<u32, Vec<Name>>,
+    pub assignments: BTreeMap<u32, Vec<Name>>,
     /// Attempt of the gang.
     pub attempt: u64,
     /// Machines where a task of it failed.
@@ -107,17 +107,17 @@
     /// How long its completed tasks ran, on average, and how many they are.
     pub ran: (f64, u32),
     /// Since when it has been taken for broken, and what its probes came to.
-    pub suspect: Option<Suspect>,
+    pub quarantine: Option<Suspect>,
     /// Not placed before this.
-    pub wait_until: Option<Instant>,
+    pub not_before: Option<Instant>,
     /// When this leader first knew of it.
-    pub known: Instant,
+    pub first_seen: Instant,
     /// It lies within its team's guarantee, as of the last pass.
     pub guaranteed: bool,
     /// How urgent it is, for itself and for those that wait for it.
     pub urgency: Urgency,
     /// Why it waits, for people.
-    pub why: &'static str,
+    pub pending_reason: &'static str,
 }
 
 impl Job {
@@ -127,58 +127,58 @@
         let todo = if outcome.is_some() { Ranges::default() } else { Ranges::span(0, spec.tasks) };
         Job {
             spec,
-            stamp,
+            revision: stamp,
             outcome,
-            done: Ranges::default(),
-            finishing: Ranges::default(),
-            todo,
-            places: BTreeMap::new(),
+            completed: Ranges::default(),
+            completed_unstored: Ranges::default(),
+            pending: todo,
+            assignments: BTreeMap::new(),
             attempt: 0,
             failed_on: BTreeSet::new(),
             ran: (0.0, 0),
-            suspect: None,
-            wait_until: None,
-            known: now,
+            quarantine: None,
+            not_before: None,
+            first_seen: now,
             guaranteed: false,
             urgency,
-            why: "",
+            pending_reason: "",
         }
     }
 
     /// A task of it completed, so that it is no mistake.
-    pub fn proven(&self) -> bool {
-        !self.done.is_empty() || !self.finishing.is_empty()
+    pub fn has_completed_task(&self) -> bool {
+        !self.completed.is_empty() || !self.completed_unstored.is_empty()
     }
 
     /// How many of its waiting tasks count: for the load, the dry run and the
     /// fleet.  Of a job that seems broken, a probe at a time; a gang has no
     /// smaller probe than itself.
-    pub fn waiting(&self) -> u32 {
-        let waiting = self.todo.len();
-        match self.suspect {
-            Some(_) if self.spec.shape != Shape::Gang => waiting.min(u32::from(self.places.is_empty())),
+    pub fn waiting_tasks(&self) -> u32 {
+        let waiting = self.pending.len();
+        match self.quarantine {
+            Some(_) if self.spec.shape != Shape::Gang => waiting.min(u32::from(self.assignments.is_empty())),
             _ => waiting,
         }
     }
 
     /// One more than the last task that was ever placed, as far as is known:
     /// what waits below it was lost or gave way, and has waited its turn.
-    pub fn begun(&self) -> u32 {
-        let placed = self.places.last_key_value().map(|p| *p.0);
-        [placed, self.done.last(), self.finishing.last()].into_iter().flatten().max().map_or(0, |n| n + 1)
+    pub fn first_never_placed(&self) -> u32 {
+        let placed = self.assignments.last_key_value().map(|p| *p.0);
+        [placed, self.completed.last(), self.completed_unstored.last()].into_iter().flatten().max().map_or(0, |n| n + 1)
     }
 
     /// All its tasks completed, but its end is not stored.
-    pub fn completing(&self) -> bool {
+    pub fn is_completing(&self) -> bool {
         self.outcome.is_none()
             && self.spec.shape != Shape::Service
-            && self.done.len() + self.finishing.len() >= self.spec.tasks
+            && self.completed.len() + self.completed_unstored.len() >= self.spec.tasks
     }
 
     /// Its tasks that are or may be somewhere, with their machines.
-    pub fn placed(&self) -> Vec<(Name, Task)> {
+    pub fn placed_tasks(&self) -> Vec<(Name, Task)> {
         let task = |i: &u32| Task { job: self.spec.id.clone(), index: *i };
-        self.places.iter().flat_map(|(i, l)| l.iter().map(move |m| (m.clone(), task(i)))).collect()
+        self.assignments.iter().flat_map(|(i, l)| l.iter().map(move |m| (m.clone(), task(i)))).collect()
     }
 
     /// A job's turn.  Work gives way only to an earlier turn: with one order for
@@ -186,15 +186,15 @@
     /// stopped for it.
     ///
     /// The rank is the highest of its own and of those that wait for it.
-    pub fn turn(&self) -> (bool, Priority) {
+    pub fn queue_priority(&self) -> (bool, Priority) {
         let rank = self.urgency.rank;
         (!self.guaranteed && rank != Priority::Production, rank)
     }
 
     /// Part of a chain that has a deadline: it needs others, or others wait for
     /// it, and one of them is due.
-    pub fn chained(&self) -> bool {
-        let own = self.spec.needs.is_empty() && self.urgency.due == Urgency::own(&self.spec, self.known).due;
+    pub fn has_deadline_in_chain(&self) -> bool {
+        let own = self.spec.needs.is_empty() && self.urgency.due == Urgency::own(&self.spec, self.first_seen).due;
         self.urgency.due.is_some() && !own
     }
 
@@ -202,11 +202,11 @@
     pub fn requeue(&mut self, index: u32) {
         if self.outcome.is_none()
             && index < self.spec.tasks
-            && !self.places.contains_key(&index)
-            && !self.done.contains(index)
-            && !self.finishing.contains(index)
+            && !self.assignments.contains_key(&index)
+            && !self.completed.contains(index)
+            && !self.completed_unstored.contains(index)
         {
-            self.todo.insert(index);
+            self.pending.insert(index);
         }
     }
 }
@@ -234,7 +234,7 @@
 }
 
 /// Whether one more task of the job may be in this zone.
-pub fn zone_ok(spec: &JobSpec, zone: &Name, zones: &BTreeMap<Name, u32>) -> bool {
+pub fn zone_allows(spec: &JobSpec, zone: &Name, zones: &BTreeMap<Name, u32>) -> bool {
     if spec.one_zone && zones.iter().any(|(z, n)| *n > 0 && z != zone) {
         return false;
     }
--- a/packages/core/src/cluster/machine.rs
+++ b/packages/core/src/cluster/machine.rs
@@ -21,15 +21,15 @@
     /// What it offers when empty; nothing while its type is unknown.
     pub size: Resources,
     /// The worker's session, 0 before its first report in this term.
-    pub session: u64,
+    pub incarnation: u64,
     /// Number of the newest report.
-    pub tally: u64,
+    pub sequence: u64,
     /// Highest token it has seen.
-    pub token: u64,
+    pub highest_fencing_token: u64,
     /// Its newest report in this term.
-    pub heard: Option<Instant>,
+    pub last_heartbeat: Option<Instant>,
     /// When the cloud takes it away.
-    pub notice: Option<Instant>,
+    pub reclaim_at: Option<Instant>,
     /// What is, or may be, on it.
     pub tasks: BTreeMap<Task, Place>,
     /// Exited tasks to be reaped, with their attempts.  A page may go on
@@ -37,57 +37,57 @@
     /// reap can't be followed by the same start.
     pub exited: BTreeMap<Task, u64>,
     /// As listed.
-    pub stage: Option<MachineState>,
+    pub state: Option<MachineState>,
     /// When it was last seen in a list, and when first known.
-    pub listed: Option<Instant>,
+    pub last_listed: Option<Instant>,
     /// When this leader first knew of it.
-    pub known: Instant,
+    pub first_seen: Instant,
     /// When it was rented, as far as known.
-    pub rented: Instant,
+    pub rented_at: Instant,
     /// Nothing more is placed here, and why.
-    pub drain: Option<&'static str>,
+    pub cordon_reason: Option<&'static str>,
     /// A deletion was sent: it may vanish at any time from now.
-    pub deleting: Option<Instant>,
+    pub deletion_sent_at: Option<Instant>,
     /// Since when it has been empty.
-    pub idle: Option<Instant>,
+    pub idle_since: Option<Instant>,
     /// Images it holds, the most recently used last.
     pub images: Vec<(Name, f64)>,
     /// Jobs that failed here and nowhere else.
-    pub blamed: BTreeSet<Name>,
+    pub failed_jobs: BTreeSet<Name>,
     /// Not used before this, after a failure.
-    pub rest_until: Option<Instant>,
+    pub cooldown_until: Option<Instant>,
     /// Its speed, as observed, and by how many tasks.
     pub speed: f64,
     /// Tasks observed.
-    pub samples: u32,
+    pub speed_samples: u32,
     /// Where its worker takes direct commands.
     pub address: Option<std::net::SocketAddr>,
     /// Its own part of the token; raising it kills every command in flight.
-    pub fence: u64,
+    pub fence_offset: u64,
     /// The fence under which a start last left for it directly.
-    pub direct: Option<u64>,
+    pub last_direct_fence: Option<u64>,
     /// Token of direct starts that were not answered (yet): they may be
     /// carried out at any time until the worker has seen a higher token.
-    pub doubt: Option<u64>,
+    pub in_doubt_token: Option<u64>,
     /// A direct command is under way.
-    pub flying: bool,
+    pub command_in_flight: bool,
     /// An answer to its report waits for the store and will carry commands.
-    pub answering: bool,
+    pub reply_pending: bool,
     /// Proved to be gone.  The entry stays for a while, so that a report
     /// delivered late does not bring the machine back.
-    pub gone: Option<Instant>,
+    pub removed_at: Option<Instant>,
 }
 
 impl Machine {
     /// Whether nothing is to be told to its worker, and nothing is awaited from it: all that is
     /// on it was listed by its last report and is to go on.
-    pub fn quiet(&self) -> bool {
+    pub fn is_settled(&self) -> bool {
         let settled = |p: &Place| {
-            let listed = matches!(p.phase, Phase::Pulling | Phase::Gathering | Phase::Running);
-            listed && p.stored && p.fenced && !p.former && p.halt.is_none()
+            let listed = matches!(p.phase, Phase::Pulling | Phase::WaitingForGang | Phase::Running);
+            listed && p.stored && p.confirmed && !p.inherited && p.stop_grace_s.is_none()
         };
-        let open = self.gone.is_some() || self.deleting.is_some() || self.notice.is_some();
-        let awaited = self.doubt.is_some() || self.flying || !self.exited.is_empty();
+        let open = self.removed_at.is_some() || self.deletion_sent_at.is_some() || self.reclaim_at.is_some();
+        let awaited = self.in_doubt_token.is_some() || self.command_in_flight || !self.exited.is_empty();
         !open && !awaited && self.tasks.values().all(settled)
     }
 
@@ -99,54 +99,54 @@
             zone,
             spot,
             size: Resources::default(),
-            session: 0,
-            tally: 0,
-            token: 0,
-            heard: None,
-            notice: None,
+            incarnation: 0,
+            sequence: 0,
+            highest_fencing_token: 0,
+            last_heartbeat: None,
+            reclaim_at: None,
             tasks: BTreeMap::new(),
             exited: BTreeMap::new(),
-            stage: None,
-            listed: None,
-            known: now,
-            rented: now,
-            drain: None,
-            deleting: None,
-            idle: Some(now),
+            state: None,
+            last_listed: None,
+            first_seen: now,
+            rented_at: now,
+            cordon_reason: None,
+            deletion_sent_at: None,
+            idle_since: Some(now),
             images: Vec::new(),
-            blamed: BTreeSet::new(),
-            rest_until: None,
+            failed_jobs: BTreeSet::new(),
+            cooldown_until: None,
             speed: 1.0,
-            samples: 0,
+            speed_samples: 0,
             address: None,
-            fence: 0,
-            direct: None,
-            doubt: None,
-            flying: false,
-            answering: false,
-            gone: None,
+            fence_offset: 0,
+            last_direct_fence: None,
+            in_doubt_token: None,
+            command_in_flight: false,
+            reply_pending: false,
+            removed_at: None,
         }
     }
 
     /// Room left, with all that may be present counted.
-    pub fn free(&self) -> Resources {
+    pub fn free_resources(&self) -> Resources {
         let mut free = self.size;
-        for p in self.tasks.values().filter(|p| p.present()) {
+        for p in self.tasks.values().filter(|p| p.occupies_resources()) {
             free.take(&p.spec.size());
         }
         free
     }
 
     /// Whether tasks may be placed here now.
-    pub fn usable(&self, now: Instant, policy: &Policy) -> bool {
-        self.session > 0
-            && self.gone.is_none()
-            && self.drain.is_none()
-            && self.deleting.is_none()
-            && self.notice.is_none()
-            && self.stage != Some(MachineState::Failed)
-            && self.heard.is_some_and(|t| now.duration_since(t) < policy.fresh)
-            && self.rest_until.is_none_or(|t| t <= now)
+    pub fn is_schedulable(&self, now: Instant, policy: &Policy) -> bool {
+        self.incarnation > 0
+            && self.removed_at.is_none()
+            && self.cordon_reason.is_none()
+            && self.deletion_sent_at.is_none()
+            && self.reclaim_at.is_none()
+            && self.state != Some(MachineState::Failed)
+            && self.last_heartbeat.is_some_and(|t| now.duration_since(t) < policy.fresh)
+            && self.cooldown_until.is_none_or(|t| t <= now)
             && self.tasks.len() + self.exited.len() < policy.most_tasks
     }
 
@@ -171,9 +171,9 @@
     /// Its speed, as observed, and by how many tasks.
     pub speed: f64,
     /// Tasks observed.
-    pub samples: u32,
+    pub speed_samples: u32,
     /// Images it holds, the most recently used last.
     pub images: Vec<(Name, f64)>,
     /// Its last report, as far as the previous leader had told.
-    pub heard: Option<Instant>,
+    pub last_heartbeat: Option<Instant>,
 }
--- a/packages/core/src/cluster/page.rs
+++ b/packages/core/src/cluster/page.rs
@@ -12,18 +12,18 @@
     /// Attempt.
     pub attempt: u64,
     /// The worker's session that the start is for.
-    pub session: u64,
+    pub incarnation: u64,
 }
 
 /// A page as last written.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Page {
     /// Stamp of its key, 0 if it is not there.
-    pub stamp: u64,
+    pub revision: u64,
     /// Starts.
     pub starts: Vec<Start>,
     /// Completed tasks by job.
-    pub done: Vec<(Name, Ranges)>,
+    pub completed: Vec<(Name, Ranges)>,
 }
 
 /// What is known of a machine apart from its report.
--- a/packages/core/src/cluster/rented.rs
+++ b/packages/core/src/cluster/rented.rs
@@ -21,26 +21,26 @@
 #[derive(Debug, Default)]
 pub struct Fleet {
     /// Number of the last rental asked for.
-    pub(crate) next_charter: u64,
+    pub(crate) next_request_id: u64,
     /// Pools without capacity, and until when they are not asked.
-    pub resting: HashMap<Pool, Instant>,
+    pub exhausted_pools: HashMap<Pool, Instant>,
     /// Rentals under way or in doubt; in doubt they are asked again under the
     /// same charter.
-    pub open: Vec<Rental>,
+    pub open_rentals: Vec<Rental>,
     /// Records of rentals in the store, each with its charters and when they
     /// were answered.
     pub records: BTreeMap<String, Vec<(Name, Option<Instant>)>>,
     next_record: u64,
     /// When the last whole list arrived.
-    pub listed: Option<Instant>,
+    pub last_full_list: Option<Instant>,
     /// Zones that seem to be cut off: many of their machines are silent, or
     /// were until lately.
-    pub cut: HashSet<Name>,
+    pub partitioned_zones: HashSet<Name>,
     /// When a zone, or all of them, last seemed so; at most one entry a zone.
-    pub(crate) seemed_cut: HashMap<Option<Name>, Instant>,
+    pub(crate) last_seen_partitioned: HashMap<Option<Name>, Instant>,
     /// How many machines the leader can listen to, as it has learned, and when
     /// it last did.
-    pub hears: Option<(f64, Instant)>,
+    pub heartbeat_capacity: Option<(f64, Instant)>,
 }
 
 /// What became of a try to put rentals on record.
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 pub struct Recording {
     /// The key.
-    pub path: String,
+    pub key: String,
     /// What is to be on record.
     pub rentals: Vec<Rental>,
     /// A try got no answer.
@@ -72,20 +72,20 @@
     /// The transaction, the same at each try: whatever of it comes late finds the key
     /// there, or another leader.
     pub fn txn(&self, leader: u64) -> Txn {
-        let mut txn = Txn { preconditions: vec![], writes: vec![Write::set(self.path.clone(), &self.rentals)] };
+        let mut txn = Txn { preconditions: vec![], writes: vec![Write::set(self.key.clone(), &self.rentals)] };
         txn.require(crate::key::LEADER, leader);
-        txn.require(self.path.clone(), 0);
+        txn.require(self.key.clone(), 0);
         txn
     }
 
     /// Whether they are on record after a try, or `None` if it is to be tried again: what
     /// stays in doubt may be carried out yet, and a next leader would find a record of what
     /// was planned anew.
-    pub fn tried(&mut self, outcome: &Tried) -> Option<bool> {
+    pub fn apply_attempt(&mut self, outcome: &Tried) -> Option<bool> {
         match outcome {
             Tried::Done => Some(true),
             // its key is this record's alone
-            Tried::Conflict(keys) if self.doubted && *keys == [self.path.as_str()] => Some(true),
+            Tried::Conflict(keys) if self.doubted && *keys == [self.key.as_str()] => Some(true),
             Tried::Doubt => {
                 self.doubted = true;
                 None
@@ -97,9 +97,9 @@
 
 impl Fleet {
     /// What of these rentals has to be put on record in this term; nothing if all are.
-    pub fn recording(&mut self, rentals: &[Rental], term: u64) -> Option<Recording> {
+    pub fn begin_recording(&mut self, rentals: &[Rental], term: u64) -> Option<Recording> {
         let rentals = self.unrecorded(rentals);
-        (!rentals.is_empty()).then(|| Recording { path: self.record_key(term), rentals, doubted: false })
+        (!rentals.is_empty()).then(|| Recording { key: self.record_key(term), rentals, doubted: false })
     }
 
     /// Those of these rentals that are not on record yet.
@@ -116,24 +116,24 @@
     }
 
     /// These rentals are on record.
-    pub fn recorded(&mut self, key: String, rentals: &[Rental]) {
+    pub fn mark_recorded(&mut self, key: String, rentals: &[Rental]) {
         self.records.insert(key, rentals.iter().map(|r| (r.request_id.clone(), None)).collect());
     }
 
     /// A previous leader's record.  What it asked for is asked for again under the
     /// same charter: that rents nothing twice, and tells what was rented.
     pub fn inherit(&mut self, key: String, rentals: Vec<Rental>) {
-        self.recorded(key, &rentals);
+        self.mark_recorded(key, &rentals);
         for r in rentals {
-            if !self.open.iter().any(|o| o.request_id == r.request_id) {
-                self.open.push(r);
+            if !self.open_rentals.iter().any(|o| o.request_id == r.request_id) {
+                self.open_rentals.push(r);
             }
         }
     }
 
     /// The cloud has answered a rental, one way or the other.
-    pub fn answered(&mut self, charter: &Name, now: Instant) {
-        self.open.retain(|o| o.request_id != *charter);
+    pub fn mark_answered(&mut self, charter: &Name, now: Instant) {
+        self.open_rentals.retain(|o| o.request_id != *charter);
         for r in self.records.values_mut().flatten().filter(|r| r.0 == *charter) {
             r.1.get_or_insert(now);
         }
@@ -141,7 +141,7 @@
 
     /// Records of which nothing is to be learned any more: all was answered so
     /// long ago that a list has it.
-    pub fn outlived(&self, kept: Duration, most: usize, now: Instant) -> Vec<String> {
+    pub fn expired_records(&self, kept: Duration, most: usize, now: Instant) -> Vec<String> {
         let over = |r: &(Name, Option<Instant>)| r.1.is_some_and(|t| now.duration_since(t) > kept);
         self.records.iter().filter(|(_, l)| l.iter().all(over)).map(|(k, _)| k.clone()).take(most).collect()
     }
@@ -151,21 +151,21 @@
     /// while they wait for longer than `lag_most`; more, while a fleet of that size
     /// is heard without a wait, up to [`MOST_LEARNED`] of it.  Within four leases
     /// it may double, or halve.
-    pub fn listen(&mut self, lag: Duration, here: usize, policy: &Policy, now: Instant) {
+    pub fn adapt_heartbeat_capacity(&mut self, lag: Duration, here: usize, policy: &Policy, now: Instant) {
         let begin = policy.most_machines as f64;
-        let (mut hears, last) = self.hears.unwrap_or((begin, now));
+        let (mut hears, last) = self.heartbeat_capacity.unwrap_or((begin, now));
         let step = now.saturating_duration_since(last).as_secs_f64() / (policy.lease_over.as_secs_f64() * 4.0);
         if lag > policy.lag_most {
             hears *= 1.0 - step.min(0.5);
         } else if lag < policy.lag_most / 4 && here as f64 > hears * 0.95 {
             hears = hears.max(here as f64) * (1.0 + step.min(1.0));
         }
-        self.hears = Some((hears.clamp(begin / 2.0, begin * MOST_LEARNED), now));
+        self.heartbeat_capacity = Some((hears.clamp(begin / 2.0, begin * MOST_LEARNED), now));
     }
 
     /// The most machines there should be.
-    pub fn most(&self, policy: &Policy) -> usize {
-        self.hears.map_or(policy.most_machines, |h| h.0 as usize)
+    pub fn machine_limit(&self, policy: &Policy) -> usize {
+        self.heartbeat_capacity.map_or(policy.most_machines, |h| h.0 as usize)
     }
 }
 
--- a/packages/core/src/cluster/rented/tests.rs
+++ b/packages/core/src/cluster/rented/tests.rs
@@ -8,14 +8,14 @@
     let mut policy = Policy::clone(&crate::sim::cluster(1, Instant::now()).policy);
     policy.most_machines = 1000;
     let (mut f, mut now, high) = (Fleet::default(), Instant::now(), policy.lag_most * 2);
-    assert_eq!(f.most(&policy), 1000);
+    assert_eq!(f.machine_limit(&policy), 1000);
     let mut plans = |f: &mut Fleet, n: u32, lag: Duration, here: fn(usize) -> usize| {
         for _ in 0..n {
             now += Duration::from_millis(500);
-            let here = here(f.most(&policy));
-            f.listen(lag, here, &policy, now);
+            let here = here(f.machine_limit(&policy));
+            f.adapt_heartbeat_capacity(lag, here, &policy, now);
         }
-        f.most(&policy)
+        f.machine_limit(&policy)
     };
     // what it has not been shown to hear it does not count on
     assert_eq!(plans(&mut f, 100, Duration::ZERO, |_| 500), 1000);
@@ -68,8 +68,8 @@
                 spot: false,
                 count: charter,
             }];
-            if let Some(mut r) = fleet.recording(&wants, term) {
-                prop_assert!(!store.has(&r.path) || late.is_empty(), "the key is new");
+            if let Some(mut r) = fleet.begin_recording(&wants, term) {
+                prop_assert!(!store.has(&r.key) || late.is_empty(), "the key is new");
                 let (mut on, leader) = (None, store.leader());
                 if then == 3 {
                     // another leads meanwhile, and this one has not heard of it
@@ -92,19 +92,19 @@
                         }
                         Luck::Refused => Tried::Refused,
                     };
-                    on = r.tried(&tried);
+                    on = r.apply_attempt(&tried);
                     if on.is_some() {
                         break;
                     }
                 }
                 if on == Some(true) {
-                    prop_assert!(store.has(&r.path), "called on record, and is not");
-                    fleet.recorded(r.path.clone(), &r.rentals);
+                    prop_assert!(store.has(&r.key), "called on record, and is not");
+                    fleet.mark_recorded(r.key.clone(), &r.rentals);
                     for rental in &r.rentals {
                         let before = asked.insert(rental.request_id.clone(), rental.clone());
                         prop_assert!(before.is_none_or(|b| b == *rental), "asked for with another content");
                         if then % 2 == 0 {
-                            fleet.answered(&rental.request_id, now);
+                            fleet.mark_answered(&rental.request_id, now);
                             heard.insert(rental.request_id.clone());
                         }
                     }
@@ -117,7 +117,7 @@
                 fleet = Fleet::default();
                 store.rentals().into_iter().for_each(|(key, rentals)| fleet.inherit(key, rentals));
                 for charter in asked.keys().filter(|c| !heard.contains(*c)) {
-                    prop_assert!(fleet.open.iter().any(|o| o.request_id == *charter), "{charter} is forgotten");
+                    prop_assert!(fleet.open_rentals.iter().any(|o| o.request_id == *charter), "{charter} is forgotten");
                 }
             }
             if then == 4 {
--- a/packages/core/src/commit.rs
+++ b/packages/core/src/commit.rs
@@ -43,10 +43,10 @@
     for (job, list) in r.starts {
         for (index, attempt, machine, session) in list {
             let machine = r.machines.get(machine)?.0.clone();
-            starts.push(Start { machine, task: Task { job: job.clone(), index }, attempt, session });
+            starts.push(Start { machine, task: Task { job: job.clone(), index }, attempt, incarnation: session });
         }
     }
-    Some((id, Page { stamp: item.revision, starts, done: r.done }, places))
+    Some((id, Page { revision: item.revision, starts, completed: r.done }, places))
 }
 
 /// The jobs that a stored page names as started.
@@ -58,7 +58,7 @@
 /// The jobs that have begun, as far as pages tell: no start is stored before the
 /// ends of all that its job needs, so they wait for nothing.
 pub fn begun<'a>(pages: impl Iterator<Item = &'a Page>) -> HashSet<Name> {
-    let of = |p: &'a Page| p.starts.iter().map(|s| &s.task.job).chain(p.done.iter().map(|d| &d.0));
+    let of = |p: &'a Page| p.starts.iter().map(|s| &s.task.job).chain(p.completed.iter().map(|d| &d.0));
     pages.flat_map(of).cloned().collect()
 }
 
@@ -98,7 +98,7 @@
 
     /// What one more start takes.
     fn start(&self, s: &Start, at: &Whereabouts) -> usize {
-        let mut bytes = 10 + digits(s.task.index.into()) + digits(s.attempt) + digits(s.session);
+        let mut bytes = 10 + digits(s.task.index.into()) + digits(s.attempt) + digits(s.incarnation);
         bytes += digits(self.machines.len() as u64);
         if !self.machines.contains_key(&s.machine) {
             bytes += 6 + text(&s.machine) + digits(self.pools.len() as u64);
@@ -151,7 +151,7 @@
 fn to_store<'a>(machines: &'a BTreeMap<Name, Machine>, s: &Start) -> Option<&'a Machine> {
     let m = machines.get(&s.machine)?;
     let p = m.tasks.get(&s.task)?;
-    (p.attempt == s.attempt && p.session == s.session && !p.stored).then_some(m)
+    (p.attempt == s.attempt && p.incarnation == s.incarnation && !p.stored).then_some(m)
 }
 
 /// Pages looked at for one with room before a new one is made.
@@ -232,26 +232,26 @@
         // The end of a job says it all; no range is needed beside it, and none
         // is ever missing
         let mut partly = Vec::new();
-        for id in std::mem::take(&mut self.finished) {
+        for id in std::mem::take(&mut self.jobs_to_store) {
             let Some(job) = self.jobs.get(&id).filter(|j| j.outcome.is_none()) else { continue };
-            if !job.completing() {
-                if !job.finishing.is_empty() {
+            if !job.is_completing() {
+                if !job.completed_unstored.is_empty() {
                     partly.push(id);
                 }
             } else if b.room(most) {
                 b.end(id, JobOutcome::Done);
             } else {
-                self.finished.insert(id);
+                self.jobs_to_store.insert(id);
             }
         }
         // a start that was given up meanwhile is nothing to store
-        while let Some(first) = self.unstored.first_entry() {
+        while let Some(first) = self.unstored_starts.first_entry() {
             if to_store(&self.machines, first.get()).is_some() {
                 break;
             }
             first.remove();
         }
-        if !partly.is_empty() || !self.unstored.is_empty() {
+        if !partly.is_empty() || !self.unstored_starts.is_empty() {
             self.fill_page(&mut b, partly, most);
         }
         (!b.txn.writes.is_empty()).then_some(b)
@@ -260,14 +260,14 @@
     /// Adds a page with what is new: completed tasks first, their users wait;
     /// then starts, in the order of the queue.
     fn fill_page(&mut self, b: &mut Batch, partly: Vec<Name>, most: &TxnLimits) {
-        let news = partly.len() + self.unstored.len();
+        let news = partly.len() + self.unstored_starts.len();
         let (id, mut page, mut filling) = self.page_with_room(b, news, most);
-        b.txn.require(page_key(id), page.stamp);
+        b.txn.require(page_key(id), page.revision);
         for job in partly {
             let Some(j) = self.jobs.get(&job) else { continue };
-            let part = filling.fitting(&job, &j.finishing, most.page_bytes);
-            if part.parts() < j.finishing.parts() {
-                self.finished.insert(job.clone());
+            let part = filling.fitting(&job, &j.completed_unstored, most.page_bytes);
+            if part.parts() < j.completed_unstored.parts() {
+                self.jobs_to_store.insert(job.clone());
             }
             if !part.is_empty() {
                 filling.add_done(&job, &part);
@@ -278,14 +278,14 @@
         // one is on record like any other, for it counts until it is gone.  To
         // guard that on the absence of its end would fail for ever, and with it all
         // else that there is to store
-        while let Some((turn, s)) = self.unstored.pop_first() {
+        while let Some((turn, s)) = self.unstored_starts.pop_first() {
             let Some(m) = to_store(&self.machines, &s) else { continue };
             let at = (m.kind.clone(), m.zone.clone(), m.spot);
             let path = format!("{}{}", key::OUTCOME, s.task.job);
             let over = self.jobs.get(&s.task.job).is_none_or(|j| j.outcome.is_some());
             let guards = b.txn.preconditions.len() + usize::from(!over && !b.txn.requires(&path));
             if filling.bytes + filling.start(&s, &at) > most.page_bytes || guards > most.guards {
-                self.unstored.insert(turn, s);
+                self.unstored_starts.insert(turn, s);
                 break;
             }
             if !over {
@@ -295,26 +295,26 @@
             b.starts.push((turn, s));
         }
         page.starts.extend(b.starts.iter().map(|(_, s)| s.clone()));
-        page.done.extend(b.done.iter().cloned());
+        page.completed.extend(b.done.iter().cloned());
         b.txn.writes.push(Write::set(page_key(id), &self.page_record(&page)));
         b.pages.push((id, page));
     }
 
     /// What of a page is still true, and what that takes.
     fn live(&self, page: &Page) -> (Page, Filling) {
-        let (mut live, mut filling) = (Page { stamp: page.stamp, ..Page::default() }, Filling::new());
+        let (mut live, mut filling) = (Page { revision: page.revision, ..Page::default() }, Filling::new());
         for s in &page.starts {
             let Some(m) = self.machines.get(&s.machine) else { continue };
             // a start for an earlier session is dead, also if the attempt is the same
-            if m.tasks.get(&s.task).is_some_and(|p| p.attempt == s.attempt && p.session == s.session) {
+            if m.tasks.get(&s.task).is_some_and(|p| p.attempt == s.attempt && p.incarnation == s.incarnation) {
                 filling.add_start(s, &(m.kind.clone(), m.zone.clone(), m.spot));
                 live.starts.push(s.clone());
             }
         }
-        for (id, ranges) in &page.done {
+        for (id, ranges) in &page.completed {
             if self.jobs.get(id).is_some_and(|j| j.outcome.is_none()) {
                 filling.add_done(id, ranges);
-                live.done.push((id.clone(), ranges.clone()));
+                live.completed.push((id.clone(), ranges.clone()));
             }
         }
         (live, filling)
@@ -325,15 +325,15 @@
     /// all that is new, or as much as half a page.
     fn page_with_room(&mut self, b: &mut Batch, news: usize, most: &TxnLimits) -> (u32, Page, Filling) {
         let wanted = (news * 48).min(most.page_bytes / 2);
-        let next = self.next_page;
+        let next = self.next_shard;
         let ids: Vec<u32> =
-            self.pages.range(next..).chain(self.pages.range(..next)).map(|p| *p.0).take(PAGES_TRIED).collect();
+            self.shards.range(next..).chain(self.shards.range(..next)).map(|p| *p.0).take(PAGES_TRIED).collect();
         if let Some(last) = ids.last() {
-            self.next_page = last + 1;
+            self.next_shard = last + 1;
         }
         let mut best: Option<(u32, Page, Filling)> = None;
         for id in ids {
-            let (live, filling) = self.live(&self.pages[&id]);
+            let (live, filling) = self.live(&self.shards[&id]);
             if filling.bytes > most.page_bytes {
                 self.divide(b, id, live, most);
             } else if filling.bytes + wanted <= most.page_bytes
@@ -346,9 +346,9 @@
     }
 
     fn new_page(&mut self) -> u32 {
-        let id = self.pages.last_key_value().map_or(0, |p| p.0 + 1);
+        let id = self.shards.last_key_value().map_or(0, |p| p.0 + 1);
         // kept from now on: a try in doubt may have made it
-        self.pages.insert(id, Page::default());
+        self.shards.insert(id, Page::default());
         id
     }
 
@@ -358,7 +358,7 @@
     /// Until the page itself is written again it names some starts twice, which
     /// does no harm: the same start of a task is the same start.
     fn divide(&mut self, b: &mut Batch, id: u32, live: Page, most: &TxnLimits) {
-        let mut rest = Page { stamp: live.stamp, ..Page::default() };
+        let mut rest = Page { revision: live.revision, ..Page::default() };
         let mut parts: Vec<Page> = vec![Page::default()];
         let mut filling = Filling::new();
         // one change is the ordinary page's, one this page's own
@@ -383,12 +383,12 @@
                 p.starts.push(s);
             }
         }
-        for (job, mut ranges) in live.done {
+        for (job, mut ranges) in live.completed {
             while !ranges.is_empty() {
                 let part = filling.fitting(&job, &ranges, most.page_bytes);
                 if part.is_empty() {
                     if parts.len() > room || filling.bytes == EMPTY {
-                        rest.done.push((job, ranges));
+                        rest.completed.push((job, ranges));
                         break;
                     }
                     parts.push(Page::default());
@@ -398,16 +398,16 @@
                 filling.add_done(&job, &part);
                 ranges = ranges.without_first_parts(part.parts());
                 if let Some(p) = parts.last_mut() {
-                    p.done.push((job.clone(), part));
+                    p.completed.push((job.clone(), part));
                 }
             }
         }
-        let whole = rest.starts.is_empty() && rest.done.is_empty();
+        let whole = rest.starts.is_empty() && rest.completed.is_empty();
         for (n, mut part) in parts.into_iter().enumerate() {
             // what is whole has its first part in the old place
             let to = if n == 0 && whole { id } else { self.new_page() };
-            part.stamp = self.pages.get(&to).map_or(0, |p| p.stamp);
-            b.txn.require(page_key(to), part.stamp);
+            part.revision = self.shards.get(&to).map_or(0, |p| p.revision);
+            b.txn.require(page_key(to), part.revision);
             b.txn.writes.push(Write::set(page_key(to), &self.page_record(&part)));
             b.pages.push((to, part));
         }
@@ -431,9 +431,9 @@
                 r.starts.push((s.task.job.clone(), Vec::new()));
                 r.starts.len() - 1
             });
-            r.starts[job].1.push((s.task.index, s.attempt, machine, s.session));
+            r.starts[job].1.push((s.task.index, s.attempt, machine, s.incarnation));
         }
-        r.done.clone_from(&page.done);
+        r.done.clone_from(&page.completed);
         r
     }
 
@@ -442,25 +442,27 @@
     pub fn committed(&mut self, b: Batch, revision: u64, now: Instant) -> Vec<(Name, JobOutcome)> {
         for (_, s) in &b.starts {
             let Some(m) = self.machines.get_mut(&s.machine) else { continue };
-            if let Some(p) = m.tasks.get_mut(&s.task).filter(|p| p.attempt == s.attempt && p.session == s.session) {
+            if let Some(p) =
+                m.tasks.get_mut(&s.task).filter(|p| p.attempt == s.attempt && p.incarnation == s.incarnation)
+            {
                 p.stored = true;
-                self.tell.insert(s.machine.clone());
+                self.machines_to_command.insert(s.machine.clone());
             }
         }
         for (id, ranges) in &b.done {
             let Some(job) = self.jobs.get_mut(id) else { continue };
             for n in ranges.iter() {
-                job.done.insert(n);
-                job.finishing.remove(n);
+                job.completed.insert(n);
+                job.completed_unstored.remove(n);
             }
             self.clear_completed(id, Some(ranges), now);
         }
         for (id, mut page) in b.pages {
-            page.stamp = revision;
-            self.pages.insert(id, page);
+            page.revision = revision;
+            self.shards.insert(id, page);
         }
         if let Some((id, rest)) = b.divided {
-            self.pages.insert(id, rest);
+            self.shards.insert(id, rest);
         }
         for (id, outcome) in &b.ends {
             self.clear_completed(id, None, now);
@@ -474,9 +476,9 @@
     fn clear_completed(&mut self, id: &Name, which: Option<&Ranges>, now: Instant) {
         let Some(job) = self.jobs.get(id) else { return };
         let places: Vec<(Name, Task)> = match which {
-            None => job.placed(),
+            None => job.placed_tasks(),
             Some(r) => {
-                let at = |n| job.places.get(&n).into_iter().flatten().map(move |m| (m.clone(), n));
+                let at = |n| job.assignments.get(&n).into_iter().flatten().map(move |m| (m.clone(), n));
                 let task = |(m, index)| (m, Task { job: id.clone(), index });
                 r.iter().flat_map(at).map(task).collect()
             }
@@ -484,7 +486,7 @@
         for (name, task) in places {
             let place = self.machines.get(&name).and_then(|m| m.tasks.get(&task));
             let Some(attempt) = place.filter(|p| p.phase == Phase::Completed).map(|p| p.attempt) else { continue };
-            self.vacate(&name, &task, now);
+            self.release_assignment(&name, &task, now);
             if let Some(m) = self.machines.get_mut(&name) {
                 m.exited.insert(task, attempt);
             }
@@ -494,10 +496,10 @@
     /// The transaction was not, or may not have been, carried out: all of it
     /// is to be written again.
     pub fn not_committed(&mut self, b: Batch) {
-        self.finished.extend(b.done.into_iter().map(|d| d.0));
+        self.jobs_to_store.extend(b.done.into_iter().map(|d| d.0));
         // those that end with a cancelled job are still known to
-        self.finished.extend(b.ends.into_iter().filter(|e| e.1 == JobOutcome::Done).map(|e| e.0));
-        self.unstored.extend(b.starts);
+        self.jobs_to_store.extend(b.ends.into_iter().filter(|e| e.1 == JobOutcome::Done).map(|e| e.0));
+        self.unstored_starts.extend(b.starts);
     }
 
     /// What a key in conflict really holds: an earlier transaction of ours in
@@ -512,7 +514,7 @@
                 Some(i) => read_page(path, i).map(|p| p.1),
             };
             if let Some(page) = stored {
-                self.pages.insert(id, page);
+                self.shards.insert(id, page);
             }
         } else if let Some(id) = path.strip_prefix(key::OUTCOME) {
             let outcome = item.and_then(|i| read_value::<OutcomeRecord>(path, i.value.clone()));
--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -21,7 +21,7 @@
         for i in 0..6 {
             let name: Name = format!("i-{i}").into();
             let mut m = crate::cluster::Machine::new(name.clone(), "t".into(), "z0".into(), false, now);
-            m.session = 1;
+            m.incarnation = 1;
             c.machines.insert(name, m);
         }
         // pages that a transaction without an answer may have written
@@ -37,9 +37,9 @@
                     c.assign(&task, &machine, attempt, now);
                 }
                 2 => {
-                    let at = c.jobs["j-000001"].places.get(&index).map(|l| l[0].clone());
+                    let at = c.jobs["j-000001"].assignments.get(&index).map(|l| l[0].clone());
                     if let Some(at) = at {
-                        c.vacate(&at, &task, now);
+                        c.release_assignment(&at, &task, now);
                     }
                 }
                 _ => {
@@ -81,13 +81,13 @@
         next.add_job(spec("j-000001", 40), 1, None, now);
         for (path, item) in &store {
             let (id, page, machines) = read_page(path, item).expect("our own page");
-            prop_assert!(doubtful.contains(path) || c.pages[&id].stamp == page.stamp);
-            next.add_page(id, page, &machines, now);
+            prop_assert!(doubtful.contains(path) || c.shards[&id].revision == page.revision);
+            next.add_shard(id, page, &machines, now);
         }
         for (name, m) in &c.machines {
             for (task, p) in m.tasks.iter().filter(|(_, p)| p.stored) {
                 let found = next.machines.get(name).and_then(|m| m.tasks.get(task));
-                prop_assert!(found.is_some_and(|f| f.attempt == p.attempt && f.former), "{} is lost", task);
+                prop_assert!(found.is_some_and(|f| f.attempt == p.attempt && f.inherited), "{} is lost", task);
             }
         }
     }
@@ -125,7 +125,7 @@
     assert_eq!(b.starts.len(), 2);
     c.committed(b, 6, now);
     // on record, it counts and is stopped; nothing of it is ever sent
-    assert!(c.machines["i-1"].tasks[&task].halt.is_some());
+    assert!(c.machines["i-1"].tasks[&task].stop_grace_s.is_some());
     let sent = c.answer(&report, now).commands;
     assert!(sent.iter().all(|o| !matches!(o, crate::workers::Command::Start { task: t, .. } if *t == task)));
 }
@@ -147,12 +147,12 @@
     };
     let (id, page, places) = read_page(&page_key(3), &value("page")).expect("a page");
     assert_eq!((id, page.starts.len(), places.len()), (3, 20, 4));
-    assert!(page.starts.iter().all(|s| s.attempt >> 24 == 3 && s.session == 1 + u64::from(s.task.index % 4)));
-    assert_eq!(page.done[0].1.iter().collect::<Vec<_>>(), [25, 26, 27, 31]);
+    assert!(page.starts.iter().all(|s| s.attempt >> 24 == 3 && s.incarnation == 1 + u64::from(s.task.index % 4)));
+    assert_eq!(page.completed[0].1.iter().collect::<Vec<_>>(), [25, 26, 27, 31]);
     assert!(places["i-000003"].2 && &*places["i-000003"].1 == "z1");
     let mut c = cluster(4, Instant::now());
     c.add_job(spec("j-000001", 40), 1, None, Instant::now());
-    c.add_page(id, page.clone(), &places, Instant::now());
+    c.add_shard(id, page.clone(), &places, Instant::now());
     same("page", Write::set("x", &c.page_record(&page)));
     let job: JobSpec = read_value("x", value("job").value).expect("a job");
     assert!(job.needs.is_empty() && job.validation_error().is_none());
@@ -179,7 +179,7 @@
     let machine = |c: &mut Cluster, i: u32| {
         let name: Name = format!("i-{i:06}").into();
         let mut m = crate::cluster::Machine::new(name.clone(), "t".into(), "z0".into(), false, now);
-        m.session = 1;
+        m.incarnation = 1;
         c.machines.insert(name.clone(), m);
         name
     };
@@ -189,7 +189,7 @@
         let attempt = c.new_attempt();
         c.assign(&Task { job: "j-000001".into(), index }, &name, attempt, now);
     }
-    (400..1000).step_by(2).for_each(|n| c.complete(&Task { job: "j-000001".into(), index: n }, now));
+    (400..1000).step_by(2).for_each(|n| c.mark_completed(&Task { job: "j-000001".into(), index: n }, now));
     let wide = TxnLimits { writes: 24, guards: 96, page_bytes: 15_000, value_bytes: 15_000 };
     let mut store: HashMap<String, KeyValue> = HashMap::new();
     let mut revision = 10;
@@ -236,11 +236,11 @@
         for (path, item) in &store {
             largest = largest.max(serde_json::to_string(&item.value).map_or(0, |s| s.len()));
             let (id, page, machines) = read_page(path, item).expect("our own page");
-            next.add_page(id, page, &machines, now);
+            next.add_shard(id, page, &machines, now);
         }
         let stored = |c: &Cluster| c.machines.values().flat_map(|m| m.tasks.values()).filter(|p| p.stored).count();
         assert_eq!(stored(&next), stored(&c), "round {round}");
-        assert_eq!(next.jobs["j-000001"].done.len(), 300, "round {round}");
+        assert_eq!(next.jobs["j-000001"].completed.len(), 300, "round {round}");
     }
     assert!(largest <= narrow.page_bytes, "a page of {largest} bytes is left");
     assert!(store.len() < 30, "{} pages for what fits into ten", store.len());
@@ -264,7 +264,7 @@
         c.add_job(needing(&format!("j-{n}"), &["j-2"]), n, None, now);
     }
     assert_eq!((c.jobs.len(), c.dependency.len()), (2, 21));
-    c.complete(&Task { job: "j-1".into(), index: 0 }, now);
+    c.mark_completed(&Task { job: "j-1".into(), index: 0 }, now);
     let b = c.next_batch(5, &limits(4096)).expect("the end of the first");
     assert!(!c.jobs.contains_key("j-3"), "not stored yet");
     c.not_committed(b);
@@ -311,11 +311,11 @@
     let mut c = cluster(1, now);
     c.add_job(spec("j-000001", 2), 1, None, now);
     let task = |index| Task { job: "j-000001".into(), index };
-    c.complete(&task(0), now);
+    c.mark_completed(&task(0), now);
     let b = c.next_batch(5, &limits(4096)).expect("a completed task");
     assert!(b.ends.is_empty() && b.done.len() == 1);
     assert!(c.committed(b, 6, now).is_empty());
-    c.complete(&task(1), now);
+    c.mark_completed(&task(1), now);
     let b = c.next_batch(5, &limits(4096)).expect("the end");
     assert!(b.txn.requires("c2/w/fate/j-000001"));
     // in doubt: said again, and only its success counts
--- a/packages/core/src/fleet.rs
+++ b/packages/core/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use crate::cluster::{
-    zone_ok, Cluster, Job, ListedMachine, Machine, MachineState, Phase, Place, Pool, Rental, TeamLimit, Want,
+    zone_allows, Cluster, Job, ListedMachine, Machine, MachineState, Phase, Place, Pool, Rental, TeamLimit, Want,
 };
 use crate::model::*;
 
@@ -75,19 +75,19 @@
                     l.state
                 );
                 let held = Duration::from_secs_f64(l.age_s.clamp(0.0, 1e6));
-                m.rented = now.checked_sub(held).unwrap_or(now);
+                m.rented_at = now.checked_sub(held).unwrap_or(now);
             }
-            m.listed = Some(now);
-            if m.stage != Some(MachineState::Failed) {
-                m.stage = Some(l.state);
+            m.last_listed = Some(now);
+            if m.state != Some(MachineState::Failed) {
+                m.state = Some(l.state);
             }
         }
-        self.fleet.listed = Some(now);
+        self.fleet.last_full_list = Some(now);
     }
 
     /// Names the cloud rented to us.
     pub fn rented(&mut self, r: &Rental, names: &[Name], now: Instant) {
-        self.fleet.answered(&r.request_id, now);
+        self.fleet.mark_answered(&r.request_id, now);
         tracing::info!("rented {} of {} {} in {}, spot {}: {names:?}", names.len(), r.count, r.kind, r.zone, r.spot);
         if (names.len() as u32) < r.count {
             self.no_capacity(&(r.kind.clone(), r.zone.clone(), r.spot), now);
@@ -104,16 +104,16 @@
 
     /// The cloud has none of these.
     pub fn no_capacity(&mut self, pool: &Pool, now: Instant) {
-        self.fleet.resting.insert(pool.clone(), now + self.policy.capacity_rest);
+        self.fleet.exhausted_pools.insert(pool.clone(), now + self.policy.capacity_rest);
     }
 
     /// The cloud's 200 to a deletion: the machines and all on them are gone.
     pub fn deleted(&mut self, names: &[Name], now: Instant) {
         for n in names {
-            self.vacate_all(n, now);
+            self.release_all_assignments(n, now);
             if let Some(m) = self.machines.get_mut(n) {
                 tracing::info!("machine {n} is gone");
-                m.gone.get_or_insert(now);
+                m.removed_at.get_or_insert(now);
                 m.exited.clear();
             }
         }
@@ -141,9 +141,9 @@
         if !self.teams.values().any(given) {
             return g;
         }
-        let mut usage = self.usage();
+        let mut usage = self.team_usage();
         for j in self.jobs.values().filter(|j| j.outcome.is_none()) {
-            let waits = j.spec.size().times(f64::from(j.waiting()));
+            let waits = j.spec.size().times(f64::from(j.waiting_tasks()));
             usage.entry(j.spec.team.clone()).or_default().give(&waits);
         }
         for (name, t) in self.teams.iter().filter(|(_, t)| given(t)) {
@@ -164,8 +164,8 @@
     /// Room on machines that can be used now.
     fn free_room(&self, now: Instant) -> Resources {
         let mut free = Resources::default();
-        for m in self.machines.values().filter(|m| m.usable(now, &self.policy)) {
-            free.give(&m.free());
+        for m in self.machines.values().filter(|m| m.is_schedulable(now, &self.policy)) {
+            free.give(&m.free_resources());
         }
         free
     }
@@ -176,19 +176,19 @@
         let boot = self.types.values().map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
         let newest = |class: &Name| {
             let of = self.jobs.values().filter(|j| j.outcome.is_none() && j.spec.class == *class);
-            of.max_by_key(|j| j.stamp).map(|j| j.spec.clone())
+            of.max_by_key(|j| j.revision).map(|j| j.spec.clone())
         };
-        self.wait_aims.iter().filter(|(_, aim)| **aim < boot).filter_map(|(class, _)| newest(class)).collect()
+        self.start_objectives.iter().filter(|(_, aim)| **aim < boot).filter_map(|(class, _)| newest(class)).collect()
     }
 
     /// How many tasks of a job a machine could take at once, counting what
     /// would give way to them.
     fn ready_room(&self, m: &Machine, spec: &JobSpec, now: Instant) -> usize {
-        if !m.usable(now, &self.policy) || !spec.allows(&m.kind, &m.zone, m.spot) {
+        if !m.is_schedulable(now, &self.policy) || !spec.allows(&m.kind, &m.zone, m.spot) {
             return 0;
         }
-        let mut room = m.free();
-        for p in m.tasks.values().filter(|p| p.present() && p.spec.priority > spec.priority) {
+        let mut room = m.free_resources();
+        for p in m.tasks.values().filter(|p| p.occupies_resources() && p.spec.priority > spec.priority) {
             room.give(&p.spec.size());
         }
         room.count(&spec.size(), 1000)
@@ -199,13 +199,13 @@
     /// it may have come over any time.
     fn likely(&self, spec: &JobSpec, now: Instant) -> f64 {
         let boot = self.types.values().map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
-        let from = self.began + self.policy.ttl;
+        let from = self.term_started_at + self.policy.ttl;
         let since = |t: Instant| now.saturating_duration_since(t).as_secs_f64();
         let window = since(from).min(self.policy.horizon_s);
         if window < boot / 2.0 || !boot.is_finite() {
             return 0.0;
         }
-        let lately = |j: &&Job| j.spec.class == spec.class && j.known > from && since(j.known) < window;
+        let lately = |j: &&Job| j.spec.class == spec.class && j.first_seen > from && since(j.first_seen) < window;
         let came: u32 = self.jobs.values().filter(lately).map(|j| j.spec.tasks).sum();
         f64::from(came) * boot / window
     }
@@ -230,8 +230,8 @@
             for (zone, spot) in t.zones.iter().flat_map(|z| [(z, true), (z, false)]) {
                 let pool = (t.name.clone(), zone.clone(), spot);
                 // what boots in a zone that is cut off is of no use
-                if self.fleet.resting.get(&pool).is_some_and(|r| *r > now)
-                    || self.fleet.cut.contains(zone)
+                if self.fleet.exhausted_pools.get(&pool).is_some_and(|r| *r > now)
+                    || self.fleet.partitioned_zones.contains(zone)
                     || !allowed(&pool)
                 {
                     continue;
@@ -267,7 +267,11 @@
     fn returns(&mut self, g: &Guarantees, plan: &mut Plan, now: Instant) {
         let policy = self.policy.clone();
         let mut spare = Resources::default();
-        for m in self.machines.values().filter(|m| m.gone.is_none() && m.deleting.is_none() && m.drain.is_none()) {
+        for m in self
+            .machines
+            .values()
+            .filter(|m| m.removed_at.is_none() && m.deletion_sent_at.is_none() && m.cordon_reason.is_none())
+        {
             spare.give(&m.size);
         }
         spare.take(&self.kept(g));
@@ -275,9 +279,10 @@
         let mut free = self.free_room(now);
         free.take(&self.headroom_size(g));
         let bare = |size: &Resources| Resources { memory: 0.0, ..*size };
-        let silences: Vec<Duration> = self.machines.values().map(|m| self.silence(m, now)).collect();
+        let silences: Vec<Duration> = self.machines.values().map(|m| self.time_since_heartbeat(m, now)).collect();
         let up = |m: &&Machine| {
-            m.gone.is_none() && (m.heard.is_some() || m.stage == Some(MachineState::Running) || !m.tasks.is_empty())
+            m.removed_at.is_none()
+                && (m.last_heartbeat.is_some() || m.state == Some(MachineState::Running) || !m.tasks.is_empty())
         };
         // many of a zone, or of all, at once: that is the network, and they may
         // well be working
@@ -292,23 +297,27 @@
         let mass = |silent: usize, of: usize| silent > 2 && silent as f64 > of as f64 * policy.silent_share;
         // as a cut heals, most come back one by one within a report interval:
         // the last third of them is as much alive as the first
-        let seemed = &mut self.fleet.seemed_cut;
+        let seemed = &mut self.fleet.last_seen_partitioned;
         seemed.extend(counts.into_iter().filter(|(_, c)| mass(c.0, c.1)).map(|(z, _)| (z, now)));
         seemed.retain(|_, t| now.saturating_duration_since(*t) < policy.missed);
         let everywhere = seemed.contains_key(&None);
-        self.fleet.cut = seemed.keys().flatten().cloned().collect();
-        let cut = self.fleet.cut.clone();
-        let listed = self.fleet.listed;
+        self.fleet.partitioned_zones = seemed.keys().flatten().cloned().collect();
+        let cut = self.fleet.partitioned_zones.clone();
+        let listed = self.fleet.last_full_list;
         let needed = self.needed_idle(now);
         let mut moves: Vec<(Name, Task)> = Vec::new();
-        for (m, silence) in self.machines.values_mut().zip(silences).filter(|(m, _)| m.gone.is_none()) {
+        for (m, silence) in self.machines.values_mut().zip(silences).filter(|(m, _)| m.removed_at.is_none()) {
             // it was listed for long, and the newest list lacks it: a list that
             // is older than others would still have it, so it is gone.  No
             // proof, but reason enough to ask for one, a deletion
-            let old = now.duration_since(m.rented.min(m.known)) > policy.list_lag * 4;
-            let unlisted =
-                m.listed.zip(listed).is_some_and(|(m, l)| l > m && (old || l.duration_since(m) > policy.list_lag * 2))
-                    || m.listed.is_none() && now.duration_since(m.known) > policy.list_lag * 4 && listed.is_some();
+            let old = now.duration_since(m.rented_at.min(m.first_seen)) > policy.list_lag * 4;
+            let unlisted = m
+                .last_listed
+                .zip(listed)
+                .is_some_and(|(m, l)| l > m && (old || l.duration_since(m) > policy.list_lag * 2))
+                || m.last_listed.is_none()
+                    && now.duration_since(m.first_seen) > policy.list_lag * 4
+                    && listed.is_some();
             let boot_s = self.types.get(&m.kind).map_or(60.0, |t| t.boot_s);
             let boot_limit = Duration::from_secs_f64(boot_s * policy.boot_factor);
             // an empty machine is worth the image that the next task need not
@@ -317,34 +326,34 @@
             let image = m.images.iter().map(|i| i.1).sum::<f64>() / m.images.len().max(1) as f64;
             let held = image / rate.max(1e-3) * policy.idle_images;
             let idle = policy.idle.max(Duration::from_secs_f64(held.min(policy.idle_most)));
-            let reason = if m.deleting.is_some() {
+            let reason = if m.deletion_sent_at.is_some() {
                 // a deletion may be carried out at any time now
                 Some("is being returned")
-            } else if m.stage == Some(MachineState::Failed) {
+            } else if m.state == Some(MachineState::Failed) {
                 Some("has failed")
-            } else if m.notice.is_some_and(|t| t <= now) && silence > policy.fresh / 2 {
+            } else if m.reclaim_at.is_some_and(|t| t <= now) && silence > policy.fresh / 2 {
                 Some("was taken back")
             } else if unlisted && silence > policy.missed {
                 Some("is silent and not listed")
-            } else if m.heard.is_none() && m.stage != Some(MachineState::Running) && m.tasks.is_empty() {
-                (now.duration_since(m.rented) > boot_limit && silence > policy.fresh).then_some("does not come up")
+            } else if m.last_heartbeat.is_none() && m.state != Some(MachineState::Running) && m.tasks.is_empty() {
+                (now.duration_since(m.rented_at) > boot_limit && silence > policy.fresh).then_some("does not come up")
             } else if silence > policy.silent && !everywhere && !cut.contains(&m.zone) {
                 Some("is silent")
             } else if silence > policy.lease_over
                 && !everywhere
                 && cut.contains(&m.zone)
-                && !self.manned.contains(&m.zone)
-                && m.tasks.values().any(|p| p.present() && p.spec.shape == Shape::Service)
+                && !self.zones_with_controller.contains(&m.zone)
+                && m.tasks.values().any(|p| p.occupies_resources() && p.spec.shape == Shape::Service)
             {
                 // nobody inside renews its lease: its replicas are lost by now,
                 // and only a deletion proves it
                 Some("is cut off, and its lease has run out")
-            } else if m.drain.is_some() && m.tasks.is_empty() {
-                m.drain
-            } else if m.idle.is_some_and(|t| now.duration_since(t) > idle)
+            } else if m.cordon_reason.is_some() && m.tasks.is_empty() {
+                m.cordon_reason
+            } else if m.idle_since.is_some_and(|t| now.duration_since(t) > idle)
                 && m.tasks.is_empty()
-                && m.heard.is_some()
-                && now.duration_since(m.rented) > idle
+                && m.last_heartbeat.is_some()
+                && now.duration_since(m.rented_at) > idle
                 && spare.holds(&bare(&m.size))
                 && !needed.contains(&m.name)
                 && bare(&free).holds(&bare(&m.size))
@@ -357,29 +366,29 @@
                 let over = self.jobs.get(&p.spec.id).is_none_or(|j| j.outcome == Some(JobOutcome::Cancelled));
                 // at once where no stop arrives
                 let late = if silence > policy.missed { Duration::ZERO } else { policy.cancel.mul_f64(0.45) };
-                over && p.present() && p.halt_since.is_some_and(|t| now.duration_since(t) > late)
+                over && p.occupies_resources() && p.stop_requested_at.is_some_and(|t| now.duration_since(t) > late)
             }) {
                 Some("keeps tasks of a cancelled job")
             } else {
                 None
             };
             if let Some(why) = reason {
-                if m.deleting.is_none() {
+                if m.deletion_sent_at.is_none() {
                     tracing::info!("machine {} {why}: returned, with {} tasks", m.name, m.tasks.len());
                 }
                 if plan.delete.len() < MOST_DELETES {
-                    m.deleting.get_or_insert(now);
+                    m.deletion_sent_at.get_or_insert(now);
                     plan.delete.push(m.name.clone());
                 }
-            } else if m.drain.is_some() || m.notice.is_some() {
+            } else if m.cordon_reason.is_some() || m.reclaim_at.is_some() {
                 let stay = |p: &crate::cluster::Place| {
                     // without checkpoints a stop only loses: it may finish yet
-                    m.drain.is_none() && p.spec.checkpoint_s == 0.0 && p.spec.shape == Shape::Array
+                    m.cordon_reason.is_none() && p.spec.checkpoint_s == 0.0 && p.spec.shape == Shape::Array
                 };
                 moves.extend(
                     m.tasks
                         .iter()
-                        .filter(|(_, p)| p.present() && p.halt.is_none() && !stay(p))
+                        .filter(|(_, p)| p.occupies_resources() && p.stop_grace_s.is_none() && !stay(p))
                         .map(|(t, _)| (m.name.clone(), t.clone())),
                 );
             }
@@ -397,30 +406,36 @@
         let p = self.policy.clone();
         // a cloud that does not answer takes nothing back: a drained machine
         // would only be lost
-        let cloud = self.fleet.listed.is_some_and(|t| now.duration_since(t) < p.fresh);
-        if !cloud || now.duration_since(self.began.max(self.awake)) < p.settled || !self.fleet.cut.is_empty() {
+        let cloud = self.fleet.last_full_list.is_some_and(|t| now.duration_since(t) < p.fresh);
+        if !cloud
+            || now.duration_since(self.term_started_at.max(self.resumed_at)) < p.settled
+            || !self.fleet.partitioned_zones.is_empty()
+        {
             return;
         }
         // replicas that are down for a move, or wait, and those that are not
         let (mut down, mut replicas) = (0, 0);
-        for j in self.jobs.values().filter(|j| j.outcome.is_none() && j.waiting() > 0) {
+        for j in self.jobs.values().filter(|j| j.outcome.is_none() && j.waiting_tasks() > 0) {
             if j.spec.shape != Shape::Service {
                 return; // there is work for the room
             }
-            down += j.waiting() as usize;
+            down += j.waiting_tasks() as usize;
         }
         let service = |p: &Place| p.spec.shape == Shape::Service;
         for place in self.machines.values().flat_map(|m| m.tasks.values()).filter(|p| service(p)) {
             replicas += 1;
-            down += usize::from(place.halt.is_some());
+            down += usize::from(place.stop_grace_s.is_some());
         }
         let most = ((replicas as f64 * p.move_share) as usize).max(1);
         let settled = |t: &Place| {
-            let since = t.running_since.filter(|_| t.phase == Phase::Running && t.halt.is_none());
+            let since = t.running_since.filter(|_| t.phase == Phase::Running && t.stop_grace_s.is_none());
             since.is_some_and(|s| now.duration_since(s) > p.settled)
         };
         let movable = |m: &&Machine| {
-            m.usable(now, &p) && !m.spot && !m.tasks.is_empty() && m.tasks.values().all(|t| service(t) && settled(t))
+            m.is_schedulable(now, &p)
+                && !m.spot
+                && !m.tasks.is_empty()
+                && m.tasks.values().all(|t| service(t) && settled(t))
         };
         let Some(from) = self.machines.values().filter(movable).min_by_key(|m| m.tasks.len()) else { return };
         let used = from.tasks.len();
@@ -430,9 +445,9 @@
         let mut others: Vec<(&Machine, Resources)> = self
             .machines
             .values()
-            .filter(|m| m.name != from.name && m.zone == from.zone && m.usable(now, &p))
+            .filter(|m| m.name != from.name && m.zone == from.zone && m.is_schedulable(now, &p))
             .filter(|m| m.tasks.values().filter(|t| service(t)).count() >= used)
-            .map(|m| (m, m.free()))
+            .map(|m| (m, m.free_resources()))
             .collect();
         for t in from.tasks.values() {
             let size = t.spec.size();
@@ -445,7 +460,7 @@
         let name = from.name.clone();
         tracing::info!("machine {name} is emptied: its {used} replicas fit on others");
         if let Some(m) = self.machines.get_mut(&name) {
-            m.drain = Some("is emptied");
+            m.cordon_reason = Some("is emptied");
         }
     }
 
@@ -455,7 +470,11 @@
     fn room_without(&self, g: &Guarantees, m: &Machine, now: Instant) -> bool {
         let bare = |size: &Resources| Resources { memory: 0.0, ..*size };
         let (mut spare, mut free) = (Resources::default(), self.free_room(now));
-        for m in self.machines.values().filter(|m| m.gone.is_none() && m.deleting.is_none() && m.drain.is_none()) {
+        for m in self
+            .machines
+            .values()
+            .filter(|m| m.removed_at.is_none() && m.deletion_sent_at.is_none() && m.cordon_reason.is_none())
+        {
             spare.give(&m.size);
         }
         spare.take(&self.kept(g));
@@ -463,7 +482,7 @@
         let boot = self.types.get(&m.kind).map_or(60.0, |t| t.boot_s);
         let urgent = |spec: std::sync::Arc<JobSpec>| {
             let lately = |j: &&Job| {
-                j.spec.class == spec.class && now.duration_since(j.known).as_secs_f64() < self.policy.horizon_s
+                j.spec.class == spec.class && now.duration_since(j.first_seen).as_secs_f64() < self.policy.horizon_s
             };
             let came: u32 = self.jobs.values().filter(lately).map(|j| j.spec.tasks).sum();
             let likely = f64::from(came) * 2.0 * boot / self.policy.horizon_s;
@@ -479,20 +498,25 @@
         // machines on their way count before new ones are asked for.  A new
         // leader knows those of its previous leader from the list, and what the list
         // may lack from the records, which count until they are answered
-        let Some(_) = self.fleet.listed else { return };
-        plan.rent.extend(self.fleet.open.iter().cloned());
+        let Some(_) = self.fleet.last_full_list else { return };
+        plan.rent.extend(self.fleet.open_rentals.iter().cloned());
         let mut coming: Vec<(Pool, Resources)> = self
             .machines
             .values()
-            .filter(|m| m.gone.is_none() && m.heard.is_none() && m.deleting.is_none() && m.tasks.is_empty())
+            .filter(|m| {
+                m.removed_at.is_none()
+                    && m.last_heartbeat.is_none()
+                    && m.deletion_sent_at.is_none()
+                    && m.tasks.is_empty()
+            })
             .map(|m| ((m.kind.clone(), m.zone.clone(), m.spot), m.size))
             .collect();
-        for r in &self.fleet.open {
+        for r in &self.fleet.open_rentals {
             let Some(t) = self.types.get(&r.kind) else { continue };
             coming.extend((0..r.count).map(|_| ((r.kind.clone(), r.zone.clone(), r.spot), t.size())));
         }
         let mut per_zone: HashMap<Name, usize> = HashMap::new();
-        for m in self.machines.values().filter(|m| m.gone.is_none()) {
+        for m in self.machines.values().filter(|m| m.removed_at.is_none()) {
             *per_zone.entry(m.zone.clone()).or_default() += 1;
         }
         // arrays share what already runs arrays: only the work that these
@@ -501,7 +525,7 @@
             .machines
             .values()
             .flat_map(|m| m.tasks.values())
-            .filter(|p| p.present() && p.spec.shape == Shape::Array && p.halt.is_none())
+            .filter(|p| p.occupies_resources() && p.spec.shape == Shape::Array && p.stop_grace_s.is_none())
             .count() as f64;
         let (mut places, mut spot_places) = (array_places, array_places);
         let mut new: BTreeMap<Pool, u32> = BTreeMap::new();
@@ -520,7 +544,7 @@
             let size = spec.size();
             let (mut count, mut spot_only) = (w.count, 0);
             if spec.shape == Shape::Array && !self.jobs.get(&spec.id).is_some_and(|j| j.guaranteed) {
-                let bias = self.bias.get(&spec.class).copied().unwrap_or(1.0);
+                let bias = self.runtime_bias.get(&spec.class).copied().unwrap_or(1.0);
                 let each = (spec.estimate_s * bias).max(1.0);
                 let lacks = |places: &mut f64, slots: f64| {
                     let served = places.min(slots);
@@ -540,7 +564,7 @@
             let mut zones = w.zones.clone();
             // how many more the job may have in the zone of a pool
             let most = |p: &Pool, zones: &BTreeMap<Name, u32>, left: u32| {
-                let fits = spec.allows(&p.0, &p.1, p.2) && zone_ok(spec, &p.1, zones);
+                let fits = spec.allows(&p.0, &p.1, p.2) && zone_allows(spec, &p.1, zones);
                 let here = zones.get(&p.1).copied().unwrap_or(0);
                 if fits {
                     left.min(spec.zone_cap().saturating_sub(here))
@@ -584,20 +608,20 @@
         let mut left = policy.rentals_at_once;
         // a fleet that this controller cannot listen to is worth less than a
         // smaller one: its workers run into their leases, and users find nobody
-        let here = self.here();
-        let asked: usize = self.fleet.open.iter().map(|r| r.count as usize).sum();
-        let mut room = self.fleet.most(&policy).saturating_sub(here + asked).min(u32::MAX as usize) as u32;
+        let here = self.machine_count();
+        let asked: usize = self.fleet.open_rentals.iter().map(|r| r.count as usize).sum();
+        let mut room = self.fleet.machine_limit(&policy).saturating_sub(here + asked).min(u32::MAX as usize) as u32;
         for ((kind, zone, spot), count) in new {
             let mut count = count.min(room);
             room -= count;
             while count > 0 && left > 0 {
-                self.fleet.next_charter += 1;
-                let charter = format!("c-{}-{}", self.term, self.fleet.next_charter).into();
+                self.fleet.next_request_id += 1;
+                let charter = format!("c-{}-{}", self.term, self.fleet.next_request_id).into();
                 let (kind, zone) = (kind.clone(), zone.clone());
                 let r = Rental { request_id: charter, kind, zone, spot, count: count.min(MOST_RENTED) };
                 count -= r.count;
                 left -= 1;
-                self.fleet.open.push(r.clone());
+                self.fleet.open_rentals.push(r.clone());
                 plan.rent.push(r);
             }
         }
--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -11,9 +11,14 @@
     for i in 0..machines {
         let machine: Name = format!("i-{zone}{i:04}").into();
         places.insert(machine.clone(), ("t".into(), zone.into(), false));
-        page.starts.push(Start { machine, task: Task { job: job.into(), index: i as u32 }, attempt: 1, session: 1 });
+        page.starts.push(Start {
+            machine,
+            task: Task { job: job.into(), index: i as u32 },
+            attempt: 1,
+            incarnation: 1,
+        });
     }
-    c.add_page(c.pages.len() as u32, page, &places, now);
+    c.add_shard(c.shards.len() as u32, page, &places, now);
 }
 
 /// A zone that goes silent as a whole is cut off, not dead: its machines
@@ -28,15 +33,15 @@
     on_record(&mut c, 70, "z1", "j-000002", t0);
     let later = t0 + c.policy.silent * 2;
     for m in c.machines.values_mut().filter(|m| *m.zone == *"z1") {
-        m.heard = Some(later);
+        m.last_heartbeat = Some(later);
     }
     assert!(c.plan(&[], later).delete.is_empty());
-    assert!(c.fleet.cut.contains("z0"));
+    assert!(c.fleet.partitioned_zones.contains("z0"));
     // Seen on the bench: the cut healed, two thirds had reported, and the
     // rest was given up a second before its reports came.
     let healed = later + Duration::from_secs(1);
     for m in c.machines.values_mut().skip(5) {
-        m.heard = Some(healed);
+        m.last_heartbeat = Some(healed);
     }
     assert!(c.plan(&[], healed).delete.is_empty());
     // those that stay away after that are another matter
@@ -54,9 +59,9 @@
     for manned in [false, true] {
         let mut c = cluster(2, t0);
         let policy: Arc<Policy> = c.policy.clone();
-        c.manned = BTreeSet::from(["z1".into()]);
+        c.zones_with_controller = BTreeSet::from(["z1".into()]);
         if manned {
-            c.manned.insert("z0".into());
+            c.zones_with_controller.insert("z0".into());
         }
         c.add_job(service("j-000001"), 1, None, t0);
         c.add_job(spec("j-000002", 1000), 2, None, t0);
@@ -71,7 +76,7 @@
         c.machines.values_mut().for_each(zone);
         let mut plan_at = |t: Instant| {
             for m in c.machines.values_mut().filter(|m| *m.zone == *"z1") {
-                m.heard = Some(t);
+                m.last_heartbeat = Some(t);
             }
             c.plan(&[], t).delete
         };
@@ -103,7 +108,7 @@
     assert_eq!(rented(c.plan(std::slice::from_ref(&want), now)), 7);
     // what was asked for counts until it is here
     assert_eq!(rented(c.plan(std::slice::from_ref(&want), now)), 7, "the same again, under the same charters");
-    assert_eq!(c.fleet.open.iter().map(|r| r.count).sum::<u32>(), 7);
+    assert_eq!(c.fleet.open_rentals.iter().map(|r| r.count).sum::<u32>(), 7);
 }
 
 /// Seen where arrays run on spot machines alone: nothing on ordinary ones gives
@@ -119,7 +124,7 @@
         let mut c = cluster(2, t0);
         several(&mut c);
         c.set_types(&[MachineType { zones: zones.clone(), ..crate::sim::machine_type("t") }]);
-        c.wait_aims.insert("c".into(), 5.0);
+        c.start_objectives.insert("c".into(), 5.0);
         let now = t0 + c.policy.ttl + Duration::from_secs(20);
         for n in 0..arrivals {
             let s =
@@ -143,7 +148,7 @@
     let want = |count| Want { spec: spec("j-000001", 1000), count, zones: BTreeMap::new() };
     let each = 10.0 / c.policy.spot_horizon_s;
     let mut rented = |count| {
-        c.fleet.open.clear();
+        c.fleet.open_rentals.clear();
         c.plan(&[want(count)], t0).rent.iter().map(|r| (r.spot, r.count)).collect::<Vec<_>>()
     };
     let enough = (100.0 / each) as u32;
@@ -162,17 +167,17 @@
     c.add_job(spec("j-000001", 1000), 1, None, t0);
     on_record(&mut c, 2, "z0", "j-000001", t0);
     let heard = Some(t0 - Duration::from_secs(20));
-    c.learned.insert("i-z00000".into(), crate::cluster::Learned { heard, ..Default::default() });
+    c.machine_hints.insert("i-z00000".into(), crate::cluster::Learned { last_heartbeat: heard, ..Default::default() });
     let silence = |after: Duration| {
-        let of = |n: &str| c.silence(&c.machines[n], t0 + after).as_secs();
+        let of = |n: &str| c.time_since_heartbeat(&c.machines[n], t0 + after).as_secs();
         (of("i-z00000"), of("i-z00001"))
     };
     assert_eq!(silence(Duration::from_secs(1)), (1, 1));
     let waited = c.policy.missed + Duration::from_secs(1);
     assert_eq!(silence(waited), (20 + waited.as_secs(), waited.as_secs()));
     // a controller inside may have heard it all along
-    c.manned.insert("z0".into());
-    assert_eq!(c.silence(&c.machines["i-z00000"], t0 + waited).as_secs(), waited.as_secs());
+    c.zones_with_controller.insert("z0".into());
+    assert_eq!(c.time_since_heartbeat(&c.machines["i-z00000"], t0 + waited).as_secs(), waited.as_secs());
 }
 
 /// The silence of a controller that stood still is its own: nothing is
@@ -184,7 +189,7 @@
     c.add_job(spec("j-000001", 1000), 1, None, t0);
     on_record(&mut c, 2, "z0", "j-000001", t0);
     let woke = t0 + c.policy.silent * 2;
-    c.awake = woke;
+    c.resumed_at = woke;
     assert!(c.plan(&[], woke).delete.is_empty());
     let later = woke + c.policy.silent + Duration::from_secs(1);
     assert_eq!(c.plan(&[], later).delete.len(), 2);
@@ -210,19 +215,19 @@
     let t0 = Instant::now();
     let mut old = cluster(1, t0);
     old.set_types(&[MachineType { zones: vec!["z0".into()], ..crate::sim::machine_type("t") }]);
-    old.fleet.listed = Some(t0);
+    old.fleet.last_full_list = Some(t0);
     let want = |c: &Cluster| Want { spec: c.jobs["j-000001"].spec.clone(), count: 300, zones: BTreeMap::new() };
     old.add_job(spec("j-000001", 300), 1, None, t0);
     let asked = old.plan(&[want(&old)], t0).rent;
     assert!(!asked.is_empty());
     let key = old.fleet.record_key(1);
     assert_eq!(old.fleet.unrecorded(&asked), asked);
-    old.fleet.recorded(key.clone(), &asked);
+    old.fleet.mark_recorded(key.clone(), &asked);
     assert!(old.fleet.unrecorded(&asked).is_empty());
     // its term ends before the cloud answers
     let mut new = cluster(2, t0);
     new.set_types(&[MachineType { zones: vec!["z0".into()], ..crate::sim::machine_type("t") }]);
-    new.fleet.listed = Some(t0);
+    new.fleet.last_full_list = Some(t0);
     new.add_job(spec("j-000001", 300), 1, None, t0);
     new.fleet.inherit(key.clone(), asked.clone());
     new.fleet.inherit("again".into(), asked.clone());
@@ -235,8 +240,8 @@
     }
     assert!(new.plan(&[want(&new)], t0).rent.is_empty());
     let kept = new.policy.rental_kept;
-    assert!(new.fleet.outlived(kept, 9, t0 + kept).is_empty());
-    assert_eq!(new.fleet.outlived(kept, 9, t0 + kept * 2).len(), 2);
+    assert!(new.fleet.expired_records(kept, 9, t0 + kept).is_empty());
+    assert_eq!(new.fleet.expired_records(kept, 9, t0 + kept * 2).len(), 2);
 }
 
 /// Replicas leave a machine that holds few for fuller ones, one machine at a
@@ -256,9 +261,9 @@
     for (m, held) in [3, 2, 1, 0, 0, 0].into_iter().enumerate() {
         let name: Name = format!("i-{m}").into();
         let mut machine = Machine::new(name.clone(), "t".into(), "z0".into(), false, t0);
-        (machine.session, machine.heard, machine.size) = (1, Some(now), c.types["t"].size());
+        (machine.incarnation, machine.last_heartbeat, machine.size) = (1, Some(now), c.types["t"].size());
         machine.images = vec![("img-0".into(), 1.0)];
-        machine.idle = Some(now);
+        machine.idle_since = Some(now);
         c.machines.insert(name.clone(), machine);
         for n in 0..held {
             let id: Name = format!("j-{m}{n}").into();
@@ -269,12 +274,13 @@
     for p in c.machines.values_mut().flat_map(|m| m.tasks.values_mut()) {
         (p.phase, p.stored, p.running_since) = (Phase::Running, true, Some(t0));
     }
-    let drained =
-        |c: &Cluster| c.machines.values().filter(|m| m.drain.is_some()).map(|m| m.name.to_string()).collect::<Vec<_>>();
+    let drained = |c: &Cluster| {
+        c.machines.values().filter(|m| m.cordon_reason.is_some()).map(|m| m.name.to_string()).collect::<Vec<_>>()
+    };
     // the cloud takes nothing back for now
     c.plan(&[], now);
     assert!(drained(&c).is_empty());
-    c.fleet.listed = Some(now);
+    c.fleet.last_full_list = Some(now);
     // other work waits
     c.add_job(spec("j-000009", 1), 9, None, t0);
     c.plan(&[], now);
@@ -291,9 +297,9 @@
     c.plan(&[], now);
     assert_eq!(drained(&c), ["i-2"]);
     // nothing that has just begun moves
-    c.machines.get_mut("i-2").expect("it is there").drain = None;
+    c.machines.get_mut("i-2").expect("it is there").cordon_reason = None;
     for p in c.machines.values_mut().flat_map(|m| m.tasks.values_mut()) {
-        (p.running_since, p.halt) = (Some(now), None);
+        (p.running_since, p.stop_grace_s) = (Some(now), None);
     }
     c.plan(&[], now);
     assert!(drained(&c).is_empty());
--- a/packages/core/src/placement/mod.rs
+++ b/packages/core/src/placement/mod.rs
@@ -32,16 +32,16 @@
     /// their turn once: they do not wait again behind all that came since.
     /// Where zones matter the job stays whole, as they are counted by job.
     fn of(job: &'a Job) -> impl Iterator<Item = Entry<'a>> {
-        let (all, begun) = (job.waiting(), job.begun());
-        let whole = job.spec.shape != Shape::Array || job.spec.one_zone || job.spec.spread || job.suspect.is_some();
-        let again = if whole { 0 } else { job.todo.below(begun) };
+        let (all, begun) = (job.waiting_tasks(), job.first_never_placed());
+        let whole = job.spec.shape != Shape::Array || job.spec.one_zone || job.spec.spread || job.quarantine.is_some();
+        let again = if whole { 0 } else { job.pending.below(begun) };
         let fresh = Entry { job, from: if again > 0 { begun } else { 0 }, count: all - again, again: false };
         [Entry { job, from: 0, count: again, again: true }, fresh].into_iter().filter(|e| e.count > 0)
     }
 
     fn tasks(&self) -> impl Iterator<Item = u32> + 'a {
         let from = self.from;
-        self.job.todo.iter().skip_while(move |n| *n < from).take(self.count as usize)
+        self.job.pending.iter().skip_while(move |n| *n < from).take(self.count as usize)
     }
 }
 
@@ -71,13 +71,13 @@
     /// found no place.
     pub fn place(&mut self, now: Instant) -> Vec<Want> {
         self.queue_changed = false;
-        self.placed_after.clear();
+        self.placement_waits.clear();
         self.mark_guaranteed();
         let d = self.decide(now);
         self.queue_changed |= d.unfinished;
         for (id, why) in d.whys {
             if let Some(j) = self.jobs.get_mut(&id) {
-                j.why = why;
+                j.pending_reason = why;
             }
         }
         for s in d.starts {
@@ -118,7 +118,7 @@
                 _ => self.place_each(&ask, *entry, &mut pass, later, &mut out),
             };
             let Some((count, zones)) = blocked else { continue };
-            if job.suspect.is_some() {
+            if job.quarantine.is_some() {
                 // nobody gives way to a probe, nothing is held or rented for it
                 out.whys.push((job.spec.id.clone(), crate::cluster::SUSPECT));
                 continue;
@@ -149,12 +149,12 @@
             return;
         }
         let mut open: Vec<&mut Job> = self.jobs.values_mut().filter(|j| j.outcome.is_none()).collect();
-        open.sort_by(|a, b| (a.stamp, &a.spec.id).cmp(&(b.stamp, &b.spec.id)));
+        open.sort_by(|a, b| (a.revision, &a.spec.id).cmp(&(b.revision, &b.spec.id)));
         let mut used: NameMap<Resources> = NameMap::default();
         for j in open {
             let limit = self.teams.get(&j.spec.team).copied().unwrap_or_default();
             let team = used.entry(j.spec.team.clone()).or_default();
-            let left = f64::from(j.spec.tasks - j.done.len().min(j.spec.tasks));
+            let left = f64::from(j.spec.tasks - j.completed.len().min(j.spec.tasks));
             team.give(&j.spec.size().times(left));
             j.guaranteed = within(&limit.guarantee, team);
         }
@@ -163,12 +163,14 @@
     /// The queue: production and work within its team's guarantee first, by
     /// rank, then as it arrived.
     fn ordered_queue(&self, now: Instant) -> Vec<Entry<'_>> {
-        let waits = |j: &&Job| j.outcome.is_none() && j.waiting() > 0 && j.wait_until.is_none_or(|t| t <= now);
+        let waits = |j: &&Job| j.outcome.is_none() && j.waiting_tasks() > 0 && j.not_before.is_none_or(|t| t <= now);
         let entries = self.jobs.values().filter(waits).flat_map(Entry::of);
         let mut q: Vec<(f64, Entry)> = entries.map(|e| (self.arrival(&e), e)).collect();
         q.sort_by(|(at, a), (bt, b)| {
             let (a, b) = (a.job, b.job);
-            (a.turn().cmp(&b.turn())).then(at.total_cmp(bt)).then((a.stamp, &a.spec.id).cmp(&(b.stamp, &b.spec.id)))
+            (a.queue_priority().cmp(&b.queue_priority()))
+                .then(at.total_cmp(bt))
+                .then((a.revision, &a.spec.id).cmp(&(b.revision, &b.spec.id)))
         });
         q.into_iter().map(|(_, e)| e).collect()
     }
@@ -180,19 +182,19 @@
     /// its job late.
     fn arrival(&self, e: &Entry) -> f64 {
         let j = e.job;
-        let known = j.known.saturating_duration_since(self.began).as_secs_f64();
+        let known = j.first_seen.saturating_duration_since(self.term_started_at).as_secs_f64();
         if j.spec.shape != Shape::Array {
             return known;
         }
-        let started = if e.again { 0.0 } else { f64::from(j.spec.tasks - j.todo.len().min(j.spec.tasks)) };
-        let bias = self.bias.get(&j.spec.class).copied().unwrap_or(1.0);
+        let started = if e.again { 0.0 } else { f64::from(j.spec.tasks - j.pending.len().min(j.spec.tasks)) };
+        let bias = self.runtime_bias.get(&j.spec.class).copied().unwrap_or(1.0);
         known + started * self.policy.task_spacing_s - j.spec.estimate_s * bias
     }
 
     /// How soon a job's tasks should start, if anything is said of it.
     pub fn wait_aim(&self, j: &Job) -> Option<f64> {
         let aims = [
-            self.wait_aims.get(&j.spec.class).copied(),
+            self.start_objectives.get(&j.spec.class).copied(),
             // the users of a service feel every second without a replica
             (j.spec.shape == Shape::Service).then_some(self.policy.fetch_grain_s),
             j.guaranteed.then_some(self.policy.guarantee_wait_s),
@@ -228,7 +230,7 @@
             // fetching the image would make it late: rather take room, if that
             // may be, where the image is
             let wait = pass.image_wait(ask, slot).0;
-            if job.suspect.is_none() && aim.is_some_and(|aim| wait > aim) {
+            if job.quarantine.is_none() && aim.is_some_and(|aim| wait > aim) {
                 let limits = (aim.unwrap_or(wait), wait);
                 if self.hold_or_preempt(ask, 1, &zones, pass, limits, out) == 1 {
                     continue;
@@ -257,12 +259,12 @@
     ) -> Option<(u32, Vec<u32>)> {
         let (job, spec) = (ask.job, &ask.job.spec);
         // what of it is still somewhere
-        let placed = job.placed();
+        let placed = job.placed_tasks();
         let old: Vec<&Place> = placed.iter().filter_map(|(m, t)| self.machines.get(m)?.tasks.get(t)).collect();
         let keeps = |p: &&Place| {
-            matches!(p.phase, Phase::Ordered | Phase::Pulling | Phase::Gathering)
-                && p.halt.is_none()
-                && !p.former
+            matches!(p.phase, Phase::Assigned | Phase::Pulling | Phase::WaitingForGang)
+                && p.stop_grace_s.is_none()
+                && !p.inherited
                 && p.attempt == job.attempt
         };
         if !old.iter().all(keeps) {
@@ -270,7 +272,7 @@
             out.whys.push((spec.id.clone(), "its last attempt is not over"));
             return None;
         }
-        let n = job.todo.len();
+        let n = job.pending.len();
         if !pass.allows(ask, n) {
             out.whys.push((spec.id.clone(), "its team is at its limit"));
             return None;
@@ -298,13 +300,13 @@
             }
         }
         let Some((slowest, picks)) = best else { return Some((n, present)) };
-        if let Some(aim) = self.wait_aim(job).filter(|a| job.suspect.is_none() && slowest > *a) {
+        if let Some(aim) = self.wait_aim(job).filter(|a| job.quarantine.is_none() && slowest > *a) {
             if self.hold_or_preempt(ask, n, &present, pass, (aim, slowest), out) == n {
                 return None;
             }
         }
         let mut tasks = Vec::with_capacity(picks.len());
-        for (index, (slot, how)) in job.todo.iter().zip(picks) {
+        for (index, (slot, how)) in job.pending.iter().zip(picks) {
             let wait = pass.image_wait(ask, slot).0;
             pass.explain(ask, index, slot, how, wait);
             pass.start(ask, slot);
@@ -394,12 +396,12 @@
         let Some(p) = self.machines.get(machine).and_then(|m| m.tasks.get(task)) else { return };
         let grace = if p.spec.checkpoint_s > 0.0 { p.spec.save_s + 1.0 } else { 0.0 };
         if p.spec.shape != Shape::Gang {
-            self.halt(machine, task, grace, now);
+            self.request_stop(machine, task, grace, now);
             return;
         }
         let Some(job) = self.jobs.get(&task.job) else { return };
-        for (m, t) in job.placed() {
-            self.halt(&m, &t, grace, now);
+        for (m, t) in job.placed_tasks() {
+            self.request_stop(&m, &t, grace, now);
         }
     }
 }
@@ -432,7 +434,7 @@
 /// Whether a task of `of` has to give way to `to`: to a higher rank, or, where
 /// it is work beyond its team's guarantee, to another team within its own.
 fn gives_way(to: &Job, of: &Job, teams: &HashMap<Name, TeamLimit>, used: &NameMap<Resources>) -> bool {
-    if of.turn() <= to.turn() {
+    if of.queue_priority() <= to.queue_priority() {
         return false;
     }
     if of.urgency.rank > to.urgency.rank {
@@ -446,7 +448,7 @@
 /// What stopping a task now would cost, in core seconds: its work since the
 /// last checkpoint, its image's fetch, and a start that has hardly begun.
 fn loss(p: &Place, now: Instant) -> f64 {
-    let here = now.duration_since(p.since).as_secs_f64();
+    let here = now.duration_since(p.assigned_at).as_secs_f64();
     let ran = p.running_since.map_or(0.0, |t| now.duration_since(t).as_secs_f64());
     let lost = if p.spec.checkpoint_s > 0.0 { p.spec.save_s } else { ran };
     1.0 + (lost + (here - ran) / (1.0 + ran)) * p.spec.cpus
--- a/packages/core/src/placement/pass.rs
+++ b/packages/core/src/placement/pass.rs
@@ -102,23 +102,23 @@
         let (mut pools, mut zones, mut slots) = (Vec::new(), Vec::new(), Vec::new());
         for m in c.machines.values() {
             let zone = index_of(&mut zones, &m.zone);
-            if !m.usable(now, &c.policy) || m.size.cpus <= 0.0 {
+            if !m.is_schedulable(now, &c.policy) || m.size.cpus <= 0.0 {
                 continue;
             }
             let pool = index_of(&mut pools, (&m.kind, &m.zone, m.spot));
             let (mut free, mut soon, mut stopping, mut latest) = (m.size, m.size, false, None);
             let mut lasting = m.size;
-            for p in m.tasks.values().filter(|p| p.present()) {
+            for p in m.tasks.values().filter(|p| p.occupies_resources()) {
                 free.take(&p.spec.size());
                 if p.spec.shape == Shape::Service {
                     lasting.take(&p.spec.size());
                 }
-                if p.halt.is_some() {
+                if p.stop_grace_s.is_some() {
                     stopping = true;
                 } else {
                     soon.take(&p.spec.size());
-                    if let Some(of) = c.jobs.get(&p.spec.id).filter(|_| !p.former) {
-                        latest = latest.max(Some(of.turn()));
+                    if let Some(of) = c.jobs.get(&p.spec.id).filter(|_| !p.inherited) {
+                        latest = latest.max(Some(of.queue_priority()));
                     }
                 }
             }
@@ -153,7 +153,7 @@
             classes: None,
             least,
             pruned: 0,
-            used: if c.has_limits() { c.usage() } else { NameMap::default() },
+            used: if c.has_limits() { c.team_usage() } else { NameMap::default() },
             variance: variance(slots.iter().map(|s| s.m.speed)),
             free_cpus: slots.iter().map(|s| s.free.cpus.max(0.0)).sum(),
             waiting: queue.iter().map(|e| e.job.spec.cpus * f64::from(e.count)).sum(),
@@ -201,10 +201,10 @@
         if !ask.job.spec.one_zone && !ask.job.spec.spread {
             return zones;
         }
-        for (name, task) in ask.job.placed() {
+        for (name, task) in ask.job.placed_tasks() {
             // exited tasks are off their machine
             let Some(m) = self.c.machines.get(&name) else { continue };
-            if m.tasks.get(&task).is_some_and(|p| p.present()) {
+            if m.tasks.get(&task).is_some_and(|p| p.occupies_resources()) {
                 if let Some(z) = self.zones.iter().position(|z| **z == m.zone) {
                     zones[z] += 1;
                 }
@@ -240,8 +240,8 @@
         let used = self.used.get(team).copied().unwrap_or_default();
         let part = |most: f64, used: f64| if most > 0.0 { most - used } else { f64::INFINITY };
         let left = Resources {
-            cpus: part(limit.most.cpus, used.cpus),
-            gpus: part(limit.most.gpus, used.gpus),
+            cpus: part(limit.limit.cpus, used.cpus),
+            gpus: part(limit.limit.gpus, used.gpus),
             memory: f64::INFINITY,
         };
         left.count(&ask.size, most as usize) as u32
@@ -258,13 +258,13 @@
             (0.0, false)
         } else {
             let rate = self.c.types.get(&s.m.kind).map_or(0.0, |t| t.fetch_gb_per_s).max(1e-3);
-            let fetching = |p: &&Place| p.present() && matches!(p.phase, Phase::Ordered | Phase::Pulling);
+            let fetching = |p: &&Place| p.occupies_resources() && matches!(p.phase, Phase::Assigned | Phase::Pulling);
             let mut began = s.fetches.iter().any(|f| f.0 == &spec.image).then_some(self.now);
             // fetches at the same time share the rate
             let mut others: Vec<(&Name, f64)> = s.fetches.iter().filter(|f| f.0 != &spec.image).copied().collect();
             for p in s.m.tasks.values().filter(fetching) {
                 if p.spec.image == spec.image {
-                    began = Some(began.map_or(p.since, |b| b.min(p.since)));
+                    began = Some(began.map_or(p.assigned_at, |b| b.min(p.assigned_at)));
                 } else if !s.m.has_image(&p.spec.image) && !others.iter().any(|o| *o.0 == p.spec.image) {
                     others.push((&p.spec.image, p.spec.image_gb));
                 }
@@ -303,7 +303,7 @@
         let (wait, fetching) = self.image_wait(ask, slot);
         // under a deadline a task that is lost with its machine costs more than
         // the room that an ordinary one has left
-        let dear = ask.job.spec.spot && m.spot == ask.job.chained();
+        let dear = ask.job.spec.spot && m.spot == ask.job.has_deadline_in_chain();
         (failed, (wait / patience).floor() as u64, dear, (wait / grain).ceil() as u64, fetching)
     }
 
@@ -440,7 +440,7 @@
     /// that could give way to it.
     pub fn is_hopeless(&self, ask: &Ask) -> bool {
         let like = |h: &Hopeless| {
-            h.job.turn() == ask.job.turn()
+            h.job.queue_priority() == ask.job.queue_priority()
                 && h.job.guaranteed == ask.job.guaranteed
                 && h.job.spec.team == ask.job.spec.team
                 && ask.size.holds(&h.size)
@@ -458,7 +458,7 @@
     pub fn may_make_room(&self, ask: &Ask, slot: usize) -> bool {
         let s = &self.slots[slot];
         ask.allowed[s.pool]
-            && (s.stopping || s.soon.holds(&ask.size) || s.latest.is_some_and(|l| l > ask.job.turn()))
+            && (s.stopping || s.soon.holds(&ask.size) || s.latest.is_some_and(|l| l > ask.job.queue_priority()))
             && s.m.size.holds(&ask.size)
     }
 
@@ -473,15 +473,15 @@
         let s = &self.slots[slot];
         let mut victims: Vec<(f64, &'a Task, &'a Place, Priority)> = Vec::new();
         for (t, p) in &s.m.tasks {
-            let stays = !p.present()
-                || p.halt.is_some()
-                || p.former
+            let stays = !p.occupies_resources()
+                || p.stop_grace_s.is_some()
+                || p.inherited
                 || p.spec.checkpoint_s > 0.0 && p.spec.save_s >= patience
                 || self.stopped.contains(&(&s.m.name, t));
             let of = self.c.jobs.get(&p.spec.id).filter(|_| !stays);
             if of.is_some_and(|of| gives_way(ask.job, of, &self.c.teams, &self.used)) {
                 // a gang goes as a whole
-                let mates = of.map_or(1, |of| if of.spec.shape == Shape::Gang { of.places.len() } else { 1 });
+                let mates = of.map_or(1, |of| if of.spec.shape == Shape::Gang { of.assignments.len() } else { 1 });
                 let rank = of.map_or(p.spec.priority, |of| of.urgency.rank);
                 victims.push((loss(p, self.now) * mates.max(1) as f64, t, p, rank));
             }
@@ -539,11 +539,12 @@
     pub fn stopped_with_mates(&mut self, victims: &[&'a Task]) {
         for t in victims {
             let Some(job) = self.c.jobs.get(&t.job) else { continue };
-            if let Some(p) = job.places.get(&t.index).and_then(|l| self.c.machines.get(l.first()?)?.tasks.get(*t)) {
+            if let Some(p) = job.assignments.get(&t.index).and_then(|l| self.c.machines.get(l.first()?)?.tasks.get(*t))
+            {
                 self.used.entry(p.spec.team.clone()).or_default().give(&p.spec.size());
             }
             if job.spec.shape == Shape::Gang {
-                for (index, list) in &job.places {
+                for (index, list) in &job.assignments {
                     for m in list.iter().filter_map(|n| self.c.machines.get(n)) {
                         let task = Task { job: t.job.clone(), index: *index };
                         if let Some((t, _)) = m.tasks.get_key_value(&task) {
@@ -579,7 +580,7 @@
             spec.id,
             spec.class,
             self.slots[slot].m.name,
-            self.now.duration_since(ask.job.known).as_secs_f64(),
+            self.now.duration_since(ask.job.first_seen).as_secs_f64(),
             w.variance,
             w.load,
         );
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -6,7 +6,8 @@
 
 fn up(c: &mut Cluster, name: &str, now: Instant) {
     let mut m = Machine::new(name.into(), "t".into(), "z0".into(), true, now);
-    (m.session, m.heard, m.stage, m.size) = (1, Some(now), Some(MachineState::Running), c.types["t"].size());
+    (m.incarnation, m.last_heartbeat, m.state, m.size) =
+        (1, Some(now), Some(MachineState::Running), c.types["t"].size());
     c.machines.insert(name.into(), m);
 }
 
@@ -21,27 +22,27 @@
     }
     c.add_job(spec("j-000001", 400), 1, None, t0);
     c.place(t0);
-    assert_eq!(c.jobs["j-000001"].places.len(), 40);
+    assert_eq!(c.jobs["j-000001"].assignments.len(), 40);
     let now = t0 + Duration::from_secs(5);
     c.add_job(spec("j-000002", 40), 2, None, now);
     for m in c.machines.values_mut() {
-        m.heard = Some(now);
+        m.last_heartbeat = Some(now);
     }
     // two were lost; the new job is first, but for these
-    c.vacate(&"i-0".into(), &Task { job: "j-000001".into(), index: 0 }, now);
-    c.vacate_all(&"i-1".into(), now);
-    let first = *c.jobs["j-000001"].todo.iter().collect::<Vec<_>>().first().expect("a lost task");
+    c.release_assignment(&"i-0".into(), &Task { job: "j-000001".into(), index: 0 }, now);
+    c.release_all_assignments(&"i-1".into(), now);
+    let first = *c.jobs["j-000001"].pending.iter().collect::<Vec<_>>().first().expect("a lost task");
     assert_eq!(first, 0);
-    let lost = c.jobs["j-000001"].todo.below(c.jobs["j-000001"].begun());
+    let lost = c.jobs["j-000001"].pending.below(c.jobs["j-000001"].first_never_placed());
     c.place(now);
-    assert_eq!(c.jobs["j-000001"].places.len(), 40, "what was lost runs again");
+    assert_eq!(c.jobs["j-000001"].assignments.len(), 40, "what was lost runs again");
     assert_eq!(lost, 9);
-    assert_eq!(c.jobs["j-000002"].places.len(), 0);
+    assert_eq!(c.jobs["j-000002"].assignments.len(), 0);
     // what of the first has never run waits behind the second
-    c.vacate_all(&"i-1".into(), now);
+    c.release_all_assignments(&"i-1".into(), now);
     c.machines.get_mut("i-1").expect("it is there").size = Resources { cpus: 18.0, gpus: 0.0, memory: 64.0 };
     c.place(now);
-    assert_eq!((c.jobs["j-000001"].places.len(), c.jobs["j-000002"].places.len()), (40, 10));
+    assert_eq!((c.jobs["j-000001"].assignments.len(), c.jobs["j-000002"].assignments.len()), (40, 10));
 }
 
 /// A chain under a deadline mostly lost a task with a spot machine. Its tasks take
@@ -59,15 +60,15 @@
     c.add_job(Arc::new(low("j-4")), 4, None, now);
     let last = JobSpec { needs: vec!["j-2".into()], priority: Priority::High, deadline_s: Some(60.0), ..low("j-3") };
     c.add_job(Arc::new(last), 3, None, now);
-    assert_eq!(c.jobs["j-2"].turn(), (true, Priority::High));
+    assert_eq!(c.jobs["j-2"].queue_priority(), (true, Priority::High));
     c.place(now);
-    let at = |c: &Cluster, id: &str| c.jobs.get(id).and_then(|j| Some(j.places.get(&0)?[0].clone()));
+    let at = |c: &Cluster, id: &str| c.jobs.get(id).and_then(|j| Some(j.assignments.get(&0)?[0].clone()));
     assert_eq!(at(&c, "j-2").as_deref(), Some("i-1"), "under the deadline of the last");
     assert_eq!((at(&c, "j-1").as_deref(), at(&c, "j-4").as_deref()), (Some("i-0"), Some("i-0")));
     assert_eq!(at(&c, "j-3"), None);
     // the last is cancelled: what it needs is as urgent as it was by itself
     c.set_outcome("j-3", JobOutcome::Cancelled, now);
-    assert_eq!(c.jobs["j-2"].turn(), (true, Priority::Low));
+    assert_eq!(c.jobs["j-2"].queue_priority(), (true, Priority::Low));
     c.set_outcome("j-2", JobOutcome::Done, now);
     assert!(c.dependency.is_empty());
 }
@@ -88,13 +89,13 @@
     for n in 0..40 {
         c.add_job(spec(&format!("j-{n:06}"), 3), n + 1, None, now);
     }
-    let placed = |c: &Cluster| c.jobs.values().filter(|j| j.todo.is_empty()).count();
+    let placed = |c: &Cluster| c.jobs.values().filter(|j| j.pending.is_empty()).count();
     c.place(now);
     let first = placed(&c);
     assert!((1..10).contains(&first), "{first} jobs in one pass");
     assert!(c.queue_changed, "another pass is due");
     // in their order
-    assert!((0..first).all(|n| c.jobs[&*format!("j-{n:06}")].todo.is_empty()));
+    assert!((0..first).all(|n| c.jobs[&*format!("j-{n:06}")].pending.is_empty()));
     let passes = (1..100).find(|_| {
         c.place(now);
         placed(&c) == 40
@@ -114,13 +115,14 @@
     let old: Name = "i-9".into();
     let leader = || {
         let mut c = cluster(5, now);
-        c.teams = std::collections::HashMap::from([("x".into(), TeamLimit { guarantee: Resources::default(), most })]);
+        c.teams =
+            std::collections::HashMap::from([("x".into(), TeamLimit { guarantee: Resources::default(), limit: most })]);
         c.add_job(spec("j-1", 4), 1, Some(JobOutcome::Cancelled), now);
         let start =
-            |index| Start { machine: old.clone(), task: Task { job: "j-1".into(), index }, attempt: 7, session: 1 };
-        let page = Page { stamp: 1, starts: (0..4).map(start).collect(), done: vec![] };
+            |index| Start { machine: old.clone(), task: Task { job: "j-1".into(), index }, attempt: 7, incarnation: 1 };
+        let page = Page { revision: 1, starts: (0..4).map(start).collect(), completed: vec![] };
         let at = std::collections::HashMap::from([(old.clone(), ("t".into(), "z1".into(), false))]);
-        c.add_page(0, page, &at, now);
+        c.add_shard(0, page, &at, now);
         up(&mut c, "i-0", now);
         c.add_job(spec("j-2", 4), 2, None, now);
         c
@@ -128,17 +130,20 @@
     let report = |token, session| report("i-9", "z1", session, 50, token);
     let begun = |c: &mut Cluster| {
         c.place(now);
-        c.jobs["j-2"].places.len()
+        c.jobs["j-2"].assignments.len()
     };
     let (last, this) = (4 << 24, 5 << 24);
     // silence, lists, and a report that may be of any age are none
     let mut c = leader();
-    assert!(!c.clear_of("j-1") && c.clear_of("j-3"), "of what is on record nobody is told that nothing is left");
+    assert!(
+        !c.has_no_task_of("j-1") && c.has_no_task_of("j-3"),
+        "of what is on record nobody is told that nothing is left"
+    );
     assert_eq!(begun(&mut c), 0);
     c.list(&[], now);
-    c.tidy(now);
+    c.collect_garbage(now);
     assert_eq!(c.report(&report(last, 1), true, now), Some(true));
-    assert_eq!((begun(&mut c), c.clear_of("j-1")), (0, false));
+    assert_eq!((begun(&mut c), c.has_no_task_of("j-1")), (0, false));
     // a report under this term's token is one, and so are a later session and a deletion
     type Proof<'a> = &'a dyn Fn(&mut Cluster);
     let proofs: [Proof; 3] = [
@@ -150,7 +155,7 @@
         let mut c = leader();
         assert_eq!(begun(&mut c), 0);
         proof(&mut c);
-        assert!(c.clear_of("j-1"), "{n}");
+        assert!(c.has_no_task_of("j-1"), "{n}");
         assert_eq!(begun(&mut c), 4, "proof {n}: the room is used at once");
     }
 }
@@ -169,7 +174,7 @@
     assert_eq!(c.report(&first, true, now), Some(true));
     c.add_job(spec("j-1", 1), 1, None, now);
     c.place(now);
-    assert_eq!(c.jobs["j-1"].places.len(), 1, "it gets work at once");
+    assert_eq!(c.jobs["j-1"].assignments.len(), 1, "it gets work at once");
     assert!(c.answer(&first, now).commands.is_empty(), "not before the start is stored: writes lag");
     let limits = TxnLimits { writes: 8, guards: 32, page_bytes: 4096, value_bytes: 4096 };
     let batch = c.next_batch(9, &limits).expect("a start is to be stored");
@@ -179,14 +184,14 @@
     // the next leader: no list has the machine, and it was never heard
     let mut next = cluster(5, now);
     next.add_job(spec("j-1", 1), 1, None, now);
-    next.add_page(id, page, &at, now);
+    next.add_shard(id, page, &at, now);
     next.list(&[], now);
     next.place(now);
     let m = &next.machines["i-7"];
     assert_eq!((&*m.zone, m.spot, m.tasks.len()), ("z2", true, 1));
-    assert_eq!(next.jobs["j-1"].todo.len(), 0, "it is not started elsewhere");
+    assert_eq!(next.jobs["j-1"].pending.len(), 0, "it is not started elsewhere");
     next.deleted(&["i-7".into()], now);
-    assert_eq!(next.jobs["j-1"].todo.len(), 1);
+    assert_eq!(next.jobs["j-1"].pending.len(), 1);
 }
 
 /// Jobs bound to one zone lose their machines, an array and a gang: they wait for room
@@ -208,7 +213,7 @@
     c.add_job(bound("j-1", 8, Shape::Array), 1, None, t0);
     c.add_job(bound("j-2", 6, Shape::Gang), 2, None, t0);
     c.place(t0);
-    let begun = |c: &Cluster| ["j-1", "j-2", "j-3"].map(|id| c.jobs.get(id).map_or(0, |j| j.places.len()));
+    let begun = |c: &Cluster| ["j-1", "j-2", "j-3"].map(|id| c.jobs.get(id).map_or(0, |j| j.assignments.len()));
     assert_eq!(begun(&c), [8, 6, 0]);
     // the zone's machines die; others have room, which is not theirs
     c.deleted(&["i-0".into(), "i-1".into()], t0);
--- a/packages/core/src/reporting/tests.rs
+++ b/packages/core/src/reporting/tests.rs
@@ -32,7 +32,7 @@
 }
 
 fn running(c: &mut Cluster, tally: u64, now: Instant) -> Heartbeat {
-    let mut r = report("i-000001", "z1", 1, tally, c.token());
+    let mut r = report("i-000001", "z1", 1, tally, c.base_token());
     let state = TaskState::Running;
     r.tasks = vec![TaskStatus {
         task: Task { job: "j-000001".into(), index: 0 },
@@ -74,8 +74,8 @@
     let r = settled(&mut c, now);
     let later = now + Duration::from_secs(9);
     let answer = c.unchanged(&unchanged(&r, 3), later).expect("nothing is to be done there");
-    assert_eq!((answer.fencing_token, answer.commands.len()), (c.token(), 0));
-    assert_eq!(c.machines[&r.machine].heard, Some(later));
+    assert_eq!((answer.fencing_token, answer.commands.len()), (c.base_token(), 0));
+    assert_eq!(c.machines[&r.machine].last_heartbeat, Some(later));
     // late copies, and one after a report that this leader has not had
     assert!(c.unchanged(&unchanged(&r, 3), later).is_none());
     assert!(c.unchanged(&Unchanged { after: 4, ..unchanged(&r, 5) }, later).is_none());
@@ -89,11 +89,11 @@
 fn a_machine_with_something_open_reports_in_full() {
     let now = Instant::now();
     let open: [fn(&mut crate::cluster::Machine); 6] = [
-        |m| m.doubt = Some(1),
-        |m| m.flying = true,
-        |m| m.deleting = Some(m.known),
-        |m| m.notice = Some(m.known),
-        |m| m.tasks.values_mut().for_each(|p| p.halt = Some(0.0)),
+        |m| m.in_doubt_token = Some(1),
+        |m| m.command_in_flight = true,
+        |m| m.deletion_sent_at = Some(m.first_seen),
+        |m| m.reclaim_at = Some(m.first_seen),
+        |m| m.tasks.values_mut().for_each(|p| p.stop_grace_s = Some(0.0)),
         |m| {
             m.exited.insert(Task { job: "j-000009".into(), index: 0 }, 1);
         },
--- a/packages/core/src/sim/controllers.rs
+++ b/packages/core/src/sim/controllers.rs
@@ -108,7 +108,8 @@
         let at = self.at(self.now);
         let mut c = Cluster::new(s.term, self.policy.clone(), self.teams.clone(), at);
         c.set_types(&[machine_type("t")]);
-        c.manned = (0..3).filter(|z| self.unmanned != Some(*z)).map(|z| Name::from(format!("z{z}"))).collect();
+        c.zones_with_controller =
+            (0..3).filter(|z| self.unmanned != Some(*z)).map(|z| Name::from(format!("z{z}"))).collect();
         let pages: Vec<_> = self
             .store
             .kv
@@ -123,14 +124,16 @@
         for (spec, stamp) in self.jobs.values() {
             // what is over is known only where a page names it
             match (self.store.outcome(&spec.id), begun.contains(&spec.id)) {
-                (None, true) if self.sabotage != Sabotage::ForgetsBegun => c.add_begun(spec.clone(), *stamp, None, at),
+                (None, true) if self.sabotage != Sabotage::ForgetsBegun => {
+                    c.add_started_job(spec.clone(), *stamp, None, at)
+                }
                 (None, _) => c.add_job(self.held_or_not(spec), *stamp, None, at),
                 (outcome, true) => c.add_job(spec.clone(), *stamp, outcome, at),
                 _ => {}
             }
         }
         for (id, page, machines) in pages {
-            c.add_page(id, page, &machines, at);
+            c.add_shard(id, page, &machines, at);
         }
         c.list(&self.some_list(), at);
         // an earlier leader goes on believing in itself until its time is up
@@ -188,7 +191,7 @@
                 }
             } else if self.frozen[i] > 0 {
                 self.frozen[i] = 0;
-                c.cluster.awake = now;
+                c.cluster.resumed_at = now;
             }
             let believes = self.sabotage == Sabotage::OldAuthority && self.now < c.until;
             if self.now < self.deaf[i] && self.deaf[i] - self.now < 8_000 && self.now >= self.no_renewal[i] {
@@ -214,15 +217,15 @@
                 }
             }
             if self.sabotage == Sabotage::EarlyRelease {
-                let early = c.cluster.jobs.values().filter(|j| j.completing()).map(|j| j.spec.id.clone());
+                let early = c.cluster.jobs.values().filter(|j| j.is_completing()).map(|j| j.spec.id.clone());
                 for id in early.collect::<Vec<_>>() {
                     for h in c.cluster.dependency.ended(&id, JobOutcome::Done) {
-                        c.cluster.release(h);
+                        c.cluster.release_blocked_job(h);
                     }
                 }
             }
             if self.sabotage == Sabotage::ReapsUnderOldToken {
-                c.cluster.machines.values_mut().for_each(|m| m.direct = None);
+                c.cluster.machines.values_mut().for_each(|m| m.last_direct_fence = None);
             }
             if self.sabotage == Sabotage::NoCascade {
                 for id in c.cluster.dependency.doomed().cloned().collect::<Vec<_>>() {
@@ -231,7 +234,7 @@
             }
             if acts && self.now.is_multiple_of(500) {
                 c.wants = c.cluster.place(now);
-                c.cluster.tidy(now);
+                c.cluster.collect_garbage(now);
                 if self.now.is_multiple_of(2000) {
                     let list = self.some_list();
                     c.cluster.list(&list, now);
@@ -239,7 +242,7 @@
                         let has = |n: &Name| list.iter().any(|l| l.name == *n);
                         let gone: Vec<Name> = c.cluster.machines.keys().filter(|n| !has(n)).cloned().collect();
                         for n in gone {
-                            c.cluster.vacate_all(&n, now);
+                            c.cluster.release_all_assignments(&n, now);
                         }
                     }
                     let plan = c.cluster.plan(&c.wants, now);
@@ -248,11 +251,12 @@
                     }
                 }
                 if self.sabotage == Sabotage::SilenceIsProof {
-                    let quiet =
-                        |m: &&crate::cluster::Machine| m.heard.is_some_and(|t| now.duration_since(t).as_secs() >= 5);
+                    let quiet = |m: &&crate::cluster::Machine| {
+                        m.last_heartbeat.is_some_and(|t| now.duration_since(t).as_secs() >= 5)
+                    };
                     let quiet: Vec<Name> = c.cluster.machines.values().filter(quiet).map(|m| m.name.clone()).collect();
                     for n in quiet {
-                        c.cluster.vacate_all(&n, now);
+                        c.cluster.release_all_assignments(&n, now);
                     }
                 }
                 if self.sabotage == Sabotage::UnstoredStarts {
@@ -417,12 +421,12 @@
             Message::DirectAnswer { to, life, call, report } => {
                 if let Some(c) = self.controller(to, life) {
                     // given up for good after a while (see `gives_up`)
-                    let flying = c.cluster.machines.get(&call.machine).is_some_and(|m| m.flying);
+                    let flying = c.cluster.machines.get(&call.machine).is_some_and(|m| m.command_in_flight);
                     let current = c
                         .cluster
                         .machines
                         .get(&call.machine)
-                        .is_some_and(|m| m.doubt.is_none_or(|d| d == call.body.fencing_token));
+                        .is_some_and(|m| m.in_doubt_token.is_none_or(|d| d == call.body.fencing_token));
                     if flying && current {
                         c.cluster.direct_over(&call, report.as_ref(), now);
                     }
@@ -537,7 +541,7 @@
             }
             // taken for news, however late it comes
             Forwarded::Unchanged(u) if careless => {
-                let last = c.cluster.machines.get(&u.machine).map_or(0, |m| m.tally);
+                let last = c.cluster.machines.get(&u.machine).map_or(0, |m| m.sequence);
                 let news = Heartbeat { sequence: last + 1, ..report.clone() };
                 c.cluster.report(&news, true, now).map(|_| c.cluster.answer(&news, now))
             }
@@ -572,24 +576,22 @@
                 continue; // it gives up when it wakes
             }
             if let Some(c) = self.controller(from, life) {
-                let current = c
-                    .cluster
-                    .machines
-                    .get(&call.machine)
-                    .is_some_and(|m| m.flying && m.doubt.is_none_or(|d| d == call.body.fencing_token));
+                let current = c.cluster.machines.get(&call.machine).is_some_and(|m| {
+                    m.command_in_flight && m.in_doubt_token.is_none_or(|d| d == call.body.fencing_token)
+                });
                 if current {
                     c.cluster.direct_over(&call, None, now);
                     if forget {
                         if let Some(m) = c.cluster.machines.get_mut(&call.machine) {
-                            m.doubt = None;
+                            m.in_doubt_token = None;
                             let gone: Vec<Task> = m
                                 .tasks
                                 .iter()
-                                .filter(|(_, p)| p.phase == crate::cluster::Phase::Ordered)
+                                .filter(|(_, p)| p.phase == crate::cluster::Phase::Assigned)
                                 .map(|(t, _)| t.clone())
                                 .collect();
                             for t in gone {
-                                c.cluster.vacate(&call.machine, &t, now);
+                                c.cluster.release_assignment(&call.machine, &t, now);
                             }
                         }
                     }
--- a/packages/core/src/sim/machines.rs
+++ b/packages/core/src/sim/machines.rs
@@ -1,7 +1,7 @@
 //! Machines with their workers, as the protocol has them.
 
 use super::*;
-use crate::cluster::raise;
+use crate::cluster::raise_token;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Work {
@@ -135,7 +135,7 @@
                 let w = &mut self.workers[i];
                 (w.renewed, w.flight) = (self.now, None);
                 if self.told && self.now.is_multiple_of(3000) {
-                    w.token = raise(w.token);
+                    w.token = raise_token(w.token);
                 }
                 let over = |t: &Task| self.pictures[i % 3].over.contains(&t.job);
                 for (_, work) in w.tasks.iter_mut().filter(|(t, _)| over(t)).map(|(_, v)| v) {
--- a/packages/core/src/sim/mod.rs
+++ b/packages/core/src/sim/mod.rs
@@ -362,7 +362,7 @@
         let config = Config::parse("sim", SETTINGS).expect("settings of the simulation");
         let quota = 20.0 * (scale as f64 / 9.0).round();
         let limit =
-            TeamLimit { guarantee: Resources::default(), most: Resources { cpus: quota, gpus: 0.0, memory: 0.0 } };
+            TeamLimit { guarantee: Resources::default(), limit: Resources { cpus: quota, gpus: 0.0, memory: 0.0 } };
         let mut rng = fastrand::Rng::with_seed(seed);
         let workers = (0..scale).map(|i| Worker::new(i, 0, rng.u64(0..3000))).collect();
         World {
--- a/packages/core/src/sim/pictures.rs
+++ b/packages/core/src/sim/pictures.rs
@@ -124,7 +124,7 @@
             for j in [i, (i + 1) % 3, (i + 2) % 3] {
                 let leads = self.controllers[j].as_ref().filter(|c| self.now < c.until);
                 let blind = self.sabotage == Sabotage::ClearUnread;
-                let clear = leads.map_or(blind, |c| c.cluster.clear_of(&id));
+                let clear = leads.map_or(blind, |c| c.cluster.has_no_task_of(&id));
                 if j != i && !self.reach(i, j) {
                     continue;
                 }
--- a/packages/core/src/sim/rules.rs
+++ b/packages/core/src/sim/rules.rs
@@ -133,7 +133,13 @@
                     let known = |c: &Controller| {
                         let m = c.cluster.machines.get(&w.name);
                         m.map(|m| {
-                            (c.until, c.cluster.term, m.heard.is_some(), m.deleting.is_some(), m.tasks.get(t).cloned())
+                            (
+                                c.until,
+                                c.cluster.term,
+                                m.last_heartbeat.is_some(),
+                                m.deletion_sent_at.is_some(),
+                                m.tasks.get(t).cloned(),
+                            )
                         })
                     };
                     let known: Vec<_> = self.controllers.iter().flatten().map(known).collect();
--- a/packages/core/src/workers.rs
+++ b/packages/core/src/workers.rs
@@ -56,10 +56,10 @@
     /// be carried out any more.  The report in the answer to a direct command
     /// says nothing of that.
     pub fn report(&mut self, r: &Heartbeat, closing: bool, now: Instant) -> Option<bool> {
-        let token = self.token();
+        let token = self.base_token();
         let mut raised = None;
-        if r.fencing_token > token + self.machines.get(&r.machine).map_or(0, |m| m.fence) {
-            raised = Some(self.raised(r.fencing_token)?);
+        if r.fencing_token > token + self.machines.get(&r.machine).map_or(0, |m| m.fence_offset) {
+            raised = Some(self.fence_offset_of(r.fencing_token)?);
         }
         let kind_size = self.types.get(&r.kind).map(|t| t.size());
         let new = !self.machines.contains_key(&r.machine);
@@ -70,34 +70,34 @@
         if new {
             tracing::info!("machine {} reports: {} in {}, spot {}", r.machine, r.kind, r.zone, r.spot);
         }
-        if m.gone.is_some() || (r.incarnation, r.sequence) <= (m.session, m.tally) {
+        if m.removed_at.is_some() || (r.incarnation, r.sequence) <= (m.incarnation, m.sequence) {
             // old news, delivered late; its worker waits for no answer
             return Some(false);
         }
-        if m.heard.is_none() {
+        if m.last_heartbeat.is_none() {
             self.queue_changed = true;
         }
-        let session_changed = r.incarnation != m.session;
-        (m.session, m.tally) = (r.incarnation, r.sequence);
-        m.token = m.token.max(r.fencing_token);
-        m.fence = m.fence.max(raised.unwrap_or(0));
-        m.heard = Some(now);
+        let session_changed = r.incarnation != m.incarnation;
+        (m.incarnation, m.sequence) = (r.incarnation, r.sequence);
+        m.highest_fencing_token = m.highest_fencing_token.max(r.fencing_token);
+        m.fence_offset = m.fence_offset.max(raised.unwrap_or(0));
+        m.last_heartbeat = Some(now);
         m.address = r.address.parse().ok();
         // direct starts of a lower token, or for an earlier session, are dead
-        if session_changed || m.doubt.is_some_and(|t| r.fencing_token > t) {
-            m.doubt = None;
+        if session_changed || m.in_doubt_token.is_some_and(|t| r.fencing_token > t) {
+            m.in_doubt_token = None;
         }
-        let settled = closing && m.doubt.is_none();
+        let settled = closing && m.in_doubt_token.is_none();
         if let Some(size) = kind_size {
             m.size = size;
         }
         match r.reclaim_in_s {
-            Some(s) if m.notice.is_none() => {
+            Some(s) if m.reclaim_at.is_none() => {
                 tracing::info!("machine {} is taken back in {s} s", r.machine);
-                m.notice = Some(now + Duration::from_secs_f64(s.clamp(0.0, 3600.0)));
+                m.reclaim_at = Some(now + Duration::from_secs_f64(s.clamp(0.0, 3600.0)));
                 self.queue_changed = true;
             }
-            None => m.notice = None,
+            None => m.reclaim_at = None,
             _ => {}
         }
         // a report under this term's token: no earlier leader's start is on
@@ -113,17 +113,17 @@
                 if listed {
                     return false;
                 }
-                if p.session < r.incarnation {
+                if p.incarnation < r.incarnation {
                     return true; // an earlier session's tasks were killed
                 }
-                if !p.fenced {
+                if !p.confirmed {
                     return fenced;
                 }
                 match p.phase {
                     // not sent yet, or not delivered: it is sent (again),
                     // unless it is to stop, and then it is not there, if no
                     // start can still arrive
-                    Phase::Ordered => p.halt.is_some() && settled,
+                    Phase::Assigned => p.stop_grace_s.is_some() && settled,
                     Phase::Completed => false,
                     _ => true,
                 }
@@ -133,15 +133,15 @@
         m.exited.retain(|task, e| r.tasks.iter().any(|t| t.task == *task && t.attempt == *e));
         for t in gone {
             tracing::debug!("{t} is not on {} any more", r.machine);
-            self.vacate(&r.machine, &t, now);
+            self.release_assignment(&r.machine, &t, now);
         }
         // a start decided for the last session is for this one now
         if session_changed {
-            let learned = self.learned.remove(&r.machine);
+            let learned = self.machine_hints.remove(&r.machine);
             if let Some(m) = self.machines.get_mut(&r.machine) {
                 m.images.clear();
                 if let Some(l) = learned {
-                    (m.speed, m.samples, m.images) = (l.speed, l.samples, l.images);
+                    (m.speed, m.speed_samples, m.images) = (l.speed, l.speed_samples, l.images);
                 }
             }
         }
@@ -160,12 +160,12 @@
     pub fn unchanged(&mut self, u: &Unchanged, now: Instant) -> Option<HeartbeatReply> {
         let token = self.token_for(&u.machine);
         let m = self.machines.get_mut(&u.machine)?;
-        let last = (m.session, m.tally) == (u.session, u.after) && u.tally > u.after;
-        if !last || m.heard.is_none() || !m.quiet() {
+        let last = (m.incarnation, m.sequence) == (u.session, u.after) && u.tally > u.after;
+        if !last || m.last_heartbeat.is_none() || !m.is_settled() {
             return None;
         }
-        m.tally = u.tally;
-        m.heard = Some(now);
+        m.sequence = u.tally;
+        m.last_heartbeat = Some(now);
         Some(HeartbeatReply { fencing_token: token, commands: Vec::new() })
     }
 
@@ -174,37 +174,37 @@
     /// task a report interval.
     pub fn start_pending(&self, r: &Heartbeat) -> bool {
         let Some(m) = self.machines.get(&r.machine) else { return false };
-        let pending = |p: &Place| !p.stored && p.halt.is_none() || p.phase == Phase::Completed;
-        (m.session, m.tally) == (r.incarnation, r.sequence) && m.tasks.values().any(pending)
+        let pending = |p: &Place| !p.stored && p.stop_grace_s.is_none() || p.phase == Phase::Completed;
+        (m.incarnation, m.sequence) == (r.incarnation, r.sequence) && m.tasks.values().any(pending)
     }
 
     /// The answer to a report that has been taken in.
     pub fn answer(&mut self, r: &Heartbeat, now: Instant) -> HeartbeatReply {
-        let base = self.token();
+        let base = self.base_token();
         let mut orders = Vec::new();
-        let Some(m) = self.machines.get_mut(&r.machine).filter(|m| m.gone.is_none()) else {
+        let Some(m) = self.machines.get_mut(&r.machine).filter(|m| m.removed_at.is_none()) else {
             return HeartbeatReply { fencing_token: base, commands: orders };
         };
-        let token = base + m.fence;
-        m.answering = false;
-        if (m.session, m.tally) != (r.incarnation, r.sequence) {
+        let token = base + m.fence_offset;
+        m.reply_pending = false;
+        if (m.incarnation, m.sequence) != (r.incarnation, r.sequence) {
             // newer news is in; the next answer has the commands
             return HeartbeatReply { fencing_token: token, commands: orders };
         }
         // a reap must not overtake a start in doubt: the worker would forget
         // the attempt, and the late start would run it again
-        for (task, attempt) in m.exited.iter().filter(|_| m.doubt.is_none()) {
+        for (task, attempt) in m.exited.iter().filter(|_| m.in_doubt_token.is_none()) {
             orders.push(Command::Acknowledge { task: task.clone(), attempt: *attempt });
         }
         // nor may a late copy of one that was answered do that: with the reap
         // comes a token above the one that such a start left under
-        if !orders.is_empty() && m.direct.is_some_and(|d| d >= m.fence) {
-            m.fence += 1;
+        if !orders.is_empty() && m.last_direct_fence.is_some_and(|d| d >= m.fence_offset) {
+            m.fence_offset += 1;
         }
-        let token = base + m.fence;
+        let token = base + m.fence_offset;
         for (task, p) in &m.tasks {
-            if let (Some(grace), true) = (p.halt, p.phase != Phase::Ordered) {
-                let grace = if p.phase == Phase::Flushing { continue_save(p, grace, now) } else { Some(grace) };
+            if let (Some(grace), true) = (p.stop_grace_s, p.phase != Phase::Assigned) {
+                let grace = if p.phase == Phase::Checkpointing { continue_save(p, grace, now) } else { Some(grace) };
                 if let Some(grace) = grace {
                     orders.push(Command::Stop { task: task.clone(), attempt: p.attempt, grace });
                 }
@@ -216,14 +216,14 @@
                 break;
             }
             // only a stored start leaves, and only for the session it is for
-            if p.phase == Phase::Ordered
+            if p.phase == Phase::Assigned
                 && p.stored
-                && !p.former
-                && p.halt.is_none()
-                && p.session == r.incarnation
-                && m.deleting.is_none()
+                && !p.inherited
+                && p.stop_grace_s.is_none()
+                && p.incarnation == r.incarnation
+                && m.deletion_sent_at.is_none()
             {
-                p.sent = Some(order);
+                p.start_sent_in = Some(order);
                 orders.push(Command::Start { task: task.clone(), attempt: p.attempt });
             }
         }
@@ -233,7 +233,7 @@
 
     /// The token that answers to a machine carry.
     pub fn token_for(&self, machine: &Name) -> u64 {
-        self.token() + self.machines.get(machine).map_or(0, |m| m.fence)
+        self.base_token() + self.machines.get(machine).map_or(0, |m| m.fence_offset)
     }
 
     /// Commands that should not wait for the next report: stored starts and
@@ -241,45 +241,46 @@
     /// Those of the first `most` machines; the others' turn comes with the
     /// next call.
     pub fn direct(&mut self, most: usize) -> Vec<Direct> {
-        let base = self.token();
+        let base = self.base_token();
         let mut calls = Vec::new();
         while calls.len() < most {
-            let Some(name) = self.tell.pop_first() else { break };
+            let Some(name) = self.machines_to_command.pop_first() else { break };
             let Some(m) = self.machines.get_mut(&name) else { continue };
             let Some(address) = m.address else { continue };
             // what can't be told now, the answer to the next report tells
-            if m.flying
-                || m.answering
-                || m.gone.is_some()
-                || m.deleting.is_some()
-                || m.doubt.is_some()
-                || m.heard.is_none()
+            if m.command_in_flight
+                || m.reply_pending
+                || m.removed_at.is_some()
+                || m.deletion_sent_at.is_some()
+                || m.in_doubt_token.is_some()
+                || m.last_heartbeat.is_none()
             {
                 continue;
             }
-            let token = base + m.fence;
+            let token = base + m.fence_offset;
             let (mut orders, mut starts) = (Vec::new(), false);
-            for (task, p) in m.tasks.iter_mut().filter(|(_, p)| !p.halt_sent && p.phase != Phase::Ordered) {
-                if let Some(grace) = p.halt {
-                    p.halt_sent = true;
+            for (task, p) in m.tasks.iter_mut().filter(|(_, p)| !p.stop_sent && p.phase != Phase::Assigned) {
+                if let Some(grace) = p.stop_grace_s {
+                    p.stop_sent = true;
                     orders.push(Command::Stop { task: task.clone(), attempt: p.attempt, grace });
                 }
             }
             for (task, p) in m.tasks.iter_mut() {
-                let ready = p.phase == Phase::Ordered && p.stored && !p.former && p.halt.is_none();
-                if ready && p.sent.is_none() && p.session == m.session && orders.len() < MOST_COMMANDS {
-                    p.sent = Some((m.session, m.tally));
+                let ready = p.phase == Phase::Assigned && p.stored && !p.inherited && p.stop_grace_s.is_none();
+                if ready && p.start_sent_in.is_none() && p.incarnation == m.incarnation && orders.len() < MOST_COMMANDS
+                {
+                    p.start_sent_in = Some((m.incarnation, m.sequence));
                     starts = true;
                     orders.push(Command::Start { task: task.clone(), attempt: p.attempt });
                 }
             }
             if !orders.is_empty() {
-                m.flying = true;
+                m.command_in_flight = true;
                 if starts {
-                    m.doubt = Some(token);
-                    m.direct = Some(m.fence);
+                    m.in_doubt_token = Some(token);
+                    m.last_direct_fence = Some(m.fence_offset);
                 }
-                let body = DirectCommandBody { fencing_token: token, incarnation: m.session, commands: orders };
+                let body = DirectCommandBody { fencing_token: token, incarnation: m.incarnation, commands: orders };
                 calls.push(Direct { machine: m.name.clone(), address, body });
             }
         }
@@ -289,19 +290,19 @@
     /// A direct command was answered (with the worker's report), or not.
     pub fn direct_over(&mut self, d: &Direct, answer: Option<&Heartbeat>, now: Instant) {
         let Some(m) = self.machines.get_mut(&d.machine) else { return };
-        m.flying = false;
-        self.tell.insert(d.machine.clone());
+        m.command_in_flight = false;
+        self.machines_to_command.insert(d.machine.clone());
         match answer {
             Some(r) => {
                 // carried out or refused, but nothing of it is under way
-                if m.doubt == Some(d.body.fencing_token) {
-                    m.doubt = None;
+                if m.in_doubt_token == Some(d.body.fencing_token) {
+                    m.in_doubt_token = None;
                 }
                 self.report(r, false, now);
             }
             // it may be carried out minutes later: the next answers carry a
             // higher token, and a report that shows it ends the doubt
-            None => m.fence += 1,
+            None => m.fence_offset += 1,
         }
     }
 
@@ -312,10 +313,10 @@
         if let Some(h) = self.dependency.started(&t.task.job) {
             // a command leaves only after its start is stored, and that only
             // after the ends of all that the job needs
-            self.release(h);
+            self.release_blocked_job(h);
         }
-        let over = self.jobs.get(&t.task.job).is_none_or(|j| j.outcome.is_some() || j.done.contains(t.task.index));
-        let finishing = self.jobs.get(&t.task.job).is_some_and(|j| j.finishing.contains(t.task.index));
+        let over = self.jobs.get(&t.task.job).is_none_or(|j| j.outcome.is_some() || j.completed.contains(t.task.index));
+        let finishing = self.jobs.get(&t.task.job).is_some_and(|j| j.completed_unstored.contains(t.task.index));
         let cache = self.types.get(&r.kind).map_or(f64::INFINITY, |x| x.cache_gb);
         let Some(m) = self.machines.get_mut(&r.machine) else { return };
         let known = m.tasks.get(&t.task).is_some_and(|p| p.attempt == t.attempt);
@@ -334,18 +335,18 @@
                     }
                 }
                 if !finishing {
-                    self.complete(&t.task, now);
+                    self.mark_completed(&t.task, now);
                 }
                 self.queue_changed = true;
                 return;
             }
             if let Some(p) = m.tasks.get(&t.task).filter(|_| known) {
                 // a gang's task may have been started again here under the same attempt
-                if !fenced && !p.fenced && p.spec.shape == Shape::Gang {
+                if !fenced && !p.confirmed && p.spec.shape == Shape::Gang {
                     return;
                 }
-                let since = p.since;
-                self.vacate(&r.machine, &t.task, now);
+                let since = p.assigned_at;
+                self.release_assignment(&r.machine, &t.task, now);
                 self.ended(&r.machine, &t.task, cause, over, since, now);
             }
             if let Some(m) = self.machines.get_mut(&r.machine) {
@@ -355,9 +356,9 @@
         }
         let phase = match t.state {
             TaskState::Pulling => Phase::Pulling,
-            TaskState::WaitingForGang => Phase::Gathering,
+            TaskState::WaitingForGang => Phase::WaitingForGang,
             TaskState::Running => Phase::Running,
-            _ => Phase::Flushing,
+            _ => Phase::Checkpointing,
         };
         if !known {
             if !fenced && m.tasks.contains_key(&t.task) {
@@ -371,40 +372,42 @@
                 return;
             };
             tracing::info!("{} has {} attempt {}, which is not recorded", r.machine, t.task, t.attempt);
-            let free = !job.places.contains_key(&t.task.index) && !over && !finishing;
-            job.todo.remove(t.task.index);
-            let list = job.places.entry(t.task.index).or_default();
+            let free = !job.assignments.contains_key(&t.task.index) && !over && !finishing;
+            job.pending.remove(t.task.index);
+            let list = job.assignments.entry(t.task.index).or_default();
             if !list.contains(&r.machine) {
                 list.push(r.machine.clone());
             }
             let keep = free && job.spec.shape != Shape::Gang;
             let halt = (!keep).then_some(0.0);
             let mut place = Place::new(job.spec.clone(), t.attempt, r.incarnation, now);
-            (place.halt, place.halt_since) = (halt, halt.map(|_| now));
-            m.idle = None;
+            (place.stop_grace_s, place.stop_requested_at) = (halt, halt.map(|_| now));
+            m.idle_since = None;
             m.tasks.insert(t.task.clone(), place);
-            self.tell.insert(r.machine.clone());
-            self.record(&t.task, &r.machine, t.attempt, r.incarnation);
+            self.machines_to_command.insert(r.machine.clone());
+            self.queue_start_record(&t.task, &r.machine, t.attempt, r.incarnation);
         }
         let Some(m) = self.machines.get_mut(&r.machine) else { return };
         let Some(p) = m.tasks.get_mut(&t.task) else { return };
-        p.former = false;
-        p.fenced |= fenced;
+        p.inherited = false;
+        p.confirmed |= fenced;
         if p.phase == Phase::Completed {
             return;
         }
         p.phase = phase;
         if over {
-            p.halt = Some(0.0);
-            p.halt_since.get_or_insert(now);
-            self.tell.insert(r.machine.clone());
+            p.stop_grace_s = Some(0.0);
+            p.stop_requested_at.get_or_insert(now);
+            self.machines_to_command.insert(r.machine.clone());
         }
         // what fails everywhere does not run for long
         let proof = self.policy.failure_rest;
-        if phase == Phase::Running && p.halt.is_none() && p.running_since.is_some_and(|t| now.duration_since(t) > proof)
+        if phase == Phase::Running
+            && p.stop_grace_s.is_none()
+            && p.running_since.is_some_and(|t| now.duration_since(t) > proof)
         {
-            if let Some(j) = self.jobs.get_mut(&t.task.job).filter(|j| j.suspect.is_some()) {
-                (j.suspect, j.wait_until) = (None, None);
+            if let Some(j) = self.jobs.get_mut(&t.task.job).filter(|j| j.quarantine.is_some()) {
+                (j.quarantine, j.not_before) = (None, None);
             }
         }
         if phase == Phase::Running && p.running_since.is_none() {
@@ -413,7 +416,7 @@
                 "{} runs on {}, {:.1} s after it was placed",
                 t.task,
                 r.machine,
-                now.duration_since(p.since).as_secs_f64()
+                now.duration_since(p.assigned_at).as_secs_f64()
             );
             let (image, gb) = (p.spec.image.clone(), p.spec.image_gb);
             m.use_image(&image, gb, cache);
@@ -434,8 +437,8 @@
         }
         let (Some(m), Some(job)) = (self.machines.get_mut(machine), self.jobs.get_mut(&task.job)) else { return };
         match cause {
-            ExitCause::NoRoom | ExitCause::AttemptConflict => m.rest_until = Some(now + rest),
-            ExitCause::UnknownJob | ExitCause::Unknown => job.wait_until = Some(now + rest),
+            ExitCause::NoRoom | ExitCause::AttemptConflict => m.cooldown_until = Some(now + rest),
+            ExitCause::UnknownJob | ExitCause::Unknown => job.not_before = Some(now + rest),
             ExitCause::Failed
             | ExitCause::Completed
             | ExitCause::StoppedByCommand
@@ -457,47 +460,47 @@
         job.failed_on.insert(machine.clone());
         let sound = |n: &&Name| {
             let m = self.machines.get(*n);
-            m.is_some_and(|m| m.drain.is_none() && m.blamed.iter().all(|j| j == id))
+            m.is_some_and(|m| m.cordon_reason.is_none() && m.failed_jobs.iter().all(|j| j == id))
         };
         let evidence = job.failed_on.iter().filter(sound).count();
         let place = |(n, t): &(Name, Task)| self.machines.get(n).and_then(|m| m.tasks.get(t));
-        let placed = job.placed();
+        let placed = job.placed_tasks();
         let mut others: BTreeMap<&Name, bool> = BTreeMap::new();
         for p in placed.iter().filter(|p| !job.failed_on.contains(&p.0)) {
             *others.entry(&p.0).or_default() |= place(p).is_some_and(|p| p.running_since.is_some());
         }
         let runs = others.values().filter(|r| **r).count();
         let against = runs + (others.len() - runs) / 4;
-        let proven = job.proven();
-        match &mut job.suspect {
+        let proven = job.has_completed_task();
+        match &mut job.quarantine {
             Some(s) if since >= s.since => {
                 s.probes += 1;
                 s.since = now + rest * 2u32.pow(s.probes.min(MOST_BACKOFF)) / 2;
-                job.wait_until = Some(s.since);
+                job.not_before = Some(s.since);
                 tracing::info!("{id} fails again: next probe in {:.0} s", (s.since - now).as_secs_f64());
             }
             Some(_) => {}
             None if !proven && evidence >= 2 && evidence > against => {
                 tracing::info!("{id} fails on {evidence} machines: taken for broken, probed one task at a time");
-                job.suspect = Some(Suspect { since: now, probes: 0 });
-                job.why = SUSPECT;
-                let fetches = |p: &Place| matches!(p.phase, Phase::Ordered | Phase::Pulling);
+                job.quarantine = Some(Suspect { since: now, probes: 0 });
+                job.pending_reason = SUSPECT;
+                let fetches = |p: &Place| matches!(p.phase, Phase::Assigned | Phase::Pulling);
                 let wait: Vec<_> = placed.iter().filter(|p| place(p).is_some_and(fetches)).cloned().collect();
                 for n in job.failed_on.clone() {
                     self.acquit(&n, id);
                 }
                 for (m, t) in wait {
-                    self.halt(&m, &t, 0.0, now);
+                    self.request_stop(&m, &t, 0.0, now);
                 }
                 return;
             }
             None => {
                 let Some(m) = self.machines.get_mut(machine) else { return };
-                m.blamed.insert(id.clone());
-                m.rest_until = Some(now + rest * 2);
-                if m.blamed.len() >= 2 && m.drain.is_none() {
-                    tracing::info!("machine {machine} fails tasks of {} jobs: drained", m.blamed.len());
-                    m.drain = Some(FAILS);
+                m.failed_jobs.insert(id.clone());
+                m.cooldown_until = Some(now + rest * 2);
+                if m.failed_jobs.len() >= 2 && m.cordon_reason.is_none() {
+                    tracing::info!("machine {machine} fails tasks of {} jobs: drained", m.failed_jobs.len());
+                    m.cordon_reason = Some(FAILS);
                 }
                 return;
             }
@@ -508,12 +511,12 @@
     /// A machine is not to blame for a broken job's failures.
     fn acquit(&mut self, machine: &Name, id: &Name) {
         let Some(m) = self.machines.get_mut(machine) else { return };
-        m.blamed.remove(id);
-        if m.blamed.is_empty() {
-            m.rest_until = None;
+        m.failed_jobs.remove(id);
+        if m.failed_jobs.is_empty() {
+            m.cooldown_until = None;
         }
-        if m.drain == Some(FAILS) && m.blamed.len() < 2 {
-            m.drain = None;
+        if m.cordon_reason == Some(FAILS) && m.failed_jobs.len() < 2 {
+            m.cordon_reason = None;
         }
         self.queue_changed = true;
     }
@@ -524,7 +527,7 @@
         let Some(since) = p.running_since else { return };
         let ran = now.duration_since(since).as_secs_f64();
         if let Some(m) = self.machines.get_mut(machine) {
-            m.blamed.clear();
+            m.failed_jobs.clear();
         }
         // short runs say little: the report interval blurs them
         if p.spec.estimate_s < 1.0
@@ -534,7 +537,7 @@
             return;
         }
         let ratio = (ran / p.spec.estimate_s).clamp(0.05, 20.0);
-        let bias = self.bias.entry(p.spec.class.clone()).or_insert(ratio);
+        let bias = self.runtime_bias.entry(p.spec.class.clone()).or_insert(ratio);
         *bias += (ratio - *bias) * 0.1;
         // a machine is held against the tasks of the same job on others: what
         // owners estimate is off by more than machines differ
@@ -545,15 +548,16 @@
             // so many tasks at the usual speed are taken for granted, or a
             // machine's first task would say more than all that it is
             let relative = (mean / ran).clamp(0.1, 10.0);
-            m.samples += 1;
-            m.speed += (relative - m.speed) * (1.0 / f64::from(SPEED_PRIOR + m.samples)).max(0.02);
+            m.speed_samples += 1;
+            m.speed += (relative - m.speed) * (1.0 / f64::from(SPEED_PRIOR + m.speed_samples)).max(0.02);
         }
     }
 }
 
 /// A saving task is left alone until its grace is over, then ended.
 fn continue_save(p: &Place, grace: f64, now: Instant) -> Option<f64> {
-    let over = p.halt_since.is_some_and(|t| now.duration_since(t).as_secs_f64() > grace.max(p.spec.save_s) * 3.0 + 5.0);
+    let over =
+        p.stop_requested_at.is_some_and(|t| now.duration_since(t).as_secs_f64() > grace.max(p.spec.save_s) * 3.0 + 5.0);
     (grace == 0.0 || over).then_some(0.0)
 }
 
--- a/packages/core/src/workers/tests.rs
+++ b/packages/core/src/workers/tests.rs
@@ -4,21 +4,21 @@
 /// goes on from there, and no other term's token passes for its own.
 #[test]
 fn a_start_that_a_cut_held_up_finds_a_higher_token() {
-    use crate::cluster::raise;
+    use crate::cluster::raise_token;
     let now = Instant::now();
     let mut c = cluster(3, now);
-    let seen = c.token();
-    let held = raise(seen);
+    let seen = c.base_token();
+    let held = raise_token(seen);
     assert!(held > seen, "the worker refuses what left under the token before");
     let full = (4 << 24) - 1;
-    assert_eq!(raise(full), full, "never into the next term");
+    assert_eq!(raise_token(full), full, "never into the next term");
     let report = |tally, token| crate::sim::report("i-1", "z0", 1, tally, token);
     assert_eq!(c.report(&report(1, seen), true, now), Some(true));
     let m = c.machines.get_mut("i-1").expect("it reported");
-    (m.doubt, m.direct) = (Some(seen), Some(0));
+    (m.in_doubt_token, m.last_direct_fence) = (Some(seen), Some(0));
     // the cut heals: it speaks the leader's term, and a token that it never gave
     assert_eq!(c.report(&report(2, held), true, now), Some(true));
-    assert_eq!(c.machines["i-1"].doubt, None, "the start is refused by now");
+    assert_eq!(c.machines["i-1"].in_doubt_token, None, "the start is refused by now");
     assert!(c.answer(&report(2, held), now).fencing_token >= held, "or the answer would be dropped");
     assert_eq!(c.report(&report(3, 4 << 24), true, now), None, "a later term's");
 }
@@ -68,7 +68,7 @@
             spot: false,
             incarnation: 1,
             sequence: self.tally,
-            fencing_token: self.c.token(),
+            fencing_token: self.c.base_token(),
             reclaim_in_s: None,
             tasks: tasks.iter().map(task).collect(),
         };
@@ -86,7 +86,7 @@
     }
 
     fn on(&self, job: &str) -> usize {
-        self.c.jobs[job].places.len()
+        self.c.jobs[job].assignments.len()
     }
 
     fn machine(&self, i: usize) -> &Machine {
@@ -103,15 +103,15 @@
     f.c.place(f.now);
     assert_eq!(f.on("j-000001"), 48);
     f.all_tell(|_, _| FAILED);
-    assert!(f.c.jobs["j-000001"].suspect.is_some());
-    assert!((0..6).all(|i| f.machine(i).usable(f.now, &f.c.policy)), "a machine is blamed");
+    assert!(f.c.jobs["j-000001"].quarantine.is_some());
+    assert!((0..6).all(|i| f.machine(i).is_schedulable(f.now, &f.c.policy)), "a machine is blamed");
     let mut apart = Vec::new();
     for _ in 0..5 {
         assert!(f.c.place(f.now).is_empty(), "a machine is rented for what only waits to fail");
         assert_eq!(f.on("j-000001"), 1, "more than a probe");
         f.all_tell(|_, _| FAILED);
         assert!(f.c.place(f.now).is_empty() && f.on("j-000001") == 0);
-        let due = f.c.jobs["j-000001"].wait_until.expect("a rest");
+        let due = f.c.jobs["j-000001"].not_before.expect("a rest");
         apart.push(due - f.now);
         f.now = due;
         f.all_tell(|_, _| FAILED);
@@ -121,7 +121,7 @@
     f.c.place(f.now);
     f.all_tell(|_, _| DONE);
     f.c.place(f.now);
-    assert!(f.c.jobs["j-000001"].suspect.is_none() && f.on("j-000001") > 40);
+    assert!(f.c.jobs["j-000001"].quarantine.is_none() && f.on("j-000001") > 40);
 }
 
 /// Sick machines fail some tasks of a good job: the machines are blamed.
@@ -137,11 +137,11 @@
         }
     }
     f.all_tell(|i, _| if i < 2 { FAILED } else { RUNNING });
-    assert!(f.c.jobs.values().all(|j| j.suspect.is_none()));
+    assert!(f.c.jobs.values().all(|j| j.quarantine.is_none()));
     f.c.place(f.now);
     f.now += f.c.policy.failure_rest * 3;
     f.all_tell(|i, _| if i < 2 { FAILED } else { RUNNING });
-    let blamed = |i: usize| f.machine(i).drain.is_some() || f.machine(i).rest_until.is_some();
+    let blamed = |i: usize| f.machine(i).cordon_reason.is_some() || f.machine(i).cooldown_until.is_some();
     assert!(blamed(0) && blamed(1) && !(2..12).any(blamed));
 }
 
@@ -164,10 +164,10 @@
         }
     }
     f.all_tell(|i, job| if i == 0 || job == "j-000001" { FAILED } else { RUNNING });
-    assert!(f.c.jobs["j-000001"].suspect.is_some());
-    assert!(f.c.jobs["j-000002"].suspect.is_none() && f.c.jobs["j-000003"].suspect.is_none());
-    assert_eq!(f.machine(0).drain, Some(FAILS));
-    assert!((1..6).all(|i| f.machine(i).usable(f.now, &f.c.policy)));
+    assert!(f.c.jobs["j-000001"].quarantine.is_some());
+    assert!(f.c.jobs["j-000002"].quarantine.is_none() && f.c.jobs["j-000003"].quarantine.is_none());
+    assert_eq!(f.machine(0).cordon_reason, Some(FAILS));
+    assert!((1..6).all(|i| f.machine(i).is_schedulable(f.now, &f.c.policy)));
 }
 
 /// Found by the seeded world as old reports reached a new leader (`quota`, one of 2,000
@@ -180,18 +180,18 @@
     let now = Instant::now();
     for order in [[2, 3], [3, 2]] {
         let mut c = cluster(5, now);
-        c.add_begun(spec("j-1", 1), 1, None, now);
+        c.add_started_job(spec("j-1", 1), 1, None, now);
         let attempt = (4 << 24) + 7;
         let machine: Name = "i-1".into();
         let at = std::collections::HashMap::from([(machine.clone(), ("t".into(), "z0".into(), false))]);
         for (page, session) in order.into_iter().enumerate() {
             let task = Task { job: "j-1".into(), index: 0 };
-            let start = Start { machine: machine.clone(), task, attempt, session };
-            c.add_page(page as u32, Page { stamp: 1, starts: vec![start], done: vec![] }, &at, now);
+            let start = Start { machine: machine.clone(), task, attempt, incarnation: session };
+            c.add_shard(page as u32, Page { revision: 1, starts: vec![start], completed: vec![] }, &at, now);
         }
         let old = crate::sim::report("i-1", "z0", 3, 9, 2 << 24);
         assert_eq!(c.report(&old, true, now), Some(true));
-        assert!(c.machines[&machine].tasks.values().any(|p| p.present()), "{order:?}: the place is free");
+        assert!(c.machines[&machine].tasks.values().any(|p| p.occupies_resources()), "{order:?}: the place is free");
         // a later session is a proof, and so is this term's token
         let later = Heartbeat { incarnation: 4, sequence: 10, ..old.clone() };
         assert_eq!(c.report(&later, true, now), Some(true));
@@ -213,12 +213,12 @@
     let leader = || {
         let mut c = cluster(5, now);
         let gang = JobSpec { shape: Shape::Gang, ..(*spec("j-2", 1)).clone() };
-        c.add_begun(spec("j-1", 1), 1, None, now);
-        c.add_begun(std::sync::Arc::new(gang), 2, None, now);
-        let start = |job| Start { machine: machine.clone(), task: task(job), attempt, session: 1 };
-        let page = Page { stamp: 1, starts: vec![start("j-1"), start("j-2")], done: vec![] };
+        c.add_started_job(spec("j-1", 1), 1, None, now);
+        c.add_started_job(std::sync::Arc::new(gang), 2, None, now);
+        let start = |job| Start { machine: machine.clone(), task: task(job), attempt, incarnation: 1 };
+        let page = Page { revision: 1, starts: vec![start("j-1"), start("j-2")], completed: vec![] };
         let at = std::collections::HashMap::from([(machine.clone(), ("t".into(), "z0".into(), false))]);
-        c.add_page(0, page, &at, now);
+        c.add_shard(0, page, &at, now);
         c
     };
     let report = |tally, token, tasks: &[(&str, u64, Told)]| Heartbeat {
@@ -235,7 +235,7 @@
         ..crate::sim::report("i-1", "z0", 1, tally, token)
     };
     let there = |c: &Cluster| {
-        let of = |job| c.machines[&machine].tasks.get(&task(job)).filter(|p| p.present()).map(|p| p.attempt);
+        let of = |job| c.machines[&machine].tasks.get(&task(job)).filter(|p| p.occupies_resources()).map(|p| p.attempt);
         (of("j-1"), of("j-2"))
     };
     let (old, this) = (3 << 24, 5 << 24);
--- a/src/intake.rs
+++ b/src/intake.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 
 use crate::authority::Cut;
-use crate::cluster::raise;
+use crate::cluster::raise_token;
 use crate::http::{self, Request, Response};
 use coralnotch_core::answers::{
     cancellations, impossible, submissions, Accepted, Inquiry, Step, Verdict, View, Wish, Word,
@@ -258,7 +258,8 @@
             } else if self.alone(&i, report, now) {
                 // a start that is held up on its way finds a higher token: a
                 // withdrawal that is known here could not stop it
-                let token = if self.all_tell(&i, now) { raise(report.fencing_token) } else { report.fencing_token };
+                let token =
+                    if self.all_tell(&i, now) { raise_token(report.fencing_token) } else { report.fencing_token };
                 return Err(Response::new(200, &self.keep_alive(&i, report, token)));
             }
             return Err(match &i.leader {
@@ -282,7 +283,7 @@
         let Some(c) = i.cluster.as_mut() else { return Ok(false) };
         let pending = c.start_pending(report);
         if let Some(m) = c.machines.get_mut(&report.machine) {
-            m.answering = pending;
+            m.reply_pending = pending;
         }
         match (c.queue_changed, news) {
             // the next pass fills what this report has freed, and one
@@ -654,8 +655,8 @@
             Some(JobOutcome::Cancelled) => {}
             None => {
                 if let Some((c, j)) = i.cluster.as_ref().and_then(|c| Some((c, c.jobs.get(id)?))) {
-                    done = j.done.len();
-                    for (n, list) in &j.places {
+                    done = j.completed.len();
+                    for (n, list) in &j.assignments {
                         let task = Task { job: id.clone(), index: *n };
                         let runs = |m: &Name| {
                             let p = c.machines.get(m).and_then(|m| m.tasks.get(&task));
@@ -699,7 +700,7 @@
         }
         let of = |j: &crate::cluster::Job| wire::Progress {
             id: j.spec.id.to_string(),
-            done: j.done.len(),
+            done: j.completed.len(),
             running: running.get(&j.spec.id).copied().unwrap_or(0),
         };
         let mut jobs: Vec<_> = c.jobs.values().filter(|j| j.outcome.is_none()).map(of).collect();
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -107,7 +107,7 @@
         let mut c = Cluster::new(a.term, self.policy.clone(), self.teams(), now);
         for o in self.config.deployment.objectives.iter().filter(|o| o.kind == "wait") {
             if let (Some(class), Some(within)) = (&o.class, o.within_s) {
-                let aim = c.wait_aims.entry(class.as_str().into()).or_insert(within);
+                let aim = c.start_objectives.entry(class.as_str().into()).or_insert(within);
                 *aim = aim.min(within);
             }
         }
@@ -118,7 +118,7 @@
         let begun = begun(stored.pages.iter().map(|p| &p.1));
         for o in i.ledger.open() {
             if begun.contains(&o.spec.id) {
-                c.add_begun(o.spec.clone(), o.stamp, None, now);
+                c.add_started_job(o.spec.clone(), o.stamp, None, now);
             } else {
                 c.add_job(o.spec.clone(), o.stamp, None, now);
             }
@@ -141,7 +141,7 @@
             return Err((stored, missing.into_iter().collect()));
         }
         for (id, page, machines) in stored.pages {
-            c.add_page(id, page, &machines, now);
+            c.add_shard(id, page, &machines, now);
         }
         for item in stored.rentals {
             if let Some(r) = read_value::<Vec<Rental>>(&item.key, item.value) {
@@ -153,10 +153,10 @@
                 c.set_outcome(&n, outcome, now);
             }
         }
-        c.tidy(now);
-        c.learned = self.peers.learned();
+        c.collect_garbage(now);
+        c.machine_hints = self.peers.learned();
         let zones = self.config.siblings.iter().map(|s| s.zone.as_str());
-        c.manned = zones.chain([self.config.zone.as_str()]).map(Name::from).collect();
+        c.zones_with_controller = zones.chain([self.config.zone.as_str()]).map(Name::from).collect();
         tracing::info!("term {}: {} jobs, {} machines on record", a.term, c.jobs.len(), c.machines.len());
         i.cluster = Some(c);
         Ok(())
--- a/src/leader/machines.rs
+++ b/src/leader/machines.rs
@@ -153,8 +153,8 @@
                 }
                 let wants = std::mem::take(&mut i.wants);
                 let plan = i.cluster.as_mut().map(|c| {
-                    let here = c.here();
-                    c.fleet.listen(self.lag.now(), here, &self.policy, now);
+                    let here = c.machine_count();
+                    c.fleet.adapt_heartbeat_capacity(self.lag.now(), here, &self.policy, now);
                     (c.plan(&wants, now), here)
                 });
                 if let Some((_, here)) = &plan {
@@ -177,7 +177,7 @@
     /// are new.  Without a record they are planned again.
     async fn record(&self, rentals: &[Rental], a: Authority) -> bool {
         let new = match self.lock().cluster.as_mut() {
-            Some(c) => c.fleet.recording(rentals, a.term),
+            Some(c) => c.fleet.begin_recording(rentals, a.term),
             None => return false,
         };
         let Some(mut new) = new else { return true };
@@ -191,11 +191,11 @@
                 }
                 Err(_) => Tried::Refused,
             };
-            match new.tried(&tried) {
+            match new.apply_attempt(&tried) {
                 None => {}
                 Some(true) => {
                     if let Some(c) = self.lock().cluster.as_mut() {
-                        c.fleet.recorded(new.path, &new.rentals);
+                        c.fleet.mark_recorded(new.key, &new.rentals);
                     }
                     return true;
                 }
@@ -214,7 +214,7 @@
         let gone = {
             let i = self.lock();
             let Some(c) = i.cluster.as_ref() else { return };
-            c.fleet.outlived(self.policy.rental_kept, most, Instant::now())
+            c.fleet.expired_records(self.policy.rental_kept, most, Instant::now())
         };
         if gone.is_empty() {
             return;
@@ -271,12 +271,12 @@
             },
             Ok((503, body)) if String::from_utf8_lossy(&body).contains("capacity") => {
                 tracing::info!("no capacity: {} in {}, spot {}", r.kind, r.zone, r.spot);
-                c.fleet.answered(&r.request_id, now);
+                c.fleet.mark_answered(&r.request_id, now);
                 c.no_capacity(&(r.kind.clone(), r.zone.clone(), r.spot), now);
             }
             Ok((400, _)) => {
                 tracing::error!("rental {} is malformed to the cloud", r.request_id);
-                c.fleet.answered(&r.request_id, now);
+                c.fleet.mark_answered(&r.request_id, now);
                 c.no_capacity(&(r.kind.clone(), r.zone.clone(), r.spot), now);
             }
             // in doubt: asked again under the same charter
--- a/src/leader/placing.rs
+++ b/src/leader/placing.rs
@@ -34,10 +34,10 @@
         }
         if let Some(c) = i.cluster.as_mut() {
             i.wants = c.place(now);
-            for waited in c.placed_after.drain(..) {
+            for waited in c.placement_waits.drain(..) {
                 self.telemetry.took(Timed::Placement, waited);
             }
-            c.tidy(now);
+            c.collect_garbage(now);
             let took = now.elapsed();
             i.next_pass = Some(now + self.policy.pass_gap.max(self.rest(took, self.policy.pass_share)));
             self.telemetry.took(Timed::Pass, took);
@@ -114,9 +114,10 @@
                 let mut i = self.lock();
                 self.beat(&mut i, now);
                 let Some(c) = &i.cluster else { continue };
-                let up =
-                    |m: &&Machine| m.gone.is_none() && (m.heard.is_some() || m.stage == Some(MachineState::Running));
-                let last = i.heard.unwrap_or(c.began).max(c.began).max(c.awake);
+                let up = |m: &&Machine| {
+                    m.removed_at.is_none() && (m.last_heartbeat.is_some() || m.state == Some(MachineState::Running))
+                };
+                let last = i.heard.unwrap_or(c.term_started_at).max(c.term_started_at).max(c.resumed_at);
                 if !i.acts(now) || c.machines.values().filter(up).count() < 2 {
                     continue;
                 }
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -40,9 +40,9 @@
         machine: "i-1".into(),
         task: Task { job: job.into(), index: 0 },
         attempt: 7,
-        session: 1,
+        incarnation: 1,
     };
-    let page = Page { stamp: 3, starts: vec![start("j-000001"), start("j-000002")], done: Vec::new() };
+    let page = Page { revision: 3, starts: vec![start("j-000001"), start("j-000002")], completed: Vec::new() };
     let places = HashMap::from([("i-1".into(), ("t".into(), "z0".into(), false))]);
     let stored = Stored { pages: vec![(0, page, places)], ..Stored::default() };
     let a = Authority { term: 2, stamp: 1, hold: 1, until: now, since: now };
@@ -54,7 +54,7 @@
     assert!(node.take_over(a, stored, now).is_ok());
     let i = node.lock();
     let tasks = &i.cluster.as_ref().expect("it leads").machines["i-1"].tasks;
-    let halted: Vec<_> = tasks.iter().map(|(t, p)| (&*t.job, p.halt.is_some())).collect();
+    let halted: Vec<_> = tasks.iter().map(|(t, p)| (&*t.job, p.stop_grace_s.is_some())).collect();
     assert_eq!(halted, [("j-000001", false), ("j-000002", true)]);
 }
 
@@ -71,9 +71,9 @@
         machine: "i-1".into(),
         task: Task { job: job.into(), index: 0 },
         attempt: 7,
-        session: 1,
+        incarnation: 1,
     });
-    let page = Page { stamp: 3, starts: starts.into(), done: Vec::new() };
+    let page = Page { revision: 3, starts: starts.into(), completed: Vec::new() };
     let places = HashMap::from([("i-1".into(), ("t".into(), "z0".into(), false))]);
     let stored = Stored { pages: vec![(0, page, places)], ..Stored::default() };
     let a = Authority { term: 2, stamp: 1, hold: 1, until: now, since: now };
--- a/src/node.rs
+++ b/src/node.rs
@@ -149,7 +149,7 @@
 
     /// Whether this controller leads and finds nothing of a job on any machine.
     pub fn clear_of(&self, id: &Name, now: Instant) -> bool {
-        self.acts(now) && self.cluster.as_ref().is_some_and(|c| c.clear_of(id))
+        self.acts(now) && self.cluster.as_ref().is_some_and(|c| c.has_no_task_of(id))
     }
 }
 
@@ -247,7 +247,7 @@
         self.store.woke(now);
         self.peers.woke();
         if let Some(c) = i.cluster.as_mut() {
-            c.awake = now;
+            c.resumed_at = now;
         }
     }
 
@@ -294,7 +294,7 @@
     pub fn teams(&self) -> HashMap<Name, TeamLimit> {
         let team = |t: &crate::config::Team| {
             let size = |cpus, gpus| Resources { cpus, gpus, memory: 0.0 };
-            (t.name.as_str().into(), TeamLimit { guarantee: size(t.cpus, t.gpus), most: size(t.cpus_max, t.gpus_max) })
+            (t.name.as_str().into(), TeamLimit { guarantee: size(t.cpus, t.gpus), limit: size(t.cpus_max, t.gpus_max) })
         };
         self.config.deployment.teams.iter().map(team).collect()
     }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -279,10 +279,15 @@
             false => Default::default(),
             true => match self.0.lock().cluster.as_ref() {
                 Some(c) => {
-                    let up = c.machines.values().filter(|m| m.gone.is_none());
+                    let up = c.machines.values().filter(|m| m.removed_at.is_none());
                     let learned = |m: &Machine| {
-                        let heard = m.heard.or_else(|| c.learned.get(&m.name)?.heard);
-                        Learned { speed: m.speed, samples: m.samples, images: m.images.clone(), heard }
+                        let heard = m.last_heartbeat.or_else(|| c.machine_hints.get(&m.name)?.last_heartbeat);
+                        Learned {
+                            speed: m.speed,
+                            speed_samples: m.speed_samples,
+                            images: m.images.clone(),
+                            last_heartbeat: heard,
+                        }
                     };
                     to_wire(up.map(|m| (&m.name, learned(m))), now)
                 }
--- a/src/siblings.rs
+++ b/src/siblings.rs
@@ -93,7 +93,7 @@
 ) -> (Vec<wire::Learned>, Vec<wire::Image>) {
     let (mut machines, mut images) = (Vec::new(), Vec::new());
     let mut known: HashMap<Name, u32> = HashMap::new();
-    for (machine, l) in all.filter(|(_, l)| !l.images.is_empty() || l.samples > 0 || l.heard.is_some()) {
+    for (machine, l) in all.filter(|(_, l)| !l.images.is_empty() || l.speed_samples > 0 || l.last_heartbeat.is_some()) {
         let held = l.images.into_iter().map(|(name, gb)| {
             *known.entry(name).or_insert_with_key(|name| {
                 images.push(wire::Image { name: name.to_string(), gb });
@@ -101,11 +101,11 @@
             })
         });
         let images = held.collect();
-        let heard_ms = l.heard.map(|t| now.saturating_duration_since(t).as_millis() as u64);
+        let heard_ms = l.last_heartbeat.map(|t| now.saturating_duration_since(t).as_millis() as u64);
         machines.push(wire::Learned {
             machine: machine.to_string(),
             speed: l.speed,
-            samples: l.samples,
+            samples: l.speed_samples,
             images,
             heard_ms,
         });
@@ -123,7 +123,10 @@
         .map(|l| {
             let images = l.images.iter().filter_map(|i| names.get(*i as usize).cloned()).collect();
             let heard = l.heard_ms.and_then(|ms| now.checked_sub(Duration::from_millis(ms)));
-            (l.machine.as_str().into(), Learned { speed: l.speed, samples: l.samples, images, heard })
+            (
+                l.machine.as_str().into(),
+                Learned { speed: l.speed, speed_samples: l.samples, images, last_heartbeat: heard },
+            )
         })
         .collect()
 }
--- a/src/siblings/tests.rs
+++ b/src/siblings/tests.rs
@@ -17,7 +17,7 @@
             .into_iter()
             .map(|(n, (speed, samples, held, heard_ms))| {
                 let heard = heard_ms.map(|ms| now - Duration::from_millis(ms));
-                (n.as_str().into(), Learned { speed, samples, images: held.iter().map(image).collect(), heard })
+                (n.as_str().into(), Learned { speed, speed_samples: samples, images: held.iter().map(image).collect(), last_heartbeat: heard })
             })
             .collect();
         let (machines, images) = to_wire(all.iter().map(|(n, l)| (n, l.clone())), now);
--- a/src/status.rs
+++ b/src/status.rs
@@ -11,12 +11,12 @@
 const MOST_NAMED: usize = 12;
 
 fn state_of(m: &Machine, fresh: Duration, now: Instant) -> &'static str {
-    match m.heard {
-        _ if m.deleting.is_some() => "being returned",
+    match m.last_heartbeat {
+        _ if m.deletion_sent_at.is_some() => "being returned",
         None => "not up",
         Some(t) if now.duration_since(t) > fresh => "silent",
-        _ if m.drain.is_some() => "drained",
-        _ if m.notice.is_some() => "taken back soon",
+        _ if m.cordon_reason.is_some() => "drained",
+        _ if m.reclaim_at.is_some() => "taken back soon",
         _ if m.tasks.is_empty() => "idle",
         _ => "busy",
     }
@@ -30,31 +30,31 @@
             let since = |t: Instant| now.duration_since(t).as_secs_f64();
             let mut f = Figures {
                 term: c.term,
-                since_s: since(c.began),
-                cut: c.fleet.cut.iter().cloned().collect(),
-                unstored: c.unstored.len(),
-                pages: c.pages.len(),
+                since_s: since(c.term_started_at),
+                cut: c.fleet.partitioned_zones.iter().cloned().collect(),
+                unstored: c.unstored_starts.len(),
+                pages: c.shards.len(),
                 held: c.dependency.len(),
-                rentals: c.fleet.open.len(),
+                rentals: c.fleet.open_rentals.len(),
                 ..Figures::default()
             };
-            for m in c.machines.values().filter(|m| m.gone.is_none()) {
+            for m in c.machines.values().filter(|m| m.removed_at.is_none()) {
                 let state = state_of(m, self.policy.fresh, now);
                 *f.machines.entry(m.zone.to_string()).or_default().entry(state.into()).or_default() += 1;
                 f.placed += m.tasks.len();
-                f.in_doubt += usize::from(m.doubt.is_some());
+                f.in_doubt += usize::from(m.in_doubt_token.is_some());
             }
             let open: Vec<_> = c.jobs.values().filter(|j| j.outcome.is_none()).collect();
             f.jobs = open.len();
-            f.waiting = open.iter().map(|j| u64::from(j.todo.len())).sum();
-            let mut waiting: Vec<_> = open.into_iter().filter(|j| !j.todo.is_empty()).collect();
-            waiting.sort_by_key(|j| j.known);
+            f.waiting = open.iter().map(|j| u64::from(j.pending.len())).sum();
+            let mut waiting: Vec<_> = open.into_iter().filter(|j| !j.pending.is_empty()).collect();
+            waiting.sort_by_key(|j| j.first_seen);
             let told = |j: &crate::cluster::Job| Waiting {
                 id: j.spec.id.clone(),
                 class: j.spec.class.clone(),
-                tasks: j.todo.len(),
-                since_s: since(j.known),
-                why: j.why.to_owned(),
+                tasks: j.pending.len(),
+                since_s: since(j.first_seen),
+                why: j.pending_reason.to_owned(),
             };
             f.longest = waiting.into_iter().take(MOST_NAMED).map(told).collect();
             f
