--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -48,7 +48,7 @@
             reclaim_in_s: None,
             tasks: Vec::new(),
         };
-        cluster.report(&report, true, now);
+        cluster.apply_heartbeat(&report, true, now);
     }
     let spec = JobSpec {
         id: "j-000001".into(),
@@ -74,7 +74,7 @@
         needs: Vec::new(),
     };
     cluster.add_job(Arc::new(spec), 1, None, now);
-    for want in cluster.place(now) {
+    for want in cluster.run_placement_pass(now) {
         println!("{} tasks of {} find no room", want.count, want.spec.id);
     }
     for (name, machine) in &cluster.machines {
--- a/packages/core/src/answers.rs
+++ b/packages/core/src/answers.rs
@@ -30,7 +30,7 @@
     /// To submit it, perhaps once more.
     Submit,
     /// To cancel it.
-    Withdraw,
+    Cancel,
 }
 
 /// An answer.
@@ -41,13 +41,13 @@
     /// Accepted, and not over.
     Unfinished,
     /// Over for good.
-    Over(JobOutcome),
+    Ended(JobOutcome),
     /// Never accepted.
-    Never,
+    NotFound,
     /// Can never run, and was never accepted.
-    Impossible(&'static str),
+    Unsatisfiable(&'static str),
     /// Nothing can be said now.
-    Later(&'static str),
+    RetryLater(&'static str),
 }
 
 /// What a controller does next for a request.
@@ -58,35 +58,35 @@
     /// Have the store confirm that it has no end: [`Inquiry::confirmed`].
     Confirm,
     /// Look at the submission itself, and at what it needs: [`Inquiry::judged`].
-    Judge,
+    Validate,
     /// Store the submission, with its own end if it needs a cancelled job:
     /// [`Inquiry::stored`].
     Store {
         /// It needs a cancelled job.
-        doomed: bool,
+        needs_cancelled_job: bool,
     },
     /// Store the job's cancellation: [`Inquiry::ended`].
     Cancel,
     /// Read the ends of these, as far as there are any: [`Inquiry::read`].
-    Read(Vec<Name>),
+    ReadOutcomes(Vec<Name>),
     /// Have the siblings told, and look again when one of them knows: [`Inquiry::next`].
-    Tell,
+    NotifyPeers,
     /// Answer.
-    Say(Word),
+    Reply(Word),
 }
 
 /// What speaks against a submission.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Verdict {
-    /// Nothing; `doomed` if it needs a job that is cancelled.
-    Fine {
+    /// Nothing; `needs_cancelled_job` if it needs a job that is cancelled.
+    Valid {
         /// It needs a cancelled job.
-        doomed: bool,
+        needs_cancelled_job: bool,
     },
     /// It can never run.
-    Impossible(&'static str),
+    Unsatisfiable(&'static str),
     /// That can't be told now.
-    Later(&'static str),
+    Undetermined(&'static str),
 }
 
 /// What the store said of a submission.
@@ -98,7 +98,7 @@
         slow: bool,
     },
     /// It was there before.
-    Before,
+    AlreadyStored,
     /// No answer: it may be stored, or be stored later.
     Unknown,
 }
@@ -107,17 +107,17 @@
 #[derive(Debug)]
 pub struct View<'a> {
     /// The jobs that it knows.
-    pub ledger: &'a mut Ledger,
+    pub jobs: &'a mut Ledger,
     /// The withdrawals that it knows.
-    pub withdrawals: &'a Withdrawals,
+    pub cancellations: &'a Withdrawals,
     /// Those whose users are to be told.
-    pub telling: &'a mut Telling,
+    pub notices: &'a mut Telling,
     /// Since when none is missing.
-    pub whole: Option<Instant>,
+    pub cancellations_complete_as_of: Option<Instant>,
     /// All tell users only when all know.
-    pub all_tell: bool,
+    pub notices_required: bool,
     /// It leads, and finds nothing of the job on any machine.
-    pub clear: bool,
+    pub no_task_left: bool,
     /// The policy.
     pub policy: &'a Policy,
     /// Now.
@@ -126,8 +126,8 @@
 
 impl View<'_> {
     /// Whether the picture is young enough to say what hangs on withdrawals.
-    fn young(&self) -> bool {
-        may_lead(self.whole, self.policy, self.now)
+    fn is_fresh(&self) -> bool {
+        may_lead(self.cancellations_complete_as_of, self.policy, self.now)
     }
 }
 
@@ -135,7 +135,7 @@
 #[derive(Debug, Clone)]
 pub struct Inquiry {
     id: Name,
-    wish: Wish,
+    kind: Wish,
     found: Option<Found>,
     verdict: Option<Verdict>,
     accepted: bool,
@@ -147,40 +147,40 @@
 impl Inquiry {
     /// A request that has just come.
     pub fn new(id: Name, wish: Wish) -> Inquiry {
-        Inquiry { id, wish, found: None, verdict: None, accepted: false, failed: None }
+        Inquiry { id, kind: wish, found: None, verdict: None, accepted: false, failed: None }
     }
 
     /// What to do next.
-    pub fn next(&mut self, v: &mut View) -> Step {
+    pub fn next_action(&mut self, v: &mut View) -> Step {
         if let Some(why) = self.failed {
-            return Step::Say(Word::Later(why));
+            return Step::Reply(Word::RetryLater(why));
         }
-        if !self.accepted && !matches!(self.found, Some(Found::Never | Found::Over(_))) {
+        if !self.accepted && !matches!(self.found, Some(Found::NotFound | Found::Ended(_))) {
             // an end never changes, whoever learned of it in the meantime
-            match v.ledger.standing(&self.id) {
-                Standing::Ended(e) => self.found = Some(Found::Over(e.outcome)),
+            match v.jobs.status_of(&self.id) {
+                Standing::Ended(e) => self.found = Some(Found::Ended(e.outcome)),
                 Standing::Open(_) => self.found = self.found.take().or(Some(Found::Open)),
                 Standing::Unknown => {}
             }
         }
-        match (&self.found, self.wish) {
+        match (&self.found, self.kind) {
             (None, Wish::Submit) => match self.verdict {
                 // a repeat is recognised before anything is said against it
-                None => Step::Judge,
-                Some(Verdict::Fine { doomed }) => Step::Store { doomed },
-                Some(Verdict::Impossible(_)) => Step::LookUp,
-                Some(Verdict::Later(why)) => Step::Say(Word::Later(why)),
+                None => Step::Validate,
+                Some(Verdict::Valid { needs_cancelled_job }) => Step::Store { needs_cancelled_job },
+                Some(Verdict::Unsatisfiable(_)) => Step::LookUp,
+                Some(Verdict::Undetermined(why)) => Step::Reply(Word::RetryLater(why)),
             },
             (None, _) => Step::LookUp,
-            (Some(Found::Never), _) => Step::Say(match self.verdict {
-                Some(Verdict::Impossible(why)) => Word::Impossible(why),
-                _ => Word::Never,
+            (Some(Found::NotFound), _) => Step::Reply(match self.verdict {
+                Some(Verdict::Unsatisfiable(why)) => Word::Unsatisfiable(why),
+                _ => Word::NotFound,
             }),
-            (Some(Found::Open | Found::Confirmed), Wish::Withdraw) => Step::Cancel,
+            (Some(Found::Open | Found::Confirmed), Wish::Cancel) => Step::Cancel,
             (Some(Found::Open), _) => Step::Confirm,
             (Some(Found::Confirmed), _) => self.unfinished(v),
-            (Some(Found::Over(JobOutcome::Done)), _) => Step::Say(Word::Over(JobOutcome::Done)),
-            (Some(Found::Over(JobOutcome::Cancelled)), _) => self.cancelled(v),
+            (Some(Found::Ended(JobOutcome::Done)), _) => Step::Reply(Word::Ended(JobOutcome::Done)),
+            (Some(Found::Ended(JobOutcome::Cancelled)), _) => self.cancelled(v),
         }
     }
 
@@ -188,119 +188,121 @@
     /// called queued all the same, however late its own end is stored.
     fn unfinished(&mut self, v: &mut View) -> Step {
         if self.accepted {
-            return Step::Say(Word::Accepted);
+            return Step::Reply(Word::Accepted);
         }
-        let needs = match v.ledger.standing(&self.id) {
+        let needs = match v.jobs.status_of(&self.id) {
             Standing::Open(o) => !o.spec.needs.is_empty(),
             // accepted a moment ago, or the watch is behind
             _ => true,
         };
-        match v.ledger.spoilt(&self.id) {
-            _ if !needs => Step::Say(Word::Unfinished),
-            Spoilt::Unknown(ids) => Step::Read(ids),
-            Spoilt::No if v.young() => Step::Say(Word::Unfinished),
-            _ => Step::Say(Word::Later("what it needs has to be looked at")),
+        match v.jobs.cancelled_dependency(&self.id) {
+            _ if !needs => Step::Reply(Word::Unfinished),
+            Spoilt::Unknown(ids) => Step::ReadOutcomes(ids),
+            Spoilt::No if v.is_fresh() => Step::Reply(Word::Unfinished),
+            _ => Step::Reply(Word::RetryLater("what it needs has to be looked at")),
         }
     }
 
     /// Whoever renews leases unknowing counts on it that nobody tells who may not have
     /// seen that all do so.
     fn cancelled(&self, v: &mut View) -> Step {
-        let told = Step::Say(Word::Over(JobOutcome::Cancelled));
-        if !v.all_tell {
+        let told = Step::Reply(Word::Ended(JobOutcome::Cancelled));
+        if !v.notices_required {
             return told;
         }
-        if !v.young() {
-            return Step::Say(Word::Later("not every controller knows of it yet"));
+        if !v.is_fresh() {
+            return Step::Reply(Word::RetryLater("not every controller knows of it yet"));
         }
-        if v.clear {
-            v.telling.clear(&self.id);
+        if v.no_task_left {
+            v.notices.settle(&self.id);
         }
-        match v.telling.may_tell(&self.id, v.withdrawals, v.policy, v.now) {
+        match v.notices.may_confirm(&self.id, v.cancellations, v.policy, v.now) {
             true => told,
-            false => Step::Tell,
+            false => Step::NotifyPeers,
         }
     }
 
     /// What the store says of the id, asked after the request had come; `None` if it can't
     /// be told now.
-    pub fn looked_up(&mut self, found: Option<Found>) {
+    pub fn apply_lookup(&mut self, found: Option<Found>) {
         self.failed = found.is_none().then_some(SILENT);
         self.found = found;
     }
 
     /// The end that the store has, if any; `None` if it can't be told now.
-    pub fn confirmed(&mut self, end: Option<Option<JobOutcome>>) {
+    pub fn apply_confirmation(&mut self, end: Option<Option<JobOutcome>>) {
         match end {
             None => self.failed = Some(SILENT),
             Some(None) => self.found = Some(Found::Confirmed),
-            Some(Some(outcome)) => self.found = Some(Found::Over(outcome)),
+            Some(Some(outcome)) => self.found = Some(Found::Ended(outcome)),
         }
     }
 
     /// What speaks against the submission.
-    pub fn judged(&mut self, verdict: Verdict) {
+    pub fn apply_validation(&mut self, verdict: Verdict) {
         self.verdict = Some(verdict);
     }
 
     /// What the store says of the submission.  An acceptance that was slow, or of which
     /// more is known here by now, is no news: others may have said more of the job.
-    pub fn stored(&mut self, outcome: Accepted, ledger: &mut Ledger) {
-        let doomed = self.verdict == Some(Verdict::Fine { doomed: true });
+    pub fn apply_store_result(&mut self, outcome: Accepted, ledger: &mut Ledger) {
+        let needs_cancelled_job = self.verdict == Some(Verdict::Valid { needs_cancelled_job: true });
         match outcome {
             Accepted::Unknown => self.failed = Some(SILENT),
-            Accepted::Before | Accepted::New { slow: true } => self.found = Some(Found::Open),
+            Accepted::AlreadyStored | Accepted::New { slow: true } => self.found = Some(Found::Open),
             // one that ends with what it needs is accepted first, by the same transaction
-            Accepted::New { .. } if ledger.outcome(&self.id).is_some() && !doomed => self.found = Some(Found::Open),
+            Accepted::New { .. } if ledger.outcome(&self.id).is_some() && !needs_cancelled_job => {
+                self.found = Some(Found::Open)
+            }
             Accepted::New { .. } => (self.found, self.accepted) = (Some(Found::Confirmed), true),
         }
     }
 
     /// The end that the job has by now, this request's or another; `None` if that can't be
     /// told now.
-    pub fn ended(&mut self, outcome: Option<JobOutcome>) {
+    pub fn apply_cancellation(&mut self, outcome: Option<JobOutcome>) {
         match outcome {
             None => self.failed = Some(SILENT),
-            Some(outcome) => self.found = Some(Found::Over(outcome)),
+            Some(outcome) => self.found = Some(Found::Ended(outcome)),
         }
     }
 
     /// Whether all that was to be read has an end, which the ledger has by now.
-    pub fn read(&mut self, all: bool) {
+    pub fn apply_outcomes_read(&mut self, all: bool) {
         if !all {
             self.failed = Some("what it needs has to be looked at");
         }
     }
 }
 
-/// Submissions as one transaction, each guarded on being new; `doomed` ones with their own
+/// Submissions as one transaction, each guarded on being new; `needs_cancelled_job` ones with their own
 /// ends.  An id that comes twice is stored once, as it came first.
-pub fn submissions<'a>(all: impl Iterator<Item = (&'a JobSpec, bool)>) -> Txn {
+pub fn submissions_txn<'a>(all: impl Iterator<Item = (&'a JobSpec, bool)>) -> Txn {
     let mut txn = Txn::default();
-    for (spec, doomed) in all {
+    for (spec, needs_cancelled_job) in all {
         let path = format!("{}{}", key::JOB, spec.id);
         if txn.preconditions.iter().any(|g| g.key == path) {
             continue;
         }
         txn.require(path.clone(), 0);
         txn.writes.push(Write::set(path, spec));
-        if doomed {
-            key::end(&mut txn, &spec.id, JobOutcome::Cancelled);
+        if needs_cancelled_job {
+            key::put_outcome(&mut txn, &spec.id, JobOutcome::Cancelled);
         }
     }
     txn
 }
 
 /// The cancellation of jobs, each guarded on having no end.
-pub fn cancellations(ids: &[Name]) -> Txn {
+pub fn cancellations_txn(ids: &[Name]) -> Txn {
     let mut txn = Txn::default();
-    ids.iter().for_each(|id| key::end(&mut txn, id, JobOutcome::Cancelled));
+    ids.iter().for_each(|id| key::put_outcome(&mut txn, id, JobOutcome::Cancelled));
     txn
 }
 
 /// Why a job can never run, if it cannot: its team, the machine types, their zones and the
 /// team's limit speak against it.
-pub fn impossible(spec: &JobSpec, teams: &[Team], types: &[MachineType]) -> Option<&'static str> {
+pub fn unsatisfiable_reason(spec: &JobSpec, teams: &[Team], types: &[MachineType]) -> Option<&'static str> {
     let Some(team) = teams.iter().find(|t| *t.name == *spec.team) else {
         return Some("unknown team");
     };
--- a/packages/core/src/answers/tests.rs
+++ b/packages/core/src/answers/tests.rs
@@ -21,20 +21,20 @@
         let policy = Policy::new(&Config::parse("test", SETTINGS).expect("settings")).expect("the default policy");
         let t0 = Instant::now();
         let mut withdrawals = Withdrawals::new(1, 100);
-        withdrawals.begins(1, t0);
+        withdrawals.begin_watch(1, t0);
         let (ledger, telling) = (Ledger::new(8), Telling::new(2, 100));
         Known { ledger, withdrawals, telling, policy, t0, young: true, all_tell: true }
     }
 
     fn next(&mut self, q: &mut Inquiry, after_s: u64) -> Step {
         let now = self.t0 + Duration::from_secs(after_s);
-        q.next(&mut View {
-            ledger: &mut self.ledger,
-            withdrawals: &self.withdrawals,
-            telling: &mut self.telling,
-            whole: self.young.then_some(now),
-            all_tell: self.all_tell,
-            clear: false,
+        q.next_action(&mut View {
+            jobs: &mut self.ledger,
+            cancellations: &self.withdrawals,
+            notices: &mut self.telling,
+            cancellations_complete_as_of: self.young.then_some(now),
+            notices_required: self.all_tell,
+            no_task_left: false,
             policy: &self.policy,
             now,
         })
@@ -42,34 +42,34 @@
 }
 
 fn later(s: &Step) -> bool {
-    matches!(s, Step::Say(Word::Later(_)))
+    matches!(s, Step::Reply(Word::RetryLater(_)))
 }
 
 /// Guards against an acceptance whose answer from the store is slow: another controller
 /// may have told more by then, so that it is asked for, like any question.
 #[test]
 fn a_slow_acceptance_is_confirmed() {
-    let fine = Verdict::Fine { doomed: false };
+    let fine = Verdict::Valid { needs_cancelled_job: false };
     let accepted = |slow: bool, ended: Option<JobOutcome>| {
         let (mut k, mut q) = (Known::new(), Inquiry::new("j-1".into(), Wish::Submit));
-        assert_eq!(k.next(&mut q, 1), Step::Judge);
-        q.judged(fine);
-        assert_eq!(k.next(&mut q, 1), Step::Store { doomed: false });
-        k.ledger.stored(spec("j-1", 1), 5);
+        assert_eq!(k.next(&mut q, 1), Step::Validate);
+        q.apply_validation(fine);
+        assert_eq!(k.next(&mut q, 1), Step::Store { needs_cancelled_job: false });
+        k.ledger.insert_stored(spec("j-1", 1), 5);
         if let Some(outcome) = ended {
-            k.ledger.ends("j-1", outcome);
+            k.ledger.apply_outcome("j-1", outcome);
         }
-        q.stored(Accepted::New { slow }, &mut k.ledger);
+        q.apply_store_result(Accepted::New { slow }, &mut k.ledger);
         k.next(&mut q, 2)
     };
-    assert_eq!(accepted(false, None), Step::Say(Word::Accepted));
+    assert_eq!(accepted(false, None), Step::Reply(Word::Accepted));
     assert_eq!(accepted(true, None), Step::Confirm);
     assert_eq!(
         accepted(false, Some(JobOutcome::Done)),
-        Step::Say(Word::Over(JobOutcome::Done)),
+        Step::Reply(Word::Ended(JobOutcome::Done)),
         "an end is known by now"
     );
-    assert_eq!(accepted(false, Some(JobOutcome::Cancelled)), Step::Tell);
+    assert_eq!(accepted(false, Some(JobOutcome::Cancelled)), Step::NotifyPeers);
 }
 
 /// Two requests for one id in one transaction, one of which came before the end of what
@@ -79,7 +79,7 @@
 fn an_id_that_comes_twice_is_stored_once() {
     let (one, other) = (spec("j-1", 1), spec("j-2", 1));
     let sets = |all: &[(&JobSpec, bool)]| {
-        let txn = submissions(all.iter().copied());
+        let txn = submissions_txn(all.iter().copied());
         assert_eq!(txn.preconditions.len(), txn.writes.len(), "each key is guarded");
         let set = |w: &Write| match w {
             Write::Set { set, .. } => set.clone(),
@@ -97,44 +97,44 @@
 #[test]
 fn a_doomed_job_is_accepted_first() {
     let (mut k, mut q) = (Known::new(), Inquiry::new("j-1".into(), Wish::Submit));
-    assert_eq!(k.next(&mut q, 1), Step::Judge);
-    q.judged(Verdict::Fine { doomed: true });
-    assert_eq!(k.next(&mut q, 1), Step::Store { doomed: true });
-    k.ledger.stored(spec("j-1", 1), 5);
-    k.ledger.ends("j-1", JobOutcome::Cancelled);
-    q.stored(Accepted::New { slow: false }, &mut k.ledger);
-    assert_eq!(k.next(&mut q, 1), Step::Say(Word::Accepted));
+    assert_eq!(k.next(&mut q, 1), Step::Validate);
+    q.apply_validation(Verdict::Valid { needs_cancelled_job: true });
+    assert_eq!(k.next(&mut q, 1), Step::Store { needs_cancelled_job: true });
+    k.ledger.insert_stored(spec("j-1", 1), 5);
+    k.ledger.apply_outcome("j-1", JobOutcome::Cancelled);
+    q.apply_store_result(Accepted::New { slow: false }, &mut k.ledger);
+    assert_eq!(k.next(&mut q, 1), Step::Reply(Word::Accepted));
 }
 
 /// A node that has not seen a job or its end yet asks; it says nothing of its own.
 #[test]
 fn what_is_not_known_here_the_store_says() {
-    for wish in [Wish::Query, Wish::Withdraw] {
+    for wish in [Wish::Query, Wish::Cancel] {
         let (mut k, mut q) = (Known::new(), Inquiry::new("j-1".into(), wish));
         assert_eq!(k.next(&mut q, 1), Step::LookUp);
         let mut silent = q.clone();
-        silent.looked_up(None);
+        silent.apply_lookup(None);
         assert!(later(&k.next(&mut silent, 1)));
         let mut never = q.clone();
-        never.looked_up(Some(Found::Never));
-        assert_eq!(k.next(&mut never, 1), Step::Say(Word::Never));
-        q.looked_up(Some(Found::Over(JobOutcome::Done)));
-        assert_eq!(k.next(&mut q, 1), Step::Say(Word::Over(JobOutcome::Done)));
+        never.apply_lookup(Some(Found::NotFound));
+        assert_eq!(k.next(&mut never, 1), Step::Reply(Word::NotFound));
+        q.apply_lookup(Some(Found::Ended(JobOutcome::Done)));
+        assert_eq!(k.next(&mut q, 1), Step::Reply(Word::Ended(JobOutcome::Done)));
     }
     // nor does one that knows it as unfinished
     let (mut k, mut q) = (Known::new(), Inquiry::new("j-1".into(), Wish::Query));
-    k.ledger.seen(spec("j-1", 1), 5);
+    k.ledger.insert_seen(spec("j-1", 1), 5);
     assert_eq!(k.next(&mut q, 1), Step::Confirm);
     let mut silent = q.clone();
-    silent.confirmed(None);
+    silent.apply_confirmation(None);
     assert!(later(&k.next(&mut silent, 1)));
-    q.confirmed(Some(None));
-    assert_eq!(k.next(&mut q, 1), Step::Say(Word::Unfinished));
+    q.apply_confirmation(Some(None));
+    assert_eq!(k.next(&mut q, 1), Step::Reply(Word::Unfinished));
     // a cancellation that meets the end of the last task says what the store says
-    let mut q = Inquiry::new("j-1".into(), Wish::Withdraw);
+    let mut q = Inquiry::new("j-1".into(), Wish::Cancel);
     assert_eq!(k.next(&mut q, 1), Step::Cancel);
-    q.ended(Some(JobOutcome::Done));
-    assert_eq!(k.next(&mut q, 1), Step::Say(Word::Over(JobOutcome::Done)));
+    q.apply_cancellation(Some(JobOutcome::Done));
+    assert_eq!(k.next(&mut q, 1), Step::Reply(Word::Ended(JobOutcome::Done)));
 }
 
 /// What can never run is refused for good only if it was never accepted; a repeat of an
@@ -142,14 +142,14 @@
 #[test]
 fn nothing_is_said_against_an_accepted_job() {
     let (mut k, mut q) = (Known::new(), Inquiry::new("j-1".into(), Wish::Submit));
-    assert_eq!(k.next(&mut q, 1), Step::Judge);
-    q.judged(Verdict::Impossible("unknown team"));
+    assert_eq!(k.next(&mut q, 1), Step::Validate);
+    q.apply_validation(Verdict::Unsatisfiable("unknown team"));
     assert_eq!(k.next(&mut q, 1), Step::LookUp);
     let mut known = q.clone();
-    q.looked_up(Some(Found::Never));
-    assert_eq!(k.next(&mut q, 1), Step::Say(Word::Impossible("unknown team")));
-    known.looked_up(Some(Found::Confirmed));
-    assert_eq!(k.next(&mut known, 1), Step::Say(Word::Unfinished));
+    q.apply_lookup(Some(Found::NotFound));
+    assert_eq!(k.next(&mut q, 1), Step::Reply(Word::Unsatisfiable("unknown team")));
+    known.apply_lookup(Some(Found::Confirmed));
+    assert_eq!(k.next(&mut known, 1), Step::Reply(Word::Unfinished));
 }
 
 /// A job with many needs from before this controller's life is not called queued before
@@ -158,27 +158,27 @@
 fn all_that_a_job_needs_is_read_first() {
     let mut k = Known::new();
     let needs: Vec<Name> = (100..300).map(|n| format!("j-{n}").into()).collect();
-    k.ledger.seen(Arc::new(JobSpec { needs, ..(*spec("j-1", 1)).clone() }), 5);
+    k.ledger.insert_seen(Arc::new(JobSpec { needs, ..(*spec("j-1", 1)).clone() }), 5);
     let mut q = Inquiry::new("j-1".into(), Wish::Query);
     assert_eq!(k.next(&mut q, 1), Step::Confirm);
-    q.confirmed(Some(None));
+    q.apply_confirmation(Some(None));
     let mut reads = 0;
     let answer = loop {
         match k.next(&mut q, 1) {
-            Step::Read(ids) => {
+            Step::ReadOutcomes(ids) => {
                 reads += 1;
-                ids.iter().take(64).for_each(|id| assert!(!k.ledger.ends(id, JobOutcome::Done)));
-                q.read(true);
+                ids.iter().take(64).for_each(|id| assert!(!k.ledger.apply_outcome(id, JobOutcome::Done)));
+                q.apply_outcomes_read(true);
             }
             step => break step,
         }
     };
-    assert_eq!((reads, answer), (4, Step::Say(Word::Unfinished)));
-    k.ledger.ends("j-150", JobOutcome::Cancelled);
+    assert_eq!((reads, answer), (4, Step::Reply(Word::Unfinished)));
+    k.ledger.apply_outcome("j-150", JobOutcome::Cancelled);
     assert!(later(&k.next(&mut q, 1)));
     let mut q = Inquiry::new("j-1".into(), Wish::Query);
     k.next(&mut q, 1);
-    q.confirmed(Some(None));
+    q.apply_confirmation(Some(None));
     k.young = false;
     assert!(later(&k.next(&mut q, 1)), "nor on an old picture");
 }
@@ -201,7 +201,7 @@
     let with = |change: &dyn Fn(&mut JobSpec)| {
         let mut s = (*plain).clone();
         change(&mut s);
-        impossible(&s, &teams(), &types)
+        unsatisfiable_reason(&s, &teams(), &types)
     };
     type Change = fn(&mut JobSpec);
     let fine: [Change; 8] = [
--- a/packages/core/src/cluster/job.rs
+++ b/packages/core/src/cluster/job.rs
@@ -187,15 +187,16 @@
     ///
     /// The rank is the highest of its own and of those that wait for it.
     pub fn queue_priority(&self) -> (bool, Priority) {
-        let rank = self.urgency.rank;
+        let rank = self.urgency.priority;
         (!self.guaranteed && rank != Priority::Production, rank)
     }
 
     /// Part of a chain that has a deadline: it needs others, or others wait for
     /// it, and one of them is due.
     pub fn has_deadline_in_chain(&self) -> bool {
-        let own = self.spec.needs.is_empty() && self.urgency.due == Urgency::own(&self.spec, self.first_seen).due;
-        self.urgency.due.is_some() && !own
+        let own =
+            self.spec.needs.is_empty() && self.urgency.deadline == Urgency::own(&self.spec, self.first_seen).deadline;
+        self.urgency.deadline.is_some() && !own
     }
 
     /// Puts a task back into the queue if nothing keeps it from there.
--- a/packages/core/src/cluster/mod.rs
+++ b/packages/core/src/cluster/mod.rs
@@ -168,10 +168,10 @@
         }
         if outcome.is_none() && !spec.needs.is_empty() {
             let look = |n: &Name| match self.jobs.get(n) {
-                Some(j) => j.outcome.map_or(Need::Open, Need::Over),
+                Some(j) => j.outcome.map_or(Need::Open, Need::Ended),
                 None => Need::Unknown,
             };
-            if self.dependency.hold(&spec, stamp, now, look) {
+            if self.dependency.block(&spec, stamp, now, look) {
                 self.update_urgencies();
                 return;
             }
@@ -185,14 +185,14 @@
         if self.jobs.contains_key(&spec.id) {
             return;
         }
-        self.dependency.started(&spec.id);
+        self.dependency.unblock(&spec.id);
         // one that is over and still on record tells its end as well: taken for
         // known only, it was never asked about, and what needs it waited for ever
         let free = match outcome {
-            Some(outcome) => self.dependency.ended(&spec.id, outcome),
+            Some(outcome) => self.dependency.apply_outcome(&spec.id, outcome),
             None => Vec::new(),
         };
-        self.dependency.appears(&spec.id);
+        self.dependency.mark_known(&spec.id);
         let mut job = Job::new(spec, stamp, outcome, now);
         job.urgency = self.dependency.urgency(&job.spec.id, Urgency::own(&job.spec, now));
         self.jobs.insert(job.spec.id.clone(), job);
@@ -206,12 +206,12 @@
     /// A job that waited for others enters the queue, with the arrival that it
     /// has had all the time.
     pub(crate) fn release_blocked_job(&mut self, h: Held) {
-        self.add_started_job(h.spec, h.stamp, None, h.known);
+        self.add_started_job(h.spec, h.revision, None, h.first_seen);
     }
 
     /// Jobs take over what those that need them make of them.
     fn update_urgencies(&mut self) {
-        for id in self.dependency.changes() {
+        for id in self.dependency.take_changed() {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             job.urgency = self.dependency.urgency(&id, Urgency::own(&job.spec, job.first_seen));
             self.queue_changed = true;
@@ -366,7 +366,7 @@
 
     /// A job's end, as the store has it.
     pub fn set_outcome(&mut self, id: &str, outcome: JobOutcome, now: Instant) {
-        for h in self.dependency.ended(id, outcome) {
+        for h in self.dependency.apply_outcome(id, outcome) {
             self.release_blocked_job(h);
         }
         self.update_urgencies();
--- a/packages/core/src/commit.rs
+++ b/packages/core/src/commit.rs
@@ -32,7 +32,7 @@
 }
 
 /// Turns a stored page into starts, with type, zone and kind of each machine.
-pub fn read_page(path: &str, item: &KeyValue) -> Option<(u32, Page, HashMap<Name, Whereabouts>)> {
+pub fn read_shard(path: &str, item: &KeyValue) -> Option<(u32, Page, HashMap<Name, Whereabouts>)> {
     let id = path.strip_prefix(key::PAGE)?.parse().ok()?;
     let r: PageRecord = read_value(path, item.value.clone())?;
     let mut places = HashMap::new();
@@ -50,20 +50,20 @@
 }
 
 /// The jobs that a stored page names as started.
-pub fn jobs_of_page(item: &KeyValue) -> Vec<Name> {
+pub fn started_jobs_of_shard(item: &KeyValue) -> Vec<Name> {
     let r: Option<PageRecord> = read_value(&item.key, item.value.clone());
     r.map(|r| r.starts.into_iter().map(|s| s.0).collect()).unwrap_or_default()
 }
 
 /// The jobs that have begun, as far as pages tell: no start is stored before the
 /// ends of all that its job needs, so they wait for nothing.
-pub fn begun<'a>(pages: impl Iterator<Item = &'a Page>) -> HashSet<Name> {
+pub fn started_jobs<'a>(pages: impl Iterator<Item = &'a Page>) -> HashSet<Name> {
     let of = |p: &'a Page| p.starts.iter().map(|s| &s.task.job).chain(p.completed.iter().map(|d| &d.0));
     pages.flat_map(of).cloned().collect()
 }
 
 /// The key of a page.
-pub fn page_key(id: u32) -> String {
+pub fn shard_key(id: u32) -> String {
     format!("{}{id}", key::PAGE)
 }
 
@@ -167,21 +167,21 @@
     /// Puts and deletes.
     pub writes: usize,
     /// Conditions.
-    pub guards: usize,
+    pub preconditions: usize,
     /// Bytes of a page, within the limit for a value.
-    pub page_bytes: usize,
+    pub shard_bytes: usize,
     /// Bytes of any value.
     pub value_bytes: usize,
 }
 
 impl TxnLimits {
     /// Three quarters of it, but room for an end and a page with a few starts.
-    pub fn smaller(self) -> TxnLimits {
+    pub fn reduced(self) -> TxnLimits {
         let less = |n: usize, least: usize| (n / 4 * 3).max(least.min(n));
         TxnLimits {
             writes: less(self.writes, 3),
-            guards: less(self.guards, 12),
-            page_bytes: less(self.page_bytes, 512),
+            preconditions: less(self.preconditions, 12),
+            shard_bytes: less(self.shard_bytes, 512),
             value_bytes: less(self.value_bytes, 512),
         }
     }
@@ -206,11 +206,11 @@
 impl Batch {
     /// Whether one more change and its condition fit, with room left for a page.
     fn room(&self, most: &TxnLimits) -> bool {
-        self.txn.writes.len() + 1 < most.writes && self.txn.preconditions.len() + 2 < most.guards
+        self.txn.writes.len() + 1 < most.writes && self.txn.preconditions.len() + 2 < most.preconditions
     }
 
     fn end(&mut self, id: Name, outcome: JobOutcome) {
-        key::end(&mut self.txn, &id, outcome);
+        key::put_outcome(&mut self.txn, &id, outcome);
         self.ends.push((id, outcome));
     }
 }
@@ -218,13 +218,14 @@
 impl Cluster {
     /// The next transaction, if the store lacks anything.  `leader` is the
     /// stamp of the leader key: no write of a former leader gets through.
-    pub fn next_batch(&mut self, leader: u64, most: &TxnLimits) -> Option<Batch> {
+    pub fn next_commit(&mut self, leader: u64, most: &TxnLimits) -> Option<Batch> {
         let mut b = Batch::default();
         b.txn.preconditions.push(Precondition { key: key::LEADER.into(), revision: leader });
         // what needs a cancelled job ends with it; half of a transaction is left
         // to those that completed, whose users wait
-        let doomed: Vec<Name> = self.dependency.doomed().take(most.writes.div_ceil(2)).cloned().collect();
-        for id in doomed {
+        let needs_cancelled_job: Vec<Name> =
+            self.dependency.needing_cancelled().take(most.writes.div_ceil(2)).cloned().collect();
+        for id in needs_cancelled_job {
             if b.room(most) {
                 b.end(id, JobOutcome::Cancelled);
             }
@@ -262,10 +263,10 @@
     fn fill_page(&mut self, b: &mut Batch, partly: Vec<Name>, most: &TxnLimits) {
         let news = partly.len() + self.unstored_starts.len();
         let (id, mut page, mut filling) = self.page_with_room(b, news, most);
-        b.txn.require(page_key(id), page.revision);
+        b.txn.require(shard_key(id), page.revision);
         for job in partly {
             let Some(j) = self.jobs.get(&job) else { continue };
-            let part = filling.fitting(&job, &j.completed_unstored, most.page_bytes);
+            let part = filling.fitting(&job, &j.completed_unstored, most.shard_bytes);
             if part.parts() < j.completed_unstored.parts() {
                 self.jobs_to_store.insert(job.clone());
             }
@@ -284,7 +285,7 @@
             let path = format!("{}{}", key::OUTCOME, s.task.job);
             let over = self.jobs.get(&s.task.job).is_none_or(|j| j.outcome.is_some());
             let guards = b.txn.preconditions.len() + usize::from(!over && !b.txn.requires(&path));
-            if filling.bytes + filling.start(&s, &at) > most.page_bytes || guards > most.guards {
+            if filling.bytes + filling.start(&s, &at) > most.shard_bytes || guards > most.preconditions {
                 self.unstored_starts.insert(turn, s);
                 break;
             }
@@ -296,7 +297,7 @@
         }
         page.starts.extend(b.starts.iter().map(|(_, s)| s.clone()));
         page.completed.extend(b.done.iter().cloned());
-        b.txn.writes.push(Write::set(page_key(id), &self.page_record(&page)));
+        b.txn.writes.push(Write::set(shard_key(id), &self.page_record(&page)));
         b.pages.push((id, page));
     }
 
@@ -324,7 +325,7 @@
     /// a few the emptiest, or a new one.  A page is worth its change if it takes
     /// all that is new, or as much as half a page.
     fn page_with_room(&mut self, b: &mut Batch, news: usize, most: &TxnLimits) -> (u32, Page, Filling) {
-        let wanted = (news * 48).min(most.page_bytes / 2);
+        let wanted = (news * 48).min(most.shard_bytes / 2);
         let next = self.next_shard;
         let ids: Vec<u32> =
             self.shards.range(next..).chain(self.shards.range(..next)).map(|p| *p.0).take(PAGES_TRIED).collect();
@@ -334,9 +335,9 @@
         let mut best: Option<(u32, Page, Filling)> = None;
         for id in ids {
             let (live, filling) = self.live(&self.shards[&id]);
-            if filling.bytes > most.page_bytes {
+            if filling.bytes > most.shard_bytes {
                 self.divide(b, id, live, most);
-            } else if filling.bytes + wanted <= most.page_bytes
+            } else if filling.bytes + wanted <= most.shard_bytes
                 && best.as_ref().is_none_or(|b| filling.bytes < b.2.bytes)
             {
                 best = Some((id, live, filling));
@@ -362,19 +363,19 @@
         let mut parts: Vec<Page> = vec![Page::default()];
         let mut filling = Filling::new();
         // one change is the ordinary page's, one this page's own
-        let room = most.writes.saturating_sub(b.txn.writes.len() + 2).min(MOST_DIVIDED / most.page_bytes.max(1));
-        if b.divided.is_some() || room == 0 || most.guards < b.txn.preconditions.len() + room + 2 {
+        let room = most.writes.saturating_sub(b.txn.writes.len() + 2).min(MOST_DIVIDED / most.shard_bytes.max(1));
+        if b.divided.is_some() || room == 0 || most.preconditions < b.txn.preconditions.len() + room + 2 {
             return;
         }
         let place =
             |c: &Cluster, s: &Start| c.machines.get(&s.machine).map(|m| (m.kind.clone(), m.zone.clone(), m.spot));
         for s in live.starts {
             let Some(at) = place(self, &s) else { continue };
-            if filling.bytes + filling.start(&s, &at) > most.page_bytes && parts.len() <= room {
+            if filling.bytes + filling.start(&s, &at) > most.shard_bytes && parts.len() <= room {
                 parts.push(Page::default());
                 filling = Filling::new();
             }
-            if filling.bytes + filling.start(&s, &at) > most.page_bytes {
+            if filling.bytes + filling.start(&s, &at) > most.shard_bytes {
                 rest.starts.push(s);
                 continue;
             }
@@ -385,7 +386,7 @@
         }
         for (job, mut ranges) in live.completed {
             while !ranges.is_empty() {
-                let part = filling.fitting(&job, &ranges, most.page_bytes);
+                let part = filling.fitting(&job, &ranges, most.shard_bytes);
                 if part.is_empty() {
                     if parts.len() > room || filling.bytes == EMPTY {
                         rest.completed.push((job, ranges));
@@ -407,8 +408,8 @@
             // what is whole has its first part in the old place
             let to = if n == 0 && whole { id } else { self.new_page() };
             part.revision = self.shards.get(&to).map_or(0, |p| p.revision);
-            b.txn.require(page_key(to), part.revision);
-            b.txn.writes.push(Write::set(page_key(to), &self.page_record(&part)));
+            b.txn.require(shard_key(to), part.revision);
+            b.txn.writes.push(Write::set(shard_key(to), &self.page_record(&part)));
             b.pages.push((to, part));
         }
         b.divided = (!whole).then_some((id, rest));
@@ -439,7 +440,7 @@
 
     /// The transaction was carried out at this revision.  Returns the jobs
     /// that ended by it.
-    pub fn committed(&mut self, b: Batch, revision: u64, now: Instant) -> Vec<(Name, JobOutcome)> {
+    pub fn apply_commit(&mut self, b: Batch, revision: u64, now: Instant) -> Vec<(Name, JobOutcome)> {
         for (_, s) in &b.starts {
             let Some(m) = self.machines.get_mut(&s.machine) else { continue };
             if let Some(p) =
@@ -495,7 +496,7 @@
 
     /// The transaction was not, or may not have been, carried out: all of it
     /// is to be written again.
-    pub fn not_committed(&mut self, b: Batch) {
+    pub fn restore_uncommitted(&mut self, b: Batch) {
         self.jobs_to_store.extend(b.done.into_iter().map(|d| d.0));
         // those that end with a cancelled job are still known to
         self.jobs_to_store.extend(b.ends.into_iter().filter(|e| e.1 == JobOutcome::Done).map(|e| e.0));
@@ -504,14 +505,14 @@
 
     /// What a key in conflict really holds: an earlier transaction of ours in
     /// doubt was carried out after all, or a user withdrew a job.
-    pub fn resolve(&mut self, path: &str, item: Option<&KeyValue>, now: Instant) {
+    pub fn reconcile_key(&mut self, path: &str, item: Option<&KeyValue>, now: Instant) {
         if let Some(id) = path.strip_prefix(key::PAGE).and_then(|p| p.parse().ok()) {
             // only a try of our own, in doubt until now, can have written it: it
             // may hold what this page never did, as one that divided another, and
             // to write over that would lose starts
             let stored = match item {
                 None => Some(Page::default()),
-                Some(i) => read_page(path, i).map(|p| p.1),
+                Some(i) => read_shard(path, i).map(|p| p.1),
             };
             if let Some(page) = stored {
                 self.shards.insert(id, page);
--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 
 fn limits(page_bytes: usize) -> TxnLimits {
-    TxnLimits { writes: 8, guards: 32, page_bytes, value_bytes: page_bytes }
+    TxnLimits { writes: 8, preconditions: 32, shard_bytes: page_bytes, value_bytes: page_bytes }
 }
 
 proptest! {
@@ -43,16 +43,16 @@
                     }
                 }
                 _ => {
-                    if let Some(b) = c.next_batch(5, &limits(most)) {
+                    if let Some(b) = c.next_commit(5, &limits(most)) {
                         revision += 1;
                         let stamp = |p: &str| store.get(p).map_or(0, |i: &KeyValue| i.revision);
                         let pages = b.txn.preconditions.iter().filter(|g| g.key.starts_with(key::PAGE));
                         let failed: Vec<_> =
                             pages.filter(|g| stamp(&g.key) != g.revision).map(|g| g.key.clone()).collect();
                         if !failed.is_empty() {
-                            c.not_committed(b);
+                            c.restore_uncommitted(b);
                             for k in &failed {
-                                c.resolve(k, store.get(k), now);
+                                c.reconcile_key(k, store.get(k), now);
                                 doubtful.remove(k);
                             }
                             continue;
@@ -68,10 +68,10 @@
                         // carried out, and nobody hears of it
                         match op == 4 {
                             true => {
-                                doubtful.extend(b.pages.iter().map(|p| page_key(p.0)));
-                                c.not_committed(b);
+                                doubtful.extend(b.pages.iter().map(|p| shard_key(p.0)));
+                                c.restore_uncommitted(b);
                             }
-                            false => drop(c.committed(b, revision, now)),
+                            false => drop(c.apply_commit(b, revision, now)),
                         }
                     }
                 }
@@ -80,7 +80,7 @@
         let mut next = cluster(2, now);
         next.add_job(spec("j-000001", 40), 1, None, now);
         for (path, item) in &store {
-            let (id, page, machines) = read_page(path, item).expect("our own page");
+            let (id, page, machines) = read_shard(path, item).expect("our own page");
             prop_assert!(doubtful.contains(path) || c.shards[&id].revision == page.revision);
             next.add_shard(id, page, &machines, now);
         }
@@ -117,16 +117,16 @@
         reclaim_in_s: None,
         tasks: vec![found],
     };
-    c.report(&report, true, now);
-    c.place(now);
-    let b = c.next_batch(5, &limits(1000)).expect("two starts to store");
+    c.apply_heartbeat(&report, true, now);
+    c.run_placement_pass(now);
+    let b = c.next_commit(5, &limits(1000)).expect("two starts to store");
     let outcome = |id: &str| b.txn.requires(&format!("{}{id}", key::OUTCOME));
     assert_eq!((outcome("j-000001"), outcome("j-000002")), (false, true));
     assert_eq!(b.starts.len(), 2);
-    c.committed(b, 6, now);
+    c.apply_commit(b, 6, now);
     // on record, it counts and is stopped; nothing of it is ever sent
     assert!(c.machines["i-1"].tasks[&task].stop_grace_s.is_some());
-    let sent = c.answer(&report, now).commands;
+    let sent = c.reply_to_heartbeat(&report, now).commands;
     assert!(sent.iter().all(|o| !matches!(o, crate::workers::Command::Start { task: t, .. } if *t == task)));
 }
 
@@ -139,13 +139,13 @@
         serde_json::from_str(include_str!("../golden/production.json")).expect("values of production");
     let value = |what: &str| {
         let data = rmpv::decode::read_value(&mut &coralnotch_wire::http::encode(&golden[what])[..]);
-        KeyValue { key: page_key(3), value: data.expect("a value"), revision: 9 }
+        KeyValue { key: shard_key(3), value: data.expect("a value"), revision: 9 }
     };
     let same = |what: &str, w: Write| {
         let Write::Set { data, .. } = w else { panic!("a put") };
         assert_eq!(serde_json::to_value(&data).expect("JSON"), golden[what], "{what}");
     };
-    let (id, page, places) = read_page(&page_key(3), &value("page")).expect("a page");
+    let (id, page, places) = read_shard(&shard_key(3), &value("page")).expect("a page");
     assert_eq!((id, page.starts.len(), places.len()), (3, 20, 4));
     assert!(page.starts.iter().all(|s| s.attempt >> 24 == 3 && s.incarnation == 1 + u64::from(s.task.index % 4)));
     assert_eq!(page.completed[0].1.iter().collect::<Vec<_>>(), [25, 26, 27, 31]);
@@ -190,11 +190,11 @@
         c.assign(&Task { job: "j-000001".into(), index }, &name, attempt, now);
     }
     (400..1000).step_by(2).for_each(|n| c.mark_completed(&Task { job: "j-000001".into(), index: n }, now));
-    let wide = TxnLimits { writes: 24, guards: 96, page_bytes: 15_000, value_bytes: 15_000 };
+    let wide = TxnLimits { writes: 24, preconditions: 96, shard_bytes: 15_000, value_bytes: 15_000 };
     let mut store: HashMap<String, KeyValue> = HashMap::new();
     let mut revision = 10;
     let mut most = &wide;
-    let narrow = TxnLimits { writes: 8, guards: 32, page_bytes: 1900, value_bytes: 1900 };
+    let narrow = TxnLimits { writes: 8, preconditions: 32, shard_bytes: 1900, value_bytes: 1900 };
     let (mut largest, mut started) = (0, 300);
     for round in 0..60 {
         if round == 1 {
@@ -208,8 +208,8 @@
             c.assign(&Task { job: "j-000001".into(), index: started }, &name, attempt, now);
             started += 1;
         }
-        let b = c.next_batch(5, most).expect("something to store");
-        assert!(b.txn.writes.len() <= most.writes && b.txn.preconditions.len() <= most.guards);
+        let b = c.next_commit(5, most).expect("something to store");
+        assert!(b.txn.writes.len() <= most.writes && b.txn.preconditions.len() <= most.preconditions);
         let held = |p: &String| store.get(p).map_or(0, |i: &KeyValue| i.revision);
         assert!(b
             .txn
@@ -219,30 +219,30 @@
             .all(|g| g.key.starts_with(key::OUTCOME) || g.revision == held(&g.key)));
         if round % 3 == 2 {
             // refused, or without an answer and not carried out
-            c.not_committed(b);
+            c.restore_uncommitted(b);
             continue;
         }
         revision += 1;
         for w in &b.txn.writes {
             let Write::Set { set, data, .. } = w else { continue };
             let size = serde_json::to_string(&data).map_or(0, |s| s.len());
-            assert!(size <= most.page_bytes, "a value of {size} bytes");
+            assert!(size <= most.shard_bytes, "a value of {size} bytes");
             store.insert(set.clone(), KeyValue { key: set.clone(), value: data.clone(), revision: revision });
         }
-        c.committed(b, revision, now);
+        c.apply_commit(b, revision, now);
         let mut next = cluster(2, now);
         next.add_job(spec("j-000001", 1000), 1, None, now);
         largest = 0;
         for (path, item) in &store {
             largest = largest.max(serde_json::to_string(&item.value).map_or(0, |s| s.len()));
-            let (id, page, machines) = read_page(path, item).expect("our own page");
+            let (id, page, machines) = read_shard(path, item).expect("our own page");
             next.add_shard(id, page, &machines, now);
         }
         let stored = |c: &Cluster| c.machines.values().flat_map(|m| m.tasks.values()).filter(|p| p.stored).count();
         assert_eq!(stored(&next), stored(&c), "round {round}");
         assert_eq!(next.jobs["j-000001"].completed.len(), 300, "round {round}");
     }
-    assert!(largest <= narrow.page_bytes, "a page of {largest} bytes is left");
+    assert!(largest <= narrow.shard_bytes, "a page of {largest} bytes is left");
     assert!(store.len() < 30, "{} pages for what fits into ten", store.len());
 }
 
@@ -265,23 +265,23 @@
     }
     assert_eq!((c.jobs.len(), c.dependency.len()), (2, 21));
     c.mark_completed(&Task { job: "j-1".into(), index: 0 }, now);
-    let b = c.next_batch(5, &limits(4096)).expect("the end of the first");
+    let b = c.next_commit(5, &limits(4096)).expect("the end of the first");
     assert!(!c.jobs.contains_key("j-3"), "not stored yet");
-    c.not_committed(b);
-    let b = c.next_batch(5, &limits(4096)).expect("the end again");
+    c.restore_uncommitted(b);
+    let b = c.next_commit(5, &limits(4096)).expect("the end again");
     assert!(!c.jobs.contains_key("j-3"), "in doubt");
-    c.committed(b, 6, now);
+    c.apply_commit(b, 6, now);
     assert!(c.jobs.contains_key("j-3") && c.queue_changed);
     c.set_outcome("j-2", JobOutcome::Cancelled, now);
     let (mut ended, mut tries) = (Vec::new(), 0);
-    while let Some(b) = c.next_batch(5, &limits(4096)) {
+    while let Some(b) = c.next_commit(5, &limits(4096)) {
         tries += 1;
         if tries == 2 {
-            c.not_committed(b);
+            c.restore_uncommitted(b);
             continue;
         }
         assert!(b.txn.writes.len() <= 8);
-        ended.extend(c.committed(b, 6 + tries, now));
+        ended.extend(c.apply_commit(b, 6 + tries, now));
     }
     assert_eq!(ended.len(), 20);
     assert!(ended.iter().all(|(_, f)| *f == JobOutcome::Cancelled));
@@ -300,7 +300,7 @@
         assert_eq!(c.dependency.unknown(), ["j-1".into()]);
         c.add_job(spec("j-1", 1), 1, Some(outcome), now);
         assert_eq!(c.jobs.contains_key("j-2"), free);
-        assert_eq!(c.dependency.doomed().count(), usize::from(!free));
+        assert_eq!(c.dependency.needing_cancelled().count(), usize::from(!free));
     }
 }
 
@@ -312,15 +312,15 @@
     c.add_job(spec("j-000001", 2), 1, None, now);
     let task = |index| Task { job: "j-000001".into(), index };
     c.mark_completed(&task(0), now);
-    let b = c.next_batch(5, &limits(4096)).expect("a completed task");
+    let b = c.next_commit(5, &limits(4096)).expect("a completed task");
     assert!(b.ends.is_empty() && b.done.len() == 1);
-    assert!(c.committed(b, 6, now).is_empty());
+    assert!(c.apply_commit(b, 6, now).is_empty());
     c.mark_completed(&task(1), now);
-    let b = c.next_batch(5, &limits(4096)).expect("the end");
+    let b = c.next_commit(5, &limits(4096)).expect("the end");
     assert!(b.txn.requires("c2/w/fate/j-000001"));
     // in doubt: said again, and only its success counts
-    c.not_committed(b);
-    let b = c.next_batch(5, &limits(4096)).expect("the end again");
-    assert_eq!(c.committed(b, 7, now), [("j-000001".into(), JobOutcome::Done)]);
-    assert!(c.next_batch(5, &limits(4096)).is_none());
+    c.restore_uncommitted(b);
+    let b = c.next_commit(5, &limits(4096)).expect("the end again");
+    assert_eq!(c.apply_commit(b, 7, now), [("j-000001".into(), JobOutcome::Done)]);
+    assert!(c.next_commit(5, &limits(4096)).is_none());
 }
--- a/packages/core/src/dependency.rs
+++ b/packages/core/src/dependency.rs
@@ -40,22 +40,22 @@
     }
 
     /// Those that need a job directly.
-    pub fn direct(&self, id: &str) -> impl Iterator<Item = &Name> {
+    pub fn direct_dependents(&self, id: &str) -> impl Iterator<Item = &Name> {
         self.0.get(id).into_iter().flatten()
     }
 
     /// Those that need a job, directly or through others; the nearest first, and
     /// no more than so many.  Chains may be thousands long: nothing recurs.
-    pub fn after(&self, id: &str, most: usize) -> Vec<Name> {
+    pub fn dependents(&self, id: &str, most: usize) -> Vec<Name> {
         let (mut found, mut seen) = (Vec::new(), BTreeSet::new());
-        let mut next: VecDeque<&Name> = self.direct(id).collect();
+        let mut next: VecDeque<&Name> = self.direct_dependents(id).collect();
         while let Some(n) = next.pop_front() {
             if found.len() == most {
                 break;
             }
             if seen.insert(n) {
                 found.push(n.clone());
-                next.extend(self.direct(n));
+                next.extend(self.direct_dependents(n));
             }
         }
         found
@@ -71,22 +71,22 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Urgency {
     /// The highest rank.
-    pub rank: Priority,
+    pub priority: Priority,
     /// The tightest deadline.
-    pub due: Option<Instant>,
+    pub deadline: Option<Instant>,
 }
 
 impl Urgency {
     /// What a job asks for itself, known since `known`.
     pub fn own(spec: &JobSpec, known: Instant) -> Urgency {
         let due = |s| known.checked_add(Duration::try_from_secs_f64(s).ok()?);
-        Urgency { rank: spec.priority, due: spec.deadline_s.and_then(due) }
+        Urgency { priority: spec.priority, deadline: spec.deadline_s.and_then(due) }
     }
 
     /// The more urgent of both, in each respect.
     pub fn with(self, o: Urgency) -> Urgency {
-        let due = [self.due, o.due].into_iter().flatten().min();
-        Urgency { rank: self.rank.min(o.rank), due }
+        let due = [self.deadline, o.deadline].into_iter().flatten().min();
+        Urgency { priority: self.priority.min(o.priority), deadline: due }
     }
 }
 
@@ -96,9 +96,9 @@
     /// The submission.
     pub spec: Arc<JobSpec>,
     /// Stamp of its record.
-    pub stamp: u64,
+    pub revision: u64,
     /// When this leader first knew of it.
-    pub known: Instant,
+    pub first_seen: Instant,
     /// What it needs and what is not known to be over.
     pub missing: BTreeSet<Name>,
 }
@@ -111,20 +111,20 @@
     /// Nothing is known of it here: the store has to say.
     Unknown,
     /// Over.
-    Over(JobOutcome),
+    Ended(JobOutcome),
 }
 
 /// The jobs that wait for others.
 #[derive(Debug, Default)]
 pub struct Dependency {
-    held: NameMap<Held>,
+    blocked: NameMap<Held>,
     edges: Edges,
     /// Needed jobs of which nothing is known here, with when to ask the store.
     unknown: BTreeMap<Name, Option<Instant>>,
     /// What those that need a job make of it; only of jobs that are needed.
     inherited: NameMap<Urgency>,
     /// Held jobs that need a cancelled one: their own end has to be stored.
-    doomed: BTreeSet<Name>,
+    needing_cancelled: BTreeSet<Name>,
     /// Jobs whose inherited urgency has changed since it was last asked.
     changed: Vec<Name>,
 }
@@ -132,34 +132,34 @@
 impl Dependency {
     /// Takes a job in, if it has to wait; false if all that it needs is done.
     /// A job that needs a cancelled one waits for its own end.
-    pub fn hold(&mut self, spec: &Arc<JobSpec>, stamp: u64, now: Instant, look: impl Fn(&Name) -> Need) -> bool {
+    pub fn block(&mut self, spec: &Arc<JobSpec>, stamp: u64, now: Instant, look: impl Fn(&Name) -> Need) -> bool {
         let id = &spec.id;
-        if self.held.contains_key(id) {
+        if self.blocked.contains_key(id) {
             return true;
         }
-        let (mut missing, mut doomed) = (BTreeSet::new(), false);
+        let (mut missing, mut needs_cancelled_job) = (BTreeSet::new(), false);
         for n in &spec.needs {
-            let stands = if self.held.contains_key(n) { Need::Open } else { look(n) };
-            doomed |= stands == Need::Over(JobOutcome::Cancelled) || self.doomed.contains(n);
+            let stands = if self.blocked.contains_key(n) { Need::Open } else { look(n) };
+            needs_cancelled_job |= stands == Need::Ended(JobOutcome::Cancelled) || self.needing_cancelled.contains(n);
             match stands {
-                Need::Over(JobOutcome::Done) => continue,
+                Need::Ended(JobOutcome::Done) => continue,
                 Need::Unknown => drop(self.unknown.entry(n.clone()).or_default()),
-                Need::Open | Need::Over(JobOutcome::Cancelled) => {}
+                Need::Open | Need::Ended(JobOutcome::Cancelled) => {}
             }
             missing.insert(n.clone());
         }
         if missing.is_empty() {
             return false;
         }
-        self.appears(id);
+        self.mark_known(id);
         self.edges.add(id, &missing);
-        let held = Held { spec: spec.clone(), stamp, known: now, missing };
+        let held = Held { spec: spec.clone(), revision: stamp, first_seen: now, missing };
         let mut raise: Vec<(Name, Urgency)> = Vec::new();
         let own = self.urgency(id, Urgency::own(spec, now));
         raise.extend(held.missing.iter().map(|n| (n.clone(), own)));
-        self.held.insert(id.clone(), held);
-        if doomed {
-            self.doom(id.clone());
+        self.blocked.insert(id.clone(), held);
+        if needs_cancelled_job {
+            self.mark_needing_cancelled(id.clone());
         }
         // upwards, for as long as it makes a difference
         while let Some((n, u)) = raise.pop() {
@@ -169,8 +169,8 @@
                 continue;
             }
             self.inherited.insert(n.clone(), after);
-            if let Some(h) = self.held.get(&n) {
-                let all = Urgency::own(&h.spec, h.known).with(after);
+            if let Some(h) = self.blocked.get(&n) {
+                let all = Urgency::own(&h.spec, h.first_seen).with(after);
                 raise.extend(h.missing.iter().map(|m| (m.clone(), all)));
             }
             self.changed.push(n);
@@ -179,28 +179,28 @@
     }
 
     /// A job is known here from now on.
-    pub fn appears(&mut self, id: &str) {
+    pub fn mark_known(&mut self, id: &str) {
         self.unknown.remove(id);
     }
 
     /// Whether the job waits for others.
-    pub fn holds(&self, id: &str) -> bool {
-        self.held.contains_key(id)
+    pub fn is_blocked(&self, id: &str) -> bool {
+        self.blocked.contains_key(id)
     }
 
     /// The jobs that wait.
-    pub fn held(&self) -> impl Iterator<Item = &Held> {
-        self.held.values()
+    pub fn blocked(&self) -> impl Iterator<Item = &Held> {
+        self.blocked.values()
     }
 
     /// How many jobs wait.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.blocked.len()
     }
 
     /// Whether none waits.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.blocked.is_empty()
     }
 
     /// How urgent a job is that asks for so much itself.
@@ -209,19 +209,19 @@
     }
 
     /// Jobs whose inherited urgency has changed.
-    pub fn changes(&mut self) -> Vec<Name> {
+    pub fn take_changed(&mut self) -> Vec<Name> {
         std::mem::take(&mut self.changed)
     }
 
     /// Held jobs whose own cancellation is to be stored, as they need a job
     /// that is cancelled.
-    pub fn doomed(&self) -> impl Iterator<Item = &Name> {
-        self.doomed.iter()
+    pub fn needing_cancelled(&self) -> impl Iterator<Item = &Name> {
+        self.needing_cancelled.iter()
     }
 
     /// Needed jobs that the store has to be asked about, some at a time; each is
     /// asked again after `again` if that told nothing.
-    pub fn to_ask(&mut self, most: usize, again: Duration, now: Instant) -> Vec<Name> {
+    pub fn outcomes_to_fetch(&mut self, most: usize, again: Duration, now: Instant) -> Vec<Name> {
         let due = |(_, at): &(&Name, &mut Option<Instant>)| at.is_none_or(|t| t <= now);
         let some = self.unknown.iter_mut().filter(due).take(most);
         some.map(|(n, at)| {
@@ -244,21 +244,21 @@
     /// A job is over, and the store has it so.  Returns the jobs that may start
     /// now.  What needs a cancelled one is doomed, through others too: it leaves
     /// when its own end is stored.
-    pub fn ended(&mut self, id: &str, outcome: JobOutcome) -> Vec<Held> {
-        self.appears(id);
+    pub fn apply_outcome(&mut self, id: &str, outcome: JobOutcome) -> Vec<Held> {
+        self.mark_known(id);
         self.leave(id);
         if outcome == JobOutcome::Cancelled {
-            for n in self.edges.direct(id).cloned().collect::<Vec<_>>() {
-                self.doom(n);
+            for n in self.edges.direct_dependents(id).cloned().collect::<Vec<_>>() {
+                self.mark_needing_cancelled(n);
             }
             return Vec::new();
         }
         let mut free = Vec::new();
         for n in self.edges.0.remove(id).into_iter().flatten() {
-            let Some(h) = self.held.get_mut(&n) else { continue };
+            let Some(h) = self.blocked.get_mut(&n) else { continue };
             h.missing.remove(id);
             if h.missing.is_empty() {
-                free.extend(self.held.remove(&n));
+                free.extend(self.blocked.remove(&n));
             }
         }
         self.inherited.remove(id);
@@ -267,39 +267,40 @@
 
     /// The job runs, or has run: a start of it is on record, so that all it
     /// needs was done before.  Returns it if it was held.
-    pub fn started(&mut self, id: &str) -> Option<Held> {
+    pub fn unblock(&mut self, id: &str) -> Option<Held> {
         self.leave(id)
     }
 
     /// A job waits no longer; nobody asks about what it alone needed.
     fn leave(&mut self, id: &str) -> Option<Held> {
-        let h = self.held.remove(id)?;
-        self.doomed.remove(id);
+        let h = self.blocked.remove(id)?;
+        self.needing_cancelled.remove(id);
         self.edges.remove(id, &h.missing);
         for n in &h.missing {
-            if self.edges.direct(n).next().is_none() {
+            if self.edges.direct_dependents(n).next().is_none() {
                 self.unknown.remove(n);
             }
         }
-        self.lower(h.missing.iter().cloned());
+        self.recompute_urgency(h.missing.iter().cloned());
         Some(h)
     }
 
-    fn doom(&mut self, id: Name) {
+    fn mark_needing_cancelled(&mut self, id: Name) {
         let mut next = vec![id];
         while let Some(n) = next.pop() {
-            if self.held.contains_key(&n) && self.doomed.insert(n.clone()) {
-                next.extend(self.edges.direct(&n).cloned());
+            if self.blocked.contains_key(&n) && self.needing_cancelled.insert(n.clone()) {
+                next.extend(self.edges.direct_dependents(&n).cloned());
             }
         }
     }
 
     /// Reckons anew what those that still need these jobs make of them.
-    fn lower(&mut self, ids: impl IntoIterator<Item = Name>) {
+    fn recompute_urgency(&mut self, ids: impl IntoIterator<Item = Name>) {
         let mut next: Vec<Name> = ids.into_iter().collect();
         while let Some(n) = next.pop() {
-            let of = |h: &Held| self.urgency(&h.spec.id, Urgency::own(&h.spec, h.known));
-            let after = self.edges.direct(&n).filter_map(|a| self.held.get(a)).map(of).reduce(Urgency::with);
+            let of = |h: &Held| self.urgency(&h.spec.id, Urgency::own(&h.spec, h.first_seen));
+            let after =
+                self.edges.direct_dependents(&n).filter_map(|a| self.blocked.get(a)).map(of).reduce(Urgency::with);
             if self.inherited.get(&n).copied() == after {
                 continue;
             }
@@ -307,7 +308,7 @@
                 Some(u) => drop(self.inherited.insert(n.clone(), u)),
                 None => drop(self.inherited.remove(&n)),
             }
-            if let Some(h) = self.held.get(&n) {
+            if let Some(h) = self.blocked.get(&n) {
                 next.extend(h.missing.iter().cloned());
             }
             self.changed.push(n);
--- a/packages/core/src/dependency/tests.rs
+++ b/packages/core/src/dependency/tests.rs
@@ -29,12 +29,12 @@
     fn waits(&self, j: &JobSpec) -> bool {
         self.open(&j.id) && j.needs.iter().any(|n| self.outcomes.get(n) != Some(&JobOutcome::Done))
     }
-    fn doomed(&self, id: &Name) -> bool {
+    fn needs_cancelled_job(&self, id: &Name) -> bool {
         let needs = self.spec(id).map(|j| j.needs.clone()).unwrap_or_default();
         self.open(id)
-            && needs
-                .iter()
-                .any(|n| self.outcomes.get(n) == Some(&JobOutcome::Cancelled) || self.open(n) && self.doomed(n))
+            && needs.iter().any(|n| {
+                self.outcomes.get(n) == Some(&JobOutcome::Cancelled) || self.open(n) && self.needs_cancelled_job(n)
+            })
     }
     fn rank(&self, id: &Name) -> Priority {
         let own = self.spec(id).map_or(Priority::Low, |j| j.priority);
@@ -67,14 +67,14 @@
                     let look = |n: &Name| match outcomes.get(n) {
                         None => Need::Open,
                         Some(_) if forgot => Need::Unknown,
-                        Some(f) => Need::Over(*f),
+                        Some(f) => Need::Ended(*f),
                     };
-                    if !d.hold(&spec, n as u64, now, look) {
+                    if !d.block(&spec, n as u64, now, look) {
                         free.insert(spec.id.clone());
                     }
-                    for n in d.to_ask(99, Duration::from_secs(1), now) {
+                    for n in d.outcomes_to_fetch(99, Duration::from_secs(1), now) {
                         if let Some(f) = p.outcomes.get(&n).copied() {
-                            free.extend(d.ended(&n, f).into_iter().map(|h| h.spec.id.clone()));
+                            free.extend(d.apply_outcome(&n, f).into_iter().map(|h| h.spec.id.clone()));
                         }
                     }
                 }
@@ -83,32 +83,32 @@
                     if can.is_empty() { continue; }
                     let n = can[pick % can.len()].clone();
                     p.outcomes.insert(n.clone(), JobOutcome::Done);
-                    free.extend(d.ended(&n, JobOutcome::Done).into_iter().map(|h| h.spec.id.clone()));
+                    free.extend(d.apply_outcome(&n, JobOutcome::Done).into_iter().map(|h| h.spec.id.clone()));
                 }
                 6 => {
                     let can: Vec<Name> = p.jobs.iter().map(|j| j.id.clone()).filter(|n| p.open(n)).collect();
                     if can.is_empty() { continue; }
                     let n = can[pick % can.len()].clone();
                     p.outcomes.insert(n.clone(), JobOutcome::Cancelled);
-                    prop_assert!(d.ended(&n, JobOutcome::Cancelled).is_empty());
+                    prop_assert!(d.apply_outcome(&n, JobOutcome::Cancelled).is_empty());
                 }
                 _ => {
                     // some of the doomed get their own end
-                    let due: Vec<Name> = d.doomed().take(2).cloned().collect();
+                    let due: Vec<Name> = d.needing_cancelled().take(2).cloned().collect();
                     for n in due {
                         p.outcomes.insert(n.clone(), JobOutcome::Cancelled);
-                        d.ended(&n, JobOutcome::Cancelled);
+                        d.apply_outcome(&n, JobOutcome::Cancelled);
                     }
                 }
             }
-            p.order = d.doomed().cloned().collect();
+            p.order = d.needing_cancelled().cloned().collect();
             for j in &p.jobs {
                 let waits = p.waits(j);
-                prop_assert_eq!(d.holds(&j.id), waits, "{} waits", j.id);
+                prop_assert_eq!(d.is_blocked(&j.id), waits, "{} waits", j.id);
                 prop_assert_eq!(free.contains(&j.id) && p.open(&j.id), p.open(&j.id) && !waits);
-                prop_assert_eq!(p.order.contains(&j.id), p.doomed(&j.id), "{} is doomed", j.id);
+                prop_assert_eq!(p.order.contains(&j.id), p.needs_cancelled_job(&j.id), "{} is doomed", j.id);
                 if p.open(&j.id) {
-                    let rank = d.urgency(&j.id, Urgency::own(j, now)).rank;
+                    let rank = d.urgency(&j.id, Urgency::own(j, now)).priority;
                     prop_assert_eq!(rank, p.rank(&j.id), "rank of {}", j.id);
                 }
             }
@@ -126,31 +126,32 @@
     let open = |_: &Name| Need::Open;
     let mut d = Dependency::default();
     for n in 1..=N {
-        assert!(d.hold(&job(n, &[n - 1], Priority::Low), n as u64, now, open));
+        assert!(d.block(&job(n, &[n - 1], Priority::Low), n as u64, now, open));
     }
-    assert_eq!(d.edges.after(&id(0), usize::MAX).len(), N);
-    assert_eq!(d.edges.after(&id(0), 7), (1..8).map(id).collect::<Vec<_>>());
-    let own = Urgency { rank: Priority::Low, due: None };
-    assert!(d.hold(&job(N + 1, &[N], Priority::High), 1, now, open));
-    assert_eq!(d.urgency(&id(0), own).rank, Priority::High, "through the whole chain");
-    d.ended(&id(N + 1), JobOutcome::Cancelled);
-    assert_eq!(d.urgency(&id(0), own).rank, Priority::Low, "and back");
-    d.ended(&id(0), JobOutcome::Cancelled);
-    assert_eq!(d.doomed().count(), N);
+    assert_eq!(d.edges.dependents(&id(0), usize::MAX).len(), N);
+    assert_eq!(d.edges.dependents(&id(0), 7), (1..8).map(id).collect::<Vec<_>>());
+    let own = Urgency { priority: Priority::Low, deadline: None };
+    assert!(d.block(&job(N + 1, &[N], Priority::High), 1, now, open));
+    assert_eq!(d.urgency(&id(0), own).priority, Priority::High, "through the whole chain");
+    d.apply_outcome(&id(N + 1), JobOutcome::Cancelled);
+    assert_eq!(d.urgency(&id(0), own).priority, Priority::Low, "and back");
+    d.apply_outcome(&id(0), JobOutcome::Cancelled);
+    assert_eq!(d.needing_cancelled().count(), N);
 
     let mut d = Dependency::default();
     for n in 1..=N {
-        d.hold(&job(n, &[0], Priority::High), n as u64, now, open);
+        d.block(&job(n, &[0], Priority::High), n as u64, now, open);
     }
-    assert_eq!(d.ended(&id(0), JobOutcome::Done).len(), N);
+    assert_eq!(d.apply_outcome(&id(0), JobOutcome::Done).len(), N);
     assert!(d.is_empty() && d.edges.is_empty() && d.inherited.is_empty());
 
     let mut d = Dependency::default();
     for (n, needs) in [(1, vec![0]), (2, vec![0]), (3, vec![1, 2])] {
-        d.hold(&job(n, &needs, Priority::Normal), n as u64, now, open);
+        d.block(&job(n, &needs, Priority::Normal), n as u64, now, open);
     }
     let freed = |d: &mut Dependency, n| {
-        let mut l: Vec<Name> = d.ended(&id(n), JobOutcome::Done).into_iter().map(|h| h.spec.id.clone()).collect();
+        let mut l: Vec<Name> =
+            d.apply_outcome(&id(n), JobOutcome::Done).into_iter().map(|h| h.spec.id.clone()).collect();
         l.sort();
         l
     };
--- a/packages/core/src/fleet.rs
+++ b/packages/core/src/fleet.rs
@@ -56,7 +56,7 @@
 
     /// A whole list of the cloud's.  Absence from it proves nothing: lists
     /// lag and go backwards.
-    pub fn list(&mut self, list: &[ListedMachine], now: Instant) {
+    pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Instant) {
         for l in list {
             let types = &self.types;
             let new = !self.machines.contains_key(&l.name);
@@ -86,11 +86,11 @@
     }
 
     /// Names the cloud rented to us.
-    pub fn rented(&mut self, r: &Rental, names: &[Name], now: Instant) {
+    pub fn apply_rental(&mut self, r: &Rental, names: &[Name], now: Instant) {
         self.fleet.mark_answered(&r.request_id, now);
         tracing::info!("rented {} of {} {} in {}, spot {}: {names:?}", names.len(), r.count, r.kind, r.zone, r.spot);
         if (names.len() as u32) < r.count {
-            self.no_capacity(&(r.kind.clone(), r.zone.clone(), r.spot), now);
+            self.mark_pool_exhausted(&(r.kind.clone(), r.zone.clone(), r.spot), now);
         }
         for n in names {
             let size = self.types.get(&r.kind).map(|t| t.size()).unwrap_or_default();
@@ -103,12 +103,12 @@
     }
 
     /// The cloud has none of these.
-    pub fn no_capacity(&mut self, pool: &Pool, now: Instant) {
+    pub fn mark_pool_exhausted(&mut self, pool: &Pool, now: Instant) {
         self.fleet.exhausted_pools.insert(pool.clone(), now + self.policy.capacity_rest);
     }
 
     /// The cloud's 200 to a deletion: the machines and all on them are gone.
-    pub fn deleted(&mut self, names: &[Name], now: Instant) {
+    pub fn apply_deletion(&mut self, names: &[Name], now: Instant) {
         for n in names {
             self.release_all_assignments(n, now);
             if let Some(m) = self.machines.get_mut(n) {
@@ -122,14 +122,14 @@
 
     /// What to rent and what to return.  Also stops what has to leave its
     /// machine.
-    pub fn plan(&mut self, wants: &[Want], now: Instant) -> Plan {
+    pub fn plan_fleet(&mut self, wants: &[Want], now: Instant) -> Plan {
         let mut plan = Plan::default();
         let g = self.guarantees();
-        self.returns(&g, &mut plan, now);
+        self.plan_scale_in(&g, &mut plan, now);
         if wants.is_empty() {
             self.consolidate(&g, now);
         }
-        self.rentals(wants, &g, &mut plan, now);
+        self.plan_scale_out(wants, &g, &mut plan, now);
         plan
     }
 
@@ -264,7 +264,7 @@
     }
 
     #[expect(clippy::too_many_lines, reason = "longer than the limit since before it; to be divided")]
-    fn returns(&mut self, g: &Guarantees, plan: &mut Plan, now: Instant) {
+    fn plan_scale_in(&mut self, g: &Guarantees, plan: &mut Plan, now: Instant) {
         let policy = self.policy.clone();
         let mut spare = Resources::default();
         for m in self
@@ -493,7 +493,7 @@
     }
 
     #[expect(clippy::too_many_lines, reason = "longer than the limit since before it; to be divided")]
-    fn rentals(&mut self, wants: &[Want], g: &Guarantees, plan: &mut Plan, now: Instant) {
+    fn plan_scale_out(&mut self, wants: &[Want], g: &Guarantees, plan: &mut Plan, now: Instant) {
         let policy = self.policy.clone();
         // machines on their way count before new ones are asked for.  A new
         // leader knows those of its previous leader from the list, and what the list
--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -35,7 +35,7 @@
     for m in c.machines.values_mut().filter(|m| *m.zone == *"z1") {
         m.last_heartbeat = Some(later);
     }
-    assert!(c.plan(&[], later).delete.is_empty());
+    assert!(c.plan_fleet(&[], later).delete.is_empty());
     assert!(c.fleet.partitioned_zones.contains("z0"));
     // Seen on the bench: the cut healed, two thirds had reported, and the
     // rest was given up a second before its reports came.
@@ -43,9 +43,9 @@
     for m in c.machines.values_mut().skip(5) {
         m.last_heartbeat = Some(healed);
     }
-    assert!(c.plan(&[], healed).delete.is_empty());
+    assert!(c.plan_fleet(&[], healed).delete.is_empty());
     // those that stay away after that are another matter
-    assert_eq!(c.plan(&[], later + c.policy.missed).delete.len(), 5);
+    assert_eq!(c.plan_fleet(&[], later + c.policy.missed).delete.len(), 5);
 }
 
 /// Seen on an operators' day: a zone without a controller was cut, and its
@@ -78,7 +78,7 @@
             for m in c.machines.values_mut().filter(|m| *m.zone == *"z1") {
                 m.last_heartbeat = Some(t);
             }
-            c.plan(&[], t).delete
+            c.plan_fleet(&[], t).delete
         };
         let end = t0 + policy.lease_over;
         assert!(plan_at(end - Duration::from_secs(1)).is_empty(), "they may still run");
@@ -102,12 +102,12 @@
     c.set_types(&[MachineType { zones: vec!["z0".into(), "z1".into()], ..crate::sim::machine_type("t") }]);
     c.add_job(spec("j-000001", 1000), 1, None, now);
     on_record(&mut c, 5, "z0", "j-000001", now);
-    c.list(&[], now);
+    c.apply_machine_list(&[], now);
     let want = Want { spec: spec("j-000001", 1000), count: 1000, zones: BTreeMap::new() };
     let rented = |p: Plan| p.rent.iter().map(|r| r.count).sum::<u32>();
-    assert_eq!(rented(c.plan(std::slice::from_ref(&want), now)), 7);
+    assert_eq!(rented(c.plan_fleet(std::slice::from_ref(&want), now)), 7);
     // what was asked for counts until it is here
-    assert_eq!(rented(c.plan(std::slice::from_ref(&want), now)), 7, "the same again, under the same charters");
+    assert_eq!(rented(c.plan_fleet(std::slice::from_ref(&want), now)), 7, "the same again, under the same charters");
     assert_eq!(c.fleet.open_rentals.iter().map(|r| r.count).sum::<u32>(), 7);
 }
 
@@ -131,8 +131,8 @@
                 JobSpec { shape: Shape::Service, spread: true, spot: false, ..(*spec(&format!("j-{n}"), 4)).clone() };
             c.add_job(Arc::new(s), 1 + u64::from(n), None, now - Duration::from_secs(1));
         }
-        c.list(&[], now);
-        let rent = c.plan(&[], now).rent;
+        c.apply_machine_list(&[], now);
+        let rent = c.plan_fleet(&[], now).rent;
         assert!(rent.iter().all(|r| !r.spot));
         rent.iter().map(|r| r.count).sum::<u32>()
     };
@@ -144,12 +144,12 @@
     c.set_types(&[MachineType { zones, ..crate::sim::machine_type("t") }]);
     c.add_job(spec("j-000001", 1000), 1, None, t0);
     on_record(&mut c, 100, "z0", "j-000001", t0);
-    c.list(&[], t0);
+    c.apply_machine_list(&[], t0);
     let want = |count| Want { spec: spec("j-000001", 1000), count, zones: BTreeMap::new() };
     let each = 10.0 / c.policy.spot_horizon_s;
     let mut rented = |count| {
         c.fleet.open_rentals.clear();
-        c.plan(&[want(count)], t0).rent.iter().map(|r| (r.spot, r.count)).collect::<Vec<_>>()
+        c.plan_fleet(&[want(count)], t0).rent.iter().map(|r| (r.spot, r.count)).collect::<Vec<_>>()
     };
     let enough = (100.0 / each) as u32;
     assert_eq!(rented(enough), [], "a hundred places are through with these in time");
@@ -190,9 +190,9 @@
     on_record(&mut c, 2, "z0", "j-000001", t0);
     let woke = t0 + c.policy.silent * 2;
     c.resumed_at = woke;
-    assert!(c.plan(&[], woke).delete.is_empty());
+    assert!(c.plan_fleet(&[], woke).delete.is_empty());
     let later = woke + c.policy.silent + Duration::from_secs(1);
-    assert_eq!(c.plan(&[], later).delete.len(), 2);
+    assert_eq!(c.plan_fleet(&[], later).delete.len(), 2);
 }
 
 /// A task of a withdrawn job on a machine that no stop reaches: the cloud
@@ -205,7 +205,7 @@
     c.add_job(spec("j-000001", 1000), 1, Some(JobOutcome::Cancelled), t0);
     on_record(&mut c, 30, "z0", "j-000001", t0);
     let later = t0 + c.policy.fresh + Duration::from_secs(1);
-    assert_eq!(c.plan(&[], later).delete.len(), 30);
+    assert_eq!(c.plan_fleet(&[], later).delete.len(), 30);
 }
 
 /// Rentals outlive their leader: the next one asks again under the same
@@ -218,7 +218,7 @@
     old.fleet.last_full_list = Some(t0);
     let want = |c: &Cluster| Want { spec: c.jobs["j-000001"].spec.clone(), count: 300, zones: BTreeMap::new() };
     old.add_job(spec("j-000001", 300), 1, None, t0);
-    let asked = old.plan(&[want(&old)], t0).rent;
+    let asked = old.plan_fleet(&[want(&old)], t0).rent;
     assert!(!asked.is_empty());
     let key = old.fleet.record_key(1);
     assert_eq!(old.fleet.unrecorded(&asked), asked);
@@ -231,14 +231,14 @@
     new.add_job(spec("j-000001", 300), 1, None, t0);
     new.fleet.inherit(key.clone(), asked.clone());
     new.fleet.inherit("again".into(), asked.clone());
-    let plan = new.plan(&[want(&new)], t0);
+    let plan = new.plan_fleet(&[want(&new)], t0);
     assert_eq!(plan.rent, asked, "asked for again, and nothing beside it");
     // answered: the names count until a list has them, then the record goes
     for (n, r) in asked.iter().enumerate() {
         let names: Vec<Name> = (0..r.count).map(|i| format!("i-{n}-{i}").into()).collect();
-        new.rented(r, &names, t0);
+        new.apply_rental(r, &names, t0);
     }
-    assert!(new.plan(&[want(&new)], t0).rent.is_empty());
+    assert!(new.plan_fleet(&[want(&new)], t0).rent.is_empty());
     let kept = new.policy.rental_kept;
     assert!(new.fleet.expired_records(kept, 9, t0 + kept).is_empty());
     assert_eq!(new.fleet.expired_records(kept, 9, t0 + kept * 2).len(), 2);
@@ -278,29 +278,29 @@
         c.machines.values().filter(|m| m.cordon_reason.is_some()).map(|m| m.name.to_string()).collect::<Vec<_>>()
     };
     // the cloud takes nothing back for now
-    c.plan(&[], now);
+    c.plan_fleet(&[], now);
     assert!(drained(&c).is_empty());
     c.fleet.last_full_list = Some(now);
     // other work waits
     c.add_job(spec("j-000009", 1), 9, None, t0);
-    c.plan(&[], now);
+    c.plan_fleet(&[], now);
     assert!(drained(&c).is_empty());
     c.set_outcome("j-000009", JobOutcome::Cancelled, now);
     // its image is not where there is room
     c.machines.values_mut().for_each(|m| m.images.clear());
-    c.plan(&[], now);
+    c.plan_fleet(&[], now);
     assert!(drained(&c).is_empty());
     c.machines.values_mut().for_each(|m| m.images = vec![("img-0".into(), 1.0)]);
-    c.plan(&[], now);
+    c.plan_fleet(&[], now);
     assert_eq!(drained(&c), ["i-2"]);
     // while its replica is down, no other follows
-    c.plan(&[], now);
+    c.plan_fleet(&[], now);
     assert_eq!(drained(&c), ["i-2"]);
     // nothing that has just begun moves
     c.machines.get_mut("i-2").expect("it is there").cordon_reason = None;
     for p in c.machines.values_mut().flat_map(|m| m.tasks.values_mut()) {
         (p.running_since, p.stop_grace_s) = (Some(now), None);
     }
-    c.plan(&[], now);
+    c.plan_fleet(&[], now);
     assert!(drained(&c).is_empty());
 }
--- a/packages/core/src/gate.rs
+++ b/packages/core/src/gate.rs
@@ -27,14 +27,15 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Gates {
     /// Features.
-    pub on: Vec<String>,
+    #[serde(rename = "on")]
+    pub enabled: Vec<String>,
     /// The term in which the last one came on.
     pub term: u64,
 }
 
 /// The next record of what is on, if there is more to come: what is on stays on, and
 /// what all have comes on.
-pub fn raised(is_on: impl Fn(&str) -> bool, all_have: impl Fn(&str) -> bool) -> Option<Vec<String>> {
+pub fn next_enabled(is_on: impl Fn(&str) -> bool, all_have: impl Fn(&str) -> bool) -> Option<Vec<String>> {
     let more = KNOWN.iter().any(|f| !is_on(f) && all_have(f));
     let on = KNOWN.iter().filter(|f| is_on(f) || all_have(f)).map(|f| (*f).to_owned());
     more.then(|| on.collect())
@@ -44,7 +45,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Member {
     /// The features that it has.
-    pub knows: Vec<String>,
+    #[serde(rename = "knows")]
+    pub features: Vec<String>,
     /// Its version.
     pub version: String,
 }
@@ -53,11 +55,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Shown {
     /// Its features; none of a version before the gates.
-    pub knows: Vec<String>,
+    pub features: Vec<String>,
     /// Its version, if it said so.
     pub version: String,
     /// When.
-    pub at: Instant,
+    pub seen_at: Instant,
 }
 
 /// What the others have shown, by name.
@@ -67,14 +69,14 @@
 impl Roster {
     /// A controller has told what it has, itself or by its record.  What an
     /// older word says does not count against a newer one.
-    pub fn shown(&mut self, name: &str, s: Shown) {
-        if self.0.get(name).is_none_or(|o| o.at <= s.at) {
+    pub fn record(&mut self, name: &str, s: Shown) {
+        if self.0.get(name).is_none_or(|o| o.seen_at <= s.seen_at) {
             self.0.insert(name.to_owned(), s);
         }
     }
 
     /// What was last shown of a controller.
-    pub fn of(&self, name: &str) -> Option<&Shown> {
+    pub fn get(&self, name: &str) -> Option<&Shown> {
         self.0.get(name)
     }
 
@@ -88,8 +90,8 @@
         now: Instant,
     ) -> bool {
         names.all(|n| {
-            let of = self.0.get(n).filter(|s| now.saturating_duration_since(s.at) <= lately);
-            of.is_some_and(|s| s.knows.iter().any(|k| k == feature))
+            let of = self.0.get(n).filter(|s| now.saturating_duration_since(s.seen_at) <= lately);
+            of.is_some_and(|s| s.features.iter().any(|k| k == feature))
         })
     }
 }
--- a/packages/core/src/gate/tests.rs
+++ b/packages/core/src/gate/tests.rs
@@ -5,12 +5,12 @@
 #[test]
 fn features_come_on_one_by_one_and_stay() {
     let names = |l: &[&str]| Some(l.iter().map(|f| (*f).to_owned()).collect::<Vec<_>>());
-    assert_eq!(raised(|_| false, |_| false), None);
-    assert_eq!(raised(|_| false, |f| f == CHAINS), names(&[CHAINS]));
-    assert_eq!(raised(|f| f == CHAINS, |_| false), None, "who comes back old takes nothing away");
-    assert_eq!(raised(|f| f == CHAINS, |f| f == TOLD), names(&[CHAINS, TOLD]));
-    assert_eq!(raised(|f| f == TOLD, |f| f == CHAINS), names(&[CHAINS, TOLD]));
-    assert_eq!(raised(|_| true, |_| true), None);
+    assert_eq!(next_enabled(|_| false, |_| false), None);
+    assert_eq!(next_enabled(|_| false, |f| f == CHAINS), names(&[CHAINS]));
+    assert_eq!(next_enabled(|f| f == CHAINS, |_| false), None, "who comes back old takes nothing away");
+    assert_eq!(next_enabled(|f| f == CHAINS, |f| f == TOLD), names(&[CHAINS, TOLD]));
+    assert_eq!(next_enabled(|f| f == TOLD, |f| f == CHAINS), names(&[CHAINS, TOLD]));
+    assert_eq!(next_enabled(|_| true, |_| true), None);
 }
 
 /// An old controller that comes back, one that is silent and one that was
@@ -20,25 +20,25 @@
     let (t0, lately) = (Instant::now(), Duration::from_secs(4));
     let s = |n| t0 + Duration::from_secs(n);
     let shown = |knows: &[&str], at| Shown {
-        knows: knows.iter().map(|k| (*k).to_owned()).collect(),
+        features: knows.iter().map(|k| (*k).to_owned()).collect(),
         version: String::new(),
-        at,
+        seen_at: at,
     };
     let mut r = Roster::default();
     let all = |r: &Roster, at| r.all_have(["a", "b"].into_iter(), CHAINS, lately, at);
     assert!(!all(&r, s(0)));
-    r.shown("a", shown(&[CHAINS, "other"], s(1)));
+    r.record("a", shown(&[CHAINS, "other"], s(1)));
     assert!(!all(&r, s(1)), "b was never heard of");
-    r.shown("b", shown(&[], s(2)));
+    r.record("b", shown(&[], s(2)));
     assert!(!all(&r, s(2)), "b is of a version before the gates");
-    r.shown("b", shown(&[CHAINS], s(4)));
+    r.record("b", shown(&[CHAINS], s(4)));
     assert!(all(&r, s(4)));
     assert!(!all(&r, s(6)), "a was silent for too long");
-    r.shown("a", shown(&[CHAINS], s(6)));
+    r.record("a", shown(&[CHAINS], s(6)));
     assert!(all(&r, s(6)));
     // its record in the store is older than its own word
-    r.shown("b", shown(&[], s(7)));
-    r.shown("b", shown(&[CHAINS], s(5)));
+    r.record("b", shown(&[], s(7)));
+    r.record("b", shown(&[CHAINS], s(5)));
     assert!(!all(&r, s(7)), "b came back as it was before");
     assert!(r.all_have([].into_iter(), CHAINS, lately, s(0)), "one alone needs nobody");
 }
--- a/packages/core/src/key.rs
+++ b/packages/core/src/key.rs
@@ -29,7 +29,7 @@
 pub const OUTDATED: &str = "c1/";
 
 /// A job's end, guarded on there being none: whoever comes first, it stays.
-pub fn end(txn: &mut Txn, id: &str, outcome: JobOutcome) {
+pub fn put_outcome(txn: &mut Txn, id: &str, outcome: JobOutcome) {
     let path = format!("{OUTCOME}{id}");
     txn.require(path.clone(), 0);
     txn.writes.push(Write::set(path, &OutcomeRecord { outcome }));
--- a/packages/core/src/knowledge.rs
+++ b/packages/core/src/knowledge.rs
@@ -30,7 +30,7 @@
 ///
 /// `told`: every controller keeps to [`Telling`].  A user is told then no sooner than
 /// `cancel` after the end was stored, if a controller that renews may not know it.
-pub fn renews_for(p: &Policy, told: bool) -> Duration {
+pub fn renewal_window(p: &Policy, told: bool) -> Duration {
     let needs = p.lease.mul_f64(1.0 + 2.0 * p.drift) + p.renew;
     let from_telling = p.cancel.mul_f64(1.0 - 2.0 * p.drift).saturating_sub(needs);
     match told && !from_telling.is_zero() {
@@ -42,19 +42,19 @@
 /// The same for a leader whose lease is served: its stops reach the workers, and the
 /// watch answers it within two `ttl`.  Where a worker's lease outlasts `cancel` no
 /// bound helps, and a leader has to be able to lead.
-pub fn leads_for(p: &Policy) -> Duration {
-    renews_for(p, false).max(p.ttl * 3)
+pub fn leadership_window(p: &Policy) -> Duration {
+    renewal_window(p, false).max(p.ttl * 3)
 }
 
 /// Whether a picture that is whole since then is young enough to renew leases on,
 /// nobody else's word being had.
 pub fn may_renew(whole: Option<Instant>, told: bool, p: &Policy, now: Instant) -> bool {
-    whole.is_some_and(|t| now.saturating_duration_since(t) < renews_for(p, told))
+    whole.is_some_and(|t| now.saturating_duration_since(t) < renewal_window(p, told))
 }
 
 /// Whether it is young enough for a leader whose lease is served.
 pub fn may_lead(whole: Option<Instant>, p: &Policy, now: Instant) -> bool {
-    whole.is_some_and(|t| now.saturating_duration_since(t) < leads_for(p))
+    whole.is_some_and(|t| now.saturating_duration_since(t) < leadership_window(p))
 }
 
 /// Most withdrawals in one answer; the rest follows with the next.
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Withdrawal {
     /// Revision of its end.
-    pub stamp: u64,
+    pub revision: u64,
     /// Job.
     pub id: Name,
 }
@@ -73,13 +73,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Account {
     /// The life of the controller that tells it.
-    pub life: u64,
+    pub incarnation: u64,
     /// In the order in which it learned of them.
-    pub known: Vec<Withdrawal>,
+    pub cancellations: Vec<Withdrawal>,
     /// Where the next answer begins.
     pub next: u64,
     /// There is no more.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 /// The withdrawals that a controller knows: by the watch, by what it stored and by
@@ -110,18 +110,18 @@
 
     /// A watch begins at this revision: what came before it and after the last one's
     /// end was not shown here.
-    pub fn begins(&mut self, revision: u64, now: Instant) {
+    pub fn begin_watch(&mut self, revision: u64, now: Instant) {
         self.unlisted.get_or_insert(now);
         self.floor = self.floor.max(Some(revision));
     }
 
     /// One that is stored, however it became known.
-    pub fn add(&mut self, stamp: u64, id: &str, now: Instant) {
+    pub fn record(&mut self, stamp: u64, id: &str, now: Instant) {
         if self.listed.contains_key(id) {
             return;
         }
         self.listed.insert(id.into(), (now, stamp));
-        self.list.push_back(Withdrawal { stamp, id: id.into() });
+        self.list.push_back(Withdrawal { revision: stamp, id: id.into() });
         if self.list.len() > self.most {
             if let Some(w) = self.list.pop_front() {
                 // an id that left may be one that was learned a moment ago: it must not
@@ -129,13 +129,13 @@
                 let learned = self.listed.remove(&w.id).map(|l| l.0);
                 self.unlisted = self.unlisted.max(learned);
                 self.first += 1;
-                self.floor = self.floor.map(|f| f.max(w.stamp));
+                self.floor = self.floor.map(|f| f.max(w.revision));
             }
         }
     }
 
     /// Whether a job is known to be withdrawn.
-    pub fn knows(&self, id: &str) -> bool {
+    pub fn contains(&self, id: &str) -> bool {
         self.listed.contains_key(id)
     }
 
@@ -152,14 +152,14 @@
 
     /// For a sibling that knows all up to a revision and has had the first `next` of
     /// the list of a life.  `None`: a gap, nothing can be accounted for.
-    pub fn account(&self, since: u64, life: u64, next: u64) -> Option<Account> {
+    pub fn batch_since(&self, since: u64, life: u64, next: u64) -> Option<Account> {
         self.floor.filter(|f| *f <= since)?;
         let had = if life == self.life { next.saturating_sub(self.first) as usize } else { 0 };
         let rest = self.list.iter().skip(had);
         let end = self.list.len().min(had.saturating_add(MOST_TOLD));
-        let known = rest.take(MOST_TOLD).filter(|w| w.stamp > since).cloned().collect();
+        let known = rest.take(MOST_TOLD).filter(|w| w.revision > since).cloned().collect();
         let next = self.first + end as u64;
-        Some(Account { life: self.life, known, next, whole: end == self.list.len() })
+        Some(Account { incarnation: self.life, cancellations: known, next, complete: end == self.list.len() })
     }
 }
 
@@ -173,7 +173,7 @@
 /// is refused for now, asks again.
 #[derive(Debug)]
 pub struct Telling {
-    siblings: usize,
+    peers: usize,
     open: BTreeMap<Name, BTreeSet<usize>>,
     settled: LruCache<Name, ()>,
 }
@@ -182,12 +182,12 @@
     /// Nothing is to be told; as many siblings, and so many settled ones kept.
     pub fn new(siblings: usize, most: usize) -> Telling {
         let most = NonZeroUsize::new(most).unwrap_or(NonZeroUsize::MIN);
-        Telling { siblings, open: BTreeMap::new(), settled: LruCache::new(most) }
+        Telling { peers: siblings, open: BTreeMap::new(), settled: LruCache::new(most) }
     }
 
     /// Whether a user may be told; if not, the siblings are to hear of it.
-    pub fn may_tell(&mut self, id: &Name, known: &Withdrawals, p: &Policy, now: Instant) -> bool {
-        if self.siblings == 0 || self.settled.contains(id) {
+    pub fn may_confirm(&mut self, id: &Name, known: &Withdrawals, p: &Policy, now: Instant) -> bool {
+        if self.peers == 0 || self.settled.contains(id) {
             return true;
         }
         if known.age(id, now).is_some_and(|t| t >= p.cancel) {
@@ -200,28 +200,28 @@
 
     /// What a sibling is to be told, and whether some of it is new to it: that comes
     /// first, or in a crowd those that it knows would stand in the way for ever.
-    pub fn for_sibling(&mut self, n: usize, known: &Withdrawals, p: &Policy, now: Instant) -> (Vec<Withdrawal>, bool) {
+    pub fn for_peer(&mut self, n: usize, known: &Withdrawals, p: &Policy, now: Instant) -> (Vec<Withdrawal>, bool) {
         // nobody asks any more
         self.open.retain(|id, _| known.age(id, now).is_some_and(|t| t < p.cancel));
         let new = self.open.values().any(|by| !by.contains(&n));
-        let of = |id: &Name| Withdrawal { stamp: known.learned(id).map_or(0, |l| l.1), id: id.clone() };
+        let of = |id: &Name| Withdrawal { revision: known.learned(id).map_or(0, |l| l.1), id: id.clone() };
         let (news, rest): (Vec<_>, Vec<_>) = self.open.iter().partition(|(_, by)| !by.contains(&n));
         (news.into_iter().chain(rest).take(MOST_TOLD).map(|(id, _)| of(id)).collect(), new)
     }
 
     /// A sibling has taken the word of these.
-    pub fn taken(&mut self, n: usize, told: &[Withdrawal]) {
+    pub fn mark_acknowledged(&mut self, n: usize, told: &[Withdrawal]) {
         for w in told {
             let Some(by) = self.open.get_mut(&w.id) else { continue };
             by.insert(n);
-            if by.len() >= self.siblings {
-                self.clear(&w.id);
+            if by.len() >= self.peers {
+                self.settle(&w.id);
             }
         }
     }
 
     /// The leader has found nothing of a job on any machine.
-    pub fn clear(&mut self, id: &Name) {
+    pub fn settle(&mut self, id: &Name) {
         self.open.remove(id);
         self.settled.put(id.clone(), ());
     }
@@ -245,28 +245,28 @@
 
 impl Knowledge {
     /// The watch has answered a request that was sent then.
-    pub fn shown(&mut self, sent: Instant) {
+    pub fn watch_answered(&mut self, sent: Instant) {
         self.shown = self.shown.max(Some(sent));
     }
 
     /// What to ask a sibling for: the rest of which life's list.
-    pub fn asks(&self, sibling: &str) -> (u64, u64) {
+    pub fn next_request(&self, sibling: &str) -> (u64, u64) {
         self.told.get(sibling).map_or((0, 0), |t| (t.life, t.next))
     }
 
     /// A sibling has answered a request that was sent then; what it told is known
     /// here by now.
-    pub fn told(&mut self, sibling: &str, sent: Instant, a: &Account) {
+    pub fn peer_answered(&mut self, sibling: &str, sent: Instant, a: &Account) {
         let t = self.told.entry(sibling.to_owned()).or_default();
-        (t.life, t.next) = (a.life, a.next);
-        if a.whole {
+        (t.life, t.next) = (a.incarnation, a.next);
+        if a.complete {
             t.at = t.at.max(Some(sent));
         }
     }
 
     /// Since when no withdrawal can be missing that a user was told of before:
     /// by the watch, or by the word of each of these, which are all siblings.
-    pub fn whole<'a>(&self, siblings: impl IntoIterator<Item = &'a str>) -> Option<Instant> {
+    pub fn complete_as_of<'a>(&self, siblings: impl IntoIterator<Item = &'a str>) -> Option<Instant> {
         let mut of = siblings.into_iter().map(|s| self.told.get(s).and_then(|t| t.at)).peekable();
         let word = if of.peek().is_some() { of.min().flatten() } else { None };
         self.shown.max(word)
--- a/packages/core/src/knowledge/tests.rs
+++ b/packages/core/src/knowledge/tests.rs
@@ -14,11 +14,11 @@
     };
     for (cancel, lease) in [(60.0, 30.0), (61.0, 36.0), (31.0, 30.0), (20.0, 30.0), (600.0, 12.0)] {
         let p = with(cancel, lease);
-        let last = renews_for(&p, false).as_secs_f64() * (1.0 + p.drift) + lease * (1.0 + p.drift);
-        assert!(last < cancel || renews_for(&p, false).is_zero(), "{cancel} {lease}");
+        let last = renewal_window(&p, false).as_secs_f64() * (1.0 + p.drift) + lease * (1.0 + p.drift);
+        assert!(last < cancel || renewal_window(&p, false).is_zero(), "{cancel} {lease}");
         // and no more is given away than clocks and a renewal take
-        assert!(last > cancel - p.renew.as_secs_f64() * 2.0 || renews_for(&p, false).is_zero(), "{cancel} {lease}");
-        assert!(leads_for(&p) >= p.ttl * 3);
+        assert!(last > cancel - p.renew.as_secs_f64() * 2.0 || renewal_window(&p, false).is_zero(), "{cancel} {lease}");
+        assert!(leadership_window(&p) >= p.ttl * 3);
     }
 }
 
@@ -83,7 +83,7 @@
         life += 1;
         let mut list = Withdrawals::new(life, most);
         if without == Without::Floor {
-            list.begins(0, t0);
+            list.begin_watch(0, t0);
         }
         One { list, known: HashSet::new(), watch: None, knowledge: Knowledge::default() }
     };
@@ -102,7 +102,7 @@
                 ends.push(id.clone());
                 told.insert(id.clone(), now);
                 if without != Without::Own {
-                    all[w].list.add(ends.len() as u64, &id, now);
+                    all[w].list.record(ends.len() as u64, &id, now);
                 }
                 all[w].known.insert(id);
             }
@@ -111,7 +111,7 @@
                 let id = ends[at].clone();
                 told.entry(id.clone()).or_insert(now);
                 if without != Without::Own {
-                    all[w].list.add(at as u64 + 1, &id, now);
+                    all[w].list.record(at as u64 + 1, &id, now);
                 }
                 all[w].known.insert(id);
             }
@@ -121,28 +121,28 @@
                     Some(e) => e as usize,
                     None => {
                         // the first read: all ends so far, none of them listed
-                        o.list.begins(ends.len() as u64, now);
+                        o.list.begin_watch(ends.len() as u64, now);
                         o.known.extend(ends.iter().cloned());
                         ends.len()
                     }
                 };
                 for (at, id) in ends.iter().enumerate().skip(since) {
-                    o.list.add(at as u64 + 1, id, now);
+                    o.list.record(at as u64 + 1, id, now);
                     o.known.insert(id.clone());
                 }
                 o.watch = Some(ends.len() as u64);
-                o.knowledge.shown(now);
+                o.knowledge.watch_answered(now);
             }
             Step::Ask(a, b) if a != b => {
                 let Some(since) = all[a].watch else { continue };
-                let (life, next) = all[a].knowledge.asks(NAMES[b]);
-                let Some(account) = all[b].list.account(since, life, next) else { continue };
-                for w in &account.known {
-                    all[a].list.add(w.stamp, &w.id, now);
+                let (life, next) = all[a].knowledge.next_request(NAMES[b]);
+                let Some(account) = all[b].list.batch_since(since, life, next) else { continue };
+                for w in &account.cancellations {
+                    all[a].list.record(w.revision, &w.id, now);
                     all[a].known.insert(w.id.clone());
                 }
                 let late = Duration::from_secs(2 * u64::from(without == Without::Sending));
-                all[a].knowledge.told(NAMES[b], now + late, &account);
+                all[a].knowledge.peer_answered(NAMES[b], now + late, &account);
             }
             Step::End(w) => all[w] = born(most),
             _ => {}
@@ -151,7 +151,7 @@
             let others = NAMES.iter().enumerate().filter(|(n, _)| *n != w).map(|(_, n)| *n);
             let whole = match without {
                 Without::All => others.filter_map(|o2| o.knowledge.told.get(o2)?.at).max().max(o.knowledge.shown),
-                _ => o.knowledge.whole(others),
+                _ => o.knowledge.complete_as_of(others),
             };
             let missing = |(id, t): (&Name, &Instant)| whole.is_some_and(|w| *t < w) && !o.known.contains(id);
             if o.watch.is_some() && told.iter().any(missing) {
@@ -192,24 +192,24 @@
 fn an_account_comes_in_parts() {
     let t0 = Instant::now();
     let mut list = Withdrawals::new(7, 10_000);
-    list.begins(10, t0);
+    list.begin_watch(10, t0);
     for n in 0..1300u64 {
-        list.add(11 + n, &format!("j-{n}"), t0);
+        list.record(11 + n, &format!("j-{n}"), t0);
     }
-    assert!(list.account(9, 0, 0).is_none(), "a gap");
+    assert!(list.batch_since(9, 0, 0).is_none(), "a gap");
     let mut k = Knowledge::default();
     let mut had = 0;
     for part in 0..3 {
-        let (life, next) = k.asks("b");
-        let a = list.account(10, life, next).expect("no gap");
-        had += a.known.len();
-        k.told("b", t0, &a);
-        assert_eq!(k.whole(["b"]).is_some(), part == 2);
+        let (life, next) = k.next_request("b");
+        let a = list.batch_since(10, life, next).expect("no gap");
+        had += a.cancellations.len();
+        k.peer_answered("b", t0, &a);
+        assert_eq!(k.complete_as_of(["b"]).is_some(), part == 2);
     }
     assert_eq!(had, 1300);
-    assert!(k.whole(["b", "c"]).is_none(), "one sibling has not accounted");
+    assert!(k.complete_as_of(["b", "c"]).is_none(), "one sibling has not accounted");
     let nobody: [&str; 0] = [];
-    assert!(Knowledge::default().whole(nobody).is_none(), "nobody's word is no word");
+    assert!(Knowledge::default().complete_as_of(nobody).is_none(), "nobody's word is no word");
 }
 
 /// A user is told when all siblings know, when the leader finds nothing left, or
@@ -220,32 +220,32 @@
     let t0 = Instant::now();
     let s = |n: u64| t0 + Duration::from_secs(n);
     let mut known = Withdrawals::new(1, 100);
-    known.begins(5, s(0));
+    known.begin_watch(5, s(0));
     let names: Vec<Name> = ["j-1", "j-2", "j-3"].map(Name::from).into();
-    names.iter().for_each(|n| known.add(9, n, s(100)));
+    names.iter().for_each(|n| known.record(9, n, s(100)));
     let mut t = Telling::new(2, 10);
     for n in &names {
-        assert!(!t.may_tell(n, &known, &p, s(100)));
+        assert!(!t.may_confirm(n, &known, &p, s(100)));
     }
-    let (told, new) = t.for_sibling(0, &known, &p, s(100));
-    assert!(new && told.len() == 3 && told[0].stamp == 9);
-    t.taken(0, &told);
-    assert!(!t.for_sibling(0, &known, &p, s(101)).1, "nothing new to it");
-    assert!(!t.may_tell(&names[0], &known, &p, s(101)), "one of two knows");
-    t.taken(1, &told[..1]);
-    assert!(t.may_tell(&names[0], &known, &p, s(101)));
-    t.clear(&names[1]);
-    assert!(t.may_tell(&names[1], &known, &p, s(101)));
+    let (told, new) = t.for_peer(0, &known, &p, s(100));
+    assert!(new && told.len() == 3 && told[0].revision == 9);
+    t.mark_acknowledged(0, &told);
+    assert!(!t.for_peer(0, &known, &p, s(101)).1, "nothing new to it");
+    assert!(!t.may_confirm(&names[0], &known, &p, s(101)), "one of two knows");
+    t.mark_acknowledged(1, &told[..1]);
+    assert!(t.may_confirm(&names[0], &known, &p, s(101)));
+    t.settle(&names[1]);
+    assert!(t.may_confirm(&names[1], &known, &p, s(101)));
     let end = s(100) + p.cancel;
-    assert!(!t.may_tell(&names[2], &known, &p, end - Duration::from_millis(1)));
-    assert!(t.may_tell(&names[2], &known, &p, end));
+    assert!(!t.may_confirm(&names[2], &known, &p, end - Duration::from_millis(1)));
+    assert!(t.may_confirm(&names[2], &known, &p, end));
     // who renews by that has stopped in time: its picture is older than the end
-    let last = s(100) + renews_for(&p, true);
+    let last = s(100) + renewal_window(&p, true);
     assert!(last + p.lease <= end + p.cancel);
     // an end from before this life is as old as this life, at least
-    assert!(!t.may_tell(&"j-0".into(), &known, &p, s(59)));
-    assert!(t.may_tell(&"j-0".into(), &known, &p, s(60)));
-    assert!(Telling::new(0, 1).may_tell(&"j-9".into(), &known, &p, s(0)), "one alone");
+    assert!(!t.may_confirm(&"j-0".into(), &known, &p, s(59)));
+    assert!(t.may_confirm(&"j-0".into(), &known, &p, s(60)));
+    assert!(Telling::new(0, 1).may_confirm(&"j-9".into(), &known, &p, s(0)), "one alone");
 }
 
 /// Guards against a burst: one-task jobs, four a second, a quarter of them cancelled.  An
@@ -257,19 +257,19 @@
     let t0 = Instant::now();
     let s = |n: u64| t0 + Duration::from_secs(n);
     let mut known = Withdrawals::new(1, 3);
-    known.begins(1, s(0));
+    known.begin_watch(1, s(0));
     for n in 0..8u64 {
-        known.add(10 + n, &format!("j-{n}"), s(1000 + n));
+        known.record(10 + n, &format!("j-{n}"), s(1000 + n));
     }
     let mut t = Telling::new(2, 100);
     for n in 0..8u64 {
-        assert!(!t.may_tell(&format!("j-{n}").into(), &known, &p, s(1008)), "j-{n} was learned seconds ago");
+        assert!(!t.may_confirm(&format!("j-{n}").into(), &known, &p, s(1008)), "j-{n} was learned seconds ago");
     }
     // j-4 is the last that left, so no sooner than that for all of them
     let all = s(1004) + p.cancel;
-    assert!(!t.may_tell(&"j-0".into(), &known, &p, all - Duration::from_millis(1)));
-    assert!(t.may_tell(&"j-0".into(), &known, &p, all) && t.may_tell(&"j-4".into(), &known, &p, all));
-    assert!(!t.may_tell(&"j-7".into(), &known, &p, all));
+    assert!(!t.may_confirm(&"j-0".into(), &known, &p, all - Duration::from_millis(1)));
+    assert!(t.may_confirm(&"j-0".into(), &known, &p, all) && t.may_confirm(&"j-4".into(), &known, &p, all));
+    assert!(!t.may_confirm(&"j-7".into(), &known, &p, all));
 }
 
 /// Guards against the same burst: a sibling is told of those that it has not taken first,
@@ -279,18 +279,18 @@
     let p = Policy::new(&Config::parse("test", SETTINGS).expect("settings")).expect("the default policy");
     let now = Instant::now();
     let mut known = Withdrawals::new(1, 5000);
-    known.begins(1, now);
+    known.begin_watch(1, now);
     let mut t = Telling::new(2, 5000);
     let names: Vec<Name> = (0..3 * MOST_TOLD).map(|n| format!("j-{n:06}").into()).collect();
     for n in &names {
-        known.add(9, n, now);
-        assert!(!t.may_tell(n, &known, &p, now));
+        known.record(9, n, now);
+        assert!(!t.may_confirm(n, &known, &p, now));
     }
     // one of the siblings is cut off: nothing is settled, and all stay
     for call in 0..3 {
-        let (told, new) = t.for_sibling(0, &known, &p, now);
+        let (told, new) = t.for_peer(0, &known, &p, now);
         assert!(new && told.len() == MOST_TOLD, "call {call}");
-        t.taken(0, &told);
+        t.mark_acknowledged(0, &told);
     }
-    assert!(!t.for_sibling(0, &known, &p, now).1, "it has heard of all in as many calls as they fill");
+    assert!(!t.for_peer(0, &known, &p, now).1, "it has heard of all in as many calls as they fill");
 }
--- a/packages/core/src/ledger.rs
+++ b/packages/core/src/ledger.rs
@@ -26,7 +26,7 @@
     /// The submission.
     pub spec: Arc<JobSpec>,
     /// Stamp of its record: the order of arrival.
-    pub stamp: u64,
+    pub revision: u64,
 }
 
 /// An ended job.
@@ -35,7 +35,7 @@
     /// The submission.
     pub spec: Arc<JobSpec>,
     /// Stamp of its record.
-    pub stamp: u64,
+    pub revision: u64,
     /// Its end, which never changes.
     pub outcome: JobOutcome,
 }
@@ -111,7 +111,7 @@
     }
 
     /// What is known of an id.
-    pub fn standing(&mut self, id: &str) -> Standing {
+    pub fn status_of(&mut self, id: &str) -> Standing {
         if let Some(o) = self.open.get(id) {
             return Standing::Open(o.clone());
         }
@@ -125,13 +125,13 @@
 
     /// Unfinished jobs that need a job, directly or through others; the nearest
     /// first, no more than so many.
-    pub fn after(&self, id: &str, most: usize) -> Vec<Name> {
-        self.edges.after(id, most)
+    pub fn dependents(&self, id: &str, most: usize) -> Vec<Name> {
+        self.edges.dependents(id, most)
     }
 
     /// Whether a job is to end with one that it needs.  Its own end may come much
     /// later: the state service may be down for longer than a withdrawal has.
-    pub fn spoilt(&self, id: &str) -> Spoilt {
+    pub fn cancelled_dependency(&self, id: &str) -> Spoilt {
         let (mut seen, mut unknown) = (HashSet::new(), Vec::new());
         let mut next: Vec<&Name> = self.open.get(id).map(|o| o.spec.needs.iter().collect()).unwrap_or_default();
         while let Some(n) = next.pop() {
@@ -153,23 +153,23 @@
     }
 
     /// How many tasks a job has, if it is known here.
-    pub fn tasks(&self, id: &str) -> Option<u32> {
+    pub fn task_count(&self, id: &str) -> Option<u32> {
         self.open.get(id).map(|o| &o.spec).or_else(|| self.ended.peek(id).map(|e| &e.spec)).map(|s| s.tasks)
     }
 
     /// A sweep or a watch begins at this revision.
-    pub fn begins(&mut self, epoch: u64) {
+    pub fn raise_floor(&mut self, epoch: u64) {
         self.floor = self.floor.max(epoch);
     }
 
     /// A record that the sweep or the watch shows; true if it is new here.
     /// Should it be over already, its end follows by the watch.
-    pub fn seen(&mut self, spec: Arc<JobSpec>, stamp: u64) -> bool {
+    pub fn insert_seen(&mut self, spec: Arc<JobSpec>, stamp: u64) -> bool {
         if self.open.contains_key(&spec.id) || self.ended.contains(&spec.id) {
             return false;
         }
         self.edges.add(&spec.id, &spec.needs);
-        self.open.insert(spec.id.clone(), Open { spec, stamp });
+        self.open.insert(spec.id.clone(), Open { spec, revision: stamp });
         true
     }
 
@@ -177,33 +177,33 @@
     /// is new here.  An answer may be read late, after the watch has shown the
     /// record and its end: then it tells nothing new, and must not bring the
     /// job back.
-    pub fn stored(&mut self, spec: Arc<JobSpec>, stamp: u64) -> bool {
-        stamp > self.floor && self.seen(spec, stamp)
+    pub fn insert_stored(&mut self, spec: Arc<JobSpec>, stamp: u64) -> bool {
+        stamp > self.floor && self.insert_seen(spec, stamp)
     }
 
     /// A job's end, as the store has it; true if the job was unfinished here.
-    pub fn ends(&mut self, id: &str, outcome: JobOutcome) -> bool {
+    pub fn apply_outcome(&mut self, id: &str, outcome: JobOutcome) -> bool {
         // kept for as long as it is needed, whatever else leaves the memory
-        if self.edges.direct(id).next().is_some() {
+        if self.edges.direct_dependents(id).next().is_some() {
             self.judged.insert(id.into(), outcome);
         }
         let Some(o) = self.open.remove(id) else { return false };
         self.needs_no_more(id, &o.spec.needs);
-        self.remember(Ended { spec: o.spec, stamp: o.stamp, outcome });
+        self.insert_ended(Ended { spec: o.spec, revision: o.revision, outcome });
         true
     }
 
     fn needs_no_more(&mut self, id: &str, needs: &[Name]) {
         self.edges.remove(id, needs);
         for n in needs {
-            if self.edges.direct(n).next().is_none() {
+            if self.edges.direct_dependents(n).next().is_none() {
                 self.judged.remove(n);
             }
         }
     }
 
     /// An ended job that was read from the store.
-    pub fn remember(&mut self, e: Ended) {
+    pub fn insert_ended(&mut self, e: Ended) {
         if self.open.remove(&e.spec.id).is_some() {
             self.needs_no_more(&e.spec.id, &e.spec.needs);
         }
@@ -270,12 +270,12 @@
 
     /// Jobs that the watch has shown to end.  Its changes may be taken in while
     /// the sweep goes on.
-    pub fn ended(&mut self, ids: impl Iterator<Item = Name>) {
+    pub fn mark_ended(&mut self, ids: impl Iterator<Item = Name>) {
         self.ended.extend(ids);
     }
 
     /// The page to read next; `None` when all is read.
-    pub fn need(&self) -> Option<Need> {
+    pub fn next_page(&self) -> Option<Need> {
         if self.jobs.over && self.jobs.rows.is_empty() {
             return None;
         }
@@ -283,7 +283,7 @@
     }
 
     /// A page that was needed.
-    pub fn page(&mut self, under: &str, rows: Vec<KeyValue>, truncated: bool) {
+    pub fn add_page(&mut self, under: &str, rows: Vec<KeyValue>, truncated: bool) {
         let l = if under == key::JOB { &mut self.jobs } else { &mut self.outcomes };
         match rows.last() {
             Some(last) => l.since.clone_from(&last.key),
@@ -315,7 +315,7 @@
 
     /// Enters into a ledger what the pages at hand tell.  Calls back with the
     /// jobs that are new as unfinished, and with those that ended unseen.
-    pub fn enter(&mut self, ledger: &mut Ledger, mut news: impl FnMut(News)) {
+    pub fn apply_pages(&mut self, ledger: &mut Ledger, mut news: impl FnMut(News)) {
         while let Some((job, end)) = self.next() {
             let id = job.key.strip_prefix(key::JOB).unwrap_or_default();
             let outcome = match &end {
@@ -329,12 +329,12 @@
             };
             match outcome {
                 Some(f) => {
-                    if ledger.ends(id, f) {
+                    if ledger.apply_outcome(id, f) {
                         news(News::Ended(id.into(), f));
                     } else if self.wanted.contains(id) && ledger.outcome(id).is_none() {
                         let stamp = job.revision;
                         if let Some(spec) = read_value::<JobSpec>(&job.key, job.value) {
-                            ledger.remember(Ended { spec: Arc::new(spec), stamp, outcome: f });
+                            ledger.insert_ended(Ended { spec: Arc::new(spec), revision: stamp, outcome: f });
                         }
                     }
                 }
@@ -342,8 +342,8 @@
                 None => {
                     if let Some(spec) = read_value::<JobSpec>(&job.key, job.value) {
                         let spec = Arc::new(spec);
-                        if ledger.seen(spec.clone(), job.revision) {
-                            news(News::Open(Open { spec, stamp: job.revision }));
+                        if ledger.insert_seen(spec.clone(), job.revision) {
+                            news(News::Open(Open { spec, revision: job.revision }));
                         }
                     }
                 }
--- a/packages/core/src/lookup.rs
+++ b/packages/core/src/lookup.rs
@@ -10,13 +10,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Found {
     /// Never accepted.
-    Never,
+    NotFound,
     /// Unfinished as far as is known here; only the store confirms it.
     Open,
     /// Unfinished a moment ago, by the store's word.
     Confirmed,
     /// Over for good.
-    Over(JobOutcome),
+    Ended(JobOutcome),
 }
 
 /// Ids that are looked up together: each is guarded on having neither a record
@@ -55,12 +55,12 @@
     }
 
     /// The last transaction went through.
-    pub fn as_guarded(&mut self) {
+    pub fn mark_settled(&mut self) {
         self.settled = true;
     }
 
     /// These keys exist; false if that is nothing new.
-    pub fn conflict(&mut self, keys: &[String]) -> bool {
+    pub fn apply_conflict(&mut self, keys: &[String]) -> bool {
         let mut news = false;
         for k in keys {
             let job = k.strip_prefix(key::JOB);
@@ -81,6 +81,6 @@
     /// What is known of an id that has no end, once all is known.
     pub fn found(&self, id: &str) -> Option<Found> {
         let i = self.ids.iter().find(|i| *i.0 == *id && !i.2)?;
-        Some(if i.1 { Found::Confirmed } else { Found::Never })
+        Some(if i.1 { Found::Confirmed } else { Found::NotFound })
     }
 }
--- a/packages/core/src/placement/mod.rs
+++ b/packages/core/src/placement/mod.rs
@@ -69,7 +69,7 @@
 impl Cluster {
     /// One pass over the queue.  Decides starts and stops, and returns what
     /// found no place.
-    pub fn place(&mut self, now: Instant) -> Vec<Want> {
+    pub fn run_placement_pass(&mut self, now: Instant) -> Vec<Want> {
         self.queue_changed = false;
         self.placement_waits.clear();
         self.mark_guaranteed();
@@ -437,7 +437,7 @@
     if of.queue_priority() <= to.queue_priority() {
         return false;
     }
-    if of.urgency.rank > to.urgency.rank {
+    if of.urgency.priority > to.urgency.priority {
         return true;
     }
     let team = used.get(&of.spec.team).copied().unwrap_or_default();
--- a/packages/core/src/placement/pass.rs
+++ b/packages/core/src/placement/pass.rs
@@ -482,7 +482,7 @@
             if of.is_some_and(|of| gives_way(ask.job, of, &self.c.teams, &self.used)) {
                 // a gang goes as a whole
                 let mates = of.map_or(1, |of| if of.spec.shape == Shape::Gang { of.assignments.len() } else { 1 });
-                let rank = of.map_or(p.spec.priority, |of| of.urgency.rank);
+                let rank = of.map_or(p.spec.priority, |of| of.urgency.priority);
                 victims.push((loss(p, self.now) * mates.max(1) as f64, t, p, rank));
             }
         }
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -21,7 +21,7 @@
         up(&mut c, &format!("i-{n}"), t0);
     }
     c.add_job(spec("j-000001", 400), 1, None, t0);
-    c.place(t0);
+    c.run_placement_pass(t0);
     assert_eq!(c.jobs["j-000001"].assignments.len(), 40);
     let now = t0 + Duration::from_secs(5);
     c.add_job(spec("j-000002", 40), 2, None, now);
@@ -34,14 +34,14 @@
     let first = *c.jobs["j-000001"].pending.iter().collect::<Vec<_>>().first().expect("a lost task");
     assert_eq!(first, 0);
     let lost = c.jobs["j-000001"].pending.below(c.jobs["j-000001"].first_never_placed());
-    c.place(now);
+    c.run_placement_pass(now);
     assert_eq!(c.jobs["j-000001"].assignments.len(), 40, "what was lost runs again");
     assert_eq!(lost, 9);
     assert_eq!(c.jobs["j-000002"].assignments.len(), 0);
     // what of the first has never run waits behind the second
     c.release_all_assignments(&"i-1".into(), now);
     c.machines.get_mut("i-1").expect("it is there").size = Resources { cpus: 18.0, gpus: 0.0, memory: 64.0 };
-    c.place(now);
+    c.run_placement_pass(now);
     assert_eq!((c.jobs["j-000001"].assignments.len(), c.jobs["j-000002"].assignments.len()), (40, 10));
 }
 
@@ -61,7 +61,7 @@
     let last = JobSpec { needs: vec!["j-2".into()], priority: Priority::High, deadline_s: Some(60.0), ..low("j-3") };
     c.add_job(Arc::new(last), 3, None, now);
     assert_eq!(c.jobs["j-2"].queue_priority(), (true, Priority::High));
-    c.place(now);
+    c.run_placement_pass(now);
     let at = |c: &Cluster, id: &str| c.jobs.get(id).and_then(|j| Some(j.assignments.get(&0)?[0].clone()));
     assert_eq!(at(&c, "j-2").as_deref(), Some("i-1"), "under the deadline of the last");
     assert_eq!((at(&c, "j-1").as_deref(), at(&c, "j-4").as_deref()), (Some("i-0"), Some("i-0")));
@@ -90,14 +90,14 @@
         c.add_job(spec(&format!("j-{n:06}"), 3), n + 1, None, now);
     }
     let placed = |c: &Cluster| c.jobs.values().filter(|j| j.pending.is_empty()).count();
-    c.place(now);
+    c.run_placement_pass(now);
     let first = placed(&c);
     assert!((1..10).contains(&first), "{first} jobs in one pass");
     assert!(c.queue_changed, "another pass is due");
     // in their order
     assert!((0..first).all(|n| c.jobs[&*format!("j-{n:06}")].pending.is_empty()));
     let passes = (1..100).find(|_| {
-        c.place(now);
+        c.run_placement_pass(now);
         placed(&c) == 40
     });
     assert!(passes.is_some() && !c.queue_changed);
@@ -129,7 +129,7 @@
     };
     let report = |token, session| report("i-9", "z1", session, 50, token);
     let begun = |c: &mut Cluster| {
-        c.place(now);
+        c.run_placement_pass(now);
         c.jobs["j-2"].assignments.len()
     };
     let (last, this) = (4 << 24, 5 << 24);
@@ -140,16 +140,16 @@
         "of what is on record nobody is told that nothing is left"
     );
     assert_eq!(begun(&mut c), 0);
-    c.list(&[], now);
+    c.apply_machine_list(&[], now);
     c.collect_garbage(now);
-    assert_eq!(c.report(&report(last, 1), true, now), Some(true));
+    assert_eq!(c.apply_heartbeat(&report(last, 1), true, now), Some(true));
     assert_eq!((begun(&mut c), c.has_no_task_of("j-1")), (0, false));
     // a report under this term's token is one, and so are a later session and a deletion
     type Proof<'a> = &'a dyn Fn(&mut Cluster);
     let proofs: [Proof; 3] = [
-        &|c| assert_eq!(c.report(&report(this, 1), true, now), Some(true)),
-        &|c| assert_eq!(c.report(&report(last, 2), true, now), Some(true)),
-        &|c| c.deleted(std::slice::from_ref(&old), now),
+        &|c| assert_eq!(c.apply_heartbeat(&report(this, 1), true, now), Some(true)),
+        &|c| assert_eq!(c.apply_heartbeat(&report(last, 2), true, now), Some(true)),
+        &|c| c.apply_deletion(std::slice::from_ref(&old), now),
     ];
     for (n, proof) in proofs.iter().enumerate() {
         let mut c = leader();
@@ -165,32 +165,32 @@
 /// counts it, and takes neither a list that lags nor its own ignorance for a proof.
 #[test]
 fn a_start_on_a_machine_that_no_list_has_counts_for_the_next_leader() {
-    use crate::commit::{read_page, TxnLimits};
+    use crate::commit::{read_shard, TxnLimits};
     use crate::workers::Heartbeat;
     use coralnotch_wire::state::{KeyValue, Write};
     let now = Instant::now();
     let mut c = cluster(4, now);
     let first = Heartbeat { spot: true, ..report("i-7", "z2", 1, 1, 0) };
-    assert_eq!(c.report(&first, true, now), Some(true));
+    assert_eq!(c.apply_heartbeat(&first, true, now), Some(true));
     c.add_job(spec("j-1", 1), 1, None, now);
-    c.place(now);
+    c.run_placement_pass(now);
     assert_eq!(c.jobs["j-1"].assignments.len(), 1, "it gets work at once");
-    assert!(c.answer(&first, now).commands.is_empty(), "not before the start is stored: writes lag");
-    let limits = TxnLimits { writes: 8, guards: 32, page_bytes: 4096, value_bytes: 4096 };
-    let batch = c.next_batch(9, &limits).expect("a start is to be stored");
+    assert!(c.reply_to_heartbeat(&first, now).commands.is_empty(), "not before the start is stored: writes lag");
+    let limits = TxnLimits { writes: 8, preconditions: 32, shard_bytes: 4096, value_bytes: 4096 };
+    let batch = c.next_commit(9, &limits).expect("a start is to be stored");
     let Some(Write::Set { set, data, .. }) = batch.txn.writes.first().cloned() else { panic!("a page") };
     let (id, page, at) =
-        read_page(&set, &KeyValue { key: set.clone(), value: data, revision: 11 }).expect("our own page");
+        read_shard(&set, &KeyValue { key: set.clone(), value: data, revision: 11 }).expect("our own page");
     // the next leader: no list has the machine, and it was never heard
     let mut next = cluster(5, now);
     next.add_job(spec("j-1", 1), 1, None, now);
     next.add_shard(id, page, &at, now);
-    next.list(&[], now);
-    next.place(now);
+    next.apply_machine_list(&[], now);
+    next.run_placement_pass(now);
     let m = &next.machines["i-7"];
     assert_eq!((&*m.zone, m.spot, m.tasks.len()), ("z2", true, 1));
     assert_eq!(next.jobs["j-1"].pending.len(), 0, "it is not started elsewhere");
-    next.deleted(&["i-7".into()], now);
+    next.apply_deletion(&["i-7".into()], now);
     assert_eq!(next.jobs["j-1"].pending.len(), 1);
 }
 
@@ -212,21 +212,21 @@
         |id: &str, tasks, shape| Arc::new(JobSpec { zone: Some("z1".into()), shape, ..(*spec(id, tasks)).clone() });
     c.add_job(bound("j-1", 8, Shape::Array), 1, None, t0);
     c.add_job(bound("j-2", 6, Shape::Gang), 2, None, t0);
-    c.place(t0);
+    c.run_placement_pass(t0);
     let begun = |c: &Cluster| ["j-1", "j-2", "j-3"].map(|id| c.jobs.get(id).map_or(0, |j| j.assignments.len()));
     assert_eq!(begun(&c), [8, 6, 0]);
     // the zone's machines die; others have room, which is not theirs
-    c.deleted(&["i-0".into(), "i-1".into()], t0);
+    c.apply_deletion(&["i-0".into(), "i-1".into()], t0);
     let now = t0 + Duration::from_secs(1);
     c.add_job(spec("j-3", 8), 3, None, now);
-    c.place(now);
+    c.run_placement_pass(now);
     assert_eq!(begun(&c), [0, 0, 8], "what may run elsewhere runs");
     assert!(c.machines.values().all(|m| &*m.zone != "z1" || m.tasks.is_empty()));
     // room comes back machine by machine
     zone(&mut c, "i-3", "z1", now);
-    c.place(now);
+    c.run_placement_pass(now);
     assert_eq!(begun(&c)[0], 8, "the array, whose turn it is");
     zone(&mut c, "i-4", "z1", now);
-    c.place(now);
+    c.run_placement_pass(now);
     assert_eq!(begun(&c), [8, 6, 8]);
 }
--- a/packages/core/src/reporting.rs
+++ b/packages/core/src/reporting.rs
@@ -28,7 +28,7 @@
 
 /// The controller that a worker is sent to: one of its own zone if there is any, by rendezvous
 /// hashing.  Where a controller comes or goes only its own workers move.
-pub fn assigned<'a>(machine: &str, zone: &str, all: &[Forwarder<'a>]) -> Option<&'a str> {
+pub fn assigned_forwarder<'a>(machine: &str, zone: &str, all: &[Forwarder<'a>]) -> Option<&'a str> {
     let hasher = FixedState::with_seed(0);
     let weight = |f: &&Forwarder<'a>| hasher.hash_one((machine, f.name));
     let near = all.iter().filter(|f| f.zone == zone).max_by_key(weight);
@@ -42,11 +42,11 @@
     /// Machine.
     pub machine: Name,
     /// Its session.
-    pub session: u64,
+    pub incarnation: u64,
     /// Number of this report.
-    pub tally: u64,
+    pub sequence: u64,
     /// Number of the report whose content it repeats.
-    pub after: u64,
+    pub repeats_sequence: u64,
 }
 
 /// What is sent to the leader of a report.
@@ -79,16 +79,16 @@
         match known.filter(|t| same_content(&t.report, r)) {
             Some(t) => Forwarded::Unchanged(Unchanged {
                 machine: r.machine.clone(),
-                session: r.incarnation,
-                tally: r.sequence,
-                after: t.report.sequence,
+                incarnation: r.incarnation,
+                sequence: r.sequence,
+                repeats_sequence: t.report.sequence,
             }),
             None => Forwarded::Full,
         }
     }
 
     /// The leader of this term has taken a report.
-    pub fn taken(&mut self, report: Heartbeat, term: u64, now: Instant) {
+    pub fn mark_accepted(&mut self, report: Heartbeat, term: u64, now: Instant) {
         let older = |t: &Taken| (t.report.incarnation, t.report.sequence) > (report.incarnation, report.sequence);
         if !self.taken.get(&report.machine).is_some_and(older) {
             self.taken.insert(report.machine.clone(), Taken { report, term, at: now });
@@ -101,7 +101,7 @@
     }
 
     /// Machines that have not reported here for so long report elsewhere.
-    pub fn tidy(&mut self, after: Duration, now: Instant) {
+    pub fn evict_idle(&mut self, after: Duration, now: Instant) {
         self.taken.retain(|_, t| now.saturating_duration_since(t.at) <= after);
     }
 
@@ -123,7 +123,7 @@
 
 /// Whether a leader of so many machines has the other controllers take their reports.  It goes
 /// on with that until there are markedly fewer.
-pub fn spreads(machines: usize, from: usize, spread: bool) -> bool {
+pub fn should_forward(machines: usize, from: usize, spread: bool) -> bool {
     let back = from - from / 4;
     machines > if spread { back } else { from }
 }
--- a/packages/core/src/reporting/tests.rs
+++ b/packages/core/src/reporting/tests.rs
@@ -18,17 +18,17 @@
     for (zone, of) in [("a", 3), ("b", 2), ("elsewhere", 5)] {
         let mut count = HashMap::new();
         for m in &machines {
-            let at = assigned(m, zone, &all).expect("there are some");
+            let at = assigned_forwarder(m, zone, &all).expect("there are some");
             *count.entry(at).or_insert(0) += 1;
             if at != "c4" {
-                assert_eq!(assigned(m, zone, &fewer), Some(at));
+                assert_eq!(assigned_forwarder(m, zone, &fewer), Some(at));
             }
         }
         assert_eq!(count.len(), of, "{zone}");
         let mean = machines.len() / of;
         assert!(count.values().all(|n| (mean * 3 / 4..mean * 5 / 4).contains(n)), "{count:?}");
     }
-    assert_eq!(assigned("i-1", "a", &[]), None);
+    assert_eq!(assigned_forwarder("i-1", "a", &[]), None);
 }
 
 fn running(c: &mut Cluster, tally: u64, now: Instant) -> Heartbeat {
@@ -50,19 +50,19 @@
 /// A report of a task that was started by a command, and all of it is known to the leader.
 fn settled(c: &mut Cluster, now: Instant) -> Heartbeat {
     let first = running(c, 1, now);
-    assert_eq!(c.report(&Heartbeat { tasks: Vec::new(), ..first.clone() }, true, now), Some(true));
+    assert_eq!(c.apply_heartbeat(&Heartbeat { tasks: Vec::new(), ..first.clone() }, true, now), Some(true));
     let task = first.tasks[0].task.clone();
     assert!(c.assign(&task, &first.machine, 1, now));
     if let Some(p) = c.machines.get_mut(&first.machine).and_then(|m| m.tasks.get_mut(&task)) {
         p.stored = true;
     }
     let second = running(c, 2, now);
-    assert_eq!(c.report(&second, true, now), Some(true));
+    assert_eq!(c.apply_heartbeat(&second, true, now), Some(true));
     second
 }
 
 fn unchanged(r: &Heartbeat, tally: u64) -> Unchanged {
-    Unchanged { machine: r.machine.clone(), session: r.incarnation, tally, after: r.sequence }
+    Unchanged { machine: r.machine.clone(), incarnation: r.incarnation, sequence: tally, repeats_sequence: r.sequence }
 }
 
 /// A report without news renews, and is no news; one that repeats anything but the last report
@@ -73,14 +73,14 @@
     let mut c = cluster(3, now);
     let r = settled(&mut c, now);
     let later = now + Duration::from_secs(9);
-    let answer = c.unchanged(&unchanged(&r, 3), later).expect("nothing is to be done there");
+    let answer = c.apply_unchanged(&unchanged(&r, 3), later).expect("nothing is to be done there");
     assert_eq!((answer.fencing_token, answer.commands.len()), (c.base_token(), 0));
     assert_eq!(c.machines[&r.machine].last_heartbeat, Some(later));
     // late copies, and one after a report that this leader has not had
-    assert!(c.unchanged(&unchanged(&r, 3), later).is_none());
-    assert!(c.unchanged(&Unchanged { after: 4, ..unchanged(&r, 5) }, later).is_none());
-    assert!(c.unchanged(&Unchanged { session: 2, after: 3, ..unchanged(&r, 4) }, later).is_none());
-    assert!(c.unchanged(&Unchanged { after: 3, ..unchanged(&r, 4) }, later).is_some());
+    assert!(c.apply_unchanged(&unchanged(&r, 3), later).is_none());
+    assert!(c.apply_unchanged(&Unchanged { repeats_sequence: 4, ..unchanged(&r, 5) }, later).is_none());
+    assert!(c.apply_unchanged(&Unchanged { incarnation: 2, repeats_sequence: 3, ..unchanged(&r, 4) }, later).is_none());
+    assert!(c.apply_unchanged(&Unchanged { repeats_sequence: 3, ..unchanged(&r, 4) }, later).is_some());
 }
 
 /// Where something is to be told to the worker, or is not known for sure, the whole report
@@ -102,18 +102,18 @@
         let mut c = cluster(3, now);
         let r = settled(&mut c, now);
         open(c.machines.get_mut(&r.machine).expect("it reported"));
-        assert!(c.unchanged(&unchanged(&r, 3), now).is_none(), "case {n}");
+        assert!(c.apply_unchanged(&unchanged(&r, 3), now).is_none(), "case {n}");
     }
     // a start that is decided and not sent
     let mut c = cluster(3, now);
     let r = settled(&mut c, now);
     c.add_job(spec("j-000002", 1), 2, None, now);
     assert!(c.assign(&Task { job: "j-000002".into(), index: 0 }, &r.machine, 2, now));
-    assert!(c.unchanged(&unchanged(&r, 3), now).is_none());
+    assert!(c.apply_unchanged(&unchanged(&r, 3), now).is_none());
     // a new leader has had nothing of it
     let mut next = cluster(4, now);
-    assert!(next.unchanged(&unchanged(&r, 3), now).is_none());
-    let answer = c.answer(&running(&mut next, 2, now), now);
+    assert!(next.apply_unchanged(&unchanged(&r, 3), now).is_none());
+    let answer = c.reply_to_heartbeat(&running(&mut next, 2, now), now);
     assert!(answer.commands.iter().all(|o| matches!(o, Command::Start { .. })));
 }
 
@@ -124,17 +124,17 @@
     let mut f = Forwarding::default();
     let r = |tally| report("i-000001", "z1", 1, tally, 7);
     assert_eq!(f.message(&r(1), 3), Forwarded::Full);
-    f.taken(r(1), 3, now);
+    f.mark_accepted(r(1), 3, now);
     assert_eq!(f.message(&r(4), 3), Forwarded::Unchanged(unchanged(&r(1), 4)));
     assert_eq!(f.message(&r(4), 4), Forwarded::Full, "another leader");
     assert_eq!(f.message(&r(1), 3), Forwarded::Full, "the same once more");
     assert_eq!(f.message(&Heartbeat { fencing_token: 8, ..r(4) }, 3), Forwarded::Full);
-    f.taken(r(4), 3, now);
-    f.taken(r(2), 3, now);
+    f.mark_accepted(r(4), 3, now);
+    f.mark_accepted(r(2), 3, now);
     assert_eq!(f.message(&r(5), 3), Forwarded::Unchanged(unchanged(&r(4), 5)), "an older answer came later");
-    f.tidy(Duration::from_secs(60), now + Duration::from_secs(61));
+    f.evict_idle(Duration::from_secs(60), now + Duration::from_secs(61));
     assert!(f.is_empty());
-    f.taken(r(4), 3, now);
+    f.mark_accepted(r(4), 3, now);
     f.forget("i-000001");
     assert_eq!(f.message(&r(5), 3), Forwarded::Full);
 }
@@ -142,6 +142,6 @@
 /// Spreading begins above a number of machines and ends markedly below it.
 #[test]
 fn spreading_does_not_come_and_go() {
-    assert!(!spreads(100, 100, false) && spreads(101, 100, false));
-    assert!(spreads(90, 100, true) && !spreads(75, 100, true));
+    assert!(!should_forward(100, 100, false) && should_forward(101, 100, false));
+    assert!(should_forward(90, 100, true) && !should_forward(75, 100, true));
 }
--- a/packages/core/src/sim/controllers.rs
+++ b/packages/core/src/sim/controllers.rs
@@ -117,10 +117,10 @@
             .filter(|(p, _)| p.starts_with(key::PAGE))
             .map(|(path, (data, stamp))| {
                 let item = KeyValue { key: path.clone(), value: data.clone(), revision: *stamp };
-                read_page(path, &item).expect("own page")
+                read_shard(path, &item).expect("own page")
             })
             .collect();
-        let begun = begun(pages.iter().map(|p| &p.1));
+        let begun = started_jobs(pages.iter().map(|p| &p.1));
         for (spec, stamp) in self.jobs.values() {
             // what is over is known only where a page names it
             match (self.store.outcome(&spec.id), begun.contains(&spec.id)) {
@@ -135,7 +135,7 @@
         for (id, page, machines) in pages {
             c.add_shard(id, page, &machines, at);
         }
-        c.list(&self.some_list(), at);
+        c.apply_machine_list(&self.some_list(), at);
         // an earlier leader goes on believing in itself until its time is up
         self.controllers[who] = Some(Controller {
             until: s.sent + ttl,
@@ -210,7 +210,7 @@
             }
             let acts = self.now < c.until;
             if reaches {
-                for n in c.cluster.dependency.to_ask(3, Duration::from_secs(1), now) {
+                for n in c.cluster.dependency.outcomes_to_fetch(3, Duration::from_secs(1), now) {
                     if let Some(f) = self.store.outcome(&n) {
                         c.cluster.set_outcome(&n, f, now);
                     }
@@ -219,7 +219,7 @@
             if self.sabotage == Sabotage::EarlyRelease {
                 let early = c.cluster.jobs.values().filter(|j| j.is_completing()).map(|j| j.spec.id.clone());
                 for id in early.collect::<Vec<_>>() {
-                    for h in c.cluster.dependency.ended(&id, JobOutcome::Done) {
+                    for h in c.cluster.dependency.apply_outcome(&id, JobOutcome::Done) {
                         c.cluster.release_blocked_job(h);
                     }
                 }
@@ -228,16 +228,16 @@
                 c.cluster.machines.values_mut().for_each(|m| m.last_direct_fence = None);
             }
             if self.sabotage == Sabotage::NoCascade {
-                for id in c.cluster.dependency.doomed().cloned().collect::<Vec<_>>() {
-                    c.cluster.dependency.started(&id);
+                for id in c.cluster.dependency.needing_cancelled().cloned().collect::<Vec<_>>() {
+                    c.cluster.dependency.unblock(&id);
                 }
             }
             if acts && self.now.is_multiple_of(500) {
-                c.wants = c.cluster.place(now);
+                c.wants = c.cluster.run_placement_pass(now);
                 c.cluster.collect_garbage(now);
                 if self.now.is_multiple_of(2000) {
                     let list = self.some_list();
-                    c.cluster.list(&list, now);
+                    c.cluster.apply_machine_list(&list, now);
                     if self.sabotage == Sabotage::ListIsProof {
                         let has = |n: &Name| list.iter().any(|l| l.name == *n);
                         let gone: Vec<Name> = c.cluster.machines.keys().filter(|n| !has(n)).cloned().collect();
@@ -245,7 +245,7 @@
                             c.cluster.release_all_assignments(&n, now);
                         }
                     }
-                    let plan = c.cluster.plan(&c.wants, now);
+                    let plan = c.cluster.plan_fleet(&c.wants, now);
                     if !plan.delete.is_empty() {
                         self.send(Message::Delete { names: plan.delete, from: i, life: c.life });
                     }
@@ -266,16 +266,16 @@
                 }
             }
             if acts {
-                for call in c.cluster.direct(usize::MAX) {
+                for call in c.cluster.take_direct_commands(usize::MAX) {
                     self.send(Message::Direct { from: i, life: c.life, call });
                 }
             }
             if let Some((batch, ..)) = c.flying.take_if(|f| self.now - f.2 > 1500) {
                 // no answer: it may be carried out yet
-                c.cluster.not_committed(batch);
+                c.cluster.restore_uncommitted(batch);
             }
             if c.flying.is_none() {
-                if let Some(mut batch) = c.cluster.next_batch(c.stamp, &self.limits) {
+                if let Some(mut batch) = c.cluster.next_commit(c.stamp, &self.limits) {
                     if believes {
                         batch.txn.preconditions.retain(|g| g.key != key::LEADER && !g.key.starts_with(key::PAGE));
                     }
@@ -324,7 +324,7 @@
                 self.takes_forwarded(by, term, to, message, report, number);
             }
             Message::Taken { by, term, report, whole } => match whole {
-                true => self.forwarding[by].taken(report, term, now),
+                true => self.forwarding[by].mark_accepted(report, term, now),
                 false => self.forwarding[by].forget(&report.machine),
             },
             Message::Report { to, report, number } if self.forwards_from(to) => {
@@ -350,12 +350,12 @@
                     }
                     let over = &self.pictures[to].over;
                     let Some(c) = self.controllers[to].as_mut() else { return };
-                    if c.cluster.report(&report, true, now).is_none() {
+                    if c.cluster.apply_heartbeat(&report, true, now).is_none() {
                         return;
                     }
                     let ended =
                         |id: &Name| over.contains(id) || c.cluster.jobs.get(id).is_some_and(|j| j.outcome.is_some());
-                    let answer = keep_alive(&report, c.cluster.token_for(&report.machine), ended);
+                    let answer = lease_renewal_reply(&report, c.cluster.fencing_token_for(&report.machine), ended);
                     self.answers(&report, number, answer);
                     return;
                 }
@@ -363,13 +363,13 @@
                     return;
                 }
                 let Some(c) = self.controllers[to].as_mut().filter(|c| t < c.until) else { return };
-                if c.cluster.report(&report, true, now).is_none() {
+                if c.cluster.apply_heartbeat(&report, true, now).is_none() {
                     return;
                 }
                 if c.cluster.queue_changed {
-                    c.wants = c.cluster.place(now);
+                    c.wants = c.cluster.run_placement_pass(now);
                 }
-                let answer = c.cluster.answer(&report, now);
+                let answer = c.cluster.reply_to_heartbeat(&report, now);
                 self.answers(&report, number, answer);
             }
             Message::Answer { machine, number, session, answer } => {
@@ -428,7 +428,7 @@
                         .get(&call.machine)
                         .is_some_and(|m| m.in_doubt_token.is_none_or(|d| d == call.body.fencing_token));
                     if flying && current {
-                        c.cluster.direct_over(&call, report.as_ref(), now);
+                        c.cluster.apply_direct_result(&call, report.as_ref(), now);
                     }
                 }
             }
@@ -460,14 +460,14 @@
                 let Some((batch, ..)) = c.flying.take_if(|f| f.1 == number) else { return };
                 match outcome {
                     Some(Ok(rev)) => {
-                        for (id, outcome) in c.cluster.committed(batch, rev, now) {
+                        for (id, outcome) in c.cluster.apply_commit(batch, rev, now) {
                             self.learns(to, &id, outcome, rev);
                         }
                     }
                     _ => {
-                        c.cluster.not_committed(batch);
+                        c.cluster.restore_uncommitted(batch);
                         for (k, item) in found {
-                            c.cluster.resolve(&k, item.as_ref(), now);
+                            c.cluster.reconcile_key(&k, item.as_ref(), now);
                         }
                     }
                 }
@@ -492,7 +492,7 @@
             }
             Message::Deleted { names, to, life } => {
                 if let Some(c) = self.controller(to, life) {
-                    c.cluster.deleted(&names, now);
+                    c.cluster.apply_deletion(&names, now);
                 }
             }
         }
@@ -531,21 +531,21 @@
         let Some(c) = self.controllers[to].as_mut().filter(acts).filter(|_| leads) else { return };
         let answer = match &message {
             Forwarded::Full => {
-                if c.cluster.report(&report, true, now).is_none() {
+                if c.cluster.apply_heartbeat(&report, true, now).is_none() {
                     return;
                 }
                 if c.cluster.queue_changed {
-                    c.wants = c.cluster.place(now);
+                    c.wants = c.cluster.run_placement_pass(now);
                 }
-                Some(c.cluster.answer(&report, now))
+                Some(c.cluster.reply_to_heartbeat(&report, now))
             }
             // taken for news, however late it comes
             Forwarded::Unchanged(u) if careless => {
                 let last = c.cluster.machines.get(&u.machine).map_or(0, |m| m.sequence);
                 let news = Heartbeat { sequence: last + 1, ..report.clone() };
-                c.cluster.report(&news, true, now).map(|_| c.cluster.answer(&news, now))
+                c.cluster.apply_heartbeat(&news, true, now).map(|_| c.cluster.reply_to_heartbeat(&news, now))
             }
-            Forwarded::Unchanged(u) => c.cluster.unchanged(u, now),
+            Forwarded::Unchanged(u) => c.cluster.apply_unchanged(u, now),
         };
         let Some(answer) = answer else {
             return self.send(Message::Taken { by, term, report, whole: false });
@@ -580,7 +580,7 @@
                     m.command_in_flight && m.in_doubt_token.is_none_or(|d| d == call.body.fencing_token)
                 });
                 if current {
-                    c.cluster.direct_over(&call, None, now);
+                    c.cluster.apply_direct_result(&call, None, now);
                     if forget {
                         if let Some(m) = c.cluster.machines.get_mut(&call.machine) {
                             m.in_doubt_token = None;
--- a/packages/core/src/sim/history.rs
+++ b/packages/core/src/sim/history.rs
@@ -7,7 +7,7 @@
 use std::collections::{HashSet, VecDeque};
 
 use super::*;
-use crate::answers::{cancellations, submissions, Accepted, Inquiry, Step, Verdict, View, Wish, Word};
+use crate::answers::{cancellations_txn, submissions_txn, Accepted, Inquiry, Step, Verdict, View, Wish, Word};
 use crate::knowledge::{Telling, Withdrawals};
 use crate::ledger::{Ended, Ledger, Standing, Sweep};
 use crate::lookup::{Found, Lookup};
@@ -122,9 +122,9 @@
     /// Learns of an end, however.
     fn ends(&mut self, id: &str, outcome: JobOutcome, stamp: u64, now: Instant) {
         if outcome == JobOutcome::Cancelled {
-            self.withdrawals.add(stamp, id, now);
+            self.withdrawals.record(stamp, id, now);
         }
-        self.ledger.ends(id, outcome);
+        self.ledger.apply_outcome(id, outcome);
     }
 }
 
@@ -235,16 +235,16 @@
         let desk = &mut self.desks[d];
         if desk.sweep.is_none() && !desk.synced {
             let epoch = self.service.store.epoch;
-            desk.ledger.begins(epoch);
-            desk.withdrawals.begins(epoch, now);
+            desk.ledger.raise_floor(epoch);
+            desk.withdrawals.begin_watch(epoch, now);
             (desk.since, desk.sweep) = (Some(epoch), Some(Sweep::new(HashSet::new())));
         }
         if let Some(s) = desk.sweep.as_mut() {
             if let Some((under, rows, truncated)) = desk.held.take() {
-                s.page(under, rows, truncated);
-                s.enter(&mut desk.ledger, |_| {});
+                s.add_page(under, rows, truncated);
+                s.apply_pages(&mut desk.ledger, |_| {});
             }
-            match s.need() {
+            match s.next_page() {
                 Some(n) => {
                     let (rows, truncated) = self.service.page(n.under, &n.since, most);
                     desk.held = Some((n.under, rows, truncated));
@@ -279,17 +279,17 @@
             let (Some(path), Some(data)) = (e.set.as_deref(), e.value.clone()) else { continue };
             if let Some(id) = path.strip_prefix(key::OUTCOME) {
                 if let (Some(s), true) = (desk.sweep.as_mut(), self.fault != Fault::BlindSweep) {
-                    s.ended([id.into()].into_iter());
+                    s.mark_ended([id.into()].into_iter());
                 }
                 let f = read_value::<OutcomeRecord>(path, data).expect("our own record");
                 desk.ends(id, f.outcome, e.revision, now);
             } else if path.starts_with(key::JOB) {
                 let spec = read_value::<JobSpec>(path, data).expect("our own record");
-                desk.ledger.seen(Arc::new(spec), e.revision);
+                desk.ledger.insert_seen(Arc::new(spec), e.revision);
             }
         }
         desk.since = Some(self.service.store.epoch);
-        desk.ledger.begins(self.service.store.epoch);
+        desk.ledger.raise_floor(self.service.store.epoch);
     }
 
     fn read_answers(&mut self, d: usize) {
@@ -297,9 +297,9 @@
         let desk = &mut self.desks[d];
         for (spec, stamp) in desk.unread.drain(..) {
             if late {
-                desk.ledger.seen(spec, stamp);
+                desk.ledger.insert_seen(spec, stamp);
             } else {
-                desk.ledger.stored(spec, stamp);
+                desk.ledger.insert_stored(spec, stamp);
             }
         }
     }
@@ -323,7 +323,7 @@
             return;
         }
         let mut txn = Txn::default();
-        key::end(&mut txn, &id, JobOutcome::Done);
+        key::put_outcome(&mut txn, &id, JobOutcome::Done);
         let stamp = self.service.apply(&txn).expect("it has no end");
         // whoever wrote it knows at once, or by the watch alone
         if self.rng.bool() {
@@ -337,7 +337,7 @@
             return;
         }
         let (batch, now) = (std::mem::take(&mut self.desks[d].queue), self.at());
-        let txn = submissions(batch.iter().map(|(_, spec, doomed)| (&**spec, *doomed)));
+        let txn = submissions_txn(batch.iter().map(|(_, spec, needs_cancelled_job)| (&**spec, *needs_cancelled_job)));
         // refused in an outage; its answer may be lost, or it may come much later
         let (refused, luck) = (self.outage, self.rng.u32(0..12));
         let outcome = match luck {
@@ -360,11 +360,11 @@
                 back.extend(batch.iter().map(|b| (b.0, word)));
             }
             Some(Ok(stamp)) => {
-                for (n, spec, doomed) in batch {
+                for (n, spec, needs_cancelled_job) in batch {
                     let end = format!("{}{}", key::OUTCOME, spec.id);
                     let ends = txn.writes.iter().any(|w| matches!(w, Write::Set { set, .. } if *set == end));
                     self.desks[d].unread.push((spec.clone(), stamp));
-                    if ends || doomed && self.fault == Fault::OwnIdeaOfEnds {
+                    if ends || needs_cancelled_job && self.fault == Fault::OwnIdeaOfEnds {
                         self.read_answers(d);
                         self.desks[d].ends(&spec.id, JobOutcome::Cancelled, stamp, now);
                     }
@@ -375,7 +375,7 @@
             Some(Err(keys)) => {
                 for b in batch {
                     match keys.contains(&format!("{}{}", key::JOB, b.1.id)) {
-                        true => back.push((b.0, Accepted::Before)),
+                        true => back.push((b.0, Accepted::AlreadyStored)),
                         false => self.desks[d].queue.push(b),
                     }
                 }
@@ -402,11 +402,11 @@
         let (now, n) = (self.at(), self.rng.usize(0..2));
         let other = (d + 1 + n) % 3;
         let desk = &mut self.desks[d];
-        let (told, _) = desk.telling.for_sibling(n, &desk.withdrawals, &self.policy, now);
+        let (told, _) = desk.telling.for_peer(n, &desk.withdrawals, &self.policy, now);
         for w in &told {
-            self.desks[other].ends(&w.id, JobOutcome::Cancelled, w.stamp, now);
+            self.desks[other].ends(&w.id, JobOutcome::Cancelled, w.revision, now);
         }
-        self.desks[d].telling.taken(n, &told);
+        self.desks[d].telling.mark_acknowledged(n, &told);
     }
 
     /// A request gets one step further.
@@ -425,16 +425,16 @@
             At::LookUp(mut l) => match (l.txn(), self.outage) {
                 (Some(_), true) => {
                     let never = self.fault == Fault::OutageForgets;
-                    a.at = At::Found(never.then_some(Found::Never));
+                    a.at = At::Found(never.then_some(Found::NotFound));
                 }
                 (Some(txn), false) => {
                     match self.service.apply(&txn) {
-                        Ok(_) => l.as_guarded(),
+                        Ok(_) => l.mark_settled(),
                         Err(mut keys) => {
                             // a conflict may name any of the keys that are in its way
                             self.rng.shuffle(&mut keys);
                             keys.truncate(self.rng.usize(1..4));
-                            assert!(l.conflict(&keys), "a look-up goes round in circles");
+                            assert!(l.apply_conflict(&keys), "a look-up goes round in circles");
                         }
                     }
                     a.at = At::LookUp(l);
@@ -448,11 +448,11 @@
                             let outcome = self.service.store.outcome(&a.id).expect("it has an end");
                             let spec = Arc::new(read_value::<JobSpec>(&item.key, item.value).expect("our own record"));
                             let (now, stamp) = (self.at(), item.revision);
-                            self.desks[a.desk].ledger.remember(Ended { spec, stamp, outcome });
+                            self.desks[a.desk].ledger.insert_ended(Ended { spec, revision: stamp, outcome });
                             if outcome == JobOutcome::Cancelled {
-                                self.desks[a.desk].withdrawals.add(stamp, &a.id, now);
+                                self.desks[a.desk].withdrawals.record(stamp, &a.id, now);
                             }
-                            Some(Found::Over(outcome))
+                            Some(Found::Ended(outcome))
                         }
                     };
                     if let Some(f) = &found {
@@ -467,22 +467,22 @@
             }
             At::Cancel => a.at = At::Ended(self.cancels(&a, lost)),
             At::Found(found) => {
-                a.q.looked_up(found);
+                a.q.apply_lookup(found);
                 a.at = At::Desk;
             }
             At::Confirmed(end) => {
-                a.q.confirmed(end);
+                a.q.apply_confirmation(end);
                 a.at = At::Desk;
             }
             At::Stored(word) => {
                 if self.rng.bool() {
                     self.read_answers(a.desk);
                 }
-                a.q.stored(word, &mut self.desks[a.desk].ledger);
+                a.q.apply_store_result(word, &mut self.desks[a.desk].ledger);
                 a.at = At::Desk;
             }
             At::Ended(outcome) => {
-                a.q.ended(outcome);
+                a.q.apply_cancellation(outcome);
                 a.at = At::Desk;
             }
             At::Said(word) => return self.hears(&a, word),
@@ -495,7 +495,7 @@
         if self.outage {
             return None;
         }
-        let (txn, now) = (cancellations(std::slice::from_ref(&a.id)), self.at());
+        let (txn, now) = (cancellations_txn(std::slice::from_ref(&a.id)), self.at());
         if lost && self.rng.bool() {
             self.late.push(txn);
             self.seen[4] += 1;
@@ -517,22 +517,22 @@
         let (now, fault) = (self.at(), self.fault);
         let first = !std::mem::replace(&mut a.looked, true);
         let desk = &mut self.desks[a.desk];
-        let memory = first && matches!(desk.ledger.standing(&a.id), Standing::Ended(_));
+        let memory = first && matches!(desk.ledger.status_of(&a.id), Standing::Ended(_));
         self.seen[0] += u32::from(memory);
         let whole = desk.synced.then_some(now);
-        let step = a.q.next(&mut View {
-            ledger: &mut desk.ledger,
-            withdrawals: &desk.withdrawals,
-            telling: &mut desk.telling,
-            whole,
-            all_tell: true,
-            clear: false,
+        let step = a.q.next_action(&mut View {
+            jobs: &mut desk.ledger,
+            cancellations: &desk.withdrawals,
+            notices: &mut desk.telling,
+            cancellations_complete_as_of: whole,
+            notices_required: true,
+            no_task_left: false,
             policy: &self.policy,
             now,
         });
         match step {
-            Step::Say(word) => At::Said(word),
-            Step::LookUp if fault == Fault::EvictionForgets => At::Found(Some(Found::Never)),
+            Step::Reply(word) => At::Said(word),
+            Step::LookUp if fault == Fault::EvictionForgets => At::Found(Some(Found::NotFound)),
             Step::LookUp if fault == Fault::StaleLookUp && desk.old.contains_key(&a.id) => {
                 At::Found(desk.old.get(&a.id).cloned())
             }
@@ -543,44 +543,44 @@
             Step::Confirm if fault == Fault::Unconfirmed => At::Confirmed(Some(None)),
             Step::Confirm => At::Confirm,
             Step::Cancel => At::Cancel,
-            Step::Judge => {
+            Step::Validate => {
                 // one in four of some is judged after the end of what it needs is known
-                let doomed = a.id.ends_with('5') && self.rng.u32(0..4) == 0;
-                a.q.judged(match (desk.synced, never_runs(&a.id)) {
-                    (false, _) => Verdict::Later("not ready"),
-                    (_, true) => Verdict::Impossible("unknown team"),
-                    _ => Verdict::Fine { doomed },
+                let needs_cancelled_job = a.id.ends_with('5') && self.rng.u32(0..4) == 0;
+                a.q.apply_validation(match (desk.synced, never_runs(&a.id)) {
+                    (false, _) => Verdict::Undetermined("not ready"),
+                    (_, true) => Verdict::Unsatisfiable("unknown team"),
+                    _ => Verdict::Valid { needs_cancelled_job },
                 });
                 At::Desk
             }
-            Step::Store { doomed } => {
-                desk.queue.push((n, spec(&a.id, 1), doomed));
+            Step::Store { needs_cancelled_job } => {
+                desk.queue.push((n, spec(&a.id, 1), needs_cancelled_job));
                 At::Queue
             }
-            Step::Tell => match a.patience {
-                0 => At::Said(Word::Later("not every controller knows of it yet")),
+            Step::NotifyPeers => match a.patience {
+                0 => At::Said(Word::RetryLater("not every controller knows of it yet")),
                 _ => {
                     a.patience -= 1;
                     self.tells(a.desk);
                     At::Desk
                 }
             },
-            Step::Read(ids) => panic!("{ids:?} are needed by nobody"),
+            Step::ReadOutcomes(ids) => panic!("{ids:?} are needed by nobody"),
         }
     }
 
     /// A user has an answer.
     fn hears(&mut self, a: &Asked, word: Word) {
         let said = match word {
-            Word::Later(_) => return,
+            Word::RetryLater(_) => return,
             Word::Accepted | Word::Unfinished => Said::Unfinished,
-            Word::Over(JobOutcome::Done) => Said::Done,
-            Word::Over(JobOutcome::Cancelled) => Said::Cancelled,
-            Word::Never if a.wish == Wish::Submit => {
+            Word::Ended(JobOutcome::Done) => Said::Done,
+            Word::Ended(JobOutcome::Cancelled) => Said::Cancelled,
+            Word::NotFound if a.wish == Wish::Submit => {
                 self.broken.push(format!("{}: a submission is answered with 404", a.id));
                 Said::Never
             }
-            Word::Never | Word::Impossible(_) => Said::Never,
+            Word::NotFound | Word::Unsatisfiable(_) => Said::Never,
         };
         let stored = match self.service.store.outcome(&a.id) {
             _ if self.service.job(&a.id).is_none() => Said::Never,
@@ -617,7 +617,7 @@
                 59..=63 => self.end(d),
                 64..=67 => {
                     let id = self.id();
-                    self.sends(d, id, Wish::Withdraw);
+                    self.sends(d, id, Wish::Cancel);
                 }
                 68..=73 => {
                     let id = self.id();
@@ -647,7 +647,7 @@
                     let id = self.id();
                     if !self.outage && !never_runs(&id) {
                         self.submitted.entry(id.clone()).or_insert(self.now);
-                        let _ = self.service.apply(&submissions([(&*spec(&id, 1), false)].into_iter()));
+                        let _ = self.service.apply(&submissions_txn([(&*spec(&id, 1), false)].into_iter()));
                     }
                     self.end(d);
                 }
--- a/packages/core/src/sim/mod.rs
+++ b/packages/core/src/sim/mod.rs
@@ -14,11 +14,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crate::answers::{cancellations, submissions};
+use crate::answers::{cancellations_txn, submissions_txn};
 use crate::cluster::ListedMachine;
 use crate::cluster::{Cluster, MachineState, TeamLimit};
 use crate::commit::TxnLimits;
-use crate::commit::{begun, read_page, Batch};
+use crate::commit::{read_shard, started_jobs, Batch};
 use crate::config::Config;
 use crate::key;
 use crate::model::*;
@@ -419,8 +419,8 @@
             quiet: if scale > 100 { 30 } else { 100 },
             limits: TxnLimits {
                 writes: 8.max(scale / 40),
-                guards: 32.max(scale / 10),
-                page_bytes: 4096.max(scale * 15),
+                preconditions: 32.max(scale / 10),
+                shard_bytes: 4096.max(scale * 15),
                 value_bytes: 4096.max(scale * 15),
             },
             value_most: usize::MAX,
@@ -497,7 +497,7 @@
         if spec.spread && spec.zone.is_some() {
             Arc::make_mut(&mut spec).zone = None;
         }
-        let stamp = self.store.apply(&submissions([(&*spec, false)].into_iter())).expect("a new job");
+        let stamp = self.store.apply(&submissions_txn([(&*spec, false)].into_iter())).expect("a new job");
         if self.rng.u32(0..12) == 0 {
             self.mistaken.insert(spec.id.clone());
         }
@@ -531,7 +531,7 @@
             // who takes the withdrawal ends what needs the job, as far as it knows
             ends.extend(open.iter().filter(|o| self.jobs[*o].0.needs.contains(id)).take(2).cloned());
         }
-        let txn = cancellations(&ends);
+        let txn = cancellations_txn(&ends);
         if let Ok(stamp) = self.store.apply(&txn) {
             for id in ends {
                 self.learns(by, &id, JobOutcome::Cancelled, stamp);
@@ -683,10 +683,10 @@
                 // without notice
                 self.lowered = self.now;
                 let l = self.limits;
-                self.limits = TxnLimits { writes: l.writes / 2, page_bytes: l.page_bytes / 4, ..l };
+                self.limits = TxnLimits { writes: l.writes / 2, shard_bytes: l.shard_bytes / 4, ..l };
             }
             if self.now == until / 2 {
-                self.value_most = self.limits.page_bytes;
+                self.value_most = self.limits.shard_bytes;
             }
             let calm = self.now >= calm_from;
             for _ in 0..self.scale.div_ceil(9) {
@@ -797,7 +797,7 @@
                 if !wrong.is_empty() {
                     if let Some(c) = w.controllers.iter().flatten().find(|c| w.now < c.until) {
                         let held: Vec<_> =
-                            c.cluster.dependency.held().map(|h| (&h.spec.id, &h.spec.needs, &h.missing)).collect();
+                            c.cluster.dependency.blocked().map(|h| (&h.spec.id, &h.spec.needs, &h.missing)).collect();
                         println!("term {} led since {}: {held:?}", c.cluster.term, w.led);
                     }
                     println!("seed {} at {} ms: {wrong:?}", 1000 + seed, w.now);
--- a/packages/core/src/sim/pictures.rs
+++ b/packages/core/src/sim/pictures.rs
@@ -58,9 +58,9 @@
         let names = ["0", "1", "2"];
         let others = (0..3).filter(|j| *j != i);
         if self.sabotage == Sabotage::SomeSiblings {
-            return others.filter_map(|j| self.pictures[i].knowledge.whole([names[j]])).max();
+            return others.filter_map(|j| self.pictures[i].knowledge.complete_as_of([names[j]])).max();
         }
-        self.pictures[i].knowledge.whole(others.map(|j| names[j]))
+        self.pictures[i].knowledge.complete_as_of(others.map(|j| names[j]))
     }
 
     /// A controller in a zone that is cut off renews its workers' leases.
@@ -96,7 +96,7 @@
         let now = self.at(self.now);
         let p = &mut self.pictures[i];
         if outcome == JobOutcome::Cancelled {
-            p.list.add(stamp, id, now);
+            p.list.record(stamp, id, now);
         }
         p.over.insert(id.clone());
         if let Some(c) = self.controllers[i].as_mut() {
@@ -115,7 +115,7 @@
             let p = &mut self.pictures[i];
             let told = !self.told
                 || self.sabotage == Sabotage::TellsAtOnce
-                || p.telling.may_tell(&id, &p.list, &self.policy, now);
+                || p.telling.may_confirm(&id, &p.list, &self.policy, now);
             if told {
                 self.cancelled.insert(id.clone(), self.now);
                 self.withdrawn.remove(&id);
@@ -131,14 +131,14 @@
                 if j != i {
                     // its siblings' numbers as it counts them
                     let p = &mut self.pictures[i];
-                    let (told, _) = p.telling.for_sibling(j, &p.list, &self.policy, now);
+                    let (told, _) = p.telling.for_peer(j, &p.list, &self.policy, now);
                     for w in &told {
-                        self.learns(j, &w.id, JobOutcome::Cancelled, w.stamp);
+                        self.learns(j, &w.id, JobOutcome::Cancelled, w.revision);
                     }
-                    self.pictures[i].telling.taken(j, &told);
+                    self.pictures[i].telling.mark_acknowledged(j, &told);
                 }
                 if clear {
-                    self.pictures[i].telling.clear(&id);
+                    self.pictures[i].telling.settle(&id);
                 }
             }
         }
@@ -172,7 +172,7 @@
             Some(e) => e,
             None => {
                 let now = self.at(self.now);
-                self.pictures[i].list.begins(epoch, now);
+                self.pictures[i].list.begin_watch(epoch, now);
                 let over: Vec<Name> = self.store.ends.iter().map(|e| e.1.clone()).collect();
                 self.pictures[i].over.extend(over);
                 epoch
@@ -185,22 +185,22 @@
         let now = self.at(self.now);
         let p = &mut self.pictures[i];
         p.watch = Some(epoch);
-        p.knowledge.shown(now);
+        p.knowledge.watch_answered(now);
     }
 
     /// One asks another for its account.
     fn asks(&mut self, i: usize, j: usize) {
         let name = ["0", "1", "2"][j];
         let Some(since) = self.pictures[i].watch else { return };
-        let (life, had) = self.pictures[i].knowledge.asks(name);
+        let (life, had) = self.pictures[i].knowledge.next_request(name);
         if self.pictures[j].watch.is_none() {
             return;
         }
-        let Some(a) = self.pictures[j].list.account(since, life, had) else { return };
-        for w in &a.known {
-            self.learns(i, &w.id, JobOutcome::Cancelled, w.stamp);
+        let Some(a) = self.pictures[j].list.batch_since(since, life, had) else { return };
+        for w in &a.cancellations {
+            self.learns(i, &w.id, JobOutcome::Cancelled, w.revision);
         }
         let now = self.at(self.now);
-        self.pictures[i].knowledge.told(name, now, &a);
+        self.pictures[i].knowledge.peer_answered(name, now, &a);
     }
 }
--- a/packages/core/src/sim/rules.rs
+++ b/packages/core/src/sim/rules.rs
@@ -56,7 +56,7 @@
             long && self.store.outcome(n) == Some(JobOutcome::Done)
         };
         let led = self.controllers.iter().flatten().filter(|c| self.now < c.until);
-        let held = led.flat_map(|c| c.cluster.dependency.held());
+        let held = led.flat_map(|c| c.cluster.dependency.blocked());
         held.filter(|h| h.spec.needs.iter().all(over)).map(|h| h.spec.id.to_string()).collect()
     }
 
--- a/packages/core/src/workers.rs
+++ b/packages/core/src/workers.rs
@@ -39,7 +39,7 @@
 /// An answer that renews the worker's lease, starts nothing, and stops what
 /// belongs to jobs that are known to be over: that is right at any time and by
 /// whomever.
-pub fn keep_alive(r: &Heartbeat, token: u64, over: impl Fn(&Name) -> bool) -> HeartbeatReply {
+pub fn lease_renewal_reply(r: &Heartbeat, token: u64, over: impl Fn(&Name) -> bool) -> HeartbeatReply {
     let stops = |t: &&TaskStatus| t.state != TaskState::Exited && over(&t.task.job);
     let halt = |t: &TaskStatus| Command::Stop { task: t.task.clone(), attempt: t.attempt, grace: 0.0 };
     HeartbeatReply {
@@ -55,7 +55,7 @@
     /// `closing`: it is a report proper, and no answer to an earlier one can
     /// be carried out any more.  The report in the answer to a direct command
     /// says nothing of that.
-    pub fn report(&mut self, r: &Heartbeat, closing: bool, now: Instant) -> Option<bool> {
+    pub fn apply_heartbeat(&mut self, r: &Heartbeat, closing: bool, now: Instant) -> Option<bool> {
         let token = self.base_token();
         let mut raised = None;
         if r.fencing_token > token + self.machines.get(&r.machine).map_or(0, |m| m.fence_offset) {
@@ -148,7 +148,7 @@
 
         // 2. what is listed
         for t in &r.tasks {
-            self.reported(r, t, fenced, now);
+            self.apply_task_status(r, t, fenced, now);
         }
         Some(true)
     }
@@ -157,14 +157,15 @@
     ///
     /// It is taken only if nothing came of this machine in between and nothing on it is open:
     /// then all of the report would change nothing either.
-    pub fn unchanged(&mut self, u: &Unchanged, now: Instant) -> Option<HeartbeatReply> {
-        let token = self.token_for(&u.machine);
+    pub fn apply_unchanged(&mut self, u: &Unchanged, now: Instant) -> Option<HeartbeatReply> {
+        let token = self.fencing_token_for(&u.machine);
         let m = self.machines.get_mut(&u.machine)?;
-        let last = (m.incarnation, m.sequence) == (u.session, u.after) && u.tally > u.after;
+        let last =
+            (m.incarnation, m.sequence) == (u.incarnation, u.repeats_sequence) && u.sequence > u.repeats_sequence;
         if !last || m.last_heartbeat.is_none() || !m.is_settled() {
             return None;
         }
-        m.sequence = u.tally;
+        m.sequence = u.sequence;
         m.last_heartbeat = Some(now);
         Some(HeartbeatReply { fencing_token: token, commands: Vec::new() })
     }
@@ -172,14 +173,14 @@
     /// Whether something on this machine is on its way into the store, a
     /// start or a completed task: the answer that waits for it saves the next
     /// task a report interval.
-    pub fn start_pending(&self, r: &Heartbeat) -> bool {
+    pub fn has_pending_start(&self, r: &Heartbeat) -> bool {
         let Some(m) = self.machines.get(&r.machine) else { return false };
         let pending = |p: &Place| !p.stored && p.stop_grace_s.is_none() || p.phase == Phase::Completed;
         (m.incarnation, m.sequence) == (r.incarnation, r.sequence) && m.tasks.values().any(pending)
     }
 
     /// The answer to a report that has been taken in.
-    pub fn answer(&mut self, r: &Heartbeat, now: Instant) -> HeartbeatReply {
+    pub fn reply_to_heartbeat(&mut self, r: &Heartbeat, now: Instant) -> HeartbeatReply {
         let base = self.base_token();
         let mut orders = Vec::new();
         let Some(m) = self.machines.get_mut(&r.machine).filter(|m| m.removed_at.is_none()) else {
@@ -232,7 +233,7 @@
     }
 
     /// The token that answers to a machine carry.
-    pub fn token_for(&self, machine: &Name) -> u64 {
+    pub fn fencing_token_for(&self, machine: &Name) -> u64 {
         self.base_token() + self.machines.get(machine).map_or(0, |m| m.fence_offset)
     }
 
@@ -240,7 +241,7 @@
     /// new stops.  One call a machine at a time.
     /// Those of the first `most` machines; the others' turn comes with the
     /// next call.
-    pub fn direct(&mut self, most: usize) -> Vec<Direct> {
+    pub fn take_direct_commands(&mut self, most: usize) -> Vec<Direct> {
         let base = self.base_token();
         let mut calls = Vec::new();
         while calls.len() < most {
@@ -288,7 +289,7 @@
     }
 
     /// A direct command was answered (with the worker's report), or not.
-    pub fn direct_over(&mut self, d: &Direct, answer: Option<&Heartbeat>, now: Instant) {
+    pub fn apply_direct_result(&mut self, d: &Direct, answer: Option<&Heartbeat>, now: Instant) {
         let Some(m) = self.machines.get_mut(&d.machine) else { return };
         m.command_in_flight = false;
         self.machines_to_command.insert(d.machine.clone());
@@ -298,7 +299,7 @@
                 if m.in_doubt_token == Some(d.body.fencing_token) {
                     m.in_doubt_token = None;
                 }
-                self.report(r, false, now);
+                self.apply_heartbeat(r, false, now);
             }
             // it may be carried out minutes later: the next answers carry a
             // higher token, and a report that shows it ends the doubt
@@ -309,8 +310,8 @@
     /// `fenced`: the report is under this term's token.  One that is not may be of any
     /// age, and this leader has nothing to hold it against.
     #[expect(clippy::too_many_lines, reason = "longer than the limit since before it; to be divided")]
-    fn reported(&mut self, r: &Heartbeat, t: &TaskStatus, fenced: bool, now: Instant) {
-        if let Some(h) = self.dependency.started(&t.task.job) {
+    fn apply_task_status(&mut self, r: &Heartbeat, t: &TaskStatus, fenced: bool, now: Instant) {
+        if let Some(h) = self.dependency.unblock(&t.task.job) {
             // a command leaves only after its start is stored, and that only
             // after the ends of all that the job needs
             self.release_blocked_job(h);
@@ -331,7 +332,7 @@
                     if p.phase != Phase::Completed {
                         p.phase = Phase::Completed;
                         let p = p.clone();
-                        self.observe(&r.machine, &p, now);
+                        self.record_runtime(&r.machine, &p, now);
                     }
                 }
                 if !finishing {
@@ -347,7 +348,7 @@
                 }
                 let since = p.assigned_at;
                 self.release_assignment(&r.machine, &t.task, now);
-                self.ended(&r.machine, &t.task, cause, over, since, now);
+                self.apply_task_exit(&r.machine, &t.task, cause, over, since, now);
             }
             if let Some(m) = self.machines.get_mut(&r.machine) {
                 m.exited.insert(t.task.clone(), t.attempt);
@@ -424,7 +425,15 @@
     }
 
     /// A task that was placed at `since` ended without completing.
-    fn ended(&mut self, machine: &Name, task: &Task, cause: ExitCause, over: bool, since: Instant, now: Instant) {
+    fn apply_task_exit(
+        &mut self,
+        machine: &Name,
+        task: &Task,
+        cause: ExitCause,
+        over: bool,
+        since: Instant,
+        now: Instant,
+    ) {
         let rest = self.policy.failure_rest;
         if !matches!(cause, ExitCause::StoppedByCommand) {
             tracing::debug!("{task} on {machine} ended: {cause:?}");
@@ -433,7 +442,7 @@
             return;
         }
         if cause == ExitCause::Failed {
-            return self.failed(machine, &task.job, since, now);
+            return self.record_failure(machine, &task.job, since, now);
         }
         let (Some(m), Some(job)) = (self.machines.get_mut(machine), self.jobs.get_mut(&task.job)) else { return };
         match cause {
@@ -454,7 +463,7 @@
     /// that have yet to show counted by a quarter.  Then its machines are
     /// cleared of the blame, what of it still waits for its image is stopped,
     /// and single probes follow further and further apart.
-    fn failed(&mut self, machine: &Name, id: &Name, since: Instant, now: Instant) {
+    fn record_failure(&mut self, machine: &Name, id: &Name, since: Instant, now: Instant) {
         let rest = self.policy.failure_rest;
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.failed_on.insert(machine.clone());
@@ -487,7 +496,7 @@
                 let fetches = |p: &Place| matches!(p.phase, Phase::Assigned | Phase::Pulling);
                 let wait: Vec<_> = placed.iter().filter(|p| place(p).is_some_and(fetches)).cloned().collect();
                 for n in job.failed_on.clone() {
-                    self.acquit(&n, id);
+                    self.clear_failure(&n, id);
                 }
                 for (m, t) in wait {
                     self.request_stop(&m, &t, 0.0, now);
@@ -505,11 +514,11 @@
                 return;
             }
         }
-        self.acquit(machine, id);
+        self.clear_failure(machine, id);
     }
 
     /// A machine is not to blame for a broken job's failures.
-    fn acquit(&mut self, machine: &Name, id: &Name) {
+    fn clear_failure(&mut self, machine: &Name, id: &Name) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         m.failed_jobs.remove(id);
         if m.failed_jobs.is_empty() {
@@ -523,7 +532,7 @@
 
     /// A completed task tells of its machine's speed.  Only completed tasks
     /// count, or an instantly failing machine would look fast.
-    fn observe(&mut self, machine: &Name, p: &Place, now: Instant) {
+    fn record_runtime(&mut self, machine: &Name, p: &Place, now: Instant) {
         let Some(since) = p.running_since else { return };
         let ran = now.duration_since(since).as_secs_f64();
         if let Some(m) = self.machines.get_mut(machine) {
--- a/packages/core/src/workers/tests.rs
+++ b/packages/core/src/workers/tests.rs
@@ -13,14 +13,14 @@
     let full = (4 << 24) - 1;
     assert_eq!(raise_token(full), full, "never into the next term");
     let report = |tally, token| crate::sim::report("i-1", "z0", 1, tally, token);
-    assert_eq!(c.report(&report(1, seen), true, now), Some(true));
+    assert_eq!(c.apply_heartbeat(&report(1, seen), true, now), Some(true));
     let m = c.machines.get_mut("i-1").expect("it reported");
     (m.in_doubt_token, m.last_direct_fence) = (Some(seen), Some(0));
     // the cut heals: it speaks the leader's term, and a token that it never gave
-    assert_eq!(c.report(&report(2, held), true, now), Some(true));
+    assert_eq!(c.apply_heartbeat(&report(2, held), true, now), Some(true));
     assert_eq!(c.machines["i-1"].in_doubt_token, None, "the start is refused by now");
-    assert!(c.answer(&report(2, held), now).fencing_token >= held, "or the answer would be dropped");
-    assert_eq!(c.report(&report(3, 4 << 24), true, now), None, "a later term's");
+    assert!(c.reply_to_heartbeat(&report(2, held), now).fencing_token >= held, "or the answer would be dropped");
+    assert_eq!(c.apply_heartbeat(&report(3, 4 << 24), true, now), None, "a later term's");
 }
 
 use super::*;
@@ -72,7 +72,7 @@
             reclaim_in_s: None,
             tasks: tasks.iter().map(task).collect(),
         };
-        assert_eq!(self.c.report(&r, true, self.now), Some(true));
+        assert_eq!(self.c.apply_heartbeat(&r, true, self.now), Some(true));
     }
 
     /// Time passes, and all that was placed is told as `state` says.
@@ -100,17 +100,17 @@
 fn a_broken_job_is_probed_and_nothing_more() {
     let mut f = Floor::new(6);
     f.c.add_job(spec("j-000001", 100), 1, None, f.now);
-    f.c.place(f.now);
+    f.c.run_placement_pass(f.now);
     assert_eq!(f.on("j-000001"), 48);
     f.all_tell(|_, _| FAILED);
     assert!(f.c.jobs["j-000001"].quarantine.is_some());
     assert!((0..6).all(|i| f.machine(i).is_schedulable(f.now, &f.c.policy)), "a machine is blamed");
     let mut apart = Vec::new();
     for _ in 0..5 {
-        assert!(f.c.place(f.now).is_empty(), "a machine is rented for what only waits to fail");
+        assert!(f.c.run_placement_pass(f.now).is_empty(), "a machine is rented for what only waits to fail");
         assert_eq!(f.on("j-000001"), 1, "more than a probe");
         f.all_tell(|_, _| FAILED);
-        assert!(f.c.place(f.now).is_empty() && f.on("j-000001") == 0);
+        assert!(f.c.run_placement_pass(f.now).is_empty() && f.on("j-000001") == 0);
         let due = f.c.jobs["j-000001"].not_before.expect("a rest");
         apart.push(due - f.now);
         f.now = due;
@@ -118,9 +118,9 @@
     }
     assert!(apart.windows(2).all(|w| w[1] >= w[0] * 3 / 2), "{apart:?}");
     // its first success ends all that
-    f.c.place(f.now);
+    f.c.run_placement_pass(f.now);
     f.all_tell(|_, _| DONE);
-    f.c.place(f.now);
+    f.c.run_placement_pass(f.now);
     assert!(f.c.jobs["j-000001"].quarantine.is_none() && f.on("j-000001") > 40);
 }
 
@@ -138,7 +138,7 @@
     }
     f.all_tell(|i, _| if i < 2 { FAILED } else { RUNNING });
     assert!(f.c.jobs.values().all(|j| j.quarantine.is_none()));
-    f.c.place(f.now);
+    f.c.run_placement_pass(f.now);
     f.now += f.c.policy.failure_rest * 3;
     f.all_tell(|i, _| if i < 2 { FAILED } else { RUNNING });
     let blamed = |i: usize| f.machine(i).cordon_reason.is_some() || f.machine(i).cooldown_until.is_some();
@@ -190,11 +190,11 @@
             c.add_shard(page as u32, Page { revision: 1, starts: vec![start], completed: vec![] }, &at, now);
         }
         let old = crate::sim::report("i-1", "z0", 3, 9, 2 << 24);
-        assert_eq!(c.report(&old, true, now), Some(true));
+        assert_eq!(c.apply_heartbeat(&old, true, now), Some(true));
         assert!(c.machines[&machine].tasks.values().any(|p| p.occupies_resources()), "{order:?}: the place is free");
         // a later session is a proof, and so is this term's token
         let later = Heartbeat { incarnation: 4, sequence: 10, ..old.clone() };
-        assert_eq!(c.report(&later, true, now), Some(true));
+        assert_eq!(c.apply_heartbeat(&later, true, now), Some(true));
         assert!(c.machines[&machine].tasks.is_empty());
     }
 }
@@ -252,17 +252,17 @@
     for (n, day) in days.iter().enumerate() {
         let mut c = leader();
         for (tally, token, tasks) in *day {
-            assert_eq!(c.report(&report(*tally, *token, tasks), true, now), Some(true));
+            assert_eq!(c.apply_heartbeat(&report(*tally, *token, tasks), true, now), Some(true));
             assert_eq!(there(&c), (Some(attempt), Some(attempt)), "day {n}, report {tally}");
         }
         // the first word under this term's token tells
-        assert_eq!(c.report(&report(30, this, &[("j-1", attempt, RUNNING)]), true, now), Some(true));
+        assert_eq!(c.apply_heartbeat(&report(30, this, &[("j-1", attempt, RUNNING)]), true, now), Some(true));
         assert_eq!(there(&c), (Some(attempt), None), "day {n}");
-        assert_eq!(c.report(&report(31, this, &[]), true, now), Some(true));
+        assert_eq!(c.apply_heartbeat(&report(31, this, &[]), true, now), Some(true));
         assert_eq!(there(&c), (None, None), "day {n}");
     }
     // another session is a proof whatever its token
     let mut c = leader();
-    assert_eq!(c.report(&Heartbeat { incarnation: 2, ..report(1, old, &[]) }, true, now), Some(true));
+    assert_eq!(c.apply_heartbeat(&Heartbeat { incarnation: 2, ..report(1, old, &[]) }, true, now), Some(true));
     assert_eq!(there(&c), (None, None));
 }
--- a/src/gates.rs
+++ b/src/gates.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use coralnotch_core::gate::{raised, Gates, Member, Shown, CHAINS, KNOWN, REPORTS, TOLD};
+use coralnotch_core::gate::{next_enabled, Gates, Member, Shown, CHAINS, KNOWN, REPORTS, TOLD};
 
 use crate::authority::Authority;
 use crate::node::Node;
@@ -27,38 +27,38 @@
     pub(crate) fn shows(&self, name: &str, knows: Vec<String>, version: String, at: Instant) {
         let mut roster = lock(&self.peers.roster);
         // who asks does not say its version; its answers do
-        let version = match roster.of(name) {
+        let version = match roster.get(name) {
             Some(s) if version.is_empty() && !knows.is_empty() => s.version.clone(),
             _ => version,
         };
-        roster.shown(name, Shown { knows, version, at });
+        roster.record(name, Shown { features: knows, version, seen_at: at });
     }
 
     /// The siblings' versions, as far as they have told.
     pub(crate) fn versions(&self) -> std::collections::BTreeMap<String, String> {
         let roster = lock(&self.peers.roster);
-        let of = |s: &Shown| match (s.knows.is_empty(), s.version.is_empty()) {
+        let of = |s: &Shown| match (s.features.is_empty(), s.version.is_empty()) {
             (true, _) => "earlier".to_owned(),
             (false, true) => "not told yet".to_owned(),
             (false, false) => s.version.clone(),
         };
         let names = self.config.siblings.iter().map(|s| &s.name);
-        names.filter_map(|n| Some((n.clone(), of(roster.of(n)?)))).collect()
+        names.filter_map(|n| Some((n.clone(), of(roster.get(n)?)))).collect()
     }
 
     /// The stored record of what is on, as the store shows it.
     pub(crate) fn gates_are(&self, g: &Gates, stamp: u64, now: Instant) {
         let mut i = self.lock();
         i.gates = i.gates.max(stamp);
-        if i.told_since.is_none() && g.on.iter().any(|f| f == TOLD) {
+        if i.told_since.is_none() && g.enabled.iter().any(|f| f == TOLD) {
             tracing::info!("all controllers have {TOLD}: on since term {}", g.term);
             i.told_since = Some(now);
         }
-        if !i.reports_on && g.on.iter().any(|f| f == REPORTS) {
+        if !i.reports_on && g.enabled.iter().any(|f| f == REPORTS) {
             tracing::info!("all controllers have {REPORTS}: on since term {}", g.term);
             i.reports_on = true;
         }
-        if !i.chains && g.on.iter().any(|f| f == CHAINS) {
+        if !i.chains && g.enabled.iter().any(|f| f == CHAINS) {
             tracing::info!("all controllers have {CHAINS}: on since term {}", g.term);
             i.chains = true;
         }
@@ -79,7 +79,7 @@
                     Some(h) => self.store.renew(h, self.policy.ttl / 2).await.map(|()| h),
                     None => {
                         let h = self.store.grant(self.policy.cut_keep.min(LONGEST_LEASE)).await?;
-                        let member = Member { knows: known(), version: VERSION.to_owned() };
+                        let member = Member { features: known(), version: VERSION.to_owned() };
                         let path = format!("{}{}", key::MEMBER, self.config.name);
                         let txn = Txn { preconditions: vec![], writes: vec![Write::set_with_lease(path, &member, h)] };
                         self.store.txn(&txn).await.map(|_| h)
@@ -123,10 +123,10 @@
             let is_on = |f: &str| already.contains(&(f, true));
             let on = {
                 let (now, roster) = (Instant::now(), lock(&self.peers.roster));
-                raised(is_on, |f| roster.all_have(names.clone(), f, self.policy.cut_keep, now))
+                next_enabled(is_on, |f| roster.all_have(names.clone(), f, self.policy.cut_keep, now))
             };
             if let Some(on) = on {
-                let gates = Gates { on, term: a.term };
+                let gates = Gates { enabled: on, term: a.term };
                 let mut txn = Txn { preconditions: vec![], writes: vec![Write::set(key::GATES, &gates)] };
                 txn.require(key::LEADER, a.stamp);
                 txn.require(key::GATES, stamp);
@@ -145,9 +145,10 @@
     /// has answered as an earlier version since the record was made is one.
     fn record_found(&self, name: &str, m: Member, now: Instant) {
         let mut roster = lock(&self.peers.roster);
-        let contradicts = |s: &Shown| s.knows.is_empty() && now.saturating_duration_since(s.at) <= self.policy.ttl * 2;
-        if !roster.of(name).is_some_and(contradicts) {
-            roster.shown(name, Shown { knows: m.knows, version: m.version, at: now });
+        let contradicts =
+            |s: &Shown| s.features.is_empty() && now.saturating_duration_since(s.seen_at) <= self.policy.ttl * 2;
+        if !roster.get(name).is_some_and(contradicts) {
+            roster.record(name, Shown { features: m.features, version: m.version, seen_at: now });
         }
     }
 }
