--- a/src/intake.rs
+++ b/src/intake.rs
@@ -15,7 +15,7 @@
 use crate::cluster::raise_token;
 use crate::http::{self, Request, Response};
 use coralnotch_core::answers::{
-    cancellations, impossible, submissions, Accepted, Inquiry, Step, Verdict, View, Wish, Word,
+    cancellations_txn, submissions_txn, unsatisfiable_reason, Accepted, Inquiry, Step, Verdict, View, Wish, Word,
 };
 use coralnotch_core::lookup::{Found, Lookup};
 
@@ -26,7 +26,7 @@
 use crate::store::{key, read_value, Error, Txn, TxnOutcome, Write};
 use crate::telemetry::{count, Timed};
 use crate::wait::timed;
-use crate::workers::{keep_alive, Heartbeat, HeartbeatOrigin, HeartbeatReply};
+use crate::workers::{lease_renewal_reply, Heartbeat, HeartbeatOrigin, HeartbeatReply};
 
 #[derive(Serialize)]
 struct Redirect<'a> {
@@ -204,7 +204,8 @@
         let _ = timed(self.policy.commit_wait, async {
             loop {
                 let stored = self.stored.listen();
-                let pending = self.lock().cluster.as_ref().is_some_and(|c| reports.iter().any(|r| c.start_pending(r)));
+                let pending =
+                    self.lock().cluster.as_ref().is_some_and(|c| reports.iter().any(|r| c.has_pending_start(r)));
                 if !pending {
                     return;
                 }
@@ -221,7 +222,7 @@
         // checked at the moment of answering: the lease may have run out
         if self.leads(&i, now) {
             if let Some(c) = i.cluster.as_mut() {
-                return Response::new(200, &c.answer(report, now));
+                return Response::new(200, &c.reply_to_heartbeat(report, now));
             }
         }
         Response::refuse(503, "leads no more")
@@ -251,8 +252,8 @@
             let outage = i.authority.is_some_and(|a| self.store.failing() && self.peers.outage(a.term, fresh, now))
                 && self.may_renew(&i, now);
             if let Some(c) = i.cluster.as_mut().filter(|_| outage) {
-                if c.report(report, true, now).is_some() {
-                    let token = c.token_for(&report.machine);
+                if c.apply_heartbeat(report, true, now).is_some() {
+                    let token = c.fencing_token_for(&report.machine);
                     return Err(Response::new(200, &self.keep_alive(&i, report, token)));
                 }
             } else if self.alone(&i, report, now) {
@@ -268,7 +269,7 @@
             });
         }
         let Some(c) = i.cluster.as_mut() else { return Err(Response::refuse(503, "not ready")) };
-        match c.report(report, true, now) {
+        match c.apply_heartbeat(report, true, now) {
             None => {
                 tracing::error!("{} has seen a token above ours", report.machine);
                 return Err(Response::refuse(503, "outdated"));
@@ -281,7 +282,7 @@
             self.pass(&mut i, now);
         }
         let Some(c) = i.cluster.as_mut() else { return Ok(false) };
-        let pending = c.start_pending(report);
+        let pending = c.has_pending_start(report);
         if let Some(m) = c.machines.get_mut(&report.machine) {
             m.reply_pending = pending;
         }
@@ -322,7 +323,9 @@
     fn keep_alive(&self, i: &Inner, report: &Heartbeat, token: u64) -> HeartbeatReply {
         count(&self.telemetry.counters.kept_alive);
         let led = |id: &Name| i.cluster.as_ref().and_then(|c| c.jobs.get(id)).and_then(|j| j.outcome);
-        keep_alive(report, token, |id| i.withdrawals.knows(id) || i.ledger.outcome(id).or_else(|| led(id)).is_some())
+        lease_renewal_reply(report, token, |id| {
+            i.withdrawals.contains(id) || i.ledger.outcome(id).or_else(|| led(id)).is_some()
+        })
     }
 
     async fn submit(&self, body: &[u8]) -> Response {
@@ -343,22 +346,22 @@
         {
             let i = self.lock();
             if !i.synced || i.types.is_empty() {
-                return Verdict::Later("not ready");
+                return Verdict::Undetermined("not ready");
             }
-            if let Some(why) = impossible(spec, &self.config.deployment.teams, &i.types) {
-                return Verdict::Impossible(why);
+            if let Some(why) = unsatisfiable_reason(spec, &self.config.deployment.teams, &i.types) {
+                return Verdict::Unsatisfiable(why);
             }
         }
         if stored_bytes(spec) > self.store.most.value_bytes {
-            return Verdict::Later("larger than the state service takes now");
+            return Verdict::Undetermined("larger than the state service takes now");
         }
         self.validate_needs(spec).await
     }
 
     /// Hands a submission over to be stored, with those that wait meanwhile.
-    async fn stored(&self, spec: Arc<JobSpec>, doomed: bool) -> Accepted {
+    async fn stored(&self, spec: Arc<JobSpec>, needs_cancelled_job: bool) -> Accepted {
         let (reply, answer) = smol::channel::bounded(1);
-        if self.intake.submissions.0.try_send((spec, doomed, reply)).is_err() {
+        if self.intake.submissions.0.try_send((spec, needs_cancelled_job, reply)).is_err() {
             return Accepted::Unknown;
         }
         timed(SUBMIT_LIMIT, answer.recv()).await.and_then(Result::ok).unwrap_or(Accepted::Unknown)
@@ -369,19 +372,19 @@
     /// "Never accepted" is the store's word alone: what is known here may lag.
     async fn validate_needs(&self, spec: &JobSpec) -> Verdict {
         if spec.needs.is_empty() {
-            return Verdict::Fine { doomed: false };
+            return Verdict::Valid { needs_cancelled_job: false };
         }
-        let (mut unknown, mut doomed, mut wrong) = (Vec::new(), false, None);
+        let (mut unknown, mut needs_cancelled_job, mut wrong) = (Vec::new(), false, None);
         {
             let mut i = self.lock();
             if !i.chains {
-                return Verdict::Later("not every controller knows of jobs that wait for others yet");
+                return Verdict::Undetermined("not every controller knows of jobs that wait for others yet");
             }
             for n in &spec.needs {
-                let needed = match i.ledger.standing(n) {
+                let needed = match i.ledger.status_of(n) {
                     Standing::Open(o) => o.spec,
                     Standing::Ended(e) => {
-                        doomed |= e.outcome == JobOutcome::Cancelled;
+                        needs_cancelled_job |= e.outcome == JobOutcome::Cancelled;
                         e.spec
                     }
                     Standing::Unknown => {
@@ -400,23 +403,23 @@
         if wrong.is_none() && !unknown.is_empty() {
             wrong = match timed(QUERY_LIMIT, self.exist(&unknown)).await.flatten() {
                 Some(wrong) => wrong,
-                None => return Verdict::Later("the state service does not answer"),
+                None => return Verdict::Undetermined("the state service does not answer"),
             };
         }
-        wrong.map_or(Verdict::Fine { doomed }, Verdict::Impossible)
+        wrong.map_or(Verdict::Valid { needs_cancelled_job }, Verdict::Unsatisfiable)
     }
 
     /// What speaks against needing these jobs, which are not known here; many in
     /// one comparison.  `None` if that cannot be told now.
     async fn exist(&self, ids: &[Name]) -> Option<Option<&'static str>> {
-        for some in ids.chunks((self.store.most.guards / 2).max(1)) {
+        for some in ids.chunks((self.store.most.preconditions / 2).max(1)) {
             let mut asked = Lookup::new(some.iter());
             if !self.settle(&mut asked).await {
                 return None;
             }
             for id in some {
                 match asked.found(id) {
-                    Some(Found::Never) => return Some(Some("needs a job that was never accepted")),
+                    Some(Found::NotFound) => return Some(Some("needs a job that was never accepted")),
                     Some(_) => {
                         // unfinished, and the watch has not shown it yet
                         self.lookup_pause(1.0).await;
@@ -448,7 +451,8 @@
             }
             let mut tries = 0;
             while !batch.is_empty() {
-                let txn = submissions(batch.iter().map(|(spec, doomed, _)| (&**spec, *doomed)));
+                let txn =
+                    submissions_txn(batch.iter().map(|(spec, needs_cancelled_job, _)| (&**spec, *needs_cancelled_job)));
                 let sent = Instant::now();
                 let outcome = self.store.txn(&txn).await;
                 let now = Instant::now();
@@ -471,7 +475,7 @@
                         // those exist already, perhaps by a try of ours
                         for k in &failed {
                             for (_, _, reply) in batch.extract_if(.., |(s, ..)| *k == format!("{}{}", key::JOB, s.id)) {
-                                let _ = reply.try_send(Accepted::Before);
+                                let _ = reply.try_send(Accepted::AlreadyStored);
                             }
                         }
                     }
@@ -498,7 +502,7 @@
         let Some(item) = self.store.get(&job).await? else { return Ok(None) };
         let end = self.store.get(&end).await?;
         let spec = read_value::<JobSpec>(&job, item.value).ok_or(Error::Unreadable)?;
-        let open = Open { spec: Arc::new(spec), stamp: item.revision };
+        let open = Open { spec: Arc::new(spec), revision: item.revision };
         let outcome = match end {
             None => None,
             Some(e) => {
@@ -508,9 +512,9 @@
         if let Some((outcome, at)) = outcome {
             let mut i = self.lock();
             if outcome == JobOutcome::Cancelled {
-                i.withdrawals.add(at, id, Instant::now());
+                i.withdrawals.record(at, id, Instant::now());
             }
-            i.ledger.remember(Ended { spec: open.spec.clone(), stamp: open.stamp, outcome });
+            i.ledger.insert_ended(Ended { spec: open.spec.clone(), revision: open.revision, outcome });
         }
         Ok(Some((open, outcome.map(|f| f.0))))
     }
@@ -540,8 +544,8 @@
         while let Some(txn) = asked.txn() {
             self.lookup_pause(1.0).await;
             match self.store.txn(&txn).await {
-                Ok(TxnOutcome::Done(_)) => asked.as_guarded(),
-                Ok(TxnOutcome::Conflict(keys)) if asked.conflict(&keys) => {}
+                Ok(TxnOutcome::Done(_)) => asked.mark_settled(),
+                Ok(TxnOutcome::Conflict(keys)) if asked.apply_conflict(&keys) => {}
                 Ok(TxnOutcome::Conflict(_)) | Err(_) => return false,
             }
         }
@@ -556,7 +560,7 @@
         while let Ok(first) = queue.recv().await {
             smol::Timer::after(self.policy.confirm_gap).await;
             let mut batch = vec![first];
-            while batch.len() < self.store.most.guards / 2 {
+            while batch.len() < self.store.most.preconditions / 2 {
                 let Ok(next) = queue.try_recv() else { break };
                 batch.push(next);
             }
@@ -571,7 +575,7 @@
                 self.lookup_pause(2.0).await;
                 let read = self.read_job(&id).await;
                 let found = match read {
-                    Ok(Some((_, Some(outcome)))) => Some(Found::Over(outcome)),
+                    Ok(Some((_, Some(outcome)))) => Some(Found::Ended(outcome)),
                     _ => None,
                 };
                 for (_, reply) in batch.extract_if(.., |(i, _)| *i == id) {
@@ -597,7 +601,7 @@
         while let Ok(first) = queue.recv().await {
             smol::Timer::after(self.policy.confirm_gap).await;
             let mut batch = vec![first];
-            while batch.len() < self.store.most.guards {
+            while batch.len() < self.store.most.preconditions {
                 let Ok(next) = queue.try_recv() else { break };
                 batch.push(next);
             }
@@ -648,7 +652,7 @@
     /// A job's state for display.
     fn state(&self, id: &Name, outcome: Option<JobOutcome>) -> JobState {
         let i = self.lock();
-        let tasks = i.ledger.tasks(id).unwrap_or(0);
+        let tasks = i.ledger.task_count(id).unwrap_or(0);
         let (mut done, mut running) = (0, 0);
         match outcome {
             Some(JobOutcome::Done) => done = tasks,
@@ -711,7 +715,7 @@
     /// What a job has to do with other jobs, as far as is known here.
     fn explained(&self, state: JobState) -> JobExplanation {
         let mut i = self.lock();
-        let spec = match i.ledger.standing(&state.id) {
+        let spec = match i.ledger.status_of(&state.id) {
             Standing::Open(o) => Some(o.spec),
             Standing::Ended(e) => Some(e.spec),
             Standing::Unknown => None,
@@ -720,7 +724,7 @@
         let cancelled = state.stage == JobOutcome::Cancelled.as_str();
         let of = |n: &&Name| i.ledger.outcome(n) == Some(JobOutcome::Cancelled);
         let cancelled_with = needs.iter().filter(|_| cancelled).find(of).cloned();
-        let open = |n: &Name| matches!(i.ledger.standing(n), Standing::Open(_));
+        let open = |n: &Name| matches!(i.ledger.status_of(n), Standing::Open(_));
         let waits_for = needs.into_iter().filter(open).filter(|_| !cancelled).collect();
         JobExplanation { state, waits_for, cancelled_with }
     }
@@ -732,22 +736,24 @@
             let told = self.told.listen();
             let now = Instant::now();
             match (self.next(id, &mut q, now), &spec) {
-                (Step::Say(word), _) => return word,
-                (Step::LookUp, _) => q.looked_up(self.look(id).await),
-                (Step::Confirm, _) => q.confirmed(self.end_of(id).await),
-                (Step::Cancel, _) => q.ended(self.cancel(id).await.ok()),
-                (Step::Read(ids), _) => q.read(began.elapsed() < QUERY_LIMIT && self.read_ends(ids).await),
-                (Step::Judge, Some(spec)) => q.judged(self.validate(spec).await),
-                (Step::Store { doomed }, Some(spec)) => {
-                    let outcome = self.stored(spec.clone(), doomed).await;
-                    q.stored(outcome, &mut self.lock().ledger);
+                (Step::Reply(word), _) => return word,
+                (Step::LookUp, _) => q.apply_lookup(self.look(id).await),
+                (Step::Confirm, _) => q.apply_confirmation(self.end_of(id).await),
+                (Step::Cancel, _) => q.apply_cancellation(self.cancel(id).await.ok()),
+                (Step::ReadOutcomes(ids), _) => {
+                    q.apply_outcomes_read(began.elapsed() < QUERY_LIMIT && self.read_ends(ids).await)
+                }
+                (Step::Validate, Some(spec)) => q.apply_validation(self.validate(spec).await),
+                (Step::Store { needs_cancelled_job }, Some(spec)) => {
+                    let outcome = self.stored(spec.clone(), needs_cancelled_job).await;
+                    q.apply_store_result(outcome, &mut self.lock().ledger);
                 }
-                (Step::Judge | Step::Store { .. }, None) => return Word::Never,
-                (Step::Tell, _) => {
+                (Step::Validate | Step::Store { .. }, None) => return Word::NotFound,
+                (Step::NotifyPeers, _) => {
                     self.to_tell.notify(usize::MAX);
                     let limit = *told_by.get_or_insert(now + TELL_LIMIT);
                     let Some(left) = limit.checked_duration_since(now) else {
-                        return Word::Later("not every controller knows of it yet");
+                        return Word::RetryLater("not every controller knows of it yet");
                     };
                     timed(left.min(self.policy.renew / 4), told).await;
                 }
@@ -760,13 +766,13 @@
         let mut guard = self.lock();
         let i = &mut *guard;
         let (whole, clear) = (self.whole(i), i.clear_of(id, now));
-        q.next(&mut View {
-            ledger: &mut i.ledger,
-            withdrawals: &i.withdrawals,
-            telling: &mut i.telling,
-            whole,
-            all_tell: i.told_since.is_some(),
-            clear,
+        q.next_action(&mut View {
+            jobs: &mut i.ledger,
+            cancellations: &i.withdrawals,
+            notices: &mut i.telling,
+            cancellations_complete_as_of: whole,
+            notices_required: i.told_since.is_some(),
+            no_task_left: clear,
             policy: &self.policy,
             now,
         })
@@ -779,10 +785,10 @@
                 Response::new(201, &JobState { id: id.clone(), stage: "pending".into(), done: 0, running: 0 })
             }
             Word::Unfinished => Response::new(200, &self.state(id, None)),
-            Word::Over(outcome) => Response::new(200, &self.state(id, Some(outcome))),
-            Word::Never => Response::refuse(404, "no such job"),
-            Word::Impossible(why) => Response::refuse(422, why),
-            Word::Later(why) => Response::refuse(503, why),
+            Word::Ended(outcome) => Response::new(200, &self.state(id, Some(outcome))),
+            Word::NotFound => Response::refuse(404, "no such job"),
+            Word::Unsatisfiable(why) => Response::refuse(422, why),
+            Word::RetryLater(why) => Response::refuse(503, why),
         }
     }
 
@@ -793,7 +799,7 @@
         let id: Name = id.into();
         match self.inquire(&id, Wish::Query, None).await {
             Word::Unfinished if why => Response::new(200, &self.explained(self.state(&id, None))),
-            Word::Over(outcome) if why => Response::new(200, &self.explained(self.state(&id, Some(outcome)))),
+            Word::Ended(outcome) if why => Response::new(200, &self.explained(self.state(&id, Some(outcome)))),
             word => self.say(&id, word),
         }
     }
@@ -803,8 +809,8 @@
             return Response::refuse(404, "no such job");
         }
         let id: Name = id.into();
-        let word = timed(SUBMIT_LIMIT, self.inquire(&id, Wish::Withdraw, None)).await;
-        self.say(&id, word.unwrap_or(Word::Later("the state service does not answer")))
+        let word = timed(SUBMIT_LIMIT, self.inquire(&id, Wish::Cancel, None)).await;
+        self.say(&id, word.unwrap_or(Word::RetryLater("the state service does not answer")))
     }
 
     /// Reads the ends of some of these, which came before this controller began: what is
@@ -822,10 +828,10 @@
     async fn cancel(&self, id: &str) -> Result<JobOutcome, Error> {
         // with it as many of those that need it as fit; the leader has the rest
         let mut ends = vec![Name::from(id)];
-        ends.extend(self.lock().ledger.after(id, self.store.most.writes.saturating_sub(1)));
+        ends.extend(self.lock().ledger.dependents(id, self.store.most.writes.saturating_sub(1)));
         let path = format!("{}{id}", key::OUTCOME);
         loop {
-            let txn = cancellations(&ends);
+            let txn = cancellations_txn(&ends);
             match self.store.txn(&txn).await? {
                 TxnOutcome::Done(stamp) => {
                     let now = Instant::now();
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -12,7 +12,7 @@
 
 use crate::authority::Authority;
 use crate::cluster::{Cluster, Page, Rental, Whereabouts};
-use crate::commit::{begun, read_page};
+use crate::commit::{read_shard, started_jobs};
 use crate::ledger::{Open, Standing};
 use crate::model::*;
 use crate::node::Node;
@@ -76,7 +76,7 @@
         let asked = timed(self.policy.renew, self.ask_all(true));
         let stored = futures_util::future::join(self.store.list(key::PAGE), self.store.list(key::RENTAL));
         let ((pages, rentals), _) = futures_util::future::join(stored, asked).await;
-        let pages: Vec<_> = pages?.into_iter().filter_map(|i| read_page(&i.key, &i)).collect();
+        let pages: Vec<_> = pages?.into_iter().filter_map(|i| read_shard(&i.key, &i)).collect();
         let mut stored = Stored { pages, rentals: rentals?, over: HashMap::new() };
         loop {
             let missing = match self.take_over(a, stored, Instant::now()) {
@@ -115,12 +115,12 @@
         c.set_types(&i.types);
         // what has a start or a completed task on record had all it needs: no
         // start is stored before that.  Held back, its tasks would count nowhere
-        let begun = begun(stored.pages.iter().map(|p| &p.1));
+        let begun = started_jobs(stored.pages.iter().map(|p| &p.1));
         for o in i.ledger.open() {
             if begun.contains(&o.spec.id) {
-                c.add_started_job(o.spec.clone(), o.stamp, None, now);
+                c.add_started_job(o.spec.clone(), o.revision, None, now);
             } else {
-                c.add_job(o.spec.clone(), o.stamp, None, now);
+                c.add_job(o.spec.clone(), o.revision, None, now);
             }
         }
         let mut missing = HashSet::new();
@@ -128,9 +128,9 @@
             if c.jobs.contains_key(id) || missing.contains(id) {
                 continue;
             }
-            match (i.ledger.standing(id), stored.over.get(id)) {
-                (Standing::Ended(e), _) => c.add_job(e.spec, e.stamp, Some(e.outcome), now),
-                (_, Some(Some((o, outcome)))) => c.add_job(o.spec.clone(), o.stamp, *outcome, now),
+            match (i.ledger.status_of(id), stored.over.get(id)) {
+                (Standing::Ended(e), _) => c.add_job(e.spec, e.revision, Some(e.outcome), now),
+                (_, Some(Some((o, outcome)))) => c.add_job(o.spec.clone(), o.revision, *outcome, now),
                 (_, Some(None)) => {}
                 (_, None) => {
                     missing.insert(id.clone());
--- a/src/leader/commits.rs
+++ b/src/leader/commits.rs
@@ -21,7 +21,7 @@
     pub(super) async fn commits(&self, a: Authority) -> &'static str {
         let mut most = self.store.most;
         loop {
-            let batch = self.lock().cluster.as_mut().and_then(|c| c.next_batch(a.stamp, &most));
+            let batch = self.lock().cluster.as_mut().and_then(|c| c.next_commit(a.stamp, &most));
             let Some(batch) = batch else {
                 self.to_commit.wait(Duration::from_millis(500)).await;
                 continue;
@@ -35,7 +35,7 @@
             }
             match outcome {
                 Ok(TxnOutcome::Done(revision)) => {
-                    let ended = self.lock().cluster.as_mut().map(|c| c.committed(batch, revision, now));
+                    let ended = self.lock().cluster.as_mut().map(|c| c.apply_commit(batch, revision, now));
                     for (id, outcome) in ended.unwrap_or_default() {
                         tracing::debug!("{id} is {}", outcome.as_str());
                         self.apply_stored_outcome(&id, outcome, revision, now);
@@ -50,13 +50,13 @@
                     }
                     tracing::info!("transaction in conflict over {keys:?}");
                     if let Some(c) = self.lock().cluster.as_mut() {
-                        c.not_committed(batch);
+                        c.restore_uncommitted(batch);
                     }
                     for k in keys {
                         match self.store.get(&k).await {
                             Ok(item) => {
                                 if let Some(c) = self.lock().cluster.as_mut() {
-                                    c.resolve(&k, item.as_ref(), now);
+                                    c.reconcile_key(&k, item.as_ref(), now);
                                 }
                             }
                             Err(e) => tracing::debug!("cannot read {k}: {e}"),
@@ -67,13 +67,13 @@
                 Err(e) => {
                     tracing::debug!("transaction: {e}");
                     if let Some(c) = self.lock().cluster.as_mut() {
-                        c.not_committed(batch);
+                        c.restore_uncommitted(batch);
                     }
                     if matches!(e, Error::Refused(400)) {
                         // larger than the service takes, whatever the settings
                         // say: the same again would be refused again
-                        most = most.smaller();
-                        tracing::error!("a transaction is too large: from now on pages of {} bytes", most.page_bytes);
+                        most = most.reduced();
+                        tracing::error!("a transaction is too large: from now on pages of {} bytes", most.shard_bytes);
                     }
                     smol::Timer::after(self.policy.renew / 4).await;
                 }
@@ -89,7 +89,7 @@
             let now = Instant::now();
             let ids = {
                 let mut i = self.lock();
-                let asked = |c: &mut Cluster| c.dependency.to_ask(MOST_ASKED, self.policy.renew, now);
+                let asked = |c: &mut Cluster| c.dependency.outcomes_to_fetch(MOST_ASKED, self.policy.renew, now);
                 i.cluster.as_mut().map(asked).unwrap_or_default()
             };
             if ids.is_empty() {
--- a/src/leader/machines.rs
+++ b/src/leader/machines.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use coralnotch_core::reporting::spreads;
+use coralnotch_core::reporting::should_forward;
 use serde::{Deserialize, Serialize};
 
 use crate::authority::Authority;
@@ -109,7 +109,7 @@
             match self.whole_list().await {
                 Ok(list) => {
                     if let Some(c) = self.lock().cluster.as_mut() {
-                        c.list(&list, Instant::now());
+                        c.apply_machine_list(&list, Instant::now());
                     }
                 }
                 Err(e) => tracing::debug!("list of machines: {e}"),
@@ -155,10 +155,10 @@
                 let plan = i.cluster.as_mut().map(|c| {
                     let here = c.machine_count();
                     c.fleet.adapt_heartbeat_capacity(self.lag.now(), here, &self.policy, now);
-                    (c.plan(&wants, now), here)
+                    (c.plan_fleet(&wants, now), here)
                 });
                 if let Some((_, here)) = &plan {
-                    i.spread = spreads(*here, self.policy.spread_from, i.spread);
+                    i.spread = should_forward(*here, self.policy.spread_from, i.spread);
                 }
                 let plan = plan.map(|p| p.0).unwrap_or_default();
                 i.wants = wants;
@@ -245,7 +245,7 @@
         match self.cloud_call("POST", "/rentals/delete", Some(&body)).await {
             Ok((200, _)) => {
                 if let Some(c) = self.lock().cluster.as_mut() {
-                    c.deleted(names, Instant::now());
+                    c.apply_deletion(names, Instant::now());
                 }
                 self.to_place.wake();
                 self.to_commit.wake();
@@ -266,18 +266,18 @@
         let Some(c) = i.cluster.as_mut() else { return };
         match answer {
             Ok((200, body)) => match http::decode::<Machines>(&body) {
-                Ok(m) => c.rented(r, &m.machines, now),
+                Ok(m) => c.apply_rental(r, &m.machines, now),
                 Err(e) => tracing::error!("rental {}: {e}", r.request_id),
             },
             Ok((503, body)) if String::from_utf8_lossy(&body).contains("capacity") => {
                 tracing::info!("no capacity: {} in {}, spot {}", r.kind, r.zone, r.spot);
                 c.fleet.mark_answered(&r.request_id, now);
-                c.no_capacity(&(r.kind.clone(), r.zone.clone(), r.spot), now);
+                c.mark_pool_exhausted(&(r.kind.clone(), r.zone.clone(), r.spot), now);
             }
             Ok((400, _)) => {
                 tracing::error!("rental {} is malformed to the cloud", r.request_id);
                 c.fleet.mark_answered(&r.request_id, now);
-                c.no_capacity(&(r.kind.clone(), r.zone.clone(), r.spot), now);
+                c.mark_pool_exhausted(&(r.kind.clone(), r.zone.clone(), r.spot), now);
             }
             // in doubt: asked again under the same charter
             Ok((s, _)) => tracing::debug!("rental {}: status {s}", r.request_id),
--- a/src/leader/placing.rs
+++ b/src/leader/placing.rs
@@ -33,7 +33,7 @@
             return;
         }
         if let Some(c) = i.cluster.as_mut() {
-            i.wants = c.place(now);
+            i.wants = c.run_placement_pass(now);
             for waited in c.placement_waits.drain(..) {
                 self.telemetry.took(Timed::Placement, waited);
             }
@@ -50,7 +50,7 @@
         loop {
             let most = self.policy.direct_calls.saturating_sub(flying.len());
             if most > 0 && self.may_act(Instant::now()) {
-                let calls = self.lock().cluster.as_mut().map(|c| c.direct(most)).unwrap_or_default();
+                let calls = self.lock().cluster.as_mut().map(|c| c.take_direct_commands(most)).unwrap_or_default();
                 for d in calls {
                     flying.push(async move {
                         // read as the bytes leave: this may have stood still
@@ -92,7 +92,7 @@
                     if report.is_none() {
                         count(&self.telemetry.counters.direct_lost);
                     }
-                    c.direct_over(&d, report.as_ref(), Instant::now());
+                    c.apply_direct_result(&d, report.as_ref(), Instant::now());
                     if c.queue_changed {
                         self.to_place.wake();
                     }
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -49,7 +49,7 @@
     let Err((mut stored, missing)) = node.take_over(a, stored, now) else { panic!("it leads without knowing") };
     assert_eq!(missing, ["j-000002".into()]);
     assert!(node.lock().cluster.is_none(), "no half of a picture");
-    let open = Open { spec: spec("j-000002", 1), stamp: 2 };
+    let open = Open { spec: spec("j-000002", 1), revision: 2 };
     assert!(stored.read("j-000002".into(), Ok(Some((open, Some(JobOutcome::Cancelled))))).is_ok());
     assert!(node.take_over(a, stored, now).is_ok());
     let i = node.lock();
--- a/src/node.rs
+++ b/src/node.rs
@@ -270,7 +270,7 @@
 
     /// Since when no withdrawal is missing here that a user was told of before.
     pub fn whole(&self, i: &Inner) -> Option<Instant> {
-        i.knowledge.whole(self.config.siblings.iter().map(|s| s.name.as_str()))
+        i.knowledge.complete_as_of(self.config.siblings.iter().map(|s| s.name.as_str()))
     }
 
     /// Whether all tell users of withdrawals only when all know.  Whoever does not
@@ -302,7 +302,7 @@
     /// A job that the watch shows.
     pub fn learn_job(&self, spec: Arc<JobSpec>, stamp: u64, now: Instant) {
         let mut i = self.lock();
-        if i.ledger.seen(spec.clone(), stamp) {
+        if i.ledger.insert_seen(spec.clone(), stamp) {
             self.opened(&mut i, spec, stamp, now);
         }
     }
@@ -310,7 +310,7 @@
     /// A job that a transaction of this controller's has stored.
     pub fn stored_job(&self, spec: Arc<JobSpec>, stamp: u64, now: Instant) {
         let mut i = self.lock();
-        if i.ledger.stored(spec.clone(), stamp) {
+        if i.ledger.insert_stored(spec.clone(), stamp) {
             self.opened(&mut i, spec, stamp, now);
         }
     }
@@ -334,9 +334,9 @@
     pub fn apply_stored_outcome(&self, id: &str, outcome: JobOutcome, stamp: u64, now: Instant) {
         let mut i = self.lock();
         if outcome == JobOutcome::Cancelled {
-            i.withdrawals.add(stamp, id, now);
+            i.withdrawals.record(stamp, id, now);
         }
-        i.ledger.ends(id, outcome);
+        i.ledger.apply_outcome(id, outcome);
         self.closed(&mut i, id, outcome, now);
     }
 
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -34,7 +34,7 @@
         let limit = self.policy.peer_limit;
         let (since, (life, had)) = {
             let i = self.lock();
-            (i.synced.then_some(i.epoch), i.knowledge.asks(&l.name))
+            (i.synced.then_some(i.epoch), i.knowledge.next_request(&l.name))
         };
         let ask = wire::StatusRequest {
             without_machines: !self.keeps_machines(),
@@ -76,21 +76,21 @@
 
     /// A sibling has accounted for the withdrawals that it knows.
     fn accounts(&self, name: &str, a: wire::Account, sent: Instant, now: Instant) {
-        let known = a.known.into_iter().map(|w| Withdrawal { stamp: w.stamp, id: w.id.into() });
-        let a = Account { life: a.life, known: known.collect(), next: a.next, whole: a.whole };
-        for w in &a.known {
-            self.apply_stored_outcome(&w.id, JobOutcome::Cancelled, w.stamp, now);
+        let known = a.known.into_iter().map(|w| Withdrawal { revision: w.stamp, id: w.id.into() });
+        let a = Account { incarnation: a.life, cancellations: known.collect(), next: a.next, complete: a.whole };
+        for w in &a.cancellations {
+            self.apply_stored_outcome(&w.id, JobOutcome::Cancelled, w.revision, now);
         }
-        self.lock().knowledge.told(name, sent, &a);
+        self.lock().knowledge.peer_answered(name, sent, &a);
     }
 
     /// The account that a sibling asks for, if there is no gap in it.
     fn account(&self, r: &wire::StatusRequest) -> Option<wire::Account> {
         let i = self.lock();
         let since = r.withdrawn_since.filter(|_| i.synced)?;
-        let a = i.withdrawals.account(since, r.withdrawn_life, r.withdrawn_had)?;
-        let known = a.known.into_iter().map(|w| wire::Withdrawal { stamp: w.stamp, id: w.id.to_string() });
-        Some(wire::Account { life: a.life, known: known.collect(), next: a.next, whole: a.whole })
+        let a = i.withdrawals.batch_since(since, r.withdrawn_life, r.withdrawn_had)?;
+        let known = a.cancellations.into_iter().map(|w| wire::Withdrawal { stamp: w.revision, id: w.id.to_string() });
+        Some(wire::Account { life: a.incarnation, known: known.collect(), next: a.next, whole: a.complete })
     }
 
     /// Tells the siblings of withdrawals whose users wait, each as soon as it can be
@@ -106,7 +106,7 @@
             let (known, new) = {
                 let mut guard = self.lock();
                 let i = &mut *guard;
-                i.telling.for_sibling(n, &i.withdrawals, &self.policy, Instant::now())
+                i.telling.for_peer(n, &i.withdrawals, &self.policy, Instant::now())
             };
             if known.is_empty() {
                 more.await;
@@ -116,7 +116,7 @@
                 // it knows; what is left of them, the leader may say later
                 smol::Timer::after(self.policy.renew / 2).await;
             }
-            let told = known.iter().map(|w| wire::Withdrawal { stamp: w.stamp, id: w.id.to_string() });
+            let told = known.iter().map(|w| wire::Withdrawal { stamp: w.revision, id: w.id.to_string() });
             let ask = wire::TellRequest { known: told.collect() };
             let answer = self.peers.call(l, self.policy.peer_limit, |mut c| async move { c.tell(ask).await }).await;
             let Some(answer) = answer else {
@@ -125,8 +125,8 @@
             };
             {
                 let mut i = self.lock();
-                i.telling.taken(n, &known);
-                answer.clear.iter().for_each(|id| i.telling.clear(&id.as_str().into()));
+                i.telling.mark_acknowledged(n, &known);
+                answer.clear.iter().for_each(|id| i.telling.settle(&id.as_str().into()));
             }
             self.told.notify(usize::MAX);
         }
--- a/src/reports.rs
+++ b/src/reports.rs
@@ -10,7 +10,7 @@
 use std::sync::MutexGuard;
 use std::time::{Duration, Instant};
 
-use coralnotch_core::reporting::{assigned, Forwarded, Forwarder, Forwarding, Unchanged};
+use coralnotch_core::reporting::{assigned_forwarder, Forwarded, Forwarder, Forwarding, Unchanged};
 
 use crate::http::{self, Response};
 use crate::node::Node;
@@ -94,7 +94,7 @@
             let keep = self.policy.lease.mul_f64(TIDY_AFTER_LEASES);
             if tidied.elapsed() > keep {
                 tidied = Instant::now();
-                self.forwarding().tidy(keep, tidied);
+                self.forwarding().evict_idle(keep, tidied);
             }
         }
     }
@@ -179,7 +179,7 @@
             };
             response.seldom = true;
             if status == 200 {
-                self.forwarding().taken(w.report, term, now);
+                self.forwarding().mark_accepted(w.report, term, now);
             } else {
                 self.forwarding().forget(&w.report.machine);
             }
@@ -226,13 +226,18 @@
 
     /// A report without news.
     fn take_unchanged(&self, r: wire::Report) -> wire::ReportAnswer {
-        let unchanged = Unchanged { machine: r.machine.into(), session: r.session, tally: r.tally, after: r.after };
+        let unchanged = Unchanged {
+            machine: r.machine.into(),
+            incarnation: r.session,
+            sequence: r.tally,
+            repeats_sequence: r.after,
+        };
         let now = Instant::now();
         let mut i = self.lock();
         self.beat(&mut i, now);
         i.heard = Some(now);
         let answer = match self.leads(&i, now) {
-            true => i.cluster.as_mut().and_then(|c| c.unchanged(&unchanged, now)),
+            true => i.cluster.as_mut().and_then(|c| c.apply_unchanged(&unchanged, now)),
             // the whole report is judged as any other
             false => None,
         };
@@ -261,7 +266,7 @@
         let lately = |name: &str| asked.get(name).is_some_and(|t| now.saturating_duration_since(*t) < fresh);
         let siblings = self.config.siblings.iter().filter(|s| lately(&s.name));
         let all: Vec<Forwarder<'_>> = siblings.map(|s| Forwarder { name: &s.name, zone: &s.zone }).collect();
-        let to = assigned(machine, zone, &all)?;
+        let to = assigned_forwarder(machine, zone, &all)?;
         Some(crate::intake::redirect(Some(to)))
     }
 }
@@ -285,9 +290,9 @@
         Forwarded::Unchanged(u) => wire::Report {
             full: Vec::new(),
             machine: u.machine.to_string(),
-            session: u.session,
-            tally: u.tally,
-            after: u.after,
+            session: u.incarnation,
+            tally: u.sequence,
+            after: u.repeats_sequence,
         },
     }
 }
--- a/src/reports/tests.rs
+++ b/src/reports/tests.rs
@@ -24,7 +24,7 @@
         let until = now + Duration::from_secs(60);
         i.authority = Some(Authority { term: TERM, stamp: 1, hold: 1, until, since: now });
         i.cluster = Some(Cluster::new(TERM, n.policy.clone(), n.teams(), now));
-        i.knowledge.shown(now);
+        i.knowledge.watch_answered(now);
         (i.reports_on, i.spread) = (true, true);
     }
     n
--- a/src/store.rs
+++ b/src/store.rs
@@ -142,8 +142,8 @@
             reads: Mutex::new(Budget::new(read_rate, read_rate, now)),
             most: TxnLimits {
                 writes: most_writes,
-                guards: limits.txn_ops * 4,
-                page_bytes: ((limits.value_kb * 1024.0 * 0.95) as usize).min(MOST_PAGE),
+                preconditions: limits.txn_ops * 4,
+                shard_bytes: ((limits.value_kb * 1024.0 * 0.95) as usize).min(MOST_PAGE),
                 value_bytes: (limits.value_kb * 1024.0 * 0.95) as usize,
             },
             last_served: Mutex::new(now),
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -89,8 +89,8 @@
         };
         {
             let mut i = self.lock();
-            i.ledger.begins(epoch);
-            i.withdrawals.begins(epoch, sent);
+            i.ledger.raise_floor(epoch);
+            i.withdrawals.begin_watch(epoch, sent);
             if page.items.is_empty() {
                 i.leader = None;
             }
@@ -103,14 +103,14 @@
         let mut wanted = HashSet::new();
         if first {
             for item in self.store.list(key::PAGE).await? {
-                wanted.extend(crate::commit::jobs_of_page(&item));
+                wanted.extend(crate::commit::started_jobs_of_shard(&item));
             }
         }
         let mut sweep = Sweep::new(wanted);
         let (mut since, mut looked) = (epoch, Instant::now());
-        while let Some(need) = sweep.need() {
+        while let Some(need) = sweep.next_page() {
             match self.store.page(need.under, &need.since).await {
-                Ok(page) => sweep.page(need.under, page.items, page.truncated),
+                Ok(page) => sweep.add_page(need.under, page.items, page.truncated),
                 // only this page is read again: a long read has to come to its
                 // end though the service fails now and then
                 Err(e) => {
@@ -126,7 +126,7 @@
                 match self.store.changes(key::WATCHED, since, Duration::ZERO).await {
                     Ok((news, epoch)) => {
                         let ended = |e: &WatchEvent| Some(Name::from(e.set.as_ref()?.strip_prefix(key::OUTCOME)?));
-                        sweep.ended(news.iter().filter_map(ended));
+                        sweep.mark_ended(news.iter().filter_map(ended));
                         since = self.changed(news, epoch.max(since));
                     }
                     Err(Error::Gone) => return Err(Error::Gone),
@@ -134,7 +134,7 @@
                 }
             }
         }
-        self.lock().knowledge.shown(sent);
+        self.lock().knowledge.watch_answered(sent);
         Ok(since)
     }
 
@@ -143,10 +143,10 @@
         let (mut guard, now) = (self.lock(), Instant::now());
         let i = &mut *guard;
         let mut news = Vec::new();
-        sweep.enter(&mut i.ledger, |n| news.push(n));
+        sweep.apply_pages(&mut i.ledger, |n| news.push(n));
         for n in news {
             match n {
-                News::Open(o) => self.opened(i, o.spec, o.stamp, now),
+                News::Open(o) => self.opened(i, o.spec, o.revision, now),
                 News::Ended(id, outcome) => self.closed(i, &id, outcome, now),
             }
         }
@@ -161,7 +161,7 @@
         for e in news {
             self.event(e);
         }
-        self.lock().ledger.begins(epoch);
+        self.lock().ledger.raise_floor(epoch);
         epoch
     }
 
@@ -169,7 +169,7 @@
     fn shown(&self, sent: Instant, epoch: u64) -> Duration {
         let mut i = self.lock();
         i.epoch = i.epoch.max(epoch);
-        i.knowledge.shown(sent);
+        i.knowledge.watch_answered(sent);
         match i.authority {
             Some(_) => Duration::ZERO,
             None => self.policy.watch_gap,
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -159,10 +159,10 @@
     let leader: LeaderRecord = keeps(&golden["leader"]);
     assert_eq!((leader.name.as_str(), leader.term), ("a", 3));
     let gates: Gates = keeps(&golden["gates"]);
-    assert_eq!((gates.on.len(), gates.term), (3, 3));
+    assert_eq!((gates.enabled.len(), gates.term), (3, 3));
     let member: Member = keeps(&golden["member"]);
-    assert_eq!((member.knows.len(), member.version.as_str()), (3, "0.1.0"));
-    assert_eq!(gates.on, coralnotch_core::gate::KNOWN);
+    assert_eq!((member.features.len(), member.version.as_str()), (3, "0.1.0"));
+    assert_eq!(gates.enabled, coralnotch_core::gate::KNOWN);
     let ranges: Ranges = keeps(&golden["ranges"]);
     assert_eq!(ranges.iter().collect::<Vec<_>>(), [0, 1, 2, 7]);
     let keys = [key::WATCHED, key::JOB, key::OUTCOME, key::LEADER, key::TERM, key::GATES, key::MEMBER, key::TYPES];
