--- a/packages/core/src/answers.rs
+++ b/packages/core/src/answers.rs
@@ -16,15 +16,15 @@
 use coralnotch_wire::state::{Txn, Write};
 
 use crate::key;
-use crate::knowledge::{may_lead, Telling, Withdrawals};
-use crate::ledger::{Ledger, Spoilt, Standing};
-use crate::lookup::Found;
+use crate::knowledge::{may_lead, CancellationLog, CancellationNotices};
+use crate::ledger::{CancelledDependency, JobIndex, JobStatus};
+use crate::lookup::LookupResult;
 use crate::model::*;
 use crate::policy::Policy;
 
 /// What a user wants.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Wish {
+pub enum RequestKind {
     /// To know how a job stands.
     Query,
     /// To submit it, perhaps once more.
@@ -35,10 +35,10 @@
 
 /// An answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Word {
-    /// Accepted just now.
+pub enum Reply {
+    /// StoreResult just now.
     Accepted,
-    /// Accepted, and not over.
+    /// StoreResult, and not over.
     Unfinished,
     /// Over for good.
     Ended(JobOutcome),
@@ -52,32 +52,32 @@
 
 /// What a controller does next for a request.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Step {
-    /// Ask the store whether the id has a record and an end: [`Inquiry::looked_up`].
+pub enum NextAction {
+    /// Ask the store whether the id has a record and an end: [`UserRequest::looked_up`].
     LookUp,
-    /// Have the store confirm that it has no end: [`Inquiry::confirmed`].
+    /// Have the store confirm that it has no end: [`UserRequest::confirmed`].
     Confirm,
-    /// Look at the submission itself, and at what it needs: [`Inquiry::judged`].
+    /// Look at the submission itself, and at what it needs: [`UserRequest::judged`].
     Validate,
     /// Store the submission, with its own end if it needs a cancelled job:
-    /// [`Inquiry::stored`].
+    /// [`UserRequest::stored`].
     Store {
         /// It needs a cancelled job.
         needs_cancelled_job: bool,
     },
-    /// Store the job's cancellation: [`Inquiry::ended`].
+    /// Store the job's cancellation: [`UserRequest::ended`].
     Cancel,
-    /// Read the ends of these, as far as there are any: [`Inquiry::read`].
+    /// Read the ends of these, as far as there are any: [`UserRequest::read`].
     ReadOutcomes(Vec<Name>),
-    /// Have the siblings told, and look again when one of them knows: [`Inquiry::next`].
+    /// Have the siblings told, and look again when one of them knows: [`UserRequest::next`].
     NotifyPeers,
     /// Answer.
-    Reply(Word),
+    Reply(Reply),
 }
 
 /// What speaks against a submission.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Verdict {
+pub enum Validation {
     /// Nothing; `needs_cancelled_job` if it needs a job that is cancelled.
     Valid {
         /// It needs a cancelled job.
@@ -91,7 +91,7 @@
 
 /// What the store said of a submission.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Accepted {
+pub enum StoreResult {
     /// It is stored now.
     New {
         /// It took so long that others may have said more of it meanwhile.
@@ -105,13 +105,13 @@
 
 /// What a controller knows when it looks.
 #[derive(Debug)]
-pub struct View<'a> {
+pub struct StateView<'a> {
     /// The jobs that it knows.
-    pub jobs: &'a mut Ledger,
+    pub jobs: &'a mut JobIndex,
     /// The withdrawals that it knows.
-    pub cancellations: &'a Withdrawals,
+    pub cancellations: &'a CancellationLog,
     /// Those whose users are to be told.
-    pub notices: &'a mut Telling,
+    pub notices: &'a mut CancellationNotices,
     /// Since when none is missing.
     pub cancellations_complete_as_of: Option<Instant>,
     /// All tell users only when all know.
@@ -124,7 +124,7 @@
     pub now: Instant,
 }
 
-impl View<'_> {
+impl StateView<'_> {
     /// Whether the picture is young enough to say what hangs on withdrawals.
     fn is_fresh(&self) -> bool {
         may_lead(self.cancellations_complete_as_of, self.policy, self.now)
@@ -133,98 +133,98 @@
 
 /// A request on its way to its answer.
 #[derive(Debug, Clone)]
-pub struct Inquiry {
+pub struct UserRequest {
     id: Name,
-    kind: Wish,
-    found: Option<Found>,
-    verdict: Option<Verdict>,
+    kind: RequestKind,
+    found: Option<LookupResult>,
+    verdict: Option<Validation>,
     accepted: bool,
     failed: Option<&'static str>,
 }
 
 const SILENT: &str = "the state service does not answer";
 
-impl Inquiry {
+impl UserRequest {
     /// A request that has just come.
-    pub fn new(id: Name, wish: Wish) -> Inquiry {
-        Inquiry { id, kind: wish, found: None, verdict: None, accepted: false, failed: None }
+    pub fn new(id: Name, wish: RequestKind) -> UserRequest {
+        UserRequest { id, kind: wish, found: None, verdict: None, accepted: false, failed: None }
     }
 
     /// What to do next.
-    pub fn next_action(&mut self, v: &mut View) -> Step {
+    pub fn next_action(&mut self, v: &mut StateView) -> NextAction {
         if let Some(why) = self.failed {
-            return Step::Reply(Word::RetryLater(why));
+            return NextAction::Reply(Reply::RetryLater(why));
         }
-        if !self.accepted && !matches!(self.found, Some(Found::NotFound | Found::Ended(_))) {
+        if !self.accepted && !matches!(self.found, Some(LookupResult::NotFound | LookupResult::Ended(_))) {
             // an end never changes, whoever learned of it in the meantime
             match v.jobs.status_of(&self.id) {
-                Standing::Ended(e) => self.found = Some(Found::Ended(e.outcome)),
-                Standing::Open(_) => self.found = self.found.take().or(Some(Found::Open)),
-                Standing::Unknown => {}
+                JobStatus::Ended(e) => self.found = Some(LookupResult::Ended(e.outcome)),
+                JobStatus::Open(_) => self.found = self.found.take().or(Some(LookupResult::Open)),
+                JobStatus::Unknown => {}
             }
         }
         match (&self.found, self.kind) {
-            (None, Wish::Submit) => match self.verdict {
+            (None, RequestKind::Submit) => match self.verdict {
                 // a repeat is recognised before anything is said against it
-                None => Step::Validate,
-                Some(Verdict::Valid { needs_cancelled_job }) => Step::Store { needs_cancelled_job },
-                Some(Verdict::Unsatisfiable(_)) => Step::LookUp,
-                Some(Verdict::Undetermined(why)) => Step::Reply(Word::RetryLater(why)),
+                None => NextAction::Validate,
+                Some(Validation::Valid { needs_cancelled_job }) => NextAction::Store { needs_cancelled_job },
+                Some(Validation::Unsatisfiable(_)) => NextAction::LookUp,
+                Some(Validation::Undetermined(why)) => NextAction::Reply(Reply::RetryLater(why)),
             },
-            (None, _) => Step::LookUp,
-            (Some(Found::NotFound), _) => Step::Reply(match self.verdict {
-                Some(Verdict::Unsatisfiable(why)) => Word::Unsatisfiable(why),
-                _ => Word::NotFound,
+            (None, _) => NextAction::LookUp,
+            (Some(LookupResult::NotFound), _) => NextAction::Reply(match self.verdict {
+                Some(Validation::Unsatisfiable(why)) => Reply::Unsatisfiable(why),
+                _ => Reply::NotFound,
             }),
-            (Some(Found::Open | Found::Confirmed), Wish::Cancel) => Step::Cancel,
-            (Some(Found::Open), _) => Step::Confirm,
-            (Some(Found::Confirmed), _) => self.unfinished(v),
-            (Some(Found::Ended(JobOutcome::Done)), _) => Step::Reply(Word::Ended(JobOutcome::Done)),
-            (Some(Found::Ended(JobOutcome::Cancelled)), _) => self.cancelled(v),
+            (Some(LookupResult::Open | LookupResult::Confirmed), RequestKind::Cancel) => NextAction::Cancel,
+            (Some(LookupResult::Open), _) => NextAction::Confirm,
+            (Some(LookupResult::Confirmed), _) => self.unfinished(v),
+            (Some(LookupResult::Ended(JobOutcome::Done)), _) => NextAction::Reply(Reply::Ended(JobOutcome::Done)),
+            (Some(LookupResult::Ended(JobOutcome::Cancelled)), _) => self.cancelled(v),
         }
     }
 
     /// The store confirms that the job has no end.  What needs a cancelled job is not
     /// called queued all the same, however late its own end is stored.
-    fn unfinished(&mut self, v: &mut View) -> Step {
+    fn unfinished(&mut self, v: &mut StateView) -> NextAction {
         if self.accepted {
-            return Step::Reply(Word::Accepted);
+            return NextAction::Reply(Reply::Accepted);
         }
         let needs = match v.jobs.status_of(&self.id) {
-            Standing::Open(o) => !o.spec.needs.is_empty(),
+            JobStatus::Open(o) => !o.spec.needs.is_empty(),
             // accepted a moment ago, or the watch is behind
             _ => true,
         };
         match v.jobs.cancelled_dependency(&self.id) {
-            _ if !needs => Step::Reply(Word::Unfinished),
-            Spoilt::Unknown(ids) => Step::ReadOutcomes(ids),
-            Spoilt::No if v.is_fresh() => Step::Reply(Word::Unfinished),
-            _ => Step::Reply(Word::RetryLater("what it needs has to be looked at")),
+            _ if !needs => NextAction::Reply(Reply::Unfinished),
+            CancelledDependency::Unknown(ids) => NextAction::ReadOutcomes(ids),
+            CancelledDependency::No if v.is_fresh() => NextAction::Reply(Reply::Unfinished),
+            _ => NextAction::Reply(Reply::RetryLater("what it needs has to be looked at")),
         }
     }
 
     /// Whoever renews leases unknowing counts on it that nobody tells who may not have
     /// seen that all do so.
-    fn cancelled(&self, v: &mut View) -> Step {
-        let told = Step::Reply(Word::Ended(JobOutcome::Cancelled));
+    fn cancelled(&self, v: &mut StateView) -> NextAction {
+        let told = NextAction::Reply(Reply::Ended(JobOutcome::Cancelled));
         if !v.notices_required {
             return told;
         }
         if !v.is_fresh() {
-            return Step::Reply(Word::RetryLater("not every controller knows of it yet"));
+            return NextAction::Reply(Reply::RetryLater("not every controller knows of it yet"));
         }
         if v.no_task_left {
             v.notices.settle(&self.id);
         }
         match v.notices.may_confirm(&self.id, v.cancellations, v.policy, v.now) {
             true => told,
-            false => Step::NotifyPeers,
+            false => NextAction::NotifyPeers,
         }
     }
 
     /// What the store says of the id, asked after the request had come; `None` if it can't
     /// be told now.
-    pub fn apply_lookup(&mut self, found: Option<Found>) {
+    pub fn apply_lookup(&mut self, found: Option<LookupResult>) {
         self.failed = found.is_none().then_some(SILENT);
         self.found = found;
     }
@@ -233,28 +233,28 @@
     pub fn apply_confirmation(&mut self, end: Option<Option<JobOutcome>>) {
         match end {
             None => self.failed = Some(SILENT),
-            Some(None) => self.found = Some(Found::Confirmed),
-            Some(Some(outcome)) => self.found = Some(Found::Ended(outcome)),
+            Some(None) => self.found = Some(LookupResult::Confirmed),
+            Some(Some(outcome)) => self.found = Some(LookupResult::Ended(outcome)),
         }
     }
 
     /// What speaks against the submission.
-    pub fn apply_validation(&mut self, verdict: Verdict) {
+    pub fn apply_validation(&mut self, verdict: Validation) {
         self.verdict = Some(verdict);
     }
 
     /// What the store says of the submission.  An acceptance that was slow, or of which
     /// more is known here by now, is no news: others may have said more of the job.
-    pub fn apply_store_result(&mut self, outcome: Accepted, ledger: &mut Ledger) {
-        let needs_cancelled_job = self.verdict == Some(Verdict::Valid { needs_cancelled_job: true });
+    pub fn apply_store_result(&mut self, outcome: StoreResult, ledger: &mut JobIndex) {
+        let needs_cancelled_job = self.verdict == Some(Validation::Valid { needs_cancelled_job: true });
         match outcome {
-            Accepted::Unknown => self.failed = Some(SILENT),
-            Accepted::AlreadyStored | Accepted::New { slow: true } => self.found = Some(Found::Open),
+            StoreResult::Unknown => self.failed = Some(SILENT),
+            StoreResult::AlreadyStored | StoreResult::New { slow: true } => self.found = Some(LookupResult::Open),
             // one that ends with what it needs is accepted first, by the same transaction
-            Accepted::New { .. } if ledger.outcome(&self.id).is_some() && !needs_cancelled_job => {
-                self.found = Some(Found::Open)
+            StoreResult::New { .. } if ledger.outcome(&self.id).is_some() && !needs_cancelled_job => {
+                self.found = Some(LookupResult::Open)
             }
-            Accepted::New { .. } => (self.found, self.accepted) = (Some(Found::Confirmed), true),
+            StoreResult::New { .. } => (self.found, self.accepted) = (Some(LookupResult::Confirmed), true),
         }
     }
 
@@ -263,7 +263,7 @@
     pub fn apply_cancellation(&mut self, outcome: Option<JobOutcome>) {
         match outcome {
             None => self.failed = Some(SILENT),
-            Some(outcome) => self.found = Some(Found::Ended(outcome)),
+            Some(outcome) => self.found = Some(LookupResult::Ended(outcome)),
         }
     }
 
--- a/packages/core/src/answers/tests.rs
+++ b/packages/core/src/answers/tests.rs
@@ -7,9 +7,9 @@
 
 /// What one controller knows.
 struct Known {
-    ledger: Ledger,
-    withdrawals: Withdrawals,
-    telling: Telling,
+    ledger: JobIndex,
+    withdrawals: CancellationLog,
+    telling: CancellationNotices,
     policy: Policy,
     t0: Instant,
     young: bool,
@@ -20,15 +20,15 @@
     fn new() -> Known {
         let policy = Policy::new(&Config::parse("test", SETTINGS).expect("settings")).expect("the default policy");
         let t0 = Instant::now();
-        let mut withdrawals = Withdrawals::new(1, 100);
+        let mut withdrawals = CancellationLog::new(1, 100);
         withdrawals.begin_watch(1, t0);
-        let (ledger, telling) = (Ledger::new(8), Telling::new(2, 100));
+        let (ledger, telling) = (JobIndex::new(8), CancellationNotices::new(2, 100));
         Known { ledger, withdrawals, telling, policy, t0, young: true, all_tell: true }
     }
 
-    fn next(&mut self, q: &mut Inquiry, after_s: u64) -> Step {
+    fn next(&mut self, q: &mut UserRequest, after_s: u64) -> NextAction {
         let now = self.t0 + Duration::from_secs(after_s);
-        q.next_action(&mut View {
+        q.next_action(&mut StateView {
             jobs: &mut self.ledger,
             cancellations: &self.withdrawals,
             notices: &mut self.telling,
@@ -41,35 +41,35 @@
     }
 }
 
-fn later(s: &Step) -> bool {
-    matches!(s, Step::Reply(Word::RetryLater(_)))
+fn later(s: &NextAction) -> bool {
+    matches!(s, NextAction::Reply(Reply::RetryLater(_)))
 }
 
 /// Guards against an acceptance whose answer from the store is slow: another controller
 /// may have told more by then, so that it is asked for, like any question.
 #[test]
 fn a_slow_acceptance_is_confirmed() {
-    let fine = Verdict::Valid { needs_cancelled_job: false };
+    let fine = Validation::Valid { needs_cancelled_job: false };
     let accepted = |slow: bool, ended: Option<JobOutcome>| {
-        let (mut k, mut q) = (Known::new(), Inquiry::new("j-1".into(), Wish::Submit));
-        assert_eq!(k.next(&mut q, 1), Step::Validate);
+        let (mut k, mut q) = (Known::new(), UserRequest::new("j-1".into(), RequestKind::Submit));
+        assert_eq!(k.next(&mut q, 1), NextAction::Validate);
         q.apply_validation(fine);
-        assert_eq!(k.next(&mut q, 1), Step::Store { needs_cancelled_job: false });
+        assert_eq!(k.next(&mut q, 1), NextAction::Store { needs_cancelled_job: false });
         k.ledger.insert_stored(spec("j-1", 1), 5);
         if let Some(outcome) = ended {
             k.ledger.apply_outcome("j-1", outcome);
         }
-        q.apply_store_result(Accepted::New { slow }, &mut k.ledger);
+        q.apply_store_result(StoreResult::New { slow }, &mut k.ledger);
         k.next(&mut q, 2)
     };
-    assert_eq!(accepted(false, None), Step::Reply(Word::Accepted));
-    assert_eq!(accepted(true, None), Step::Confirm);
+    assert_eq!(accepted(false, None), NextAction::Reply(Reply::Accepted));
+    assert_eq!(accepted(true, None), NextAction::Confirm);
     assert_eq!(
         accepted(false, Some(JobOutcome::Done)),
-        Step::Reply(Word::Ended(JobOutcome::Done)),
+        NextAction::Reply(Reply::Ended(JobOutcome::Done)),
         "an end is known by now"
     );
-    assert_eq!(accepted(false, Some(JobOutcome::Cancelled)), Step::NotifyPeers);
+    assert_eq!(accepted(false, Some(JobOutcome::Cancelled)), NextAction::NotifyPeers);
 }
 
 /// Two requests for one id in one transaction, one of which came before the end of what
@@ -96,60 +96,60 @@
 /// of its end by then.
 #[test]
 fn a_doomed_job_is_accepted_first() {
-    let (mut k, mut q) = (Known::new(), Inquiry::new("j-1".into(), Wish::Submit));
-    assert_eq!(k.next(&mut q, 1), Step::Validate);
-    q.apply_validation(Verdict::Valid { needs_cancelled_job: true });
-    assert_eq!(k.next(&mut q, 1), Step::Store { needs_cancelled_job: true });
+    let (mut k, mut q) = (Known::new(), UserRequest::new("j-1".into(), RequestKind::Submit));
+    assert_eq!(k.next(&mut q, 1), NextAction::Validate);
+    q.apply_validation(Validation::Valid { needs_cancelled_job: true });
+    assert_eq!(k.next(&mut q, 1), NextAction::Store { needs_cancelled_job: true });
     k.ledger.insert_stored(spec("j-1", 1), 5);
     k.ledger.apply_outcome("j-1", JobOutcome::Cancelled);
-    q.apply_store_result(Accepted::New { slow: false }, &mut k.ledger);
-    assert_eq!(k.next(&mut q, 1), Step::Reply(Word::Accepted));
+    q.apply_store_result(StoreResult::New { slow: false }, &mut k.ledger);
+    assert_eq!(k.next(&mut q, 1), NextAction::Reply(Reply::Accepted));
 }
 
 /// A node that has not seen a job or its end yet asks; it says nothing of its own.
 #[test]
 fn what_is_not_known_here_the_store_says() {
-    for wish in [Wish::Query, Wish::Cancel] {
-        let (mut k, mut q) = (Known::new(), Inquiry::new("j-1".into(), wish));
-        assert_eq!(k.next(&mut q, 1), Step::LookUp);
+    for wish in [RequestKind::Query, RequestKind::Cancel] {
+        let (mut k, mut q) = (Known::new(), UserRequest::new("j-1".into(), wish));
+        assert_eq!(k.next(&mut q, 1), NextAction::LookUp);
         let mut silent = q.clone();
         silent.apply_lookup(None);
         assert!(later(&k.next(&mut silent, 1)));
         let mut never = q.clone();
-        never.apply_lookup(Some(Found::NotFound));
-        assert_eq!(k.next(&mut never, 1), Step::Reply(Word::NotFound));
-        q.apply_lookup(Some(Found::Ended(JobOutcome::Done)));
-        assert_eq!(k.next(&mut q, 1), Step::Reply(Word::Ended(JobOutcome::Done)));
+        never.apply_lookup(Some(LookupResult::NotFound));
+        assert_eq!(k.next(&mut never, 1), NextAction::Reply(Reply::NotFound));
+        q.apply_lookup(Some(LookupResult::Ended(JobOutcome::Done)));
+        assert_eq!(k.next(&mut q, 1), NextAction::Reply(Reply::Ended(JobOutcome::Done)));
     }
     // nor does one that knows it as unfinished
-    let (mut k, mut q) = (Known::new(), Inquiry::new("j-1".into(), Wish::Query));
+    let (mut k, mut q) = (Known::new(), UserRequest::new("j-1".into(), RequestKind::Query));
     k.ledger.insert_seen(spec("j-1", 1), 5);
-    assert_eq!(k.next(&mut q, 1), Step::Confirm);
+    assert_eq!(k.next(&mut q, 1), NextAction::Confirm);
     let mut silent = q.clone();
     silent.apply_confirmation(None);
     assert!(later(&k.next(&mut silent, 1)));
     q.apply_confirmation(Some(None));
-    assert_eq!(k.next(&mut q, 1), Step::Reply(Word::Unfinished));
+    assert_eq!(k.next(&mut q, 1), NextAction::Reply(Reply::Unfinished));
     // a cancellation that meets the end of the last task says what the store says
-    let mut q = Inquiry::new("j-1".into(), Wish::Cancel);
-    assert_eq!(k.next(&mut q, 1), Step::Cancel);
+    let mut q = UserRequest::new("j-1".into(), RequestKind::Cancel);
+    assert_eq!(k.next(&mut q, 1), NextAction::Cancel);
     q.apply_cancellation(Some(JobOutcome::Done));
-    assert_eq!(k.next(&mut q, 1), Step::Reply(Word::Ended(JobOutcome::Done)));
+    assert_eq!(k.next(&mut q, 1), NextAction::Reply(Reply::Ended(JobOutcome::Done)));
 }
 
 /// What can never run is refused for good only if it was never accepted; a repeat of an
 /// accepted job is answered with its state whatever would be said against it now.
 #[test]
 fn nothing_is_said_against_an_accepted_job() {
-    let (mut k, mut q) = (Known::new(), Inquiry::new("j-1".into(), Wish::Submit));
-    assert_eq!(k.next(&mut q, 1), Step::Validate);
-    q.apply_validation(Verdict::Unsatisfiable("unknown team"));
-    assert_eq!(k.next(&mut q, 1), Step::LookUp);
+    let (mut k, mut q) = (Known::new(), UserRequest::new("j-1".into(), RequestKind::Submit));
+    assert_eq!(k.next(&mut q, 1), NextAction::Validate);
+    q.apply_validation(Validation::Unsatisfiable("unknown team"));
+    assert_eq!(k.next(&mut q, 1), NextAction::LookUp);
     let mut known = q.clone();
-    q.apply_lookup(Some(Found::NotFound));
-    assert_eq!(k.next(&mut q, 1), Step::Reply(Word::Unsatisfiable("unknown team")));
-    known.apply_lookup(Some(Found::Confirmed));
-    assert_eq!(k.next(&mut known, 1), Step::Reply(Word::Unfinished));
+    q.apply_lookup(Some(LookupResult::NotFound));
+    assert_eq!(k.next(&mut q, 1), NextAction::Reply(Reply::Unsatisfiable("unknown team")));
+    known.apply_lookup(Some(LookupResult::Confirmed));
+    assert_eq!(k.next(&mut known, 1), NextAction::Reply(Reply::Unfinished));
 }
 
 /// A job with many needs from before this controller's life is not called queued before
@@ -159,13 +159,13 @@
     let mut k = Known::new();
     let needs: Vec<Name> = (100..300).map(|n| format!("j-{n}").into()).collect();
     k.ledger.insert_seen(Arc::new(JobSpec { needs, ..(*spec("j-1", 1)).clone() }), 5);
-    let mut q = Inquiry::new("j-1".into(), Wish::Query);
-    assert_eq!(k.next(&mut q, 1), Step::Confirm);
+    let mut q = UserRequest::new("j-1".into(), RequestKind::Query);
+    assert_eq!(k.next(&mut q, 1), NextAction::Confirm);
     q.apply_confirmation(Some(None));
     let mut reads = 0;
     let answer = loop {
         match k.next(&mut q, 1) {
-            Step::ReadOutcomes(ids) => {
+            NextAction::ReadOutcomes(ids) => {
                 reads += 1;
                 ids.iter().take(64).for_each(|id| assert!(!k.ledger.apply_outcome(id, JobOutcome::Done)));
                 q.apply_outcomes_read(true);
@@ -173,10 +173,10 @@
             step => break step,
         }
     };
-    assert_eq!((reads, answer), (4, Step::Reply(Word::Unfinished)));
+    assert_eq!((reads, answer), (4, NextAction::Reply(Reply::Unfinished)));
     k.ledger.apply_outcome("j-150", JobOutcome::Cancelled);
     assert!(later(&k.next(&mut q, 1)));
-    let mut q = Inquiry::new("j-1".into(), Wish::Query);
+    let mut q = UserRequest::new("j-1".into(), RequestKind::Query);
     k.next(&mut q, 1);
     q.apply_confirmation(Some(None));
     k.young = false;
--- a/packages/core/src/cluster/job.rs
+++ b/packages/core/src/cluster/job.rs
@@ -9,7 +9,7 @@
 
 /// What a placed task is doing, as far as its machine has said.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum TaskPhase {
     /// Decided; the machine has not shown it yet.
     Assigned,
     /// Waits for its image.
@@ -26,7 +26,7 @@
 
 /// A task that is, or may be, on a machine.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct Assignment {
     /// Its job.
     pub spec: Arc<JobSpec>,
     /// The attempt.
@@ -34,7 +34,7 @@
     /// The worker's session the start is for.
     pub incarnation: u64,
     /// What it does.
-    pub phase: Phase,
+    pub phase: TaskPhase,
     /// The start is in the store; only then may the command leave.
     pub stored: bool,
     /// Order of the report whose answer last carried the start.
@@ -57,14 +57,14 @@
     pub running_since: Option<Instant>,
 }
 
-impl Place {
+impl Assignment {
     /// A start that was just decided.
-    pub fn new(spec: Arc<JobSpec>, attempt: u64, session: u64, now: Instant) -> Place {
-        Place {
+    pub fn new(spec: Arc<JobSpec>, attempt: u64, session: u64, now: Instant) -> Assignment {
+        Assignment {
             spec,
             attempt,
             incarnation: session,
-            phase: Phase::Assigned,
+            phase: TaskPhase::Assigned,
             stored: false,
             start_sent_in: None,
             stop_sent: false,
@@ -79,7 +79,7 @@
 
     /// Whether it takes room, quota and its zone.
     pub fn occupies_resources(&self) -> bool {
-        self.phase != Phase::Completed
+        self.phase != TaskPhase::Completed
     }
 }
 
@@ -107,7 +107,7 @@
     /// How long its completed tasks ran, on average, and how many they are.
     pub ran: (f64, u32),
     /// Since when it has been taken for broken, and what its probes came to.
-    pub quarantine: Option<Suspect>,
+    pub quarantine: Option<Quarantine>,
     /// Not placed before this.
     pub not_before: Option<Instant>,
     /// When this leader first knew of it.
@@ -215,7 +215,7 @@
 /// A job that seems to be broken: submitted with a mistake, it fails on every
 /// machine until its user withdraws it.
 #[derive(Debug, Clone, Copy)]
-pub struct Suspect {
+pub struct Quarantine {
     /// When the last probe was free to start: failures of what had been
     /// started before say nothing new.
     pub since: Instant,
@@ -225,7 +225,7 @@
 
 /// Tasks that found no machine: what the fleet should grow by.
 #[derive(Debug, Clone)]
-pub struct Want {
+pub struct UnmetDemand {
     /// Their job.
     pub spec: Arc<JobSpec>,
     /// How many.
@@ -243,4 +243,4 @@
 }
 
 /// Why a job that fails everywhere waits.
-pub const SUSPECT: &str = "its tasks fail everywhere";
+pub const QUARANTINED: &str = "its tasks fail everywhere";
--- a/packages/core/src/cluster/machine.rs
+++ b/packages/core/src/cluster/machine.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-use super::{MachineState, Phase, Place};
+use super::{Assignment, MachineState, TaskPhase};
 use crate::model::*;
 use crate::policy::Policy;
 
@@ -31,7 +31,7 @@
     /// When the cloud takes it away.
     pub reclaim_at: Option<Instant>,
     /// What is, or may be, on it.
-    pub tasks: BTreeMap<Task, Place>,
+    pub tasks: BTreeMap<Task, Assignment>,
     /// Exited tasks to be reaped, with their attempts.  A page may go on
     /// naming them: a new leader starts nothing that it finds on record, so a
     /// reap can't be followed by the same start.
@@ -82,8 +82,8 @@
     /// Whether nothing is to be told to its worker, and nothing is awaited from it: all that is
     /// on it was listed by its last report and is to go on.
     pub fn is_settled(&self) -> bool {
-        let settled = |p: &Place| {
-            let listed = matches!(p.phase, Phase::Pulling | Phase::WaitingForGang | Phase::Running);
+        let settled = |p: &Assignment| {
+            let listed = matches!(p.phase, TaskPhase::Pulling | TaskPhase::WaitingForGang | TaskPhase::Running);
             listed && p.stored && p.confirmed && !p.inherited && p.stop_grace_s.is_none()
         };
         let open = self.removed_at.is_some() || self.deletion_sent_at.is_some() || self.reclaim_at.is_some();
@@ -167,7 +167,7 @@
 
 /// What was learned of a machine; a hint for the next leader.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Learned {
+pub struct MachineHints {
     /// Its speed, as observed, and by how many tasks.
     pub speed: f64,
     /// Tasks observed.
--- a/packages/core/src/cluster/mod.rs
+++ b/packages/core/src/cluster/mod.rs
@@ -19,7 +19,7 @@
 pub use page::*;
 pub use rented::*;
 
-use crate::dependency::{Dependency, Held, Need, Urgency};
+use crate::dependency::{BlockedJob, DependencyGraph, DependencyStatus, Urgency};
 use crate::model::*;
 use crate::policy::Policy;
 
@@ -33,7 +33,7 @@
     /// for others are not among them yet.
     pub jobs: NameMap<Job>,
     /// Jobs that wait for others.
-    pub dependency: Dependency,
+    pub dependency: DependencyGraph,
     /// Machines.
     pub machines: BTreeMap<Name, Machine>,
     /// Machine types.
@@ -59,18 +59,18 @@
     /// Something changed that placement should look at.
     pub queue_changed: bool,
     /// Starts to be stored.
-    pub unstored_starts: BTreeMap<Turn, Start>,
+    pub unstored_starts: BTreeMap<QueueKey, StartRecord>,
     next_queue_sequence: u64,
     /// Jobs with completed tasks, or an end, to be stored.
     pub jobs_to_store: BTreeSet<Name>,
     /// What the store holds of starts and completed tasks.
-    pub shards: BTreeMap<u32, Page>,
+    pub shards: BTreeMap<u32, PlacementShard>,
     /// The page whose turn it is to be rewritten.
     pub next_shard: u32,
     /// Machines that there may be something to tell.
     pub machines_to_command: BTreeSet<Name>,
     /// What the previous leader had learned of machines that have not reported yet.
-    pub machine_hints: HashMap<Name, Learned>,
+    pub machine_hints: HashMap<Name, MachineHints>,
     /// How long the tasks placed in the last pass had waited.
     pub placement_waits: Vec<Duration>,
 }
@@ -114,7 +114,7 @@
             term,
             next_attempt: 0,
             jobs: NameMap::default(),
-            dependency: Dependency::default(),
+            dependency: DependencyGraph::default(),
             machines: BTreeMap::new(),
             types: BTreeMap::new(),
             policy,
@@ -168,8 +168,8 @@
         }
         if outcome.is_none() && !spec.needs.is_empty() {
             let look = |n: &Name| match self.jobs.get(n) {
-                Some(j) => j.outcome.map_or(Need::Open, Need::Ended),
-                None => Need::Unknown,
+                Some(j) => j.outcome.map_or(DependencyStatus::Open, DependencyStatus::Ended),
+                None => DependencyStatus::Unknown,
             };
             if self.dependency.block(&spec, stamp, now, look) {
                 self.update_urgencies();
@@ -205,7 +205,7 @@
 
     /// A job that waited for others enters the queue, with the arrival that it
     /// has had all the time.
-    pub(crate) fn release_blocked_job(&mut self, h: Held) {
+    pub(crate) fn release_blocked_job(&mut self, h: BlockedJob) {
         self.add_started_job(h.spec, h.revision, None, h.first_seen);
     }
 
@@ -219,7 +219,13 @@
     }
 
     /// A stored page, read by a new leader: all of its starts are uncertain.
-    pub fn add_shard(&mut self, id: u32, page: Page, machines: &HashMap<Name, Whereabouts>, now: Instant) {
+    pub fn add_shard(
+        &mut self,
+        id: u32,
+        page: PlacementShard,
+        machines: &HashMap<Name, MachineLocation>,
+        now: Instant,
+    ) {
         for (job, ranges) in &page.completed {
             let Some(j) = self.jobs.get_mut(job) else { continue };
             for n in ranges.iter().take_while(|n| *n < j.spec.tasks) {
@@ -238,7 +244,7 @@
         self.shards.insert(id, page);
     }
 
-    fn add_start(&mut self, s: &Start, kind: &Name, zone: &Name, spot: bool, now: Instant) {
+    fn add_start(&mut self, s: &StartRecord, kind: &Name, zone: &Name, spot: bool, now: Instant) {
         let Some(job) = self.jobs.get_mut(&s.task.job) else {
             tracing::error!("a page names {}, whose job is unknown", s.task);
             return;
@@ -255,7 +261,7 @@
         if m.tasks.get(&s.task).is_some_and(|p| (p.attempt, p.incarnation) >= (s.attempt, s.incarnation)) {
             return;
         }
-        let mut place = Place::new(job.spec.clone(), s.attempt, s.incarnation, now);
+        let mut place = Assignment::new(job.spec.clone(), s.attempt, s.incarnation, now);
         (place.stored, place.inherited, place.confirmed) = (true, true, false);
         if job.outcome.is_some() {
             // a stop is due, and if its machine stays silent, a deletion: the
@@ -283,7 +289,7 @@
             return false;
         }
         job.assignments.entry(task.index).or_default().push(machine.clone());
-        m.tasks.insert(task.clone(), Place::new(job.spec.clone(), attempt, m.incarnation, now));
+        m.tasks.insert(task.clone(), Assignment::new(job.spec.clone(), attempt, m.incarnation, now));
         m.idle_since = None;
         let session = m.incarnation;
         self.placement_waits.push(now.duration_since(job.first_seen));
@@ -295,7 +301,7 @@
     pub fn queue_start_record(&mut self, task: &Task, machine: &Name, attempt: u64, session: u64) {
         let Some(job) = self.jobs.get(&task.job) else { return };
         self.next_queue_sequence += 1;
-        let start = Start { machine: machine.clone(), task: task.clone(), attempt, incarnation: session };
+        let start = StartRecord { machine: machine.clone(), task: task.clone(), attempt, incarnation: session };
         self.unstored_starts.insert((job.queue_priority(), self.next_queue_sequence), start);
     }
 
@@ -383,7 +389,7 @@
                 .machines
                 .get(&m)
                 .and_then(|m| m.tasks.get(&t))
-                .is_some_and(|p| p.start_sent_in.is_none() && !p.inherited && p.phase == Phase::Assigned);
+                .is_some_and(|p| p.start_sent_in.is_none() && !p.inherited && p.phase == TaskPhase::Assigned);
             if unsent {
                 // its command never left
                 self.release_assignment(&m, &t, now);
@@ -396,7 +402,7 @@
     /// Decides a stop; it is repeated until the task is gone.
     pub fn request_stop(&mut self, machine: &Name, task: &Task, grace: f64, now: Instant) {
         let Some(p) = self.machines.get_mut(machine).and_then(|m| m.tasks.get_mut(task)) else { return };
-        if p.phase == Phase::Completed {
+        if p.phase == TaskPhase::Completed {
             return;
         }
         if p.stop_grace_s.is_none_or(|g| grace < g) {
--- a/packages/core/src/cluster/page.rs
+++ b/packages/core/src/cluster/page.rs
@@ -4,7 +4,7 @@
 
 /// A start as pages keep it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Start {
+pub struct StartRecord {
     /// Machine.
     pub machine: Name,
     /// Task.
@@ -17,18 +17,18 @@
 
 /// A page as last written.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Page {
+pub struct PlacementShard {
     /// Stamp of its key, 0 if it is not there.
     pub revision: u64,
     /// Starts.
-    pub starts: Vec<Start>,
+    pub starts: Vec<StartRecord>,
     /// Completed tasks by job.
     pub completed: Vec<(Name, Ranges)>,
 }
 
 /// What is known of a machine apart from its report.
-pub type Whereabouts = (Name, Name, bool);
+pub type MachineLocation = (Name, Name, bool);
 
 /// The order in which starts are stored: by the turn of their jobs, then as
 /// they were decided.
-pub type Turn = ((bool, Priority), u64);
+pub type QueueKey = ((bool, Priority), u64);
--- a/packages/core/src/cluster/rented.rs
+++ b/packages/core/src/cluster/rented.rs
@@ -10,7 +10,7 @@
 use coralnotch_wire::state::{Txn, Write};
 
 /// A kind of machine in a zone.
-pub type Pool = (Name, Name, bool);
+pub type MachinePool = (Name, Name, bool);
 
 /// How many times what it begins with a leader may learn to hear.  A calm fleet
 /// tells nothing of the seconds after a restart, when all workers come at once: a
@@ -23,7 +23,7 @@
     /// Number of the last rental asked for.
     pub(crate) next_request_id: u64,
     /// Pools without capacity, and until when they are not asked.
-    pub exhausted_pools: HashMap<Pool, Instant>,
+    pub exhausted_pools: HashMap<MachinePool, Instant>,
     /// Rentals under way or in doubt; in doubt they are asked again under the
     /// same charter.
     pub open_rentals: Vec<Rental>,
@@ -45,7 +45,7 @@
 
 /// What became of a try to put rentals on record.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Tried {
+pub enum RecordAttempt {
     /// It was carried out.
     Done,
     /// These keys were not as expected.
@@ -59,7 +59,7 @@
 /// Rentals on their way onto the record, under one key that no other record ever has.
 /// They are asked for once they are on record, and not before.
 #[derive(Debug)]
-pub struct Recording {
+pub struct RentalRecording {
     /// The key.
     pub key: String,
     /// What is to be on record.
@@ -68,7 +68,7 @@
     doubted: bool,
 }
 
-impl Recording {
+impl RentalRecording {
     /// The transaction, the same at each try: whatever of it comes late finds the key
     /// there, or another leader.
     pub fn txn(&self, leader: u64) -> Txn {
@@ -81,25 +81,25 @@
     /// Whether they are on record after a try, or `None` if it is to be tried again: what
     /// stays in doubt may be carried out yet, and a next leader would find a record of what
     /// was planned anew.
-    pub fn apply_attempt(&mut self, outcome: &Tried) -> Option<bool> {
+    pub fn apply_attempt(&mut self, outcome: &RecordAttempt) -> Option<bool> {
         match outcome {
-            Tried::Done => Some(true),
+            RecordAttempt::Done => Some(true),
             // its key is this record's alone
-            Tried::Conflict(keys) if self.doubted && *keys == [self.key.as_str()] => Some(true),
-            Tried::Doubt => {
+            RecordAttempt::Conflict(keys) if self.doubted && *keys == [self.key.as_str()] => Some(true),
+            RecordAttempt::Doubt => {
                 self.doubted = true;
                 None
             }
-            Tried::Conflict(_) | Tried::Refused => Some(false),
+            RecordAttempt::Conflict(_) | RecordAttempt::Refused => Some(false),
         }
     }
 }
 
 impl Fleet {
     /// What of these rentals has to be put on record in this term; nothing if all are.
-    pub fn begin_recording(&mut self, rentals: &[Rental], term: u64) -> Option<Recording> {
+    pub fn begin_recording(&mut self, rentals: &[Rental], term: u64) -> Option<RentalRecording> {
         let rentals = self.unrecorded(rentals);
-        (!rentals.is_empty()).then(|| Recording { key: self.record_key(term), rentals, doubted: false })
+        (!rentals.is_empty()).then(|| RentalRecording { key: self.record_key(term), rentals, doubted: false })
     }
 
     /// Those of these rentals that are not on record yet.
--- a/packages/core/src/cluster/rented/tests.rs
+++ b/packages/core/src/cluster/rented/tests.rs
@@ -79,18 +79,18 @@
                     let txn = r.txn(leader);
                     let tried = match luck {
                         Luck::Answered => match store.apply(&txn) {
-                            Ok(_) => Tried::Done,
-                            Err(keys) => Tried::Conflict(keys),
+                            Ok(_) => RecordAttempt::Done,
+                            Err(keys) => RecordAttempt::Conflict(keys),
                         },
                         Luck::Lost => {
                             let _ = store.apply(&txn);
-                            Tried::Doubt
+                            RecordAttempt::Doubt
                         }
                         Luck::Late => {
                             late.push(txn);
-                            Tried::Doubt
+                            RecordAttempt::Doubt
                         }
-                        Luck::Refused => Tried::Refused,
+                        Luck::Refused => RecordAttempt::Refused,
                     };
                     on = r.apply_attempt(&tried);
                     if on.is_some() {
--- a/packages/core/src/commit.rs
+++ b/packages/core/src/commit.rs
@@ -13,28 +13,28 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::cluster::{Cluster, Machine, Page, Phase, Start, Turn, Whereabouts};
+use crate::cluster::{Cluster, Machine, MachineLocation, PlacementShard, QueueKey, StartRecord, TaskPhase};
 use crate::key;
 use crate::model::*;
 use coralnotch_wire::state::{read_value, KeyValue, Precondition, Txn, Write};
 
 /// Task, attempt, machine (as an index) and session of a start.
-type StartRecord = (u32, u64, usize, u64);
+type StoredStart = (u32, u64, usize, u64);
 
 /// The stored form: names once, the rest by number.
 #[derive(Debug, Default, Serialize, Deserialize)]
-struct PageRecord {
+struct ShardRecord {
     pools: Vec<(Name, Name, bool)>,
     machines: Vec<(Name, usize)>,
     /// By job.
-    starts: Vec<(Name, Vec<StartRecord>)>,
+    starts: Vec<(Name, Vec<StoredStart>)>,
     done: Vec<(Name, Ranges)>,
 }
 
 /// Turns a stored page into starts, with type, zone and kind of each machine.
-pub fn read_shard(path: &str, item: &KeyValue) -> Option<(u32, Page, HashMap<Name, Whereabouts>)> {
-    let id = path.strip_prefix(key::PAGE)?.parse().ok()?;
-    let r: PageRecord = read_value(path, item.value.clone())?;
+pub fn read_shard(path: &str, item: &KeyValue) -> Option<(u32, PlacementShard, HashMap<Name, MachineLocation>)> {
+    let id = path.strip_prefix(key::SHARD)?.parse().ok()?;
+    let r: ShardRecord = read_value(path, item.value.clone())?;
     let mut places = HashMap::new();
     for (name, pool) in &r.machines {
         places.insert(name.clone(), r.pools.get(*pool)?.clone());
@@ -43,28 +43,28 @@
     for (job, list) in r.starts {
         for (index, attempt, machine, session) in list {
             let machine = r.machines.get(machine)?.0.clone();
-            starts.push(Start { machine, task: Task { job: job.clone(), index }, attempt, incarnation: session });
+            starts.push(StartRecord { machine, task: Task { job: job.clone(), index }, attempt, incarnation: session });
         }
     }
-    Some((id, Page { revision: item.revision, starts, completed: r.done }, places))
+    Some((id, PlacementShard { revision: item.revision, starts, completed: r.done }, places))
 }
 
 /// The jobs that a stored page names as started.
 pub fn started_jobs_of_shard(item: &KeyValue) -> Vec<Name> {
-    let r: Option<PageRecord> = read_value(&item.key, item.value.clone());
+    let r: Option<ShardRecord> = read_value(&item.key, item.value.clone());
     r.map(|r| r.starts.into_iter().map(|s| s.0).collect()).unwrap_or_default()
 }
 
 /// The jobs that have begun, as far as pages tell: no start is stored before the
 /// ends of all that its job needs, so they wait for nothing.
-pub fn started_jobs<'a>(pages: impl Iterator<Item = &'a Page>) -> HashSet<Name> {
-    let of = |p: &'a Page| p.starts.iter().map(|s| &s.task.job).chain(p.completed.iter().map(|d| &d.0));
+pub fn started_jobs<'a>(pages: impl Iterator<Item = &'a PlacementShard>) -> HashSet<Name> {
+    let of = |p: &'a PlacementShard| p.starts.iter().map(|s| &s.task.job).chain(p.completed.iter().map(|d| &d.0));
     pages.flat_map(of).cloned().collect()
 }
 
 /// The key of a page.
 pub fn shard_key(id: u32) -> String {
-    format!("{}{id}", key::PAGE)
+    format!("{}{id}", key::SHARD)
 }
 
 /// Most that a number takes.
@@ -84,20 +84,20 @@
 /// What a page takes in the form that is counted, entry by entry; a comma or a
 /// colon may come with a space.
 #[derive(Debug)]
-struct Filling {
+struct ShardBuilder {
     bytes: usize,
-    pools: Vec<Whereabouts>,
+    pools: Vec<MachineLocation>,
     machines: NameMap<()>,
     jobs: NameMap<()>,
 }
 
-impl Filling {
-    fn new() -> Filling {
-        Filling { bytes: EMPTY, pools: Vec::new(), machines: NameMap::default(), jobs: NameMap::default() }
+impl ShardBuilder {
+    fn new() -> ShardBuilder {
+        ShardBuilder { bytes: EMPTY, pools: Vec::new(), machines: NameMap::default(), jobs: NameMap::default() }
     }
 
     /// What one more start takes.
-    fn start(&self, s: &Start, at: &Whereabouts) -> usize {
+    fn start(&self, s: &StartRecord, at: &MachineLocation) -> usize {
         let mut bytes = 10 + digits(s.task.index.into()) + digits(s.attempt) + digits(s.incarnation);
         bytes += digits(self.machines.len() as u64);
         if !self.machines.contains_key(&s.machine) {
@@ -112,7 +112,7 @@
         bytes
     }
 
-    fn add_start(&mut self, s: &Start, at: &Whereabouts) {
+    fn add_start(&mut self, s: &StartRecord, at: &MachineLocation) {
         self.bytes += self.start(s, at);
         self.machines.insert(s.machine.clone(), ());
         self.jobs.insert(s.task.job.clone(), ());
@@ -131,14 +131,14 @@
     }
 
     fn add_done(&mut self, job: &Name, ranges: &Ranges) {
-        self.bytes += Filling::done(job) + ranges.spans().map(Filling::range).sum::<usize>();
+        self.bytes += ShardBuilder::done(job) + ranges.spans().map(ShardBuilder::range).sum::<usize>();
     }
 
     /// As many of the first ranges as fit.
     fn fitting(&self, job: &Name, ranges: &Ranges, most: usize) -> Ranges {
-        let mut left = most.saturating_sub(self.bytes + Filling::done(job));
+        let mut left = most.saturating_sub(self.bytes + ShardBuilder::done(job));
         let fits = |r: &(u32, u32)| {
-            let bytes = Filling::range(*r);
+            let bytes = ShardBuilder::range(*r);
             let fits = bytes <= left;
             left = left.saturating_sub(bytes);
             fits
@@ -148,7 +148,7 @@
 }
 
 /// The machine of a start that is still to be stored; none of one that was given up.
-fn to_store<'a>(machines: &'a BTreeMap<Name, Machine>, s: &Start) -> Option<&'a Machine> {
+fn to_store<'a>(machines: &'a BTreeMap<Name, Machine>, s: &StartRecord) -> Option<&'a Machine> {
     let m = machines.get(&s.machine)?;
     let p = m.tasks.get(&s.task)?;
     (p.attempt == s.attempt && p.incarnation == s.incarnation && !p.stored).then_some(m)
@@ -189,21 +189,21 @@
 
 /// A transaction and what its success means.
 #[derive(Debug, Default)]
-pub struct Batch {
+pub struct CommitBatch {
     /// What is sent.
     pub txn: Txn,
     /// Pages as it writes them.
-    pages: Vec<(u32, Page)>,
+    pages: Vec<(u32, PlacementShard)>,
     /// A page that others now hold a part of, with what is left to it.
-    divided: Option<(u32, Page)>,
+    divided: Option<(u32, PlacementShard)>,
     /// The starts among the pages' that are new, with their turns.
-    starts: Vec<(Turn, Start)>,
+    starts: Vec<(QueueKey, StartRecord)>,
     /// The completed tasks that are new.
     done: Vec<(Name, Ranges)>,
     ends: Vec<(Name, JobOutcome)>,
 }
 
-impl Batch {
+impl CommitBatch {
     /// Whether one more change and its condition fit, with room left for a page.
     fn room(&self, most: &TxnLimits) -> bool {
         self.txn.writes.len() + 1 < most.writes && self.txn.preconditions.len() + 2 < most.preconditions
@@ -218,8 +218,8 @@
 impl Cluster {
     /// The next transaction, if the store lacks anything.  `leader` is the
     /// stamp of the leader key: no write of a former leader gets through.
-    pub fn next_commit(&mut self, leader: u64, most: &TxnLimits) -> Option<Batch> {
-        let mut b = Batch::default();
+    pub fn next_commit(&mut self, leader: u64, most: &TxnLimits) -> Option<CommitBatch> {
+        let mut b = CommitBatch::default();
         b.txn.preconditions.push(Precondition { key: key::LEADER.into(), revision: leader });
         // what needs a cancelled job ends with it; half of a transaction is left
         // to those that completed, whose users wait
@@ -260,7 +260,7 @@
 
     /// Adds a page with what is new: completed tasks first, their users wait;
     /// then starts, in the order of the queue.
-    fn fill_page(&mut self, b: &mut Batch, partly: Vec<Name>, most: &TxnLimits) {
+    fn fill_page(&mut self, b: &mut CommitBatch, partly: Vec<Name>, most: &TxnLimits) {
         let news = partly.len() + self.unstored_starts.len();
         let (id, mut page, mut filling) = self.page_with_room(b, news, most);
         b.txn.require(shard_key(id), page.revision);
@@ -302,8 +302,9 @@
     }
 
     /// What of a page is still true, and what that takes.
-    fn live(&self, page: &Page) -> (Page, Filling) {
-        let (mut live, mut filling) = (Page { revision: page.revision, ..Page::default() }, Filling::new());
+    fn live(&self, page: &PlacementShard) -> (PlacementShard, ShardBuilder) {
+        let (mut live, mut filling) =
+            (PlacementShard { revision: page.revision, ..PlacementShard::default() }, ShardBuilder::new());
         for s in &page.starts {
             let Some(m) = self.machines.get(&s.machine) else { continue };
             // a start for an earlier session is dead, also if the attempt is the same
@@ -324,7 +325,12 @@
     /// The next page in turn that has room, with what is still true of it; of
     /// a few the emptiest, or a new one.  A page is worth its change if it takes
     /// all that is new, or as much as half a page.
-    fn page_with_room(&mut self, b: &mut Batch, news: usize, most: &TxnLimits) -> (u32, Page, Filling) {
+    fn page_with_room(
+        &mut self,
+        b: &mut CommitBatch,
+        news: usize,
+        most: &TxnLimits,
+    ) -> (u32, PlacementShard, ShardBuilder) {
         let wanted = (news * 48).min(most.shard_bytes / 2);
         let next = self.next_shard;
         let ids: Vec<u32> =
@@ -332,7 +338,7 @@
         if let Some(last) = ids.last() {
             self.next_shard = last + 1;
         }
-        let mut best: Option<(u32, Page, Filling)> = None;
+        let mut best: Option<(u32, PlacementShard, ShardBuilder)> = None;
         for id in ids {
             let (live, filling) = self.live(&self.shards[&id]);
             if filling.bytes > most.shard_bytes {
@@ -343,13 +349,13 @@
                 best = Some((id, live, filling));
             }
         }
-        best.unwrap_or_else(|| (self.new_page(), Page::default(), Filling::new()))
+        best.unwrap_or_else(|| (self.new_page(), PlacementShard::default(), ShardBuilder::new()))
     }
 
     fn new_page(&mut self) -> u32 {
         let id = self.shards.last_key_value().map_or(0, |p| p.0 + 1);
         // kept from now on: a try in doubt may have made it
-        self.shards.insert(id, Page::default());
+        self.shards.insert(id, PlacementShard::default());
         id
     }
 
@@ -358,22 +364,22 @@
     /// transaction takes, and what is left fits or waits for its next turn.
     /// Until the page itself is written again it names some starts twice, which
     /// does no harm: the same start of a task is the same start.
-    fn divide(&mut self, b: &mut Batch, id: u32, live: Page, most: &TxnLimits) {
-        let mut rest = Page { revision: live.revision, ..Page::default() };
-        let mut parts: Vec<Page> = vec![Page::default()];
-        let mut filling = Filling::new();
+    fn divide(&mut self, b: &mut CommitBatch, id: u32, live: PlacementShard, most: &TxnLimits) {
+        let mut rest = PlacementShard { revision: live.revision, ..PlacementShard::default() };
+        let mut parts: Vec<PlacementShard> = vec![PlacementShard::default()];
+        let mut filling = ShardBuilder::new();
         // one change is the ordinary page's, one this page's own
         let room = most.writes.saturating_sub(b.txn.writes.len() + 2).min(MOST_DIVIDED / most.shard_bytes.max(1));
         if b.divided.is_some() || room == 0 || most.preconditions < b.txn.preconditions.len() + room + 2 {
             return;
         }
         let place =
-            |c: &Cluster, s: &Start| c.machines.get(&s.machine).map(|m| (m.kind.clone(), m.zone.clone(), m.spot));
+            |c: &Cluster, s: &StartRecord| c.machines.get(&s.machine).map(|m| (m.kind.clone(), m.zone.clone(), m.spot));
         for s in live.starts {
             let Some(at) = place(self, &s) else { continue };
             if filling.bytes + filling.start(&s, &at) > most.shard_bytes && parts.len() <= room {
-                parts.push(Page::default());
-                filling = Filling::new();
+                parts.push(PlacementShard::default());
+                filling = ShardBuilder::new();
             }
             if filling.bytes + filling.start(&s, &at) > most.shard_bytes {
                 rest.starts.push(s);
@@ -392,8 +398,8 @@
                         rest.completed.push((job, ranges));
                         break;
                     }
-                    parts.push(Page::default());
-                    filling = Filling::new();
+                    parts.push(PlacementShard::default());
+                    filling = ShardBuilder::new();
                     continue;
                 }
                 filling.add_done(&job, &part);
@@ -416,8 +422,8 @@
         tracing::info!("page {id} is larger than a value may be: divided into {}", b.pages.len());
     }
 
-    fn page_record(&self, page: &Page) -> PageRecord {
-        let mut r = PageRecord::default();
+    fn page_record(&self, page: &PlacementShard) -> ShardRecord {
+        let mut r = ShardRecord::default();
         let mut machines: HashMap<&Name, usize> = HashMap::new();
         let mut jobs: HashMap<&Name, usize> = HashMap::new();
         for s in &page.starts {
@@ -440,7 +446,7 @@
 
     /// The transaction was carried out at this revision.  Returns the jobs
     /// that ended by it.
-    pub fn apply_commit(&mut self, b: Batch, revision: u64, now: Instant) -> Vec<(Name, JobOutcome)> {
+    pub fn apply_commit(&mut self, b: CommitBatch, revision: u64, now: Instant) -> Vec<(Name, JobOutcome)> {
         for (_, s) in &b.starts {
             let Some(m) = self.machines.get_mut(&s.machine) else { continue };
             if let Some(p) =
@@ -486,7 +492,7 @@
         };
         for (name, task) in places {
             let place = self.machines.get(&name).and_then(|m| m.tasks.get(&task));
-            let Some(attempt) = place.filter(|p| p.phase == Phase::Completed).map(|p| p.attempt) else { continue };
+            let Some(attempt) = place.filter(|p| p.phase == TaskPhase::Completed).map(|p| p.attempt) else { continue };
             self.release_assignment(&name, &task, now);
             if let Some(m) = self.machines.get_mut(&name) {
                 m.exited.insert(task, attempt);
@@ -496,7 +502,7 @@
 
     /// The transaction was not, or may not have been, carried out: all of it
     /// is to be written again.
-    pub fn restore_uncommitted(&mut self, b: Batch) {
+    pub fn restore_uncommitted(&mut self, b: CommitBatch) {
         self.jobs_to_store.extend(b.done.into_iter().map(|d| d.0));
         // those that end with a cancelled job are still known to
         self.jobs_to_store.extend(b.ends.into_iter().filter(|e| e.1 == JobOutcome::Done).map(|e| e.0));
@@ -506,12 +512,12 @@
     /// What a key in conflict really holds: an earlier transaction of ours in
     /// doubt was carried out after all, or a user withdrew a job.
     pub fn reconcile_key(&mut self, path: &str, item: Option<&KeyValue>, now: Instant) {
-        if let Some(id) = path.strip_prefix(key::PAGE).and_then(|p| p.parse().ok()) {
+        if let Some(id) = path.strip_prefix(key::SHARD).and_then(|p| p.parse().ok()) {
             // only a try of our own, in doubt until now, can have written it: it
             // may hold what this page never did, as one that divided another, and
             // to write over that would lose starts
             let stored = match item {
-                None => Some(Page::default()),
+                None => Some(PlacementShard::default()),
                 Some(i) => read_shard(path, i).map(|p| p.1),
             };
             if let Some(page) = stored {
--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -46,7 +46,7 @@
                     if let Some(b) = c.next_commit(5, &limits(most)) {
                         revision += 1;
                         let stamp = |p: &str| store.get(p).map_or(0, |i: &KeyValue| i.revision);
-                        let pages = b.txn.preconditions.iter().filter(|g| g.key.starts_with(key::PAGE));
+                        let pages = b.txn.preconditions.iter().filter(|g| g.key.starts_with(key::SHARD));
                         let failed: Vec<_> =
                             pages.filter(|g| stamp(&g.key) != g.revision).map(|g| g.key.clone()).collect();
                         if !failed.is_empty() {
--- a/packages/core/src/dependency.rs
+++ b/packages/core/src/dependency.rs
@@ -17,9 +17,9 @@
 
 /// Who needs whom, seen from the needed ones.
 #[derive(Debug, Default)]
-pub struct Edges(NameMap<BTreeSet<Name>>);
+pub struct DependencyEdges(NameMap<BTreeSet<Name>>);
 
-impl Edges {
+impl DependencyEdges {
     /// A job with what it needs.
     pub fn add<'a>(&mut self, id: &Name, needs: impl IntoIterator<Item = &'a Name>) {
         for n in needs {
@@ -92,7 +92,7 @@
 
 /// A job that waits for others.
 #[derive(Debug, Clone)]
-pub struct Held {
+pub struct BlockedJob {
     /// The submission.
     pub spec: Arc<JobSpec>,
     /// Stamp of its record.
@@ -105,7 +105,7 @@
 
 /// How a needed job stands.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Need {
+pub enum DependencyStatus {
     /// Not over.
     Open,
     /// Nothing is known of it here: the store has to say.
@@ -116,35 +116,42 @@
 
 /// The jobs that wait for others.
 #[derive(Debug, Default)]
-pub struct Dependency {
-    blocked: NameMap<Held>,
-    edges: Edges,
+pub struct DependencyGraph {
+    blocked: NameMap<BlockedJob>,
+    edges: DependencyEdges,
     /// Needed jobs of which nothing is known here, with when to ask the store.
     unknown: BTreeMap<Name, Option<Instant>>,
     /// What those that need a job make of it; only of jobs that are needed.
     inherited: NameMap<Urgency>,
-    /// Held jobs that need a cancelled one: their own end has to be stored.
+    /// BlockedJob jobs that need a cancelled one: their own end has to be stored.
     needing_cancelled: BTreeSet<Name>,
     /// Jobs whose inherited urgency has changed since it was last asked.
     changed: Vec<Name>,
 }
 
-impl Dependency {
+impl DependencyGraph {
     /// Takes a job in, if it has to wait; false if all that it needs is done.
     /// A job that needs a cancelled one waits for its own end.
-    pub fn block(&mut self, spec: &Arc<JobSpec>, stamp: u64, now: Instant, look: impl Fn(&Name) -> Need) -> bool {
+    pub fn block(
+        &mut self,
+        spec: &Arc<JobSpec>,
+        stamp: u64,
+        now: Instant,
+        look: impl Fn(&Name) -> DependencyStatus,
+    ) -> bool {
         let id = &spec.id;
         if self.blocked.contains_key(id) {
             return true;
         }
         let (mut missing, mut needs_cancelled_job) = (BTreeSet::new(), false);
         for n in &spec.needs {
-            let stands = if self.blocked.contains_key(n) { Need::Open } else { look(n) };
-            needs_cancelled_job |= stands == Need::Ended(JobOutcome::Cancelled) || self.needing_cancelled.contains(n);
+            let stands = if self.blocked.contains_key(n) { DependencyStatus::Open } else { look(n) };
+            needs_cancelled_job |=
+                stands == DependencyStatus::Ended(JobOutcome::Cancelled) || self.needing_cancelled.contains(n);
             match stands {
-                Need::Ended(JobOutcome::Done) => continue,
-                Need::Unknown => drop(self.unknown.entry(n.clone()).or_default()),
-                Need::Open | Need::Ended(JobOutcome::Cancelled) => {}
+                DependencyStatus::Ended(JobOutcome::Done) => continue,
+                DependencyStatus::Unknown => drop(self.unknown.entry(n.clone()).or_default()),
+                DependencyStatus::Open | DependencyStatus::Ended(JobOutcome::Cancelled) => {}
             }
             missing.insert(n.clone());
         }
@@ -153,7 +160,7 @@
         }
         self.mark_known(id);
         self.edges.add(id, &missing);
-        let held = Held { spec: spec.clone(), revision: stamp, first_seen: now, missing };
+        let held = BlockedJob { spec: spec.clone(), revision: stamp, first_seen: now, missing };
         let mut raise: Vec<(Name, Urgency)> = Vec::new();
         let own = self.urgency(id, Urgency::own(spec, now));
         raise.extend(held.missing.iter().map(|n| (n.clone(), own)));
@@ -189,7 +196,7 @@
     }
 
     /// The jobs that wait.
-    pub fn blocked(&self) -> impl Iterator<Item = &Held> {
+    pub fn blocked(&self) -> impl Iterator<Item = &BlockedJob> {
         self.blocked.values()
     }
 
@@ -213,7 +220,7 @@
         std::mem::take(&mut self.changed)
     }
 
-    /// Held jobs whose own cancellation is to be stored, as they need a job
+    /// BlockedJob jobs whose own cancellation is to be stored, as they need a job
     /// that is cancelled.
     pub fn needing_cancelled(&self) -> impl Iterator<Item = &Name> {
         self.needing_cancelled.iter()
@@ -244,7 +251,7 @@
     /// A job is over, and the store has it so.  Returns the jobs that may start
     /// now.  What needs a cancelled one is doomed, through others too: it leaves
     /// when its own end is stored.
-    pub fn apply_outcome(&mut self, id: &str, outcome: JobOutcome) -> Vec<Held> {
+    pub fn apply_outcome(&mut self, id: &str, outcome: JobOutcome) -> Vec<BlockedJob> {
         self.mark_known(id);
         self.leave(id);
         if outcome == JobOutcome::Cancelled {
@@ -267,12 +274,12 @@
 
     /// The job runs, or has run: a start of it is on record, so that all it
     /// needs was done before.  Returns it if it was held.
-    pub fn unblock(&mut self, id: &str) -> Option<Held> {
+    pub fn unblock(&mut self, id: &str) -> Option<BlockedJob> {
         self.leave(id)
     }
 
     /// A job waits no longer; nobody asks about what it alone needed.
-    fn leave(&mut self, id: &str) -> Option<Held> {
+    fn leave(&mut self, id: &str) -> Option<BlockedJob> {
         let h = self.blocked.remove(id)?;
         self.needing_cancelled.remove(id);
         self.edges.remove(id, &h.missing);
@@ -298,7 +305,7 @@
     fn recompute_urgency(&mut self, ids: impl IntoIterator<Item = Name>) {
         let mut next: Vec<Name> = ids.into_iter().collect();
         while let Some(n) = next.pop() {
-            let of = |h: &Held| self.urgency(&h.spec.id, Urgency::own(&h.spec, h.first_seen));
+            let of = |h: &BlockedJob| self.urgency(&h.spec.id, Urgency::own(&h.spec, h.first_seen));
             let after =
                 self.edges.direct_dependents(&n).filter_map(|a| self.blocked.get(a)).map(of).reduce(Urgency::with);
             if self.inherited.get(&n).copied() == after {
--- a/packages/core/src/dependency/tests.rs
+++ b/packages/core/src/dependency/tests.rs
@@ -50,7 +50,7 @@
     fn the_graph_is_what_a_plain_reading_says(
         ops in prop::collection::vec((0u8..8, 0usize..24, prop::collection::vec(0usize..24, 0..4), 0usize..4), 1..80),
     ) {
-        let (mut d, mut p, now) = (Dependency::default(), Plain::default(), Instant::now());
+        let (mut d, mut p, now) = (DependencyGraph::default(), Plain::default(), Instant::now());
         let ranks = [Priority::Production, Priority::High, Priority::Normal, Priority::Low];
         let mut free: BTreeSet<Name> = BTreeSet::new();
         for (op, pick, needs, rank) in ops {
@@ -65,9 +65,9 @@
                     // an end may have left memory: then the store is asked
                     let forgot = pick % 2 == 0;
                     let look = |n: &Name| match outcomes.get(n) {
-                        None => Need::Open,
-                        Some(_) if forgot => Need::Unknown,
-                        Some(f) => Need::Ended(*f),
+                        None => DependencyStatus::Open,
+                        Some(_) if forgot => DependencyStatus::Unknown,
+                        Some(f) => DependencyStatus::Ended(*f),
                     };
                     if !d.block(&spec, n as u64, now, look) {
                         free.insert(spec.id.clone());
@@ -123,8 +123,8 @@
 fn long_chains_and_wide_ones() {
     const N: usize = 5000;
     let now = Instant::now();
-    let open = |_: &Name| Need::Open;
-    let mut d = Dependency::default();
+    let open = |_: &Name| DependencyStatus::Open;
+    let mut d = DependencyGraph::default();
     for n in 1..=N {
         assert!(d.block(&job(n, &[n - 1], Priority::Low), n as u64, now, open));
     }
@@ -138,18 +138,18 @@
     d.apply_outcome(&id(0), JobOutcome::Cancelled);
     assert_eq!(d.needing_cancelled().count(), N);
 
-    let mut d = Dependency::default();
+    let mut d = DependencyGraph::default();
     for n in 1..=N {
         d.block(&job(n, &[0], Priority::High), n as u64, now, open);
     }
     assert_eq!(d.apply_outcome(&id(0), JobOutcome::Done).len(), N);
     assert!(d.is_empty() && d.edges.is_empty() && d.inherited.is_empty());
 
-    let mut d = Dependency::default();
+    let mut d = DependencyGraph::default();
     for (n, needs) in [(1, vec![0]), (2, vec![0]), (3, vec![1, 2])] {
         d.block(&job(n, &needs, Priority::Normal), n as u64, now, open);
     }
-    let freed = |d: &mut Dependency, n| {
+    let freed = |d: &mut DependencyGraph, n| {
         let mut l: Vec<Name> =
             d.apply_outcome(&id(n), JobOutcome::Done).into_iter().map(|h| h.spec.id.clone()).collect();
         l.sort();
--- a/packages/core/src/fleet.rs
+++ b/packages/core/src/fleet.rs
@@ -5,7 +5,8 @@
 use std::time::{Duration, Instant};
 
 use crate::cluster::{
-    zone_allows, Cluster, Job, ListedMachine, Machine, MachineState, Phase, Place, Pool, Rental, TeamLimit, Want,
+    zone_allows, Assignment, Cluster, Job, ListedMachine, Machine, MachinePool, MachineState, Rental, TaskPhase,
+    TeamLimit, UnmetDemand,
 };
 use crate::model::*;
 
@@ -16,7 +17,7 @@
 
 /// What to do now.
 #[derive(Debug, Default)]
-pub struct Plan {
+pub struct FleetPlan {
     /// Machines to delete.
     pub delete: Vec<Name>,
     /// Rentals to ask for.
@@ -103,7 +104,7 @@
     }
 
     /// The cloud has none of these.
-    pub fn mark_pool_exhausted(&mut self, pool: &Pool, now: Instant) {
+    pub fn mark_pool_exhausted(&mut self, pool: &MachinePool, now: Instant) {
         self.fleet.exhausted_pools.insert(pool.clone(), now + self.policy.capacity_rest);
     }
 
@@ -122,8 +123,8 @@
 
     /// What to rent and what to return.  Also stops what has to leave its
     /// machine.
-    pub fn plan_fleet(&mut self, wants: &[Want], now: Instant) -> Plan {
-        let mut plan = Plan::default();
+    pub fn plan_fleet(&mut self, wants: &[UnmetDemand], now: Instant) -> FleetPlan {
+        let mut plan = FleetPlan::default();
         let g = self.guarantees();
         self.plan_scale_in(&g, &mut plan, now);
         if wants.is_empty() {
@@ -222,9 +223,9 @@
         per_zone: &HashMap<Name, usize>,
         now: Instant,
         unit: impl Fn(&MachineType) -> Option<f64>,
-        allowed: impl Fn(&Pool) -> bool,
-    ) -> Option<(Pool, Resources)> {
-        let mut best: Option<(f64, usize, Pool, Resources)> = None;
+        allowed: impl Fn(&MachinePool) -> bool,
+    ) -> Option<(MachinePool, Resources)> {
+        let mut best: Option<(f64, usize, MachinePool, Resources)> = None;
         for t in self.types.values() {
             let Some(unit) = unit(t) else { continue };
             for (zone, spot) in t.zones.iter().flat_map(|z| [(z, true), (z, false)]) {
@@ -264,7 +265,7 @@
     }
 
     #[expect(clippy::too_many_lines, reason = "longer than the limit since before it; to be divided")]
-    fn plan_scale_in(&mut self, g: &Guarantees, plan: &mut Plan, now: Instant) {
+    fn plan_scale_in(&mut self, g: &Guarantees, plan: &mut FleetPlan, now: Instant) {
         let policy = self.policy.clone();
         let mut spare = Resources::default();
         for m in self
@@ -381,7 +382,7 @@
                     plan.delete.push(m.name.clone());
                 }
             } else if m.cordon_reason.is_some() || m.reclaim_at.is_some() {
-                let stay = |p: &crate::cluster::Place| {
+                let stay = |p: &crate::cluster::Assignment| {
                     // without checkpoints a stop only loses: it may finish yet
                     m.cordon_reason.is_none() && p.spec.checkpoint_s == 0.0 && p.spec.shape == Shape::Array
                 };
@@ -421,14 +422,14 @@
             }
             down += j.waiting_tasks() as usize;
         }
-        let service = |p: &Place| p.spec.shape == Shape::Service;
+        let service = |p: &Assignment| p.spec.shape == Shape::Service;
         for place in self.machines.values().flat_map(|m| m.tasks.values()).filter(|p| service(p)) {
             replicas += 1;
             down += usize::from(place.stop_grace_s.is_some());
         }
         let most = ((replicas as f64 * p.move_share) as usize).max(1);
-        let settled = |t: &Place| {
-            let since = t.running_since.filter(|_| t.phase == Phase::Running && t.stop_grace_s.is_none());
+        let settled = |t: &Assignment| {
+            let since = t.running_since.filter(|_| t.phase == TaskPhase::Running && t.stop_grace_s.is_none());
             since.is_some_and(|s| now.duration_since(s) > p.settled)
         };
         let movable = |m: &&Machine| {
@@ -493,14 +494,14 @@
     }
 
     #[expect(clippy::too_many_lines, reason = "longer than the limit since before it; to be divided")]
-    fn plan_scale_out(&mut self, wants: &[Want], g: &Guarantees, plan: &mut Plan, now: Instant) {
+    fn plan_scale_out(&mut self, wants: &[UnmetDemand], g: &Guarantees, plan: &mut FleetPlan, now: Instant) {
         let policy = self.policy.clone();
         // machines on their way count before new ones are asked for.  A new
         // leader knows those of its previous leader from the list, and what the list
         // may lack from the records, which count until they are answered
         let Some(_) = self.fleet.last_full_list else { return };
         plan.rent.extend(self.fleet.open_rentals.iter().cloned());
-        let mut coming: Vec<(Pool, Resources)> = self
+        let mut coming: Vec<(MachinePool, Resources)> = self
             .machines
             .values()
             .filter(|m| {
@@ -528,7 +529,7 @@
             .filter(|p| p.occupies_resources() && p.spec.shape == Shape::Array && p.stop_grace_s.is_none())
             .count() as f64;
         let (mut places, mut spot_places) = (array_places, array_places);
-        let mut new: BTreeMap<Pool, u32> = BTreeMap::new();
+        let mut new: BTreeMap<MachinePool, u32> = BTreeMap::new();
         let mut wants = wants.to_vec();
         for spec in self.urgent() {
             let room = self.all_ready_room(&spec, now);
@@ -537,7 +538,7 @@
             // it stands for several jobs: its own share of a zone is not theirs
             let spec = std::sync::Arc::new(JobSpec { tasks: count.max(spec.tasks), ..(*spec).clone() });
             // first, or arrays would fill what is on its way in every pass
-            wants.insert(0, Want { spec, count, zones: BTreeMap::new() });
+            wants.insert(0, UnmetDemand { spec, count, zones: BTreeMap::new() });
         }
         for w in &wants {
             let spec = &w.spec;
@@ -563,7 +564,7 @@
             }
             let mut zones = w.zones.clone();
             // how many more the job may have in the zone of a pool
-            let most = |p: &Pool, zones: &BTreeMap<Name, u32>, left: u32| {
+            let most = |p: &MachinePool, zones: &BTreeMap<Name, u32>, left: u32| {
                 let fits = spec.allows(&p.0, &p.1, p.2) && zone_allows(spec, &p.1, zones);
                 let here = zones.get(&p.1).copied().unwrap_or(0);
                 if fits {
@@ -589,7 +590,7 @@
             while count > 0 {
                 // by the share of a machine that the task takes
                 let unit = |t: &MachineType| t.size().holds(&size).then(|| t.size().count(&size, 1000).max(1) as f64);
-                let allowed = |p: &Pool| {
+                let allowed = |p: &MachinePool| {
                     most(p, &zones, 1) > 0 && !(p.2 && spec.shape == Shape::Service) && (p.2 || count > spot_only)
                 };
                 let Some((pool, mut free)) = self.cheapest(&per_zone, now, unit, allowed) else { break };
@@ -632,8 +633,8 @@
     fn headroom(
         &self,
         g: &Guarantees,
-        coming: &mut Vec<(Pool, Resources)>,
-        new: &mut BTreeMap<Pool, u32>,
+        coming: &mut Vec<(MachinePool, Resources)>,
+        new: &mut BTreeMap<MachinePool, u32>,
         per_zone: &mut HashMap<Name, usize>,
         now: Instant,
     ) {
--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
-use crate::cluster::{Page, Start};
+use crate::cluster::{PlacementShard, StartRecord};
 use crate::policy::Policy;
 use crate::sim::{cluster, spec};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
 fn on_record(c: &mut Cluster, machines: usize, zone: &str, job: &str, now: Instant) {
-    let mut page = Page::default();
+    let mut page = PlacementShard::default();
     let mut places = HashMap::new();
     for i in 0..machines {
         let machine: Name = format!("i-{zone}{i:04}").into();
         places.insert(machine.clone(), ("t".into(), zone.into(), false));
-        page.starts.push(Start {
+        page.starts.push(StartRecord {
             machine,
             task: Task { job: job.into(), index: i as u32 },
             attempt: 1,
@@ -103,8 +103,8 @@
     c.add_job(spec("j-000001", 1000), 1, None, now);
     on_record(&mut c, 5, "z0", "j-000001", now);
     c.apply_machine_list(&[], now);
-    let want = Want { spec: spec("j-000001", 1000), count: 1000, zones: BTreeMap::new() };
-    let rented = |p: Plan| p.rent.iter().map(|r| r.count).sum::<u32>();
+    let want = UnmetDemand { spec: spec("j-000001", 1000), count: 1000, zones: BTreeMap::new() };
+    let rented = |p: FleetPlan| p.rent.iter().map(|r| r.count).sum::<u32>();
     assert_eq!(rented(c.plan_fleet(std::slice::from_ref(&want), now)), 7);
     // what was asked for counts until it is here
     assert_eq!(rented(c.plan_fleet(std::slice::from_ref(&want), now)), 7, "the same again, under the same charters");
@@ -145,7 +145,7 @@
     c.add_job(spec("j-000001", 1000), 1, None, t0);
     on_record(&mut c, 100, "z0", "j-000001", t0);
     c.apply_machine_list(&[], t0);
-    let want = |count| Want { spec: spec("j-000001", 1000), count, zones: BTreeMap::new() };
+    let want = |count| UnmetDemand { spec: spec("j-000001", 1000), count, zones: BTreeMap::new() };
     let each = 10.0 / c.policy.spot_horizon_s;
     let mut rented = |count| {
         c.fleet.open_rentals.clear();
@@ -167,7 +167,8 @@
     c.add_job(spec("j-000001", 1000), 1, None, t0);
     on_record(&mut c, 2, "z0", "j-000001", t0);
     let heard = Some(t0 - Duration::from_secs(20));
-    c.machine_hints.insert("i-z00000".into(), crate::cluster::Learned { last_heartbeat: heard, ..Default::default() });
+    c.machine_hints
+        .insert("i-z00000".into(), crate::cluster::MachineHints { last_heartbeat: heard, ..Default::default() });
     let silence = |after: Duration| {
         let of = |n: &str| c.time_since_heartbeat(&c.machines[n], t0 + after).as_secs();
         (of("i-z00000"), of("i-z00001"))
@@ -216,7 +217,7 @@
     let mut old = cluster(1, t0);
     old.set_types(&[MachineType { zones: vec!["z0".into()], ..crate::sim::machine_type("t") }]);
     old.fleet.last_full_list = Some(t0);
-    let want = |c: &Cluster| Want { spec: c.jobs["j-000001"].spec.clone(), count: 300, zones: BTreeMap::new() };
+    let want = |c: &Cluster| UnmetDemand { spec: c.jobs["j-000001"].spec.clone(), count: 300, zones: BTreeMap::new() };
     old.add_job(spec("j-000001", 300), 1, None, t0);
     let asked = old.plan_fleet(&[want(&old)], t0).rent;
     assert!(!asked.is_empty());
@@ -272,7 +273,7 @@
         }
     }
     for p in c.machines.values_mut().flat_map(|m| m.tasks.values_mut()) {
-        (p.phase, p.stored, p.running_since) = (Phase::Running, true, Some(t0));
+        (p.phase, p.stored, p.running_since) = (TaskPhase::Running, true, Some(t0));
     }
     let drained = |c: &Cluster| {
         c.machines.values().filter(|m| m.cordon_reason.is_some()).map(|m| m.name.to_string()).collect::<Vec<_>>()
--- a/packages/core/src/gate.rs
+++ b/packages/core/src/gate.rs
@@ -10,22 +10,22 @@
 use serde::{Deserialize, Serialize};
 
 /// Jobs that wait for others.
-pub const CHAINS: &str = "chains";
+pub const JOB_DEPENDENCIES: &str = "chains";
 
 /// A withdrawal is told to its user once every controller that may renew a lease
 /// knows of it, or had its time (see `knowledge`); and a controller that is cut off
 /// raises the tokens of its zone's workers.
-pub const TOLD: &str = "told";
+pub const CONFIRMED_CANCELLATIONS: &str = "told";
 
 /// Controllers that do not lead forward workers' reports.
-pub const REPORTS: &str = "reports";
+pub const FORWARDED_HEARTBEATS: &str = "reports";
 
 /// The features that this version has.
-pub const KNOWN: &[&str] = &[CHAINS, TOLD, REPORTS];
+pub const SUPPORTED: &[&str] = &[JOB_DEPENDENCIES, CONFIRMED_CANCELLATIONS, FORWARDED_HEARTBEATS];
 
 /// The stored record of what is on.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Gates {
+pub struct FeatureGates {
     /// Features.
     #[serde(rename = "on")]
     pub enabled: Vec<String>,
@@ -36,14 +36,14 @@
 /// The next record of what is on, if there is more to come: what is on stays on, and
 /// what all have comes on.
 pub fn next_enabled(is_on: impl Fn(&str) -> bool, all_have: impl Fn(&str) -> bool) -> Option<Vec<String>> {
-    let more = KNOWN.iter().any(|f| !is_on(f) && all_have(f));
-    let on = KNOWN.iter().filter(|f| is_on(f) || all_have(f)).map(|f| (*f).to_owned());
+    let more = SUPPORTED.iter().any(|f| !is_on(f) && all_have(f));
+    let on = SUPPORTED.iter().filter(|f| is_on(f) || all_have(f)).map(|f| (*f).to_owned());
     more.then(|| on.collect())
 }
 
 /// What a controller leaves in the store, on its lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Member {
+pub struct MemberRecord {
     /// The features that it has.
     #[serde(rename = "knows")]
     pub features: Vec<String>,
@@ -53,7 +53,7 @@
 
 /// What was last shown of one controller.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Shown {
+pub struct AdvertisedFeatures {
     /// Its features; none of a version before the gates.
     pub features: Vec<String>,
     /// Its version, if it said so.
@@ -64,19 +64,19 @@
 
 /// What the others have shown, by name.
 #[derive(Debug, Default)]
-pub struct Roster(HashMap<String, Shown>);
+pub struct MemberFeatures(HashMap<String, AdvertisedFeatures>);
 
-impl Roster {
+impl MemberFeatures {
     /// A controller has told what it has, itself or by its record.  What an
     /// older word says does not count against a newer one.
-    pub fn record(&mut self, name: &str, s: Shown) {
+    pub fn record(&mut self, name: &str, s: AdvertisedFeatures) {
         if self.0.get(name).is_none_or(|o| o.seen_at <= s.seen_at) {
             self.0.insert(name.to_owned(), s);
         }
     }
 
     /// What was last shown of a controller.
-    pub fn get(&self, name: &str) -> Option<&Shown> {
+    pub fn get(&self, name: &str) -> Option<&AdvertisedFeatures> {
         self.0.get(name)
     }
 
--- a/packages/core/src/gate/tests.rs
+++ b/packages/core/src/gate/tests.rs
@@ -6,10 +6,16 @@
 fn features_come_on_one_by_one_and_stay() {
     let names = |l: &[&str]| Some(l.iter().map(|f| (*f).to_owned()).collect::<Vec<_>>());
     assert_eq!(next_enabled(|_| false, |_| false), None);
-    assert_eq!(next_enabled(|_| false, |f| f == CHAINS), names(&[CHAINS]));
-    assert_eq!(next_enabled(|f| f == CHAINS, |_| false), None, "who comes back old takes nothing away");
-    assert_eq!(next_enabled(|f| f == CHAINS, |f| f == TOLD), names(&[CHAINS, TOLD]));
-    assert_eq!(next_enabled(|f| f == TOLD, |f| f == CHAINS), names(&[CHAINS, TOLD]));
+    assert_eq!(next_enabled(|_| false, |f| f == JOB_DEPENDENCIES), names(&[JOB_DEPENDENCIES]));
+    assert_eq!(next_enabled(|f| f == JOB_DEPENDENCIES, |_| false), None, "who comes back old takes nothing away");
+    assert_eq!(
+        next_enabled(|f| f == JOB_DEPENDENCIES, |f| f == CONFIRMED_CANCELLATIONS),
+        names(&[JOB_DEPENDENCIES, CONFIRMED_CANCELLATIONS])
+    );
+    assert_eq!(
+        next_enabled(|f| f == CONFIRMED_CANCELLATIONS, |f| f == JOB_DEPENDENCIES),
+        names(&[JOB_DEPENDENCIES, CONFIRMED_CANCELLATIONS])
+    );
     assert_eq!(next_enabled(|_| true, |_| true), None);
 }
 
@@ -19,26 +25,26 @@
 fn a_feature_needs_every_controller() {
     let (t0, lately) = (Instant::now(), Duration::from_secs(4));
     let s = |n| t0 + Duration::from_secs(n);
-    let shown = |knows: &[&str], at| Shown {
+    let shown = |knows: &[&str], at| AdvertisedFeatures {
         features: knows.iter().map(|k| (*k).to_owned()).collect(),
         version: String::new(),
         seen_at: at,
     };
-    let mut r = Roster::default();
-    let all = |r: &Roster, at| r.all_have(["a", "b"].into_iter(), CHAINS, lately, at);
+    let mut r = MemberFeatures::default();
+    let all = |r: &MemberFeatures, at| r.all_have(["a", "b"].into_iter(), JOB_DEPENDENCIES, lately, at);
     assert!(!all(&r, s(0)));
-    r.record("a", shown(&[CHAINS, "other"], s(1)));
+    r.record("a", shown(&[JOB_DEPENDENCIES, "other"], s(1)));
     assert!(!all(&r, s(1)), "b was never heard of");
     r.record("b", shown(&[], s(2)));
     assert!(!all(&r, s(2)), "b is of a version before the gates");
-    r.record("b", shown(&[CHAINS], s(4)));
+    r.record("b", shown(&[JOB_DEPENDENCIES], s(4)));
     assert!(all(&r, s(4)));
     assert!(!all(&r, s(6)), "a was silent for too long");
-    r.record("a", shown(&[CHAINS], s(6)));
+    r.record("a", shown(&[JOB_DEPENDENCIES], s(6)));
     assert!(all(&r, s(6)));
     // its record in the store is older than its own word
     r.record("b", shown(&[], s(7)));
-    r.record("b", shown(&[CHAINS], s(5)));
+    r.record("b", shown(&[JOB_DEPENDENCIES], s(5)));
     assert!(!all(&r, s(7)), "b came back as it was before");
-    assert!(r.all_have([].into_iter(), CHAINS, lately, s(0)), "one alone needs nobody");
+    assert!(r.all_have([].into_iter(), JOB_DEPENDENCIES, lately, s(0)), "one alone needs nobody");
 }
--- a/packages/core/src/key.rs
+++ b/packages/core/src/key.rs
@@ -22,11 +22,11 @@
 /// Machine types as last seen.
 pub const TYPES: &str = "c2/w/types";
 /// Starts and completed tasks.
-pub const PAGE: &str = "c2/p/page/";
+pub const SHARD: &str = "c2/p/page/";
 /// Rentals asked for lately.
 pub const RENTAL: &str = "c2/p/rental/";
 /// The layout before this one, which this program does not read.
-pub const OUTDATED: &str = "c1/";
+pub const PREVIOUS_LAYOUT: &str = "c1/";
 
 /// A job's end, guarded on there being none: whoever comes first, it stays.
 pub fn put_outcome(txn: &mut Txn, id: &str, outcome: JobOutcome) {
--- a/packages/core/src/knowledge.rs
+++ b/packages/core/src/knowledge.rs
@@ -5,7 +5,7 @@
 //! A task runs on for as long as somebody renews its machine's lease.  Whoever
 //! renews must therefore know of every withdrawal that a user was told of, or stop
 //! early enough that the last lease is over within `cancel` of the first that it
-//! may have missed.  Knowledge has an age: it is whole as of the hour at which the
+//! may have missed.  CancellationView has an age: it is whole as of the hour at which the
 //! request that showed it was *sent*, for that is all that its answer proves.
 //!
 //! Two ways make it whole.  The store's watch, when it answers.  And the word of
@@ -28,7 +28,7 @@
 /// clocks, and a lease that is renewed last lasts `lease` by the worker's, which may
 /// run slow; a worker notices the end of its lease within a `renew`.
 ///
-/// `told`: every controller keeps to [`Telling`].  A user is told then no sooner than
+/// `told`: every controller keeps to [`CancellationNotices`].  A user is told then no sooner than
 /// `cancel` after the end was stored, if a controller that renews may not know it.
 pub fn renewal_window(p: &Policy, told: bool) -> Duration {
     let needs = p.lease.mul_f64(1.0 + 2.0 * p.drift) + p.renew;
@@ -62,7 +62,7 @@
 
 /// A withdrawal that is stored.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Withdrawal {
+pub struct Cancellation {
     /// Revision of its end.
     pub revision: u64,
     /// Job.
@@ -71,11 +71,11 @@
 
 /// What a controller tells a sibling: a part of the withdrawals that it knows.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Account {
+pub struct CancellationBatch {
     /// The life of the controller that tells it.
     pub incarnation: u64,
     /// In the order in which it learned of them.
-    pub cancellations: Vec<Withdrawal>,
+    pub cancellations: Vec<Cancellation>,
     /// Where the next answer begins.
     pub next: u64,
     /// There is no more.
@@ -85,14 +85,14 @@
 /// The withdrawals that a controller knows: by the watch, by what it stored and by
 /// what it read.  It keeps the last of them; what it let go raises the floor.
 #[derive(Debug)]
-pub struct Withdrawals {
+pub struct CancellationLog {
     life: u64,
     /// All with a higher stamp that were shown or told here are in the list;
     /// `None` before this life has begun to watch.
     floor: Option<u64>,
     /// Number of the first in the list.
     first: u64,
-    list: VecDeque<Withdrawal>,
+    list: VecDeque<Cancellation>,
     /// When each was learned, and its stamp.
     listed: HashMap<Name, (Instant, u64)>,
     /// What is not in the list was learned by then: when this life began to watch, or
@@ -101,11 +101,11 @@
     most: usize,
 }
 
-impl Withdrawals {
+impl CancellationLog {
     /// None, in a new life that keeps so many.
-    pub fn new(life: u64, most: usize) -> Withdrawals {
+    pub fn new(life: u64, most: usize) -> CancellationLog {
         let (list, listed) = Default::default();
-        Withdrawals { life, floor: None, first: 0, list, listed, unlisted: None, most: most.max(1) }
+        CancellationLog { life, floor: None, first: 0, list, listed, unlisted: None, most: most.max(1) }
     }
 
     /// A watch begins at this revision: what came before it and after the last one's
@@ -121,7 +121,7 @@
             return;
         }
         self.listed.insert(id.into(), (now, stamp));
-        self.list.push_back(Withdrawal { revision: stamp, id: id.into() });
+        self.list.push_back(Cancellation { revision: stamp, id: id.into() });
         if self.list.len() > self.most {
             if let Some(w) = self.list.pop_front() {
                 // an id that left may be one that was learned a moment ago: it must not
@@ -152,14 +152,14 @@
 
     /// For a sibling that knows all up to a revision and has had the first `next` of
     /// the list of a life.  `None`: a gap, nothing can be accounted for.
-    pub fn batch_since(&self, since: u64, life: u64, next: u64) -> Option<Account> {
+    pub fn batch_since(&self, since: u64, life: u64, next: u64) -> Option<CancellationBatch> {
         self.floor.filter(|f| *f <= since)?;
         let had = if life == self.life { next.saturating_sub(self.first) as usize } else { 0 };
         let rest = self.list.iter().skip(had);
         let end = self.list.len().min(had.saturating_add(MOST_TOLD));
         let known = rest.take(MOST_TOLD).filter(|w| w.revision > since).cloned().collect();
         let next = self.first + end as u64;
-        Some(Account { incarnation: self.life, cancellations: known, next, complete: end == self.list.len() })
+        Some(CancellationBatch { incarnation: self.life, cancellations: known, next, complete: end == self.list.len() })
     }
 }
 
@@ -172,21 +172,21 @@
 /// Until then the end stands, and is carried out, but nobody is told: the user, who
 /// is refused for now, asks again.
 #[derive(Debug)]
-pub struct Telling {
+pub struct CancellationNotices {
     peers: usize,
     open: BTreeMap<Name, BTreeSet<usize>>,
     settled: LruCache<Name, ()>,
 }
 
-impl Telling {
+impl CancellationNotices {
     /// Nothing is to be told; as many siblings, and so many settled ones kept.
-    pub fn new(siblings: usize, most: usize) -> Telling {
+    pub fn new(siblings: usize, most: usize) -> CancellationNotices {
         let most = NonZeroUsize::new(most).unwrap_or(NonZeroUsize::MIN);
-        Telling { peers: siblings, open: BTreeMap::new(), settled: LruCache::new(most) }
+        CancellationNotices { peers: siblings, open: BTreeMap::new(), settled: LruCache::new(most) }
     }
 
     /// Whether a user may be told; if not, the siblings are to hear of it.
-    pub fn may_confirm(&mut self, id: &Name, known: &Withdrawals, p: &Policy, now: Instant) -> bool {
+    pub fn may_confirm(&mut self, id: &Name, known: &CancellationLog, p: &Policy, now: Instant) -> bool {
         if self.peers == 0 || self.settled.contains(id) {
             return true;
         }
@@ -200,17 +200,23 @@
 
     /// What a sibling is to be told, and whether some of it is new to it: that comes
     /// first, or in a crowd those that it knows would stand in the way for ever.
-    pub fn for_peer(&mut self, n: usize, known: &Withdrawals, p: &Policy, now: Instant) -> (Vec<Withdrawal>, bool) {
+    pub fn for_peer(
+        &mut self,
+        n: usize,
+        known: &CancellationLog,
+        p: &Policy,
+        now: Instant,
+    ) -> (Vec<Cancellation>, bool) {
         // nobody asks any more
         self.open.retain(|id, _| known.age(id, now).is_some_and(|t| t < p.cancel));
         let new = self.open.values().any(|by| !by.contains(&n));
-        let of = |id: &Name| Withdrawal { revision: known.learned(id).map_or(0, |l| l.1), id: id.clone() };
+        let of = |id: &Name| Cancellation { revision: known.learned(id).map_or(0, |l| l.1), id: id.clone() };
         let (news, rest): (Vec<_>, Vec<_>) = self.open.iter().partition(|(_, by)| !by.contains(&n));
         (news.into_iter().chain(rest).take(MOST_TOLD).map(|(id, _)| of(id)).collect(), new)
     }
 
     /// A sibling has taken the word of these.
-    pub fn mark_acknowledged(&mut self, n: usize, told: &[Withdrawal]) {
+    pub fn mark_acknowledged(&mut self, n: usize, told: &[Cancellation]) {
         for w in told {
             let Some(by) = self.open.get_mut(&w.id) else { continue };
             by.insert(n);
@@ -229,7 +235,7 @@
 
 /// What a sibling has told.
 #[derive(Debug, Clone, Copy, Default)]
-struct Told {
+struct PeerProgress {
     life: u64,
     next: u64,
     /// The last account to its end was asked for then.
@@ -238,12 +244,12 @@
 
 /// Since when a controller's picture of withdrawals is whole.
 #[derive(Debug, Default)]
-pub struct Knowledge {
+pub struct CancellationView {
     shown: Option<Instant>,
-    told: HashMap<String, Told>,
+    told: HashMap<String, PeerProgress>,
 }
 
-impl Knowledge {
+impl CancellationView {
     /// The watch has answered a request that was sent then.
     pub fn watch_answered(&mut self, sent: Instant) {
         self.shown = self.shown.max(Some(sent));
@@ -256,7 +262,7 @@
 
     /// A sibling has answered a request that was sent then; what it told is known
     /// here by now.
-    pub fn peer_answered(&mut self, sibling: &str, sent: Instant, a: &Account) {
+    pub fn peer_answered(&mut self, sibling: &str, sent: Instant, a: &CancellationBatch) {
         let t = self.told.entry(sibling.to_owned()).or_default();
         (t.life, t.next) = (a.incarnation, a.next);
         if a.complete {
--- a/packages/core/src/knowledge/tests.rs
+++ b/packages/core/src/knowledge/tests.rs
@@ -25,11 +25,11 @@
 /// A controller of the generated world: its list, its picture, and what a user
 /// was told by it in any life, and when.
 struct One {
-    list: Withdrawals,
+    list: CancellationLog,
     known: HashSet<Name>,
     /// Revision of its watch; `None` before its first.
     watch: Option<u64>,
-    knowledge: Knowledge,
+    knowledge: CancellationView,
 }
 
 /// What happens: somebody is refused or served, a user withdraws at one, a
@@ -81,11 +81,11 @@
     let mut life = 0;
     let mut born = |most| {
         life += 1;
-        let mut list = Withdrawals::new(life, most);
+        let mut list = CancellationLog::new(life, most);
         if without == Without::Floor {
             list.begin_watch(0, t0);
         }
-        One { list, known: HashSet::new(), watch: None, knowledge: Knowledge::default() }
+        One { list, known: HashSet::new(), watch: None, knowledge: CancellationView::default() }
     };
     let mut all: Vec<One> = (0..3).map(|_| born(most)).collect();
     let mut served = [true; 3];
@@ -191,13 +191,13 @@
 #[test]
 fn an_account_comes_in_parts() {
     let t0 = Instant::now();
-    let mut list = Withdrawals::new(7, 10_000);
+    let mut list = CancellationLog::new(7, 10_000);
     list.begin_watch(10, t0);
     for n in 0..1300u64 {
         list.record(11 + n, &format!("j-{n}"), t0);
     }
     assert!(list.batch_since(9, 0, 0).is_none(), "a gap");
-    let mut k = Knowledge::default();
+    let mut k = CancellationView::default();
     let mut had = 0;
     for part in 0..3 {
         let (life, next) = k.next_request("b");
@@ -209,7 +209,7 @@
     assert_eq!(had, 1300);
     assert!(k.complete_as_of(["b", "c"]).is_none(), "one sibling has not accounted");
     let nobody: [&str; 0] = [];
-    assert!(Knowledge::default().complete_as_of(nobody).is_none(), "nobody's word is no word");
+    assert!(CancellationView::default().complete_as_of(nobody).is_none(), "nobody's word is no word");
 }
 
 /// A user is told when all siblings know, when the leader finds nothing left, or
@@ -219,11 +219,11 @@
     let p = Policy::new(&Config::parse("test", SETTINGS).expect("settings")).expect("the default policy");
     let t0 = Instant::now();
     let s = |n: u64| t0 + Duration::from_secs(n);
-    let mut known = Withdrawals::new(1, 100);
+    let mut known = CancellationLog::new(1, 100);
     known.begin_watch(5, s(0));
     let names: Vec<Name> = ["j-1", "j-2", "j-3"].map(Name::from).into();
     names.iter().for_each(|n| known.record(9, n, s(100)));
-    let mut t = Telling::new(2, 10);
+    let mut t = CancellationNotices::new(2, 10);
     for n in &names {
         assert!(!t.may_confirm(n, &known, &p, s(100)));
     }
@@ -245,7 +245,7 @@
     // an end from before this life is as old as this life, at least
     assert!(!t.may_confirm(&"j-0".into(), &known, &p, s(59)));
     assert!(t.may_confirm(&"j-0".into(), &known, &p, s(60)));
-    assert!(Telling::new(0, 1).may_confirm(&"j-9".into(), &known, &p, s(0)), "one alone");
+    assert!(CancellationNotices::new(0, 1).may_confirm(&"j-9".into(), &known, &p, s(0)), "one alone");
 }
 
 /// Guards against a burst: one-task jobs, four a second, a quarter of them cancelled.  An
@@ -256,12 +256,12 @@
     let p = Policy::new(&Config::parse("test", SETTINGS).expect("settings")).expect("the default policy");
     let t0 = Instant::now();
     let s = |n: u64| t0 + Duration::from_secs(n);
-    let mut known = Withdrawals::new(1, 3);
+    let mut known = CancellationLog::new(1, 3);
     known.begin_watch(1, s(0));
     for n in 0..8u64 {
         known.record(10 + n, &format!("j-{n}"), s(1000 + n));
     }
-    let mut t = Telling::new(2, 100);
+    let mut t = CancellationNotices::new(2, 100);
     for n in 0..8u64 {
         assert!(!t.may_confirm(&format!("j-{n}").into(), &known, &p, s(1008)), "j-{n} was learned seconds ago");
     }
@@ -278,9 +278,9 @@
 fn a_sibling_hears_first_what_is_new_to_it() {
     let p = Policy::new(&Config::parse("test", SETTINGS).expect("settings")).expect("the default policy");
     let now = Instant::now();
-    let mut known = Withdrawals::new(1, 5000);
+    let mut known = CancellationLog::new(1, 5000);
     known.begin_watch(1, now);
-    let mut t = Telling::new(2, 5000);
+    let mut t = CancellationNotices::new(2, 5000);
     let names: Vec<Name> = (0..3 * MOST_TOLD).map(|n| format!("j-{n:06}").into()).collect();
     for n in &names {
         known.record(9, n, now);
--- a/packages/core/src/ledger.rs
+++ b/packages/core/src/ledger.rs
@@ -15,14 +15,14 @@
 
 use lru::LruCache;
 
-use crate::dependency::Edges;
+use crate::dependency::DependencyEdges;
 use crate::key;
 use crate::model::*;
 use coralnotch_wire::state::{read_value, KeyValue};
 
 /// An unfinished job.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Open {
+pub struct OpenJob {
     /// The submission.
     pub spec: Arc<JobSpec>,
     /// Stamp of its record: the order of arrival.
@@ -31,7 +31,7 @@
 
 /// An ended job.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ended {
+pub struct EndedJob {
     /// The submission.
     pub spec: Arc<JobSpec>,
     /// Stamp of its record.
@@ -42,11 +42,11 @@
 
 /// What is known of an id without asking the store.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Standing {
+pub enum JobStatus {
     /// Unfinished, as far as is known here.
-    Open(Open),
+    Open(OpenJob),
     /// Over for good.
-    Ended(Ended),
+    Ended(EndedJob),
     /// Not known here: never accepted, too new, or over for long.
     Unknown,
 }
@@ -54,7 +54,7 @@
 /// Whether an unfinished job is to end with one that it needs, directly or through
 /// others, as far as is known here.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Spoilt {
+pub enum CancelledDependency {
     /// One that it needs is cancelled.
     Yes,
     /// None is.
@@ -65,25 +65,25 @@
 
 /// Jobs by id.
 #[derive(Debug)]
-pub struct Ledger {
-    open: HashMap<Name, Open>,
+pub struct JobIndex {
+    open: HashMap<Name, OpenJob>,
     /// Which unfinished jobs name others as needed.
-    edges: Edges,
+    edges: DependencyEdges,
     /// The ends of jobs that unfinished ones need.
     judged: HashMap<Name, JobOutcome>,
-    ended: LruCache<Name, Ended>,
+    ended: LruCache<Name, EndedJob>,
     /// Records up to this revision come by the sweep or the watch, with their
     /// ends, and in no other way.
     floor: u64,
 }
 
-impl Ledger {
+impl JobIndex {
     /// An empty ledger that keeps the last `most` ended jobs.
-    pub fn new(most: usize) -> Ledger {
+    pub fn new(most: usize) -> JobIndex {
         let most = NonZeroUsize::new(most).unwrap_or(NonZeroUsize::MIN);
-        Ledger {
+        JobIndex {
             open: HashMap::new(),
-            edges: Edges::default(),
+            edges: DependencyEdges::default(),
             judged: HashMap::new(),
             ended: LruCache::new(most),
             floor: 0,
@@ -101,7 +101,7 @@
     }
 
     /// The unfinished jobs, in no order.
-    pub fn open(&self) -> impl Iterator<Item = &Open> {
+    pub fn open(&self) -> impl Iterator<Item = &OpenJob> {
         self.open.values()
     }
 
@@ -111,11 +111,11 @@
     }
 
     /// What is known of an id.
-    pub fn status_of(&mut self, id: &str) -> Standing {
+    pub fn status_of(&mut self, id: &str) -> JobStatus {
         if let Some(o) = self.open.get(id) {
-            return Standing::Open(o.clone());
+            return JobStatus::Open(o.clone());
         }
-        self.ended.get(id).map_or(Standing::Unknown, |e| Standing::Ended(e.clone()))
+        self.ended.get(id).map_or(JobStatus::Unknown, |e| JobStatus::Ended(e.clone()))
     }
 
     /// The end of a job, if it is known here.
@@ -131,7 +131,7 @@
 
     /// Whether a job is to end with one that it needs.  Its own end may come much
     /// later: the state service may be down for longer than a withdrawal has.
-    pub fn cancelled_dependency(&self, id: &str) -> Spoilt {
+    pub fn cancelled_dependency(&self, id: &str) -> CancelledDependency {
         let (mut seen, mut unknown) = (HashSet::new(), Vec::new());
         let mut next: Vec<&Name> = self.open.get(id).map(|o| o.spec.needs.iter().collect()).unwrap_or_default();
         while let Some(n) = next.pop() {
@@ -140,15 +140,15 @@
             }
             match (self.open.get(n), self.judged.get(n).copied().or_else(|| self.outcome(n))) {
                 (Some(o), _) => next.extend(&o.spec.needs),
-                (None, Some(JobOutcome::Cancelled)) => return Spoilt::Yes,
+                (None, Some(JobOutcome::Cancelled)) => return CancelledDependency::Yes,
                 (None, Some(JobOutcome::Done)) => {}
                 (None, None) => unknown.push(n.clone()),
             }
         }
         if unknown.is_empty() {
-            Spoilt::No
+            CancelledDependency::No
         } else {
-            Spoilt::Unknown(unknown)
+            CancelledDependency::Unknown(unknown)
         }
     }
 
@@ -169,7 +169,7 @@
             return false;
         }
         self.edges.add(&spec.id, &spec.needs);
-        self.open.insert(spec.id.clone(), Open { spec, revision: stamp });
+        self.open.insert(spec.id.clone(), OpenJob { spec, revision: stamp });
         true
     }
 
@@ -189,7 +189,7 @@
         }
         let Some(o) = self.open.remove(id) else { return false };
         self.needs_no_more(id, &o.spec.needs);
-        self.insert_ended(Ended { spec: o.spec, revision: o.revision, outcome });
+        self.insert_ended(EndedJob { spec: o.spec, revision: o.revision, outcome });
         true
     }
 
@@ -203,7 +203,7 @@
     }
 
     /// An ended job that was read from the store.
-    pub fn insert_ended(&mut self, e: Ended) {
+    pub fn insert_ended(&mut self, e: EndedJob) {
         if self.open.remove(&e.spec.id).is_some() {
             self.needs_no_more(&e.spec.id, &e.spec.needs);
         }
@@ -213,7 +213,7 @@
 
 /// Which page a sweep needs next.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Need {
+pub struct PageRequest {
     /// Keys under this.
     pub under: &'static str,
     /// After this key; empty for the first page.
@@ -234,8 +234,8 @@
         Listing { under, rows: VecDeque::new(), since: String::new(), over: false }
     }
 
-    fn need(&self) -> Option<Need> {
-        (self.rows.is_empty() && !self.over).then(|| Need { under: self.under, since: self.since.clone() })
+    fn need(&self) -> Option<PageRequest> {
+        (self.rows.is_empty() && !self.over).then(|| PageRequest { under: self.under, since: self.since.clone() })
     }
 
     fn front(&self) -> Option<&str> {
@@ -251,21 +251,26 @@
 /// end is corrected by the watch, and an end read without its record belongs
 /// to a record that the watch shows before that end.
 #[derive(Debug)]
-pub struct Sweep {
+pub struct InitialScan {
     jobs: Listing,
     outcomes: Listing,
-    /// Ended jobs that are worth keeping all the same.
+    /// EndedJob jobs that are worth keeping all the same.
     wanted: HashSet<Name>,
     /// Jobs that the watch has shown to end since the sweep began: a page at
     /// hand may be older than that.
     ended: HashSet<Name>,
 }
 
-impl Sweep {
+impl InitialScan {
     /// A sweep that has read nothing.  `wanted`: ended jobs that may still
     /// have tasks somewhere.
-    pub fn new(wanted: HashSet<Name>) -> Sweep {
-        Sweep { jobs: Listing::new(key::JOB), outcomes: Listing::new(key::OUTCOME), wanted, ended: HashSet::new() }
+    pub fn new(wanted: HashSet<Name>) -> InitialScan {
+        InitialScan {
+            jobs: Listing::new(key::JOB),
+            outcomes: Listing::new(key::OUTCOME),
+            wanted,
+            ended: HashSet::new(),
+        }
     }
 
     /// Jobs that the watch has shown to end.  Its changes may be taken in while
@@ -275,7 +280,7 @@
     }
 
     /// The page to read next; `None` when all is read.
-    pub fn next_page(&self) -> Option<Need> {
+    pub fn next_page(&self) -> Option<PageRequest> {
         if self.jobs.over && self.jobs.rows.is_empty() {
             return None;
         }
@@ -315,7 +320,7 @@
 
     /// Enters into a ledger what the pages at hand tell.  Calls back with the
     /// jobs that are new as unfinished, and with those that ended unseen.
-    pub fn apply_pages(&mut self, ledger: &mut Ledger, mut news: impl FnMut(News)) {
+    pub fn apply_pages(&mut self, ledger: &mut JobIndex, mut news: impl FnMut(ScanEvent)) {
         while let Some((job, end)) = self.next() {
             let id = job.key.strip_prefix(key::JOB).unwrap_or_default();
             let outcome = match &end {
@@ -330,11 +335,11 @@
             match outcome {
                 Some(f) => {
                     if ledger.apply_outcome(id, f) {
-                        news(News::Ended(id.into(), f));
+                        news(ScanEvent::Ended(id.into(), f));
                     } else if self.wanted.contains(id) && ledger.outcome(id).is_none() {
                         let stamp = job.revision;
                         if let Some(spec) = read_value::<JobSpec>(&job.key, job.value) {
-                            ledger.insert_ended(Ended { spec: Arc::new(spec), revision: stamp, outcome: f });
+                            ledger.insert_ended(EndedJob { spec: Arc::new(spec), revision: stamp, outcome: f });
                         }
                     }
                 }
@@ -343,7 +348,7 @@
                     if let Some(spec) = read_value::<JobSpec>(&job.key, job.value) {
                         let spec = Arc::new(spec);
                         if ledger.insert_seen(spec.clone(), job.revision) {
-                            news(News::Open(Open { spec, revision: job.revision }));
+                            news(ScanEvent::Open(OpenJob { spec, revision: job.revision }));
                         }
                     }
                 }
@@ -354,9 +359,9 @@
 
 /// What a sweep brings that was not known.
 #[derive(Debug, Clone, PartialEq)]
-pub enum News {
+pub enum ScanEvent {
     /// An unfinished job.
-    Open(Open),
+    Open(OpenJob),
     /// A job that was unfinished here has ended.
     Ended(Name, JobOutcome),
 }
--- a/packages/core/src/lookup.rs
+++ b/packages/core/src/lookup.rs
@@ -8,7 +8,7 @@
 
 /// What is known of an id once the store was asked, if it had to be.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Found {
+pub enum LookupResult {
     /// Never accepted.
     NotFound,
     /// Unfinished as far as is known here; only the store confirms it.
@@ -79,8 +79,8 @@
     }
 
     /// What is known of an id that has no end, once all is known.
-    pub fn found(&self, id: &str) -> Option<Found> {
+    pub fn found(&self, id: &str) -> Option<LookupResult> {
         let i = self.ids.iter().find(|i| *i.0 == *id && !i.2)?;
-        Some(if i.1 { Found::Confirmed } else { Found::NotFound })
+        Some(if i.1 { LookupResult::Confirmed } else { LookupResult::NotFound })
     }
 }
--- a/packages/core/src/placement/mod.rs
+++ b/packages/core/src/placement/mod.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
-use crate::cluster::{Cluster, Job, Phase, Place, TeamLimit, Want};
+use crate::cluster::{Assignment, Cluster, Job, TaskPhase, TeamLimit, UnmetDemand};
 use crate::model::*;
 use pass::{Ask, Pass};
 
@@ -61,7 +61,7 @@
     stops: Vec<(Name, Task)>,
     /// Why a job waits.
     whys: Vec<(Name, &'static str)>,
-    wants: Vec<Want>,
+    wants: Vec<UnmetDemand>,
     /// The end of the queue was not reached.
     unfinished: bool,
 }
@@ -69,7 +69,7 @@
 impl Cluster {
     /// One pass over the queue.  Decides starts and stops, and returns what
     /// found no place.
-    pub fn run_placement_pass(&mut self, now: Instant) -> Vec<Want> {
+    pub fn run_placement_pass(&mut self, now: Instant) -> Vec<UnmetDemand> {
         self.queue_changed = false;
         self.placement_waits.clear();
         self.mark_guaranteed();
@@ -120,7 +120,7 @@
             let Some((count, zones)) = blocked else { continue };
             if job.quarantine.is_some() {
                 // nobody gives way to a probe, nothing is held or rented for it
-                out.whys.push((job.spec.id.clone(), crate::cluster::SUSPECT));
+                out.whys.push((job.spec.id.clone(), crate::cluster::QUARANTINED));
                 continue;
             }
             // no room: hold what is being freed, or make room
@@ -137,7 +137,7 @@
             }
             let why = if held > 0 { "room is being made" } else { "no machine has room" };
             out.whys.push((job.spec.id.clone(), why));
-            out.wants.push(Want { spec: job.spec.clone(), count, zones: pass.by_name(&zones) });
+            out.wants.push(UnmetDemand { spec: job.spec.clone(), count, zones: pass.by_name(&zones) });
         }
         out
     }
@@ -260,9 +260,9 @@
         let (job, spec) = (ask.job, &ask.job.spec);
         // what of it is still somewhere
         let placed = job.placed_tasks();
-        let old: Vec<&Place> = placed.iter().filter_map(|(m, t)| self.machines.get(m)?.tasks.get(t)).collect();
-        let keeps = |p: &&Place| {
-            matches!(p.phase, Phase::Assigned | Phase::Pulling | Phase::WaitingForGang)
+        let old: Vec<&Assignment> = placed.iter().filter_map(|(m, t)| self.machines.get(m)?.tasks.get(t)).collect();
+        let keeps = |p: &&Assignment| {
+            matches!(p.phase, TaskPhase::Assigned | TaskPhase::Pulling | TaskPhase::WaitingForGang)
                 && p.stop_grace_s.is_none()
                 && !p.inherited
                 && p.attempt == job.attempt
@@ -447,7 +447,7 @@
 
 /// What stopping a task now would cost, in core seconds: its work since the
 /// last checkpoint, its image's fetch, and a start that has hardly begun.
-fn loss(p: &Place, now: Instant) -> f64 {
+fn loss(p: &Assignment, now: Instant) -> f64 {
     let here = now.duration_since(p.assigned_at).as_secs_f64();
     let ran = p.running_since.map_or(0.0, |t| now.duration_since(t).as_secs_f64());
     let lost = if p.spec.checkpoint_s > 0.0 { p.spec.save_s } else { ran };
--- a/packages/core/src/placement/pass.rs
+++ b/packages/core/src/placement/pass.rs
@@ -7,7 +7,7 @@
 
 use super::tai2::{variance, Candidate, Classes, How, Picks, Weather};
 use super::{gives_way, loss, Entry};
-use crate::cluster::{Cluster, Job, Machine, Phase, Place};
+use crate::cluster::{Assignment, Cluster, Job, Machine, TaskPhase};
 use crate::model::*;
 
 /// A machine as a pass sees it.
@@ -258,7 +258,8 @@
             (0.0, false)
         } else {
             let rate = self.c.types.get(&s.m.kind).map_or(0.0, |t| t.fetch_gb_per_s).max(1e-3);
-            let fetching = |p: &&Place| p.occupies_resources() && matches!(p.phase, Phase::Assigned | Phase::Pulling);
+            let fetching =
+                |p: &&Assignment| p.occupies_resources() && matches!(p.phase, TaskPhase::Assigned | TaskPhase::Pulling);
             let mut began = s.fetches.iter().any(|f| f.0 == &spec.image).then_some(self.now);
             // fetches at the same time share the rate
             let mut others: Vec<(&Name, f64)> = s.fetches.iter().filter(|f| f.0 != &spec.image).copied().collect();
@@ -471,7 +472,7 @@
         // an image to fetch delays the start: prefer where it is
         let image = self.image_wait(ask, slot).0;
         let s = &self.slots[slot];
-        let mut victims: Vec<(f64, &'a Task, &'a Place, Priority)> = Vec::new();
+        let mut victims: Vec<(f64, &'a Task, &'a Assignment, Priority)> = Vec::new();
         for (t, p) in &s.m.tasks {
             let stays = !p.occupies_resources()
                 || p.stop_grace_s.is_some()
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -109,7 +109,7 @@
 /// the room is used at once.
 #[test]
 fn places_of_a_cancelled_job_count_until_there_is_a_proof() {
-    use crate::cluster::{Page, Start, TeamLimit};
+    use crate::cluster::{PlacementShard, StartRecord, TeamLimit};
     let now = Instant::now();
     let most = Resources { cpus: 4.0, gpus: 0.0, memory: 0.0 };
     let old: Name = "i-9".into();
@@ -118,9 +118,13 @@
         c.teams =
             std::collections::HashMap::from([("x".into(), TeamLimit { guarantee: Resources::default(), limit: most })]);
         c.add_job(spec("j-1", 4), 1, Some(JobOutcome::Cancelled), now);
-        let start =
-            |index| Start { machine: old.clone(), task: Task { job: "j-1".into(), index }, attempt: 7, incarnation: 1 };
-        let page = Page { revision: 1, starts: (0..4).map(start).collect(), completed: vec![] };
+        let start = |index| StartRecord {
+            machine: old.clone(),
+            task: Task { job: "j-1".into(), index },
+            attempt: 7,
+            incarnation: 1,
+        };
+        let page = PlacementShard { revision: 1, starts: (0..4).map(start).collect(), completed: vec![] };
         let at = std::collections::HashMap::from([(old.clone(), ("t".into(), "z1".into(), false))]);
         c.add_shard(0, page, &at, now);
         up(&mut c, "i-0", now);
--- a/packages/core/src/reporting.rs
+++ b/packages/core/src/reporting.rs
@@ -38,7 +38,7 @@
 /// A report without news: it says what the report before it said.  The leader takes it only if
 /// that one is the last that it took of this machine, directly or not.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Unchanged {
+pub struct UnchangedHeartbeat {
     /// Machine.
     pub machine: Name,
     /// Its session.
@@ -51,16 +51,16 @@
 
 /// What is sent to the leader of a report.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Forwarded {
+pub enum ForwardedHeartbeat {
     /// All of it.
     Full,
     /// That nothing has changed.
-    Unchanged(Unchanged),
+    UnchangedHeartbeat(UnchangedHeartbeat),
 }
 
 /// The last report of a machine that a leader took from here.
 #[derive(Debug)]
-struct Taken {
+struct AcceptedHeartbeat {
     report: Heartbeat,
     term: u64,
     at: Instant,
@@ -68,30 +68,31 @@
 
 /// What a leader took of the reports that were forwarded from here.
 #[derive(Debug, Default)]
-pub struct Forwarding {
-    taken: HashMap<Name, Taken>,
+pub struct HeartbeatForwarding {
+    taken: HashMap<Name, AcceptedHeartbeat>,
 }
 
-impl Forwarding {
+impl HeartbeatForwarding {
     /// How a report is sent to the leader of this term.
-    pub fn message(&self, r: &Heartbeat, term: u64) -> Forwarded {
+    pub fn message(&self, r: &Heartbeat, term: u64) -> ForwardedHeartbeat {
         let known = self.taken.get(&r.machine).filter(|t| t.term == term);
         match known.filter(|t| same_content(&t.report, r)) {
-            Some(t) => Forwarded::Unchanged(Unchanged {
+            Some(t) => ForwardedHeartbeat::UnchangedHeartbeat(UnchangedHeartbeat {
                 machine: r.machine.clone(),
                 incarnation: r.incarnation,
                 sequence: r.sequence,
                 repeats_sequence: t.report.sequence,
             }),
-            None => Forwarded::Full,
+            None => ForwardedHeartbeat::Full,
         }
     }
 
     /// The leader of this term has taken a report.
     pub fn mark_accepted(&mut self, report: Heartbeat, term: u64, now: Instant) {
-        let older = |t: &Taken| (t.report.incarnation, t.report.sequence) > (report.incarnation, report.sequence);
+        let older =
+            |t: &AcceptedHeartbeat| (t.report.incarnation, t.report.sequence) > (report.incarnation, report.sequence);
         if !self.taken.get(&report.machine).is_some_and(older) {
-            self.taken.insert(report.machine.clone(), Taken { report, term, at: now });
+            self.taken.insert(report.machine.clone(), AcceptedHeartbeat { report, term, at: now });
         }
     }
 
--- a/packages/core/src/reporting/tests.rs
+++ b/packages/core/src/reporting/tests.rs
@@ -61,8 +61,13 @@
     second
 }
 
-fn unchanged(r: &Heartbeat, tally: u64) -> Unchanged {
-    Unchanged { machine: r.machine.clone(), incarnation: r.incarnation, sequence: tally, repeats_sequence: r.sequence }
+fn unchanged(r: &Heartbeat, tally: u64) -> UnchangedHeartbeat {
+    UnchangedHeartbeat {
+        machine: r.machine.clone(),
+        incarnation: r.incarnation,
+        sequence: tally,
+        repeats_sequence: r.sequence,
+    }
 }
 
 /// A report without news renews, and is no news; one that repeats anything but the last report
@@ -78,9 +83,11 @@
     assert_eq!(c.machines[&r.machine].last_heartbeat, Some(later));
     // late copies, and one after a report that this leader has not had
     assert!(c.apply_unchanged(&unchanged(&r, 3), later).is_none());
-    assert!(c.apply_unchanged(&Unchanged { repeats_sequence: 4, ..unchanged(&r, 5) }, later).is_none());
-    assert!(c.apply_unchanged(&Unchanged { incarnation: 2, repeats_sequence: 3, ..unchanged(&r, 4) }, later).is_none());
-    assert!(c.apply_unchanged(&Unchanged { repeats_sequence: 3, ..unchanged(&r, 4) }, later).is_some());
+    assert!(c.apply_unchanged(&UnchangedHeartbeat { repeats_sequence: 4, ..unchanged(&r, 5) }, later).is_none());
+    assert!(c
+        .apply_unchanged(&UnchangedHeartbeat { incarnation: 2, repeats_sequence: 3, ..unchanged(&r, 4) }, later)
+        .is_none());
+    assert!(c.apply_unchanged(&UnchangedHeartbeat { repeats_sequence: 3, ..unchanged(&r, 4) }, later).is_some());
 }
 
 /// Where something is to be told to the worker, or is not known for sure, the whole report
@@ -121,22 +128,26 @@
 #[test]
 fn only_what_the_leader_took_is_repeated_in_short() {
     let now = Instant::now();
-    let mut f = Forwarding::default();
+    let mut f = HeartbeatForwarding::default();
     let r = |tally| report("i-000001", "z1", 1, tally, 7);
-    assert_eq!(f.message(&r(1), 3), Forwarded::Full);
+    assert_eq!(f.message(&r(1), 3), ForwardedHeartbeat::Full);
     f.mark_accepted(r(1), 3, now);
-    assert_eq!(f.message(&r(4), 3), Forwarded::Unchanged(unchanged(&r(1), 4)));
-    assert_eq!(f.message(&r(4), 4), Forwarded::Full, "another leader");
-    assert_eq!(f.message(&r(1), 3), Forwarded::Full, "the same once more");
-    assert_eq!(f.message(&Heartbeat { fencing_token: 8, ..r(4) }, 3), Forwarded::Full);
+    assert_eq!(f.message(&r(4), 3), ForwardedHeartbeat::UnchangedHeartbeat(unchanged(&r(1), 4)));
+    assert_eq!(f.message(&r(4), 4), ForwardedHeartbeat::Full, "another leader");
+    assert_eq!(f.message(&r(1), 3), ForwardedHeartbeat::Full, "the same once more");
+    assert_eq!(f.message(&Heartbeat { fencing_token: 8, ..r(4) }, 3), ForwardedHeartbeat::Full);
     f.mark_accepted(r(4), 3, now);
     f.mark_accepted(r(2), 3, now);
-    assert_eq!(f.message(&r(5), 3), Forwarded::Unchanged(unchanged(&r(4), 5)), "an older answer came later");
+    assert_eq!(
+        f.message(&r(5), 3),
+        ForwardedHeartbeat::UnchangedHeartbeat(unchanged(&r(4), 5)),
+        "an older answer came later"
+    );
     f.evict_idle(Duration::from_secs(60), now + Duration::from_secs(61));
     assert!(f.is_empty());
     f.mark_accepted(r(4), 3, now);
     f.forget("i-000001");
-    assert_eq!(f.message(&r(5), 3), Forwarded::Full);
+    assert_eq!(f.message(&r(5), 3), ForwardedHeartbeat::Full);
 }
 
 /// Spreading begins above a number of machines and ends markedly below it.
--- a/packages/core/src/sim/controllers.rs
+++ b/packages/core/src/sim/controllers.rs
@@ -11,10 +11,10 @@
     hold: u64,
     pub(super) cluster: Cluster,
     /// The transaction without an answer yet, its number and when it left.
-    pub(super) flying: Option<(Batch, u64, Ms)>,
+    pub(super) flying: Option<(CommitBatch, u64, Ms)>,
     /// Life number: messages to a former life are dropped.
     pub(super) life: u64,
-    pub(super) wants: Vec<crate::cluster::Want>,
+    pub(super) wants: Vec<crate::cluster::UnmetDemand>,
 }
 
 /// A controller that stands for leader.
@@ -114,7 +114,7 @@
             .store
             .kv
             .iter()
-            .filter(|(p, _)| p.starts_with(key::PAGE))
+            .filter(|(p, _)| p.starts_with(key::SHARD))
             .map(|(path, (data, stamp))| {
                 let item = KeyValue { key: path.clone(), value: data.clone(), revision: *stamp };
                 read_shard(path, &item).expect("own page")
@@ -277,7 +277,7 @@
             if c.flying.is_none() {
                 if let Some(mut batch) = c.cluster.next_commit(c.stamp, &self.limits) {
                     if believes {
-                        batch.txn.preconditions.retain(|g| g.key != key::LEADER && !g.key.starts_with(key::PAGE));
+                        batch.txn.preconditions.retain(|g| g.key != key::LEADER && !g.key.starts_with(key::SHARD));
                     }
                     let (number, at) = (self.serial, self.now);
                     self.send(Message::Txn { from: i, life: c.life, number, txn: batch.txn.clone(), at });
@@ -522,7 +522,15 @@
     }
 
     /// The leader takes a forwarded report, in full or as a sign of life.
-    fn takes_forwarded(&mut self, by: usize, term: u64, to: usize, message: Forwarded, report: Heartbeat, number: u64) {
+    fn takes_forwarded(
+        &mut self,
+        by: usize,
+        term: u64,
+        to: usize,
+        message: ForwardedHeartbeat,
+        report: Heartbeat,
+        number: u64,
+    ) {
         let now = self.at(self.now);
         let whole = self.whole(to);
         let leads = may_lead(whole, &self.policy, now);
@@ -530,7 +538,7 @@
         let acts = |c: &&mut Controller| self.now < c.until && c.cluster.term == term;
         let Some(c) = self.controllers[to].as_mut().filter(acts).filter(|_| leads) else { return };
         let answer = match &message {
-            Forwarded::Full => {
+            ForwardedHeartbeat::Full => {
                 if c.cluster.apply_heartbeat(&report, true, now).is_none() {
                     return;
                 }
@@ -540,24 +548,24 @@
                 Some(c.cluster.reply_to_heartbeat(&report, now))
             }
             // taken for news, however late it comes
-            Forwarded::Unchanged(u) if careless => {
+            ForwardedHeartbeat::UnchangedHeartbeat(u) if careless => {
                 let last = c.cluster.machines.get(&u.machine).map_or(0, |m| m.sequence);
                 let news = Heartbeat { sequence: last + 1, ..report.clone() };
                 c.cluster.apply_heartbeat(&news, true, now).map(|_| c.cluster.reply_to_heartbeat(&news, now))
             }
-            Forwarded::Unchanged(u) => c.cluster.apply_unchanged(u, now),
+            ForwardedHeartbeat::UnchangedHeartbeat(u) => c.cluster.apply_unchanged(u, now),
         };
         let Some(answer) = answer else {
             return self.send(Message::Taken { by, term, report, whole: false });
         };
-        self.repeated += u32::from(message != Forwarded::Full);
+        self.repeated += u32::from(message != ForwardedHeartbeat::Full);
         self.answers(&report, number, answer);
         self.send(Message::Taken { by, term, report, whole: true });
     }
 
     /// Direct commands without an answer are given up after a while.
     pub(super) fn gives_up(&mut self) {
-        let late: Vec<(usize, u64, Direct)> = self
+        let late: Vec<(usize, u64, DirectCommand)> = self
             .mail
             .iter()
             .filter_map(|((at, _), m)| match m {
@@ -587,7 +595,7 @@
                             let gone: Vec<Task> = m
                                 .tasks
                                 .iter()
-                                .filter(|(_, p)| p.phase == crate::cluster::Phase::Assigned)
+                                .filter(|(_, p)| p.phase == crate::cluster::TaskPhase::Assigned)
                                 .map(|(t, _)| t.clone())
                                 .collect();
                             for t in gone {
--- a/packages/core/src/sim/history.rs
+++ b/packages/core/src/sim/history.rs
@@ -7,10 +7,12 @@
 use std::collections::{HashSet, VecDeque};
 
 use super::*;
-use crate::answers::{cancellations_txn, submissions_txn, Accepted, Inquiry, Step, Verdict, View, Wish, Word};
-use crate::knowledge::{Telling, Withdrawals};
-use crate::ledger::{Ended, Ledger, Standing, Sweep};
-use crate::lookup::{Found, Lookup};
+use crate::answers::{
+    cancellations_txn, submissions_txn, NextAction, Reply, RequestKind, StateView, StoreResult, UserRequest, Validation,
+};
+use crate::knowledge::{CancellationLog, CancellationNotices};
+use crate::ledger::{EndedJob, InitialScan, JobIndex, JobStatus};
+use crate::lookup::{Lookup, LookupResult};
 use coralnotch_wire::history::{older, Answer, Said};
 use coralnotch_wire::state::WatchEvent;
 
@@ -86,10 +88,10 @@
 
 /// One controller's knowledge of jobs.
 struct Desk {
-    ledger: Ledger,
-    withdrawals: Withdrawals,
-    telling: Telling,
-    sweep: Option<Sweep>,
+    ledger: JobIndex,
+    withdrawals: CancellationLog,
+    telling: CancellationNotices,
+    sweep: Option<InitialScan>,
     /// Watched up to here; `None` before a sweep has begun.
     since: Option<u64>,
     synced: bool,
@@ -100,15 +102,15 @@
     /// A page that was read and is not taken in yet.
     held: Option<(&'static str, Vec<KeyValue>, bool)>,
     /// What it has looked up; for a fault.
-    old: HashMap<Name, Found>,
+    old: HashMap<Name, LookupResult>,
 }
 
 impl Desk {
     fn new(life: u64) -> Desk {
         Desk {
-            ledger: Ledger::new(MOST_ENDED),
-            withdrawals: Withdrawals::new(life, 50),
-            telling: Telling::new(2, 50),
+            ledger: JobIndex::new(MOST_ENDED),
+            withdrawals: CancellationLog::new(life, 50),
+            telling: CancellationNotices::new(2, 50),
             sweep: None,
             since: None,
             synced: false,
@@ -142,24 +144,24 @@
     /// In its controller's queue.
     Queue,
     /// On its way back, with what the store said.
-    Found(Option<Found>),
+    Found(Option<LookupResult>),
     Confirmed(Option<Option<JobOutcome>>),
-    Stored(Accepted),
+    Stored(StoreResult),
     Ended(Option<JobOutcome>),
     /// On its way to the user.
-    Said(Word),
+    Said(Reply),
 }
 
 struct Asked {
     id: Name,
-    wish: Wish,
+    wish: RequestKind,
     desk: usize,
     /// When it left the user.
     sent: u64,
     /// Looks that it may still take until the siblings know.
     patience: u32,
     looked: bool,
-    q: Inquiry,
+    q: UserRequest,
     at: At,
 }
 
@@ -237,7 +239,7 @@
             let epoch = self.service.store.epoch;
             desk.ledger.raise_floor(epoch);
             desk.withdrawals.begin_watch(epoch, now);
-            (desk.since, desk.sweep) = (Some(epoch), Some(Sweep::new(HashSet::new())));
+            (desk.since, desk.sweep) = (Some(epoch), Some(InitialScan::new(HashSet::new())));
         }
         if let Some(s) = desk.sweep.as_mut() {
             if let Some((under, rows, truncated)) = desk.held.take() {
@@ -305,12 +307,12 @@
     }
 
     /// A user sends a request.
-    fn sends(&mut self, desk: usize, id: Name, wish: Wish) {
-        if wish == Wish::Submit {
+    fn sends(&mut self, desk: usize, id: Name, wish: RequestKind) {
+        if wish == RequestKind::Submit {
             self.submitted.entry(id.clone()).or_insert(self.now);
         }
         self.serial += 1;
-        let q = Inquiry::new(id.clone(), wish);
+        let q = UserRequest::new(id.clone(), wish);
         let patience = self.rng.u32(1..10);
         let asked = Asked { id, wish, desk, sent: self.now, patience, looked: false, q, at: At::Desk };
         self.asked.insert(self.serial, asked);
@@ -354,8 +356,8 @@
         match outcome.filter(|_| luck != 1) {
             None => {
                 let word = match self.fault {
-                    Fault::DoubtIsAccepted => Accepted::New { slow: false },
-                    _ => Accepted::Unknown,
+                    Fault::DoubtIsAccepted => StoreResult::New { slow: false },
+                    _ => StoreResult::Unknown,
                 };
                 back.extend(batch.iter().map(|b| (b.0, word)));
             }
@@ -369,13 +371,13 @@
                         self.desks[d].ends(&spec.id, JobOutcome::Cancelled, stamp, now);
                     }
                     let slow = self.rng.u32(0..4) == 0;
-                    back.push((n, Accepted::New { slow }));
+                    back.push((n, StoreResult::New { slow }));
                 }
             }
             Some(Err(keys)) => {
                 for b in batch {
                     match keys.contains(&format!("{}{}", key::JOB, b.1.id)) {
-                        true => back.push((b.0, Accepted::AlreadyStored)),
+                        true => back.push((b.0, StoreResult::AlreadyStored)),
                         false => self.desks[d].queue.push(b),
                     }
                 }
@@ -425,7 +427,7 @@
             At::LookUp(mut l) => match (l.txn(), self.outage) {
                 (Some(_), true) => {
                     let never = self.fault == Fault::OutageForgets;
-                    a.at = At::Found(never.then_some(Found::NotFound));
+                    a.at = At::Found(never.then_some(LookupResult::NotFound));
                 }
                 (Some(txn), false) => {
                     match self.service.apply(&txn) {
@@ -448,11 +450,11 @@
                             let outcome = self.service.store.outcome(&a.id).expect("it has an end");
                             let spec = Arc::new(read_value::<JobSpec>(&item.key, item.value).expect("our own record"));
                             let (now, stamp) = (self.at(), item.revision);
-                            self.desks[a.desk].ledger.insert_ended(Ended { spec, revision: stamp, outcome });
+                            self.desks[a.desk].ledger.insert_ended(EndedJob { spec, revision: stamp, outcome });
                             if outcome == JobOutcome::Cancelled {
                                 self.desks[a.desk].withdrawals.record(stamp, &a.id, now);
                             }
-                            Some(Found::Ended(outcome))
+                            Some(LookupResult::Ended(outcome))
                         }
                     };
                     if let Some(f) = &found {
@@ -517,10 +519,10 @@
         let (now, fault) = (self.at(), self.fault);
         let first = !std::mem::replace(&mut a.looked, true);
         let desk = &mut self.desks[a.desk];
-        let memory = first && matches!(desk.ledger.status_of(&a.id), Standing::Ended(_));
+        let memory = first && matches!(desk.ledger.status_of(&a.id), JobStatus::Ended(_));
         self.seen[0] += u32::from(memory);
         let whole = desk.synced.then_some(now);
-        let step = a.q.next_action(&mut View {
+        let step = a.q.next_action(&mut StateView {
             jobs: &mut desk.ledger,
             cancellations: &desk.withdrawals,
             notices: &mut desk.telling,
@@ -531,56 +533,56 @@
             now,
         });
         match step {
-            Step::Reply(word) => At::Said(word),
-            Step::LookUp if fault == Fault::EvictionForgets => At::Found(Some(Found::NotFound)),
-            Step::LookUp if fault == Fault::StaleLookUp && desk.old.contains_key(&a.id) => {
+            NextAction::Reply(word) => At::Said(word),
+            NextAction::LookUp if fault == Fault::EvictionForgets => At::Found(Some(LookupResult::NotFound)),
+            NextAction::LookUp if fault == Fault::StaleLookUp && desk.old.contains_key(&a.id) => {
                 At::Found(desk.old.get(&a.id).cloned())
             }
-            Step::LookUp => {
+            NextAction::LookUp => {
                 let other = self.id();
                 At::LookUp(Lookup::new([&a.id, &other].into_iter()))
             }
-            Step::Confirm if fault == Fault::Unconfirmed => At::Confirmed(Some(None)),
-            Step::Confirm => At::Confirm,
-            Step::Cancel => At::Cancel,
-            Step::Validate => {
+            NextAction::Confirm if fault == Fault::Unconfirmed => At::Confirmed(Some(None)),
+            NextAction::Confirm => At::Confirm,
+            NextAction::Cancel => At::Cancel,
+            NextAction::Validate => {
                 // one in four of some is judged after the end of what it needs is known
                 let needs_cancelled_job = a.id.ends_with('5') && self.rng.u32(0..4) == 0;
                 a.q.apply_validation(match (desk.synced, never_runs(&a.id)) {
-                    (false, _) => Verdict::Undetermined("not ready"),
-                    (_, true) => Verdict::Unsatisfiable("unknown team"),
-                    _ => Verdict::Valid { needs_cancelled_job },
+                    (false, _) => Validation::Undetermined("not ready"),
+                    (_, true) => Validation::Unsatisfiable("unknown team"),
+                    _ => Validation::Valid { needs_cancelled_job },
                 });
                 At::Desk
             }
-            Step::Store { needs_cancelled_job } => {
+            NextAction::Store { needs_cancelled_job } => {
                 desk.queue.push((n, spec(&a.id, 1), needs_cancelled_job));
                 At::Queue
             }
-            Step::NotifyPeers => match a.patience {
-                0 => At::Said(Word::RetryLater("not every controller knows of it yet")),
+            NextAction::NotifyPeers => match a.patience {
+                0 => At::Said(Reply::RetryLater("not every controller knows of it yet")),
                 _ => {
                     a.patience -= 1;
                     self.tells(a.desk);
                     At::Desk
                 }
             },
-            Step::ReadOutcomes(ids) => panic!("{ids:?} are needed by nobody"),
+            NextAction::ReadOutcomes(ids) => panic!("{ids:?} are needed by nobody"),
         }
     }
 
     /// A user has an answer.
-    fn hears(&mut self, a: &Asked, word: Word) {
+    fn hears(&mut self, a: &Asked, word: Reply) {
         let said = match word {
-            Word::RetryLater(_) => return,
-            Word::Accepted | Word::Unfinished => Said::Unfinished,
-            Word::Ended(JobOutcome::Done) => Said::Done,
-            Word::Ended(JobOutcome::Cancelled) => Said::Cancelled,
-            Word::NotFound if a.wish == Wish::Submit => {
+            Reply::RetryLater(_) => return,
+            Reply::Accepted | Reply::Unfinished => Said::Unfinished,
+            Reply::Ended(JobOutcome::Done) => Said::Done,
+            Reply::Ended(JobOutcome::Cancelled) => Said::Cancelled,
+            Reply::NotFound if a.wish == RequestKind::Submit => {
                 self.broken.push(format!("{}: a submission is answered with 404", a.id));
                 Said::Never
             }
-            Word::NotFound | Word::Unsatisfiable(_) => Said::Never,
+            Reply::NotFound | Reply::Unsatisfiable(_) => Said::Never,
         };
         let stored = match self.service.store.outcome(&a.id) {
             _ if self.service.job(&a.id).is_none() => Said::Never,
@@ -612,22 +614,23 @@
                 44..=49 => self.stores(d),
                 50..=58 => {
                     let id = self.id();
-                    self.sends(d, id, Wish::Submit);
+                    self.sends(d, id, RequestKind::Submit);
                 }
                 59..=63 => self.end(d),
                 64..=67 => {
                     let id = self.id();
-                    self.sends(d, id, Wish::Cancel);
+                    self.sends(d, id, RequestKind::Cancel);
                 }
                 68..=73 => {
                     let id = self.id();
-                    self.sends(d, id, Wish::Query);
+                    self.sends(d, id, RequestKind::Query);
                 }
                 // users look closely: at all controllers at once, and repeat
                 74..=77 => {
                     let id = self.answers.last().map(|a| a.id.clone()).unwrap_or_else(|| "j-0".into());
-                    let repeat = if self.submitted.contains_key(&id) { Wish::Submit } else { Wish::Query };
-                    for wish in [Wish::Query, Wish::Query, repeat] {
+                    let repeat =
+                        if self.submitted.contains_key(&id) { RequestKind::Submit } else { RequestKind::Query };
+                    for wish in [RequestKind::Query, RequestKind::Query, repeat] {
                         (0..3).for_each(|d| self.sends(d, id.clone(), wish));
                     }
                 }
--- a/packages/core/src/sim/mod.rs
+++ b/packages/core/src/sim/mod.rs
@@ -18,12 +18,12 @@
 use crate::cluster::ListedMachine;
 use crate::cluster::{Cluster, MachineState, TeamLimit};
 use crate::commit::TxnLimits;
-use crate::commit::{read_shard, started_jobs, Batch};
+use crate::commit::{read_shard, started_jobs, CommitBatch};
 use crate::config::Config;
 use crate::key;
 use crate::model::*;
 use crate::policy::Policy;
-use crate::reporting::{Forwarded, Forwarding};
+use crate::reporting::{ForwardedHeartbeat, HeartbeatForwarding};
 use crate::workers::*;
 use controllers::{Controller, Standing};
 use coralnotch_wire::state::{read_value, KeyValue, Txn, Write};
@@ -150,7 +150,7 @@
         by: usize,
         term: u64,
         to: usize,
-        message: Forwarded,
+        message: ForwardedHeartbeat,
         report: Heartbeat,
         number: u64,
     },
@@ -170,12 +170,12 @@
     Direct {
         from: usize,
         life: u64,
-        call: Direct,
+        call: DirectCommand,
     },
     DirectAnswer {
         to: usize,
         life: u64,
-        call: Direct,
+        call: DirectCommand,
         report: Option<Heartbeat>,
     },
     Txn {
@@ -301,7 +301,7 @@
     /// Reports reach the leader by way of the others.
     forwards: bool,
     /// What each controller has had the leader take, and how many reports were short.
-    forwarding: [Forwarding; 3],
+    forwarding: [HeartbeatForwarding; 3],
     repeated: u32,
     /// Until when each controller stands still while its clocks run on: what
     /// is sent to it waits, and what it was about to send leaves as it wakes.
@@ -551,7 +551,7 @@
         self.frozen[i] = 0;
         self.lives += 1;
         self.pictures[i] = Picture::new(self.lives);
-        self.forwarding[i] = Forwarding::default();
+        self.forwarding[i] = HeartbeatForwarding::default();
     }
 
     fn trouble(&mut self) {
@@ -857,7 +857,7 @@
         assert!(w.broken.is_empty(), "seed {seed} at {} ms: {:?}", w.now, w.broken);
         terms += w.term;
         done += w.jobs.keys().filter(|id| w.store.outcome(id) == Some(JobOutcome::Done)).count();
-        pages += w.store.kv.keys().filter(|k| k.starts_with(key::PAGE)).count();
+        pages += w.store.kv.keys().filter(|k| k.starts_with(key::SHARD)).count();
     }
     assert!(terms > 3 && done > 60 && pages > 20, "too little to check: {terms} terms, {done} done, {pages} pages");
 }
--- a/packages/core/src/sim/pictures.rs
+++ b/packages/core/src/sim/pictures.rs
@@ -2,13 +2,13 @@
 //! and by its siblings' accounts; leader or not.
 
 use super::*;
-use crate::knowledge::{may_lead, may_renew, Knowledge, Telling, Withdrawals};
+use crate::knowledge::{may_lead, may_renew, CancellationLog, CancellationNotices, CancellationView};
 
 pub(super) struct Picture {
-    list: Withdrawals,
+    list: CancellationLog,
     /// Withdrawals whose users are still to be told.
-    telling: Telling,
-    knowledge: Knowledge,
+    telling: CancellationNotices,
+    knowledge: CancellationView,
     /// Jobs known to be over.
     pub(super) over: std::collections::HashSet<Name>,
     /// Up to where the watch has been seen; `None` before the first read.
@@ -19,8 +19,8 @@
 
 impl Picture {
     pub(super) fn new(life: u64) -> Picture {
-        let list = Withdrawals::new(life, 64);
-        let (knowledge, telling) = (Knowledge::default(), Telling::new(2, 64));
+        let list = CancellationLog::new(life, 64);
+        let (knowledge, telling) = (CancellationView::default(), CancellationNotices::new(2, 64));
         Picture { list, telling, knowledge, over: Default::default(), watch: None, next: (0, 0) }
     }
 }
--- a/packages/core/src/workers.rs
+++ b/packages/core/src/workers.rs
@@ -2,7 +2,7 @@
 //!
 //! Commands in answers to reports are safe: a worker has one report in flight
 //! and drops answers that come late or for an earlier session, so its next
-//! report closes the answer before it.  Direct commands are quicker but may be
+//! report closes the answer before it.  DirectCommand commands are quicker but may be
 //! carried out minutes late: an unanswered start leaves its machine in doubt,
 //! and until a report shows a higher token, absence proves nothing there and
 //! nothing is reaped.
@@ -10,14 +10,14 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use crate::cluster::{Cluster, Machine, Phase, Place, Suspect, SUSPECT};
+use crate::cluster::{Assignment, Cluster, Machine, Quarantine, TaskPhase, QUARANTINED};
 use crate::model::*;
-use crate::reporting::Unchanged;
+use crate::reporting::UnchangedHeartbeat;
 pub use coralnotch_wire::workers::*;
 
 /// A direct command on its way to a worker.
 #[derive(Debug, Clone)]
-pub struct Direct {
+pub struct DirectCommand {
     /// Machine.
     pub machine: Name,
     /// Its worker.
@@ -123,8 +123,8 @@
                     // not sent yet, or not delivered: it is sent (again),
                     // unless it is to stop, and then it is not there, if no
                     // start can still arrive
-                    Phase::Assigned => p.stop_grace_s.is_some() && settled,
-                    Phase::Completed => false,
+                    TaskPhase::Assigned => p.stop_grace_s.is_some() && settled,
+                    TaskPhase::Completed => false,
                     _ => true,
                 }
             })
@@ -157,7 +157,7 @@
     ///
     /// It is taken only if nothing came of this machine in between and nothing on it is open:
     /// then all of the report would change nothing either.
-    pub fn apply_unchanged(&mut self, u: &Unchanged, now: Instant) -> Option<HeartbeatReply> {
+    pub fn apply_unchanged(&mut self, u: &UnchangedHeartbeat, now: Instant) -> Option<HeartbeatReply> {
         let token = self.fencing_token_for(&u.machine);
         let m = self.machines.get_mut(&u.machine)?;
         let last =
@@ -175,7 +175,7 @@
     /// task a report interval.
     pub fn has_pending_start(&self, r: &Heartbeat) -> bool {
         let Some(m) = self.machines.get(&r.machine) else { return false };
-        let pending = |p: &Place| !p.stored && p.stop_grace_s.is_none() || p.phase == Phase::Completed;
+        let pending = |p: &Assignment| !p.stored && p.stop_grace_s.is_none() || p.phase == TaskPhase::Completed;
         (m.incarnation, m.sequence) == (r.incarnation, r.sequence) && m.tasks.values().any(pending)
     }
 
@@ -204,8 +204,9 @@
         }
         let token = base + m.fence_offset;
         for (task, p) in &m.tasks {
-            if let (Some(grace), true) = (p.stop_grace_s, p.phase != Phase::Assigned) {
-                let grace = if p.phase == Phase::Checkpointing { continue_save(p, grace, now) } else { Some(grace) };
+            if let (Some(grace), true) = (p.stop_grace_s, p.phase != TaskPhase::Assigned) {
+                let grace =
+                    if p.phase == TaskPhase::Checkpointing { continue_save(p, grace, now) } else { Some(grace) };
                 if let Some(grace) = grace {
                     orders.push(Command::Stop { task: task.clone(), attempt: p.attempt, grace });
                 }
@@ -217,7 +218,7 @@
                 break;
             }
             // only a stored start leaves, and only for the session it is for
-            if p.phase == Phase::Assigned
+            if p.phase == TaskPhase::Assigned
                 && p.stored
                 && !p.inherited
                 && p.stop_grace_s.is_none()
@@ -241,7 +242,7 @@
     /// new stops.  One call a machine at a time.
     /// Those of the first `most` machines; the others' turn comes with the
     /// next call.
-    pub fn take_direct_commands(&mut self, most: usize) -> Vec<Direct> {
+    pub fn take_direct_commands(&mut self, most: usize) -> Vec<DirectCommand> {
         let base = self.base_token();
         let mut calls = Vec::new();
         while calls.len() < most {
@@ -260,14 +261,14 @@
             }
             let token = base + m.fence_offset;
             let (mut orders, mut starts) = (Vec::new(), false);
-            for (task, p) in m.tasks.iter_mut().filter(|(_, p)| !p.stop_sent && p.phase != Phase::Assigned) {
+            for (task, p) in m.tasks.iter_mut().filter(|(_, p)| !p.stop_sent && p.phase != TaskPhase::Assigned) {
                 if let Some(grace) = p.stop_grace_s {
                     p.stop_sent = true;
                     orders.push(Command::Stop { task: task.clone(), attempt: p.attempt, grace });
                 }
             }
             for (task, p) in m.tasks.iter_mut() {
-                let ready = p.phase == Phase::Assigned && p.stored && !p.inherited && p.stop_grace_s.is_none();
+                let ready = p.phase == TaskPhase::Assigned && p.stored && !p.inherited && p.stop_grace_s.is_none();
                 if ready && p.start_sent_in.is_none() && p.incarnation == m.incarnation && orders.len() < MOST_COMMANDS
                 {
                     p.start_sent_in = Some((m.incarnation, m.sequence));
@@ -282,14 +283,14 @@
                     m.last_direct_fence = Some(m.fence_offset);
                 }
                 let body = DirectCommandBody { fencing_token: token, incarnation: m.incarnation, commands: orders };
-                calls.push(Direct { machine: m.name.clone(), address, body });
+                calls.push(DirectCommand { machine: m.name.clone(), address, body });
             }
         }
         calls
     }
 
     /// A direct command was answered (with the worker's report), or not.
-    pub fn apply_direct_result(&mut self, d: &Direct, answer: Option<&Heartbeat>, now: Instant) {
+    pub fn apply_direct_result(&mut self, d: &DirectCommand, answer: Option<&Heartbeat>, now: Instant) {
         let Some(m) = self.machines.get_mut(&d.machine) else { return };
         m.command_in_flight = false;
         self.machines_to_command.insert(d.machine.clone());
@@ -329,8 +330,8 @@
             if cause == ExitCause::Completed && !over {
                 // completed under whatever attempt: the result is kept
                 if let Some(p) = m.tasks.get_mut(&t.task).filter(|p| p.attempt == t.attempt) {
-                    if p.phase != Phase::Completed {
-                        p.phase = Phase::Completed;
+                    if p.phase != TaskPhase::Completed {
+                        p.phase = TaskPhase::Completed;
                         let p = p.clone();
                         self.record_runtime(&r.machine, &p, now);
                     }
@@ -356,10 +357,10 @@
             return;
         }
         let phase = match t.state {
-            TaskState::Pulling => Phase::Pulling,
-            TaskState::WaitingForGang => Phase::WaitingForGang,
-            TaskState::Running => Phase::Running,
-            _ => Phase::Checkpointing,
+            TaskState::Pulling => TaskPhase::Pulling,
+            TaskState::WaitingForGang => TaskPhase::WaitingForGang,
+            TaskState::Running => TaskPhase::Running,
+            _ => TaskPhase::Checkpointing,
         };
         if !known {
             if !fenced && m.tasks.contains_key(&t.task) {
@@ -381,7 +382,7 @@
             }
             let keep = free && job.spec.shape != Shape::Gang;
             let halt = (!keep).then_some(0.0);
-            let mut place = Place::new(job.spec.clone(), t.attempt, r.incarnation, now);
+            let mut place = Assignment::new(job.spec.clone(), t.attempt, r.incarnation, now);
             (place.stop_grace_s, place.stop_requested_at) = (halt, halt.map(|_| now));
             m.idle_since = None;
             m.tasks.insert(t.task.clone(), place);
@@ -392,7 +393,7 @@
         let Some(p) = m.tasks.get_mut(&t.task) else { return };
         p.inherited = false;
         p.confirmed |= fenced;
-        if p.phase == Phase::Completed {
+        if p.phase == TaskPhase::Completed {
             return;
         }
         p.phase = phase;
@@ -403,7 +404,7 @@
         }
         // what fails everywhere does not run for long
         let proof = self.policy.failure_rest;
-        if phase == Phase::Running
+        if phase == TaskPhase::Running
             && p.stop_grace_s.is_none()
             && p.running_since.is_some_and(|t| now.duration_since(t) > proof)
         {
@@ -411,7 +412,7 @@
                 (j.quarantine, j.not_before) = (None, None);
             }
         }
-        if phase == Phase::Running && p.running_since.is_none() {
+        if phase == TaskPhase::Running && p.running_since.is_none() {
             p.running_since = Some(now);
             tracing::debug!(
                 "{} runs on {}, {:.1} s after it was placed",
@@ -491,9 +492,9 @@
             Some(_) => {}
             None if !proven && evidence >= 2 && evidence > against => {
                 tracing::info!("{id} fails on {evidence} machines: taken for broken, probed one task at a time");
-                job.quarantine = Some(Suspect { since: now, probes: 0 });
-                job.pending_reason = SUSPECT;
-                let fetches = |p: &Place| matches!(p.phase, Phase::Assigned | Phase::Pulling);
+                job.quarantine = Some(Quarantine { since: now, probes: 0 });
+                job.pending_reason = QUARANTINED;
+                let fetches = |p: &Assignment| matches!(p.phase, TaskPhase::Assigned | TaskPhase::Pulling);
                 let wait: Vec<_> = placed.iter().filter(|p| place(p).is_some_and(fetches)).cloned().collect();
                 for n in job.failed_on.clone() {
                     self.clear_failure(&n, id);
@@ -532,7 +533,7 @@
 
     /// A completed task tells of its machine's speed.  Only completed tasks
     /// count, or an instantly failing machine would look fast.
-    fn record_runtime(&mut self, machine: &Name, p: &Place, now: Instant) {
+    fn record_runtime(&mut self, machine: &Name, p: &Assignment, now: Instant) {
         let Some(since) = p.running_since else { return };
         let ran = now.duration_since(since).as_secs_f64();
         if let Some(m) = self.machines.get_mut(machine) {
@@ -564,7 +565,7 @@
 }
 
 /// A saving task is left alone until its grace is over, then ended.
-fn continue_save(p: &Place, grace: f64, now: Instant) -> Option<f64> {
+fn continue_save(p: &Assignment, grace: f64, now: Instant) -> Option<f64> {
     let over =
         p.stop_requested_at.is_some_and(|t| now.duration_since(t).as_secs_f64() > grace.max(p.spec.save_s) * 3.0 + 5.0);
     (grace == 0.0 || over).then_some(0.0)
--- a/packages/core/src/workers/tests.rs
+++ b/packages/core/src/workers/tests.rs
@@ -176,7 +176,7 @@
 /// first: then a report of the later session, however old, freed a place that was taken.
 #[test]
 fn of_two_starts_of_one_attempt_the_later_session_counts() {
-    use crate::cluster::{Page, Start};
+    use crate::cluster::{PlacementShard, StartRecord};
     let now = Instant::now();
     for order in [[2, 3], [3, 2]] {
         let mut c = cluster(5, now);
@@ -186,8 +186,8 @@
         let at = std::collections::HashMap::from([(machine.clone(), ("t".into(), "z0".into(), false))]);
         for (page, session) in order.into_iter().enumerate() {
             let task = Task { job: "j-1".into(), index: 0 };
-            let start = Start { machine: machine.clone(), task, attempt, incarnation: session };
-            c.add_shard(page as u32, Page { revision: 1, starts: vec![start], completed: vec![] }, &at, now);
+            let start = StartRecord { machine: machine.clone(), task, attempt, incarnation: session };
+            c.add_shard(page as u32, PlacementShard { revision: 1, starts: vec![start], completed: vec![] }, &at, now);
         }
         let old = crate::sim::report("i-1", "z0", 3, 9, 2 << 24);
         assert_eq!(c.apply_heartbeat(&old, true, now), Some(true));
@@ -205,7 +205,7 @@
 /// token are of any age, and free nothing that is on record.
 #[test]
 fn an_old_report_frees_no_place() {
-    use crate::cluster::{Page, Start};
+    use crate::cluster::{PlacementShard, StartRecord};
     let now = Instant::now();
     let machine: Name = "i-1".into();
     let attempt = (4 << 24) + 30;
@@ -215,8 +215,8 @@
         let gang = JobSpec { shape: Shape::Gang, ..(*spec("j-2", 1)).clone() };
         c.add_started_job(spec("j-1", 1), 1, None, now);
         c.add_started_job(std::sync::Arc::new(gang), 2, None, now);
-        let start = |job| Start { machine: machine.clone(), task: task(job), attempt, incarnation: 1 };
-        let page = Page { revision: 1, starts: vec![start("j-1"), start("j-2")], completed: vec![] };
+        let start = |job| StartRecord { machine: machine.clone(), task: task(job), attempt, incarnation: 1 };
+        let page = PlacementShard { revision: 1, starts: vec![start("j-1"), start("j-2")], completed: vec![] };
         let at = std::collections::HashMap::from([(machine.clone(), ("t".into(), "z0".into(), false))]);
         c.add_shard(0, page, &at, now);
         c
--- a/src/gates.rs
+++ b/src/gates.rs
@@ -4,7 +4,10 @@
 
 use std::time::{Duration, Instant};
 
-use coralnotch_core::gate::{next_enabled, Gates, Member, Shown, CHAINS, KNOWN, REPORTS, TOLD};
+use coralnotch_core::gate::{
+    next_enabled, AdvertisedFeatures, FeatureGates, MemberRecord, CONFIRMED_CANCELLATIONS, FORWARDED_HEARTBEATS,
+    JOB_DEPENDENCIES, SUPPORTED,
+};
 
 use crate::authority::Authority;
 use crate::node::Node;
@@ -19,7 +22,7 @@
 
 /// The features of this version, for the wire.
 pub(crate) fn known() -> Vec<String> {
-    KNOWN.iter().map(|k| (*k).to_owned()).collect()
+    SUPPORTED.iter().map(|k| (*k).to_owned()).collect()
 }
 
 impl Node {
@@ -31,13 +34,13 @@
             Some(s) if version.is_empty() && !knows.is_empty() => s.version.clone(),
             _ => version,
         };
-        roster.record(name, Shown { features: knows, version, seen_at: at });
+        roster.record(name, AdvertisedFeatures { features: knows, version, seen_at: at });
     }
 
     /// The siblings' versions, as far as they have told.
     pub(crate) fn versions(&self) -> std::collections::BTreeMap<String, String> {
         let roster = lock(&self.peers.roster);
-        let of = |s: &Shown| match (s.features.is_empty(), s.version.is_empty()) {
+        let of = |s: &AdvertisedFeatures| match (s.features.is_empty(), s.version.is_empty()) {
             (true, _) => "earlier".to_owned(),
             (false, true) => "not told yet".to_owned(),
             (false, false) => s.version.clone(),
@@ -47,19 +50,19 @@
     }
 
     /// The stored record of what is on, as the store shows it.
-    pub(crate) fn gates_are(&self, g: &Gates, stamp: u64, now: Instant) {
+    pub(crate) fn gates_are(&self, g: &FeatureGates, stamp: u64, now: Instant) {
         let mut i = self.lock();
         i.gates = i.gates.max(stamp);
-        if i.told_since.is_none() && g.enabled.iter().any(|f| f == TOLD) {
-            tracing::info!("all controllers have {TOLD}: on since term {}", g.term);
+        if i.told_since.is_none() && g.enabled.iter().any(|f| f == CONFIRMED_CANCELLATIONS) {
+            tracing::info!("all controllers have {CONFIRMED_CANCELLATIONS}: on since term {}", g.term);
             i.told_since = Some(now);
         }
-        if !i.reports_on && g.enabled.iter().any(|f| f == REPORTS) {
-            tracing::info!("all controllers have {REPORTS}: on since term {}", g.term);
+        if !i.reports_on && g.enabled.iter().any(|f| f == FORWARDED_HEARTBEATS) {
+            tracing::info!("all controllers have {FORWARDED_HEARTBEATS}: on since term {}", g.term);
             i.reports_on = true;
         }
-        if !i.chains && g.enabled.iter().any(|f| f == CHAINS) {
-            tracing::info!("all controllers have {CHAINS}: on since term {}", g.term);
+        if !i.chains && g.enabled.iter().any(|f| f == JOB_DEPENDENCIES) {
+            tracing::info!("all controllers have {JOB_DEPENDENCIES}: on since term {}", g.term);
             i.chains = true;
         }
     }
@@ -79,7 +82,7 @@
                     Some(h) => self.store.renew(h, self.policy.ttl / 2).await.map(|()| h),
                     None => {
                         let h = self.store.grant(self.policy.cut_keep.min(LONGEST_LEASE)).await?;
-                        let member = Member { features: known(), version: VERSION.to_owned() };
+                        let member = MemberRecord { features: known(), version: VERSION.to_owned() };
                         let path = format!("{}{}", key::MEMBER, self.config.name);
                         let txn = Txn { preconditions: vec![], writes: vec![Write::set_with_lease(path, &member, h)] };
                         self.store.txn(&txn).await.map(|_| h)
@@ -107,7 +110,7 @@
                     let now = Instant::now();
                     for m in members {
                         let name = m.key.strip_prefix(key::MEMBER).unwrap_or_default().to_owned();
-                        if let Some(r) = read_value::<Member>(&m.key, m.value) {
+                        if let Some(r) = read_value::<MemberRecord>(&m.key, m.value) {
                             self.record_found(&name, r, now);
                         }
                     }
@@ -118,7 +121,14 @@
             let (already, stamp) = {
                 let i = self.lock();
                 // what is on stays on
-                ([(CHAINS, i.chains), (TOLD, i.told_since.is_some()), (REPORTS, i.reports_on)], i.gates)
+                (
+                    [
+                        (JOB_DEPENDENCIES, i.chains),
+                        (CONFIRMED_CANCELLATIONS, i.told_since.is_some()),
+                        (FORWARDED_HEARTBEATS, i.reports_on),
+                    ],
+                    i.gates,
+                )
             };
             let is_on = |f: &str| already.contains(&(f, true));
             let on = {
@@ -126,7 +136,7 @@
                 next_enabled(is_on, |f| roster.all_have(names.clone(), f, self.policy.cut_keep, now))
             };
             if let Some(on) = on {
-                let gates = Gates { enabled: on, term: a.term };
+                let gates = FeatureGates { enabled: on, term: a.term };
                 let mut txn = Txn { preconditions: vec![], writes: vec![Write::set(key::GATES, &gates)] };
                 txn.require(key::LEADER, a.stamp);
                 txn.require(key::GATES, stamp);
@@ -143,12 +153,13 @@
 
     /// A record of a controller was found.  It is no word of its own: one that
     /// has answered as an earlier version since the record was made is one.
-    fn record_found(&self, name: &str, m: Member, now: Instant) {
+    fn record_found(&self, name: &str, m: MemberRecord, now: Instant) {
         let mut roster = lock(&self.peers.roster);
-        let contradicts =
-            |s: &Shown| s.features.is_empty() && now.saturating_duration_since(s.seen_at) <= self.policy.ttl * 2;
+        let contradicts = |s: &AdvertisedFeatures| {
+            s.features.is_empty() && now.saturating_duration_since(s.seen_at) <= self.policy.ttl * 2
+        };
         if !roster.get(name).is_some_and(contradicts) {
-            roster.record(name, Shown { features: m.features, version: m.version, seen_at: now });
+            roster.record(name, AdvertisedFeatures { features: m.features, version: m.version, seen_at: now });
         }
     }
 }
--- a/src/intake.rs
+++ b/src/intake.rs
@@ -15,11 +15,12 @@
 use crate::cluster::raise_token;
 use crate::http::{self, Request, Response};
 use coralnotch_core::answers::{
-    cancellations_txn, submissions_txn, unsatisfiable_reason, Accepted, Inquiry, Step, Verdict, View, Wish, Word,
+    cancellations_txn, submissions_txn, unsatisfiable_reason, NextAction, Reply, RequestKind, StateView, StoreResult,
+    UserRequest, Validation,
 };
-use coralnotch_core::lookup::{Found, Lookup};
+use coralnotch_core::lookup::{Lookup, LookupResult};
 
-use crate::ledger::{Ended, Open, Standing};
+use crate::ledger::{EndedJob, JobStatus, OpenJob};
 use crate::model::*;
 use crate::node::{Inner, Node};
 use crate::siblings::{lock, wire};
@@ -337,57 +338,57 @@
             return Response::refuse(400, why);
         }
         let id = spec.id.clone();
-        let word = self.inquire(&id, Wish::Submit, Some(Arc::new(spec))).await;
+        let word = self.inquire(&id, RequestKind::Submit, Some(Arc::new(spec))).await;
         self.say(&id, word)
     }
 
     /// What speaks against a submission that is not known here.
-    async fn validate(&self, spec: &JobSpec) -> Verdict {
+    async fn validate(&self, spec: &JobSpec) -> Validation {
         {
             let i = self.lock();
             if !i.synced || i.types.is_empty() {
-                return Verdict::Undetermined("not ready");
+                return Validation::Undetermined("not ready");
             }
             if let Some(why) = unsatisfiable_reason(spec, &self.config.deployment.teams, &i.types) {
-                return Verdict::Unsatisfiable(why);
+                return Validation::Unsatisfiable(why);
             }
         }
         if stored_bytes(spec) > self.store.most.value_bytes {
-            return Verdict::Undetermined("larger than the state service takes now");
+            return Validation::Undetermined("larger than the state service takes now");
         }
         self.validate_needs(spec).await
     }
 
     /// Hands a submission over to be stored, with those that wait meanwhile.
-    async fn stored(&self, spec: Arc<JobSpec>, needs_cancelled_job: bool) -> Accepted {
+    async fn stored(&self, spec: Arc<JobSpec>, needs_cancelled_job: bool) -> StoreResult {
         let (reply, answer) = smol::channel::bounded(1);
         if self.intake.submissions.0.try_send((spec, needs_cancelled_job, reply)).is_err() {
-            return Accepted::Unknown;
+            return StoreResult::Unknown;
         }
-        timed(SUBMIT_LIMIT, answer.recv()).await.and_then(Result::ok).unwrap_or(Accepted::Unknown)
+        timed(SUBMIT_LIMIT, answer.recv()).await.and_then(Result::ok).unwrap_or(StoreResult::Unknown)
     }
 
     /// Whether a job that needs others can be taken, and whether one of these is
     /// known to be cancelled, so that it ends with it.
     /// "Never accepted" is the store's word alone: what is known here may lag.
-    async fn validate_needs(&self, spec: &JobSpec) -> Verdict {
+    async fn validate_needs(&self, spec: &JobSpec) -> Validation {
         if spec.needs.is_empty() {
-            return Verdict::Valid { needs_cancelled_job: false };
+            return Validation::Valid { needs_cancelled_job: false };
         }
         let (mut unknown, mut needs_cancelled_job, mut wrong) = (Vec::new(), false, None);
         {
             let mut i = self.lock();
             if !i.chains {
-                return Verdict::Undetermined("not every controller knows of jobs that wait for others yet");
+                return Validation::Undetermined("not every controller knows of jobs that wait for others yet");
             }
             for n in &spec.needs {
                 let needed = match i.ledger.status_of(n) {
-                    Standing::Open(o) => o.spec,
-                    Standing::Ended(e) => {
+                    JobStatus::Open(o) => o.spec,
+                    JobStatus::Ended(e) => {
                         needs_cancelled_job |= e.outcome == JobOutcome::Cancelled;
                         e.spec
                     }
-                    Standing::Unknown => {
+                    JobStatus::Unknown => {
                         unknown.push(n.clone());
                         continue;
                     }
@@ -403,10 +404,10 @@
         if wrong.is_none() && !unknown.is_empty() {
             wrong = match timed(QUERY_LIMIT, self.exist(&unknown)).await.flatten() {
                 Some(wrong) => wrong,
-                None => return Verdict::Undetermined("the state service does not answer"),
+                None => return Validation::Undetermined("the state service does not answer"),
             };
         }
-        wrong.map_or(Verdict::Valid { needs_cancelled_job }, Verdict::Unsatisfiable)
+        wrong.map_or(Validation::Valid { needs_cancelled_job }, Validation::Unsatisfiable)
     }
 
     /// What speaks against needing these jobs, which are not known here; many in
@@ -419,7 +420,7 @@
             }
             for id in some {
                 match asked.found(id) {
-                    Some(Found::NotFound) => return Some(Some("needs a job that was never accepted")),
+                    Some(LookupResult::NotFound) => return Some(Some("needs a job that was never accepted")),
                     Some(_) => {
                         // unfinished, and the watch has not shown it yet
                         self.lookup_pause(1.0).await;
@@ -468,14 +469,14 @@
                             if txn.writes.iter().any(|w| matches!(w, Write::Set { set, .. } if *set == end)) {
                                 self.apply_stored_outcome(&id, JobOutcome::Cancelled, stamp, now);
                             }
-                            let _ = reply.try_send(Accepted::New { slow });
+                            let _ = reply.try_send(StoreResult::New { slow });
                         }
                     }
                     Ok(TxnOutcome::Conflict(failed)) => {
                         // those exist already, perhaps by a try of ours
                         for k in &failed {
                             for (_, _, reply) in batch.extract_if(.., |(s, ..)| *k == format!("{}{}", key::JOB, s.id)) {
-                                let _ = reply.try_send(Accepted::AlreadyStored);
+                                let _ = reply.try_send(StoreResult::AlreadyStored);
                             }
                         }
                     }
@@ -486,7 +487,7 @@
                     Err(e) => {
                         tracing::debug!("submissions: {e}");
                         for (_, _, reply) in batch.drain(..) {
-                            let _ = reply.try_send(Accepted::Unknown);
+                            let _ = reply.try_send(StoreResult::Unknown);
                         }
                     }
                 }
@@ -496,13 +497,13 @@
 
     /// A job and its end as stored, or nothing if it was never accepted.  What
     /// is over is kept for the next question; what is not comes by the watch.
-    pub(crate) async fn read_job(&self, id: &str) -> Result<Option<(Open, Option<JobOutcome>)>, Error> {
+    pub(crate) async fn read_job(&self, id: &str) -> Result<Option<(OpenJob, Option<JobOutcome>)>, Error> {
         let (job, end) = (format!("{}{id}", key::JOB), format!("{}{id}", key::OUTCOME));
         // the end last: it may come in between
         let Some(item) = self.store.get(&job).await? else { return Ok(None) };
         let end = self.store.get(&end).await?;
         let spec = read_value::<JobSpec>(&job, item.value).ok_or(Error::Unreadable)?;
-        let open = Open { spec: Arc::new(spec), revision: item.revision };
+        let open = OpenJob { spec: Arc::new(spec), revision: item.revision };
         let outcome = match end {
             None => None,
             Some(e) => {
@@ -514,13 +515,13 @@
             if outcome == JobOutcome::Cancelled {
                 i.withdrawals.record(at, id, Instant::now());
             }
-            i.ledger.insert_ended(Ended { spec: open.spec.clone(), revision: open.revision, outcome });
+            i.ledger.insert_ended(EndedJob { spec: open.spec.clone(), revision: open.revision, outcome });
         }
         Ok(Some((open, outcome.map(|f| f.0))))
     }
 
     /// What the store says of an id, asked from now on; `None` if it can't be told now.
-    async fn look(&self, id: &Name) -> Option<Found> {
+    async fn look(&self, id: &Name) -> Option<LookupResult> {
         let (reply, answer) = smol::channel::bounded(1);
         if self.intake.lookups.0.try_send((id.clone(), reply)).is_err() {
             count(&self.telemetry.counters.lookups_refused);
@@ -575,7 +576,7 @@
                 self.lookup_pause(2.0).await;
                 let read = self.read_job(&id).await;
                 let found = match read {
-                    Ok(Some((_, Some(outcome)))) => Some(Found::Ended(outcome)),
+                    Ok(Some((_, Some(outcome)))) => Some(LookupResult::Ended(outcome)),
                     _ => None,
                 };
                 for (_, reply) in batch.extract_if(.., |(i, _)| *i == id) {
@@ -664,7 +665,7 @@
                         let task = Task { job: id.clone(), index: *n };
                         let runs = |m: &Name| {
                             let p = c.machines.get(m).and_then(|m| m.tasks.get(&task));
-                            p.is_some_and(|p| p.phase == crate::cluster::Phase::Running)
+                            p.is_some_and(|p| p.phase == crate::cluster::TaskPhase::Running)
                         };
                         running += u32::from(list.iter().any(runs));
                     }
@@ -700,7 +701,7 @@
         let Some(c) = i.cluster.as_ref() else { return Vec::new() };
         let mut running: std::collections::HashMap<&Name, u32> = std::collections::HashMap::new();
         for (t, p) in c.machines.values().flat_map(|m| &m.tasks) {
-            *running.entry(&t.job).or_default() += u32::from(p.phase == crate::cluster::Phase::Running);
+            *running.entry(&t.job).or_default() += u32::from(p.phase == crate::cluster::TaskPhase::Running);
         }
         let of = |j: &crate::cluster::Job| wire::Progress {
             id: j.spec.id.to_string(),
@@ -716,44 +717,44 @@
     fn explained(&self, state: JobState) -> JobExplanation {
         let mut i = self.lock();
         let spec = match i.ledger.status_of(&state.id) {
-            Standing::Open(o) => Some(o.spec),
-            Standing::Ended(e) => Some(e.spec),
-            Standing::Unknown => None,
+            JobStatus::Open(o) => Some(o.spec),
+            JobStatus::Ended(e) => Some(e.spec),
+            JobStatus::Unknown => None,
         };
         let needs = spec.map(|s| s.needs.clone()).unwrap_or_default();
         let cancelled = state.stage == JobOutcome::Cancelled.as_str();
         let of = |n: &&Name| i.ledger.outcome(n) == Some(JobOutcome::Cancelled);
         let cancelled_with = needs.iter().filter(|_| cancelled).find(of).cloned();
-        let open = |n: &Name| matches!(i.ledger.status_of(n), Standing::Open(_));
+        let open = |n: &Name| matches!(i.ledger.status_of(n), JobStatus::Open(_));
         let waits_for = needs.into_iter().filter(open).filter(|_| !cancelled).collect();
         JobExplanation { state, waits_for, cancelled_with }
     }
 
     /// Answers a request as `core/answers` has it: asks what that wants asked.
-    async fn inquire(&self, id: &Name, wish: Wish, spec: Option<Arc<JobSpec>>) -> Word {
-        let (mut q, began, mut told_by) = (Inquiry::new(id.clone(), wish), Instant::now(), None);
+    async fn inquire(&self, id: &Name, wish: RequestKind, spec: Option<Arc<JobSpec>>) -> Reply {
+        let (mut q, began, mut told_by) = (UserRequest::new(id.clone(), wish), Instant::now(), None);
         loop {
             let told = self.told.listen();
             let now = Instant::now();
             match (self.next(id, &mut q, now), &spec) {
-                (Step::Reply(word), _) => return word,
-                (Step::LookUp, _) => q.apply_lookup(self.look(id).await),
-                (Step::Confirm, _) => q.apply_confirmation(self.end_of(id).await),
-                (Step::Cancel, _) => q.apply_cancellation(self.cancel(id).await.ok()),
-                (Step::ReadOutcomes(ids), _) => {
+                (NextAction::Reply(word), _) => return word,
+                (NextAction::LookUp, _) => q.apply_lookup(self.look(id).await),
+                (NextAction::Confirm, _) => q.apply_confirmation(self.end_of(id).await),
+                (NextAction::Cancel, _) => q.apply_cancellation(self.cancel(id).await.ok()),
+                (NextAction::ReadOutcomes(ids), _) => {
                     q.apply_outcomes_read(began.elapsed() < QUERY_LIMIT && self.read_ends(ids).await)
                 }
-                (Step::Validate, Some(spec)) => q.apply_validation(self.validate(spec).await),
-                (Step::Store { needs_cancelled_job }, Some(spec)) => {
+                (NextAction::Validate, Some(spec)) => q.apply_validation(self.validate(spec).await),
+                (NextAction::Store { needs_cancelled_job }, Some(spec)) => {
                     let outcome = self.stored(spec.clone(), needs_cancelled_job).await;
                     q.apply_store_result(outcome, &mut self.lock().ledger);
                 }
-                (Step::Validate | Step::Store { .. }, None) => return Word::NotFound,
-                (Step::NotifyPeers, _) => {
+                (NextAction::Validate | NextAction::Store { .. }, None) => return Reply::NotFound,
+                (NextAction::NotifyPeers, _) => {
                     self.to_tell.notify(usize::MAX);
                     let limit = *told_by.get_or_insert(now + TELL_LIMIT);
                     let Some(left) = limit.checked_duration_since(now) else {
-                        return Word::RetryLater("not every controller knows of it yet");
+                        return Reply::RetryLater("not every controller knows of it yet");
                     };
                     timed(left.min(self.policy.renew / 4), told).await;
                 }
@@ -762,11 +763,11 @@
     }
 
     /// The next step of a request, by what is known now.
-    fn next(&self, id: &Name, q: &mut Inquiry, now: Instant) -> Step {
+    fn next(&self, id: &Name, q: &mut UserRequest, now: Instant) -> NextAction {
         let mut guard = self.lock();
         let i = &mut *guard;
         let (whole, clear) = (self.whole(i), i.clear_of(id, now));
-        q.next_action(&mut View {
+        q.next_action(&mut StateView {
             jobs: &mut i.ledger,
             cancellations: &i.withdrawals,
             notices: &mut i.telling,
@@ -779,16 +780,16 @@
     }
 
     /// The answer to a user.
-    fn say(&self, id: &Name, word: Word) -> Response {
+    fn say(&self, id: &Name, word: Reply) -> Response {
         match word {
-            Word::Accepted => {
+            Reply::Accepted => {
                 Response::new(201, &JobState { id: id.clone(), stage: "pending".into(), done: 0, running: 0 })
             }
-            Word::Unfinished => Response::new(200, &self.state(id, None)),
-            Word::Ended(outcome) => Response::new(200, &self.state(id, Some(outcome))),
-            Word::NotFound => Response::refuse(404, "no such job"),
-            Word::Unsatisfiable(why) => Response::refuse(422, why),
-            Word::RetryLater(why) => Response::refuse(503, why),
+            Reply::Unfinished => Response::new(200, &self.state(id, None)),
+            Reply::Ended(outcome) => Response::new(200, &self.state(id, Some(outcome))),
+            Reply::NotFound => Response::refuse(404, "no such job"),
+            Reply::Unsatisfiable(why) => Response::refuse(422, why),
+            Reply::RetryLater(why) => Response::refuse(503, why),
         }
     }
 
@@ -797,9 +798,9 @@
             return Response::refuse(404, "no such job");
         }
         let id: Name = id.into();
-        match self.inquire(&id, Wish::Query, None).await {
-            Word::Unfinished if why => Response::new(200, &self.explained(self.state(&id, None))),
-            Word::Ended(outcome) if why => Response::new(200, &self.explained(self.state(&id, Some(outcome)))),
+        match self.inquire(&id, RequestKind::Query, None).await {
+            Reply::Unfinished if why => Response::new(200, &self.explained(self.state(&id, None))),
+            Reply::Ended(outcome) if why => Response::new(200, &self.explained(self.state(&id, Some(outcome)))),
             word => self.say(&id, word),
         }
     }
@@ -809,8 +810,8 @@
             return Response::refuse(404, "no such job");
         }
         let id: Name = id.into();
-        let word = timed(SUBMIT_LIMIT, self.inquire(&id, Wish::Cancel, None)).await;
-        self.say(&id, word.unwrap_or(Word::RetryLater("the state service does not answer")))
+        let word = timed(SUBMIT_LIMIT, self.inquire(&id, RequestKind::Cancel, None)).await;
+        self.say(&id, word.unwrap_or(Reply::RetryLater("the state service does not answer")))
     }
 
     /// Reads the ends of some of these, which came before this controller began: what is
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -11,9 +11,9 @@
 use futures_util::stream::StreamExt;
 
 use crate::authority::Authority;
-use crate::cluster::{Cluster, Page, Rental, Whereabouts};
+use crate::cluster::{Cluster, MachineLocation, PlacementShard, Rental};
 use crate::commit::{read_shard, started_jobs};
-use crate::ledger::{Open, Standing};
+use crate::ledger::{JobStatus, OpenJob};
 use crate::model::*;
 use crate::node::Node;
 use crate::store::{key, read_value, Error, KeyValue};
@@ -22,18 +22,18 @@
 /// What a new leader has read.
 #[derive(Default)]
 struct Stored {
-    pages: Vec<(u32, Page, HashMap<Name, Whereabouts>)>,
+    pages: Vec<(u32, PlacementShard, HashMap<Name, MachineLocation>)>,
     rentals: Vec<KeyValue>,
     /// Jobs that pages name and that were read one by one; `None` where the
     /// store has no record of them, or none that can be read.
-    over: HashMap<Name, Option<(Open, Option<JobOutcome>)>>,
+    over: HashMap<Name, Option<(OpenJob, Option<JobOutcome>)>>,
 }
 
 impl Stored {
     /// Takes in what a job that pages name was read as.  A record that is
     /// missing or strange is read once a term: it will not get better, and
     /// nobody would lead for it.
-    fn read(&mut self, id: Name, job: Result<Option<(Open, Option<JobOutcome>)>, Error>) -> Result<(), Error> {
+    fn read(&mut self, id: Name, job: Result<Option<(OpenJob, Option<JobOutcome>)>, Error>) -> Result<(), Error> {
         let job = match job {
             Err(Error::Unreadable) => None,
             other => other?,
@@ -74,7 +74,7 @@
             smol::Timer::after(Duration::from_millis(20)).await;
         }
         let asked = timed(self.policy.renew, self.ask_all(true));
-        let stored = futures_util::future::join(self.store.list(key::PAGE), self.store.list(key::RENTAL));
+        let stored = futures_util::future::join(self.store.list(key::SHARD), self.store.list(key::RENTAL));
         let ((pages, rentals), _) = futures_util::future::join(stored, asked).await;
         let pages: Vec<_> = pages?.into_iter().filter_map(|i| read_shard(&i.key, &i)).collect();
         let mut stored = Stored { pages, rentals: rentals?, over: HashMap::new() };
@@ -129,7 +129,7 @@
                 continue;
             }
             match (i.ledger.status_of(id), stored.over.get(id)) {
-                (Standing::Ended(e), _) => c.add_job(e.spec, e.revision, Some(e.outcome), now),
+                (JobStatus::Ended(e), _) => c.add_job(e.spec, e.revision, Some(e.outcome), now),
                 (_, Some(Some((o, outcome)))) => c.add_job(o.spec.clone(), o.revision, *outcome, now),
                 (_, Some(None)) => {}
                 (_, None) => {
--- a/src/leader/machines.rs
+++ b/src/leader/machines.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::authority::Authority;
-use crate::cluster::{ListedMachine, Rental, Tried};
-use crate::fleet::Plan;
+use crate::cluster::{ListedMachine, RecordAttempt, Rental};
+use crate::fleet::FleetPlan;
 use crate::http;
 use crate::model::*;
 use crate::node::Node;
@@ -183,13 +183,13 @@
         let Some(mut new) = new else { return true };
         for _ in 0..RECORD_TRIES {
             let tried = match self.store.txn(&new.txn(a.stamp)).await {
-                Ok(TxnOutcome::Done(_)) => Tried::Done,
-                Ok(TxnOutcome::Conflict(keys)) => Tried::Conflict(keys),
+                Ok(TxnOutcome::Done(_)) => RecordAttempt::Done,
+                Ok(TxnOutcome::Conflict(keys)) => RecordAttempt::Conflict(keys),
                 Err(Error::Doubt(e)) => {
                     tracing::debug!("a record of rentals is in doubt: {e}");
-                    Tried::Doubt
+                    RecordAttempt::Doubt
                 }
-                Err(_) => Tried::Refused,
+                Err(_) => RecordAttempt::Refused,
             };
             match new.apply_attempt(&tried) {
                 None => {}
@@ -228,7 +228,7 @@
         }
     }
 
-    async fn carry_out(&self, plan: Plan, a: Authority) {
+    async fn carry_out(&self, plan: FleetPlan, a: Authority) {
         let rentals = async {
             if self.record(&plan.rent, a).await {
                 futures_util::future::join_all(plan.rent.iter().map(|r| self.rent(r))).await;
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -36,20 +36,21 @@
     let policy = Policy::new(&config).expect("the default policy");
     let node = Node::new(config, policy, now);
     node.learn_job(spec("j-000001", 1), 1, now);
-    let start = |job: &str| crate::cluster::Start {
+    let start = |job: &str| crate::cluster::StartRecord {
         machine: "i-1".into(),
         task: Task { job: job.into(), index: 0 },
         attempt: 7,
         incarnation: 1,
     };
-    let page = Page { revision: 3, starts: vec![start("j-000001"), start("j-000002")], completed: Vec::new() };
+    let page =
+        PlacementShard { revision: 3, starts: vec![start("j-000001"), start("j-000002")], completed: Vec::new() };
     let places = HashMap::from([("i-1".into(), ("t".into(), "z0".into(), false))]);
     let stored = Stored { pages: vec![(0, page, places)], ..Stored::default() };
     let a = Authority { term: 2, stamp: 1, hold: 1, until: now, since: now };
     let Err((mut stored, missing)) = node.take_over(a, stored, now) else { panic!("it leads without knowing") };
     assert_eq!(missing, ["j-000002".into()]);
     assert!(node.lock().cluster.is_none(), "no half of a picture");
-    let open = Open { spec: spec("j-000002", 1), revision: 2 };
+    let open = OpenJob { spec: spec("j-000002", 1), revision: 2 };
     assert!(stored.read("j-000002".into(), Ok(Some((open, Some(JobOutcome::Cancelled))))).is_ok());
     assert!(node.take_over(a, stored, now).is_ok());
     let i = node.lock();
@@ -67,13 +68,13 @@
     let policy = Policy::new(&config).expect("the default policy");
     let node = Node::new(config, policy, now);
     node.learn_job(spec("j-000001", 1), 1, now);
-    let starts = ["j-000001", "j-000002", "j-000003"].map(|job| crate::cluster::Start {
+    let starts = ["j-000001", "j-000002", "j-000003"].map(|job| crate::cluster::StartRecord {
         machine: "i-1".into(),
         task: Task { job: job.into(), index: 0 },
         attempt: 7,
         incarnation: 1,
     });
-    let page = Page { revision: 3, starts: starts.into(), completed: Vec::new() };
+    let page = PlacementShard { revision: 3, starts: starts.into(), completed: Vec::new() };
     let places = HashMap::from([("i-1".into(), ("t".into(), "z0".into(), false))]);
     let stored = Stored { pages: vec![(0, page, places)], ..Stored::default() };
     let a = Authority { term: 2, stamp: 1, hold: 1, until: now, since: now };
--- a/src/node.rs
+++ b/src/node.rs
@@ -8,11 +8,11 @@
 use std::time::{Duration, Instant};
 
 use crate::authority::{Authority, LeaderRecord};
-use crate::cluster::Want;
+use crate::cluster::UnmetDemand;
 use crate::cluster::{Cluster, TeamLimit};
 use crate::config::Config;
 use crate::http;
-use crate::ledger::Ledger;
+use crate::ledger::JobIndex;
 use crate::model::*;
 use crate::policy::Policy;
 use crate::queues::{Intake, ReportQueue};
@@ -21,7 +21,7 @@
 use crate::telemetry::Telemetry;
 use crate::turns::Lag;
 use crate::wait::Wake;
-use coralnotch_core::knowledge::{may_lead, may_renew, Knowledge, Telling, Withdrawals};
+use coralnotch_core::knowledge::{may_lead, may_renew, CancellationLog, CancellationNotices, CancellationView};
 
 /// The leader as seen in the store.
 #[derive(Debug, Clone)]
@@ -35,7 +35,7 @@
 /// What the slices share.
 pub struct Inner {
     /// Jobs by id.
-    pub ledger: Ledger,
+    pub ledger: JobIndex,
     /// The watch has caught up once.
     pub synced: bool,
     /// All controllers have jobs that wait for others.
@@ -47,11 +47,11 @@
     /// Revision up to which the watch has been seen.
     pub epoch: u64,
     /// The withdrawals that are known here, for siblings' accounts.
-    pub withdrawals: Withdrawals,
+    pub withdrawals: CancellationLog,
     /// Since when none is missing here.
-    pub knowledge: Knowledge,
+    pub knowledge: CancellationView,
     /// Those whose users are still to be told.
-    pub telling: Telling,
+    pub telling: CancellationNotices,
     /// Since when this controller knows that all tell by that; see `gate::TOLD`.
     pub told_since: Option<Instant>,
     /// Stamp of the record of what is on.
@@ -65,7 +65,7 @@
     /// Machine types as last seen.
     pub types: Vec<MachineType>,
     /// What found no place in the last pass.
-    pub wants: Vec<Want>,
+    pub wants: Vec<UnmetDemand>,
     /// When a worker of another zone last reported here.
     pub foreign: Option<Instant>,
     /// When any worker last reported here.
@@ -108,13 +108,13 @@
         // told apart from every other life of this controller
         let life = RandomState::new().build_hasher().finish();
         Inner {
-            withdrawals: Withdrawals::new(life, withdrawals),
-            knowledge: Knowledge::default(),
-            telling: Telling::new(siblings, withdrawals),
+            withdrawals: CancellationLog::new(life, withdrawals),
+            knowledge: CancellationView::default(),
+            telling: CancellationNotices::new(siblings, withdrawals),
             told_since: None,
             gates: 0,
             asked: None,
-            ledger: Ledger::new(ended_kept),
+            ledger: JobIndex::new(ended_kept),
             synced: false,
             chains: false,
             reports_on: false,
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -13,9 +13,9 @@
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 use tonic::body::Body;
 
-use coralnotch_core::knowledge::{Account, Withdrawal};
+use coralnotch_core::knowledge::{Cancellation, CancellationBatch};
 
-use crate::cluster::{Learned, Machine};
+use crate::cluster::{Machine, MachineHints};
 use crate::gates;
 use crate::http::{Request, Response};
 use crate::model::JobOutcome;
@@ -76,8 +76,9 @@
 
     /// A sibling has accounted for the withdrawals that it knows.
     fn accounts(&self, name: &str, a: wire::Account, sent: Instant, now: Instant) {
-        let known = a.known.into_iter().map(|w| Withdrawal { revision: w.stamp, id: w.id.into() });
-        let a = Account { incarnation: a.life, cancellations: known.collect(), next: a.next, complete: a.whole };
+        let known = a.known.into_iter().map(|w| Cancellation { revision: w.stamp, id: w.id.into() });
+        let a =
+            CancellationBatch { incarnation: a.life, cancellations: known.collect(), next: a.next, complete: a.whole };
         for w in &a.cancellations {
             self.apply_stored_outcome(&w.id, JobOutcome::Cancelled, w.revision, now);
         }
@@ -282,7 +283,7 @@
                     let up = c.machines.values().filter(|m| m.removed_at.is_none());
                     let learned = |m: &Machine| {
                         let heard = m.last_heartbeat.or_else(|| c.machine_hints.get(&m.name)?.last_heartbeat);
-                        Learned {
+                        MachineHints {
                             speed: m.speed,
                             speed_samples: m.speed_samples,
                             images: m.images.clone(),
--- a/src/queues.rs
+++ b/src/queues.rs
@@ -3,25 +3,25 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-use coralnotch_core::answers::Accepted;
-use coralnotch_core::lookup::Found;
-use coralnotch_core::reporting::Forwarding;
+use coralnotch_core::answers::StoreResult;
+use coralnotch_core::lookup::LookupResult;
+use coralnotch_core::reporting::HeartbeatForwarding;
 
 use crate::http::Response;
 use crate::model::*;
 use crate::store::Budget;
 use crate::workers::Heartbeat;
 
-pub(crate) type Reply<T> = smol::channel::Sender<T>;
+pub(crate) type ReplySender<T> = smol::channel::Sender<T>;
 pub(crate) type Queue<T> = (smol::channel::Sender<T>, smol::channel::Receiver<T>);
 
 /// Users' requests on their way to the store, gathered into transactions.
 pub struct Intake {
     /// Submissions, and whether each ends with a cancelled job that it needs.
-    pub(crate) submissions: Queue<(Arc<JobSpec>, bool, Reply<Accepted>)>,
-    pub(crate) checks: Queue<(Name, Reply<Option<Option<JobOutcome>>>)>,
+    pub(crate) submissions: Queue<(Arc<JobSpec>, bool, ReplySender<StoreResult>)>,
+    pub(crate) checks: Queue<(Name, ReplySender<Option<Option<JobOutcome>>>)>,
     /// Ids that are not known here.
-    pub(crate) lookups: Queue<(Name, Reply<Option<Found>>)>,
+    pub(crate) lookups: Queue<(Name, ReplySender<Option<LookupResult>>)>,
     /// Requests to the store for these.
     pub(crate) lookup_calls: Mutex<Budget>,
 }
@@ -53,13 +53,13 @@
     pub(crate) body: Vec<u8>,
     /// Its worker waits no longer.
     pub(crate) until: Instant,
-    pub(crate) reply: Reply<Response>,
+    pub(crate) reply: ReplySender<Response>,
 }
 
 /// The reports that wait to be forwarded, and what the leader took of earlier ones.
 pub struct ReportQueue {
     pub(crate) waiting: Queue<WaitingReport>,
-    pub(crate) forwarding: Mutex<Forwarding>,
+    pub(crate) forwarding: Mutex<HeartbeatForwarding>,
     /// The leader did not answer then: reports are dealt with here for a while.
     pub(crate) failed: Mutex<Option<Instant>>,
 }
--- a/src/reports.rs
+++ b/src/reports.rs
@@ -10,7 +10,9 @@
 use std::sync::MutexGuard;
 use std::time::{Duration, Instant};
 
-use coralnotch_core::reporting::{assigned_forwarder, Forwarded, Forwarder, Forwarding, Unchanged};
+use coralnotch_core::reporting::{
+    assigned_forwarder, ForwardedHeartbeat, Forwarder, HeartbeatForwarding, UnchangedHeartbeat,
+};
 
 use crate::http::{self, Response};
 use crate::node::Node;
@@ -99,7 +101,7 @@
         }
     }
 
-    fn forwarding(&self) -> MutexGuard<'_, Forwarding> {
+    fn forwarding(&self) -> MutexGuard<'_, HeartbeatForwarding> {
         lock(&self.reports.forwarding)
     }
 
@@ -226,7 +228,7 @@
 
     /// A report without news.
     fn take_unchanged(&self, r: wire::Report) -> wire::ReportAnswer {
-        let unchanged = Unchanged {
+        let unchanged = UnchangedHeartbeat {
             machine: r.machine.into(),
             incarnation: r.session,
             sequence: r.tally,
@@ -284,10 +286,10 @@
     },
 }
 
-fn to_wire(message: Forwarded, body: &[u8]) -> wire::Report {
+fn to_wire(message: ForwardedHeartbeat, body: &[u8]) -> wire::Report {
     match message {
-        Forwarded::Full => wire::Report { full: body.to_vec(), ..wire::Report::default() },
-        Forwarded::Unchanged(u) => wire::Report {
+        ForwardedHeartbeat::Full => wire::Report { full: body.to_vec(), ..wire::Report::default() },
+        ForwardedHeartbeat::UnchangedHeartbeat(u) => wire::Report {
             full: Vec::new(),
             machine: u.machine.to_string(),
             session: u.incarnation,
--- a/src/siblings.rs
+++ b/src/siblings.rs
@@ -15,9 +15,9 @@
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 use tonic::body::Body;
 
-use coralnotch_core::gate::Roster;
+use coralnotch_core::gate::MemberFeatures;
 
-use crate::cluster::Learned;
+use crate::cluster::MachineHints;
 use crate::model::Name;
 use crate::wait::timed;
 
@@ -79,16 +79,16 @@
     /// The progress that was told last, for those that ask soon after.
     pub(crate) told_progress: Mutex<Option<(Instant, Vec<wire::Progress>)>>,
     /// What the leader had learned of machines, as it last told.
-    pub(crate) learned: Mutex<HashMap<Name, Learned>>,
+    pub(crate) learned: Mutex<HashMap<Name, MachineHints>>,
     /// What each has shown that it has.
-    pub(crate) roster: Mutex<Roster>,
+    pub(crate) roster: Mutex<MemberFeatures>,
     pub(crate) spawn: Spawner,
     pub(crate) work: smol::channel::Receiver<Work>,
 }
 
 /// What was learned of machines, for the wire: each image once.
 pub(crate) fn to_wire<'a>(
-    all: impl Iterator<Item = (&'a Name, Learned)>,
+    all: impl Iterator<Item = (&'a Name, MachineHints)>,
     now: Instant,
 ) -> (Vec<wire::Learned>, Vec<wire::Image>) {
     let (mut machines, mut images) = (Vec::new(), Vec::new());
@@ -113,7 +113,11 @@
     (machines, images)
 }
 
-pub(crate) fn from_wire(machines: Vec<wire::Learned>, images: &[wire::Image], now: Instant) -> HashMap<Name, Learned> {
+pub(crate) fn from_wire(
+    machines: Vec<wire::Learned>,
+    images: &[wire::Image],
+    now: Instant,
+) -> HashMap<Name, MachineHints> {
     let names: Vec<(Name, f64)> = images.iter().map(|i| (i.name.as_str().into(), i.gb)).collect();
     // strange figures are no hint
     let sane = |l: &wire::Learned| l.speed.is_finite() && (0.01..=100.0).contains(&l.speed);
@@ -125,7 +129,7 @@
             let heard = l.heard_ms.and_then(|ms| now.checked_sub(Duration::from_millis(ms)));
             (
                 l.machine.as_str().into(),
-                Learned { speed: l.speed, speed_samples: l.samples, images, last_heartbeat: heard },
+                MachineHints { speed: l.speed, speed_samples: l.samples, images, last_heartbeat: heard },
             )
         })
         .collect()
@@ -222,7 +226,7 @@
     }
 
     /// What the leader had learned of machines, as it last told.
-    pub fn learned(&self) -> HashMap<Name, Learned> {
+    pub fn learned(&self) -> HashMap<Name, MachineHints> {
         lock(&self.learned).clone()
     }
 
--- a/src/siblings/tests.rs
+++ b/src/siblings/tests.rs
@@ -13,11 +13,11 @@
     ) {
         let now = Instant::now() + Duration::from_secs(10);
         let image = |i: &usize| (Name::from(format!("img-{i}")), *i as f64 + 1.0);
-        let all: HashMap<Name, Learned> = all
+        let all: HashMap<Name, MachineHints> = all
             .into_iter()
             .map(|(n, (speed, samples, held, heard_ms))| {
                 let heard = heard_ms.map(|ms| now - Duration::from_millis(ms));
-                (n.as_str().into(), Learned { speed, speed_samples: samples, images: held.iter().map(image).collect(), last_heartbeat: heard })
+                (n.as_str().into(), MachineHints { speed, speed_samples: samples, images: held.iter().map(image).collect(), last_heartbeat: heard })
             })
             .collect();
         let (machines, images) = to_wire(all.iter().map(|(n, l)| (n, l.clone())), now);
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use coralnotch_core::gate::Gates;
+use coralnotch_core::gate::FeatureGates;
 
 use crate::authority::LeaderRecord;
-use crate::ledger::{News, Sweep};
+use crate::ledger::{InitialScan, ScanEvent};
 use crate::model::*;
 use crate::node::{LeaderSeen, Node};
 use crate::store::{key, read_value, Error, KeyValue, WatchEvent};
@@ -32,7 +32,7 @@
                         self.to_lead.wake();
                     }
                 } else if path == key::GATES {
-                    if let Some(g) = read_value::<Gates>(&path, data) {
+                    if let Some(g) = read_value::<FeatureGates>(&path, data) {
                         self.gates_are(&g, e.revision, now);
                     }
                 } else if path == key::TYPES {
@@ -67,7 +67,7 @@
     /// program does not read: two layouts side by side would run tasks twice.
     async fn outdated(&self) -> bool {
         loop {
-            match self.store.any(key::OUTDATED).await {
+            match self.store.any(key::PREVIOUS_LAYOUT).await {
                 Ok(found) => return found,
                 Err(e) => {
                     tracing::debug!("cannot read the store yet: {e}");
@@ -102,11 +102,11 @@
         // leads soon would have to read them one by one
         let mut wanted = HashSet::new();
         if first {
-            for item in self.store.list(key::PAGE).await? {
+            for item in self.store.list(key::SHARD).await? {
                 wanted.extend(crate::commit::started_jobs_of_shard(&item));
             }
         }
-        let mut sweep = Sweep::new(wanted);
+        let mut sweep = InitialScan::new(wanted);
         let (mut since, mut looked) = (epoch, Instant::now());
         while let Some(need) = sweep.next_page() {
             match self.store.page(need.under, &need.since).await {
@@ -139,15 +139,15 @@
     }
 
     /// Takes what the sweep has at hand into the ledger and to the leader.
-    fn enter(&self, sweep: &mut Sweep) {
+    fn enter(&self, sweep: &mut InitialScan) {
         let (mut guard, now) = (self.lock(), Instant::now());
         let i = &mut *guard;
         let mut news = Vec::new();
         sweep.apply_pages(&mut i.ledger, |n| news.push(n));
         for n in news {
             match n {
-                News::Open(o) => self.opened(i, o.spec, o.revision, now),
-                News::Ended(id, outcome) => self.closed(i, &id, outcome, now),
+                ScanEvent::Open(o) => self.opened(i, o.spec, o.revision, now),
+                ScanEvent::Ended(id, outcome) => self.closed(i, &id, outcome, now),
             }
         }
     }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -20,7 +20,7 @@
 use coralnotch::siblings::wire;
 use coralnotch::store::key;
 use coralnotch::telemetry::{Status, Timed};
-use coralnotch_core::gate::{Gates, Member};
+use coralnotch_core::gate::{FeatureGates, MemberRecord};
 use coralnotch_wire::cloud::{ListedMachine, MachineState, Rental};
 use coralnotch_wire::http;
 use coralnotch_wire::state::{KeyPage, KeyValue, Txn, WatchEvent};
@@ -158,18 +158,18 @@
     let golden = protocol();
     let leader: LeaderRecord = keeps(&golden["leader"]);
     assert_eq!((leader.name.as_str(), leader.term), ("a", 3));
-    let gates: Gates = keeps(&golden["gates"]);
+    let gates: FeatureGates = keeps(&golden["gates"]);
     assert_eq!((gates.enabled.len(), gates.term), (3, 3));
-    let member: Member = keeps(&golden["member"]);
+    let member: MemberRecord = keeps(&golden["member"]);
     assert_eq!((member.features.len(), member.version.as_str()), (3, "0.1.0"));
-    assert_eq!(gates.enabled, coralnotch_core::gate::KNOWN);
+    assert_eq!(gates.enabled, coralnotch_core::gate::SUPPORTED);
     let ranges: Ranges = keeps(&golden["ranges"]);
     assert_eq!(ranges.iter().collect::<Vec<_>>(), [0, 1, 2, 7]);
     let keys = [key::WATCHED, key::JOB, key::OUTCOME, key::LEADER, key::TERM, key::GATES, key::MEMBER, key::TYPES];
     let names = ["", "job/", "fate/", "leader"].map(|k| format!("c2/w/{k}"));
     assert_eq!(keys[..4], names);
     assert_eq!(keys[4..], ["c2/p/term", "c2/w/gates", "c2/p/member/", "c2/w/types"]);
-    assert_eq!([key::PAGE, key::RENTAL, key::OUTDATED], ["c2/p/page/", "c2/p/rental/", "c1/"]);
+    assert_eq!([key::SHARD, key::RENTAL, key::PREVIOUS_LAYOUT], ["c2/p/page/", "c2/p/rental/", "c1/"]);
 }
 
 fn node() -> Node {
