--- a/packages/core/src/cluster/mod.rs
+++ b/packages/core/src/cluster/mod.rs
@@ -11,13 +11,13 @@
 
 mod job;
 mod machine;
-mod page;
-mod rented;
+mod rental;
+mod shard;
 
 pub use job::*;
 pub use machine::*;
-pub use page::*;
-pub use rented::*;
+pub use rental::*;
+pub use shard::*;
 
 use crate::dependency::{BlockedJob, DependencyGraph, DependencyStatus, Urgency};
 use crate::model::*;
--- a/packages/core/src/sim/controllers.rs
+++ b/packages/core/src/sim/controllers.rs
@@ -2,7 +2,7 @@
 //! are the program's own.
 
 use super::*;
-use crate::knowledge::{may_lead, may_renew};
+use crate::cancellation::{may_lead, may_renew};
 
 pub(super) struct Controller {
     pub(super) until: Ms,
--- a/packages/core/src/sim/history.rs
+++ b/packages/core/src/sim/history.rs
@@ -7,12 +7,12 @@
 use std::collections::{HashSet, VecDeque};
 
 use super::*;
-use crate::answers::{
+use crate::cancellation::{CancellationLog, CancellationNotices};
+use crate::job_index::{EndedJob, InitialScan, JobIndex, JobStatus};
+use crate::lookup::{Lookup, LookupResult};
+use crate::user_request::{
     cancellations_txn, submissions_txn, NextAction, Reply, RequestKind, StateView, StoreResult, UserRequest, Validation,
 };
-use crate::knowledge::{CancellationLog, CancellationNotices};
-use crate::ledger::{EndedJob, InitialScan, JobIndex, JobStatus};
-use crate::lookup::{Lookup, LookupResult};
 use coralnotch_wire::history::{older, Answer, Said};
 use coralnotch_wire::state::WatchEvent;
 
--- a/packages/core/src/sim/mod.rs
+++ b/packages/core/src/sim/mod.rs
@@ -14,16 +14,16 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crate::answers::{cancellations_txn, submissions_txn};
 use crate::cluster::ListedMachine;
 use crate::cluster::{Cluster, MachineState, TeamLimit};
 use crate::commit::TxnLimits;
 use crate::commit::{read_shard, started_jobs, CommitBatch};
 use crate::config::Config;
+use crate::heartbeat_forwarding::{ForwardedHeartbeat, HeartbeatForwarding};
 use crate::key;
 use crate::model::*;
 use crate::policy::Policy;
-use crate::reporting::{ForwardedHeartbeat, HeartbeatForwarding};
+use crate::user_request::{cancellations_txn, submissions_txn};
 use crate::workers::*;
 use controllers::{Controller, Standing};
 use coralnotch_wire::state::{read_value, KeyValue, Txn, Write};
--- a/packages/core/src/sim/pictures.rs
+++ b/packages/core/src/sim/pictures.rs
@@ -2,7 +2,7 @@
 //! and by its siblings' accounts; leader or not.
 
 use super::*;
-use crate::knowledge::{may_lead, may_renew, CancellationLog, CancellationNotices, CancellationView};
+use crate::cancellation::{may_lead, may_renew, CancellationLog, CancellationNotices, CancellationView};
 
 pub(super) struct Picture {
     list: CancellationLog,
--- a/packages/core/src/answers.rs
+++ b/packages/core/src/user_request.rs
@@ -7,7 +7,7 @@
 //! here is good for what never changes only: an end.  That a job is unfinished, or that
 //! nobody submitted it, the store says, in an answer to what was asked after the question
 //! had come; and whoever says "cancelled" sees to it that nobody can renew a lease for its
-//! tasks unknowing ([`crate::knowledge::Telling`]).
+//! tasks unknowing ([`crate::cancellation::Telling`]).
 
 use std::time::Instant;
 
@@ -15,9 +15,9 @@
 
 use coralnotch_wire::state::{Txn, Write};
 
+use crate::cancellation::{may_lead, CancellationLog, CancellationNotices};
+use crate::job_index::{CancelledDependency, JobIndex, JobStatus};
 use crate::key;
-use crate::knowledge::{may_lead, CancellationLog, CancellationNotices};
-use crate::ledger::{CancelledDependency, JobIndex, JobStatus};
 use crate::lookup::LookupResult;
 use crate::model::*;
 use crate::policy::Policy;
--- a/packages/core/src/workers.rs
+++ b/packages/core/src/workers.rs
@@ -11,8 +11,8 @@
 use std::time::{Duration, Instant};
 
 use crate::cluster::{Assignment, Cluster, Machine, Quarantine, TaskPhase, QUARANTINED};
+use crate::heartbeat_forwarding::UnchangedHeartbeat;
 use crate::model::*;
-use crate::reporting::UnchangedHeartbeat;
 pub use coralnotch_wire::workers::*;
 
 /// A direct command on its way to a worker.
--- a/src/gates.rs
+++ b/src/gates.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use coralnotch_core::gate::{
+use coralnotch_core::feature_gate::{
     next_enabled, AdvertisedFeatures, FeatureGates, MemberRecord, CONFIRMED_CANCELLATIONS, FORWARDED_HEARTBEATS,
     JOB_DEPENDENCIES, SUPPORTED,
 };
--- a/src/intake.rs
+++ b/src/intake.rs
@@ -14,13 +14,13 @@
 use crate::authority::Cut;
 use crate::cluster::raise_token;
 use crate::http::{self, Request, Response};
-use coralnotch_core::answers::{
+use coralnotch_core::lookup::{Lookup, LookupResult};
+use coralnotch_core::user_request::{
     cancellations_txn, submissions_txn, unsatisfiable_reason, NextAction, Reply, RequestKind, StateView, StoreResult,
     UserRequest, Validation,
 };
-use coralnotch_core::lookup::{Lookup, LookupResult};
 
-use crate::ledger::{EndedJob, JobStatus, OpenJob};
+use crate::job_index::{EndedJob, JobStatus, OpenJob};
 use crate::model::*;
 use crate::node::{Inner, Node};
 use crate::siblings::{lock, wire};
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -13,7 +13,7 @@
 use crate::authority::Authority;
 use crate::cluster::{Cluster, MachineLocation, PlacementShard, Rental};
 use crate::commit::{read_shard, started_jobs};
-use crate::ledger::{JobStatus, OpenJob};
+use crate::job_index::{JobStatus, OpenJob};
 use crate::model::*;
 use crate::node::Node;
 use crate::store::{key, read_value, Error, KeyValue};
--- a/src/leader/machines.rs
+++ b/src/leader/machines.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use coralnotch_core::reporting::should_forward;
+use coralnotch_core::heartbeat_forwarding::should_forward;
 use serde::{Deserialize, Serialize};
 
 use crate::authority::Authority;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -23,6 +23,6 @@
 pub mod wait;
 pub mod watch;
 
-pub use coralnotch_core::{cluster, commit, fleet, ledger, lookup, placement, workers};
+pub use coralnotch_core::{cluster, commit, fleet, job_index, lookup, placement, workers};
 pub use coralnotch_policy::{config, policy};
 pub use coralnotch_wire::{http, model};
--- a/src/node.rs
+++ b/src/node.rs
@@ -12,7 +12,7 @@
 use crate::cluster::{Cluster, TeamLimit};
 use crate::config::Config;
 use crate::http;
-use crate::ledger::JobIndex;
+use crate::job_index::JobIndex;
 use crate::model::*;
 use crate::policy::Policy;
 use crate::queues::{Intake, ReportQueue};
@@ -21,7 +21,7 @@
 use crate::telemetry::Telemetry;
 use crate::turns::Lag;
 use crate::wait::Wake;
-use coralnotch_core::knowledge::{may_lead, may_renew, CancellationLog, CancellationNotices, CancellationView};
+use coralnotch_core::cancellation::{may_lead, may_renew, CancellationLog, CancellationNotices, CancellationView};
 
 /// The leader as seen in the store.
 #[derive(Debug, Clone)]
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -13,7 +13,7 @@
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 use tonic::body::Body;
 
-use coralnotch_core::knowledge::{Cancellation, CancellationBatch};
+use coralnotch_core::cancellation::{Cancellation, CancellationBatch};
 
 use crate::cluster::{Machine, MachineHints};
 use crate::gates;
--- a/src/queues.rs
+++ b/src/queues.rs
@@ -3,9 +3,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-use coralnotch_core::answers::StoreResult;
+use coralnotch_core::heartbeat_forwarding::HeartbeatForwarding;
 use coralnotch_core::lookup::LookupResult;
-use coralnotch_core::reporting::HeartbeatForwarding;
+use coralnotch_core::user_request::StoreResult;
 
 use crate::http::Response;
 use crate::model::*;
--- a/src/reports.rs
+++ b/src/reports.rs
@@ -10,7 +10,7 @@
 use std::sync::MutexGuard;
 use std::time::{Duration, Instant};
 
-use coralnotch_core::reporting::{
+use coralnotch_core::heartbeat_forwarding::{
     assigned_forwarder, ForwardedHeartbeat, Forwarder, HeartbeatForwarding, UnchangedHeartbeat,
 };
 
--- a/src/siblings.rs
+++ b/src/siblings.rs
@@ -15,7 +15,7 @@
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 use tonic::body::Body;
 
-use coralnotch_core::gate::MemberFeatures;
+use coralnotch_core::feature_gate::MemberFeatures;
 
 use crate::cluster::MachineHints;
 use crate::model::Name;
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use coralnotch_core::gate::FeatureGates;
+use coralnotch_core::feature_gate::FeatureGates;
 
 use crate::authority::LeaderRecord;
-use crate::ledger::{InitialScan, ScanEvent};
+use crate::job_index::{InitialScan, ScanEvent};
 use crate::model::*;
 use crate::node::{LeaderSeen, Node};
 use crate::store::{key, read_value, Error, KeyValue, WatchEvent};
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -20,7 +20,7 @@
 use coralnotch::siblings::wire;
 use coralnotch::store::key;
 use coralnotch::telemetry::{Status, Timed};
-use coralnotch_core::gate::{FeatureGates, MemberRecord};
+use coralnotch_core::feature_gate::{FeatureGates, MemberRecord};
 use coralnotch_wire::cloud::{ListedMachine, MachineState, Rental};
 use coralnotch_wire::http;
 use coralnotch_wire::state::{KeyPage, KeyValue, Txn, WatchEvent};
@@ -162,7 +162,7 @@
     assert_eq!((gates.enabled.len(), gates.term), (3, 3));
     let member: MemberRecord = keeps(&golden["member"]);
     assert_eq!((member.features.len(), member.version.as_str()), (3, "0.1.0"));
-    assert_eq!(gates.enabled, coralnotch_core::gate::SUPPORTED);
+    assert_eq!(gates.enabled, coralnotch_core::feature_gate::SUPPORTED);
     let ranges: Ranges = keeps(&golden["ranges"]);
     assert_eq!(ranges.iter().collect::<Vec<_>>(), [0, 1, 2, 7]);
     let keys = [key::WATCHED, key::JOB, key::OUTCOME, key::LEADER, key::TERM, key::GATES, key::MEMBER, key::TYPES];
