--- a/packages/policy/src/config.rs
+++ b/packages/policy/src/config.rs
@@ -19,7 +19,7 @@
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Sibling {
+pub struct Peer {
     /// Its name.
     #[serde(rename = "host_name")]
     pub name: String,
@@ -188,7 +188,8 @@
     pub peer_bind: SocketAddr,
     /// The other controllers.
     #[serde(default)]
-    pub siblings: Vec<Sibling>,
+    #[serde(rename = "siblings")]
+    pub peers: Vec<Peer>,
     /// The services.
     pub services: Services,
     /// The deployment.
@@ -227,7 +228,7 @@
         if d.size == 0 {
             return err("deployment.size", "must be at least 1");
         }
-        for s in &self.siblings {
+        for s in &self.peers {
             if s.name == self.name {
                 return err("siblings.host_name", "a sibling has this controller's own name");
             }
--- a/src/authority.rs
+++ b/src/authority.rs
@@ -22,13 +22,13 @@
     /// Term.
     pub term: u64,
     /// Stamp of the leader key.
-    pub stamp: u64,
+    pub revision: u64,
     /// Lease.
-    pub hold: u64,
+    pub lease_id: u64,
     /// Until when it lasts.
-    pub until: Instant,
+    pub valid_until: Instant,
     /// Until when not to hand over for deafness again.
-    pub since: Instant,
+    pub started_at: Instant,
 }
 
 /// Until when a lease that was asked for at `sent` can be relied on.
--- a/src/gates.rs
+++ b/src/gates.rs
@@ -45,25 +45,25 @@
             (false, true) => "not told yet".to_owned(),
             (false, false) => s.version.clone(),
         };
-        let names = self.config.siblings.iter().map(|s| &s.name);
+        let names = self.config.peers.iter().map(|s| &s.name);
         names.filter_map(|n| Some((n.clone(), of(roster.get(n)?)))).collect()
     }
 
     /// The stored record of what is on, as the store shows it.
     pub(crate) fn gates_are(&self, g: &FeatureGates, stamp: u64, now: Instant) {
         let mut i = self.lock();
-        i.gates = i.gates.max(stamp);
-        if i.told_since.is_none() && g.enabled.iter().any(|f| f == CONFIRMED_CANCELLATIONS) {
+        i.features_revision = i.features_revision.max(stamp);
+        if i.notices_enabled_at.is_none() && g.enabled.iter().any(|f| f == CONFIRMED_CANCELLATIONS) {
             tracing::info!("all controllers have {CONFIRMED_CANCELLATIONS}: on since term {}", g.term);
-            i.told_since = Some(now);
+            i.notices_enabled_at = Some(now);
         }
-        if !i.reports_on && g.enabled.iter().any(|f| f == FORWARDED_HEARTBEATS) {
+        if !i.forwarding_enabled && g.enabled.iter().any(|f| f == FORWARDED_HEARTBEATS) {
             tracing::info!("all controllers have {FORWARDED_HEARTBEATS}: on since term {}", g.term);
-            i.reports_on = true;
+            i.forwarding_enabled = true;
         }
-        if !i.chains && g.enabled.iter().any(|f| f == JOB_DEPENDENCIES) {
+        if !i.dependencies_enabled && g.enabled.iter().any(|f| f == JOB_DEPENDENCIES) {
             tracing::info!("all controllers have {JOB_DEPENDENCIES}: on since term {}", g.term);
-            i.chains = true;
+            i.dependencies_enabled = true;
         }
     }
 
@@ -76,7 +76,7 @@
         while !self.lock().synced {
             smol::Timer::after(self.policy.renew / 8).await;
         }
-        while !self.lock().all_on() {
+        while !self.lock().all_features_enabled() {
             let done = async {
                 match hold {
                     Some(h) => self.store.renew(h, self.policy.ttl / 2).await.map(|()| h),
@@ -102,7 +102,7 @@
     /// Opens the gate once every controller of the settings is known to have
     /// what is behind it, by its own word or by its record.
     pub(crate) async fn gate(&self, a: Authority) -> &'static str {
-        while !self.lock().all_on() {
+        while !self.lock().all_features_enabled() {
             match self.store.list(key::MEMBER).await {
                 Ok(members) => {
                     // it was there when the list was made; how old its own word
@@ -117,17 +117,17 @@
                 }
                 Err(e) => tracing::debug!("records of members: {e}"),
             }
-            let names = self.config.siblings.iter().map(|s| s.name.as_str());
+            let names = self.config.peers.iter().map(|s| s.name.as_str());
             let (already, stamp) = {
                 let i = self.lock();
                 // what is on stays on
                 (
                     [
-                        (JOB_DEPENDENCIES, i.chains),
-                        (CONFIRMED_CANCELLATIONS, i.told_since.is_some()),
-                        (FORWARDED_HEARTBEATS, i.reports_on),
+                        (JOB_DEPENDENCIES, i.dependencies_enabled),
+                        (CONFIRMED_CANCELLATIONS, i.notices_enabled_at.is_some()),
+                        (FORWARDED_HEARTBEATS, i.forwarding_enabled),
                     ],
-                    i.gates,
+                    i.features_revision,
                 )
             };
             let is_on = |f: &str| already.contains(&(f, true));
@@ -138,7 +138,7 @@
             if let Some(on) = on {
                 let gates = FeatureGates { enabled: on, term: a.term };
                 let mut txn = Txn { preconditions: vec![], writes: vec![Write::set(key::GATES, &gates)] };
-                txn.require(key::LEADER, a.stamp);
+                txn.require(key::LEADER, a.revision);
                 txn.require(key::GATES, stamp);
                 match self.store.txn(&txn).await {
                     Ok(TxnOutcome::Done(stamp)) => self.gates_are(&gates, stamp, Instant::now()),
--- a/src/intake.rs
+++ b/src/intake.rs
@@ -63,7 +63,7 @@
     pub async fn handle(self: Arc<Self>, r: Request) -> Response {
         match (r.method.as_str(), r.path.as_str()) {
             ("GET", "/healthz") => {
-                self.lock().asked = Some(Instant::now());
+                self.lock().last_user_request = Some(Instant::now());
                 self.health()
             }
             // a worker comes once in a report interval, and there may be more
@@ -74,7 +74,7 @@
             _ => {
                 let c = &self.telemetry.counters;
                 count(&c.requests);
-                self.lock().asked = Some(Instant::now());
+                self.lock().last_user_request = Some(Instant::now());
                 // apart, or every connection, most of them workers', would be as
                 // large as the longest way of a user's request
                 let a = Box::pin(self.users(&r)).await;
@@ -135,7 +135,7 @@
     fn health(&self) -> Response {
         let ready = {
             let i = self.lock();
-            i.synced && !i.types.is_empty()
+            i.synced && !i.machine_types.is_empty()
         };
         // without the state service a node can still relay, and in an outage
         // it refuses at once: only one that reaches nobody is of no use
@@ -150,9 +150,9 @@
 
     /// A worker of a zone has reported here.
     pub(crate) fn worker_reported(&self, i: &mut Inner, zone: &str, now: Instant) {
-        i.heard = Some(now);
+        i.last_heartbeat = Some(now);
         if *zone != *self.config.zone {
-            i.foreign = Some(now);
+            i.last_remote_zone_heartbeat = Some(now);
         }
     }
 
@@ -163,12 +163,12 @@
         let origin: HeartbeatOrigin = http::decode(body).ok()?;
         let mut i = self.lock();
         let now = Instant::now();
-        if i.authority.is_some() || i.cluster.is_some() || self.store.failing() {
+        if i.lease.is_some() || i.cluster.is_some() || self.store.failing() {
             return None;
         }
         let leader = i.leader.as_ref().filter(|l| l.record.name != self.config.name)?;
         let answer = redirect(Some(&leader.record.name));
-        self.beat(&mut i, now);
+        self.detect_stall(&mut i, now);
         self.worker_reported(&mut i, &origin.zone, now);
         Some(answer)
     }
@@ -204,7 +204,7 @@
     pub(crate) async fn await_commit(&self, reports: &[&Heartbeat]) {
         let _ = timed(self.policy.commit_wait, async {
             loop {
-                let stored = self.stored.listen();
+                let stored = self.commit_done.listen();
                 let pending =
                     self.lock().cluster.as_ref().is_some_and(|c| reports.iter().any(|r| c.has_pending_start(r)));
                 if !pending {
@@ -221,7 +221,7 @@
         let mut i = self.lock();
         let now = Instant::now();
         // checked at the moment of answering: the lease may have run out
-        if self.leads(&i, now) {
+        if self.may_lead(&i, now) {
             if let Some(c) = i.cluster.as_mut() {
                 return Response::new(200, &c.reply_to_heartbeat(report, now));
             }
@@ -234,23 +234,23 @@
     pub(crate) fn take_in(&self, report: &Heartbeat, direct: bool) -> Result<bool, Response> {
         let mut i = self.lock();
         let now = Instant::now();
-        self.beat(&mut i, now);
+        self.detect_stall(&mut i, now);
         match direct {
             true => self.worker_reported(&mut i, &report.zone, now),
             // workers are heard; what reaches this controller itself only those tell
-            false => i.heard = Some(now),
+            false => i.last_heartbeat = Some(now),
         }
-        if i.acts(now) && !self.leads(&i, now) {
+        if i.is_leader(now) && !self.may_lead(&i, now) {
             return Err(Response::refuse(503, "does not see the store's changes"));
         }
-        if !i.acts(now) {
+        if !i.is_leader(now) {
             // an outage of the state service, by the siblings' word: nobody
             // can lead, and our lease outlives it.  The workers' leases are
             // renewed, without commands, for as long as no withdrawal can have
             // been missed; as silence is never a proof here, that is safe even
             // if they were wrong
             let fresh = self.policy.peer_limit * 3;
-            let outage = i.authority.is_some_and(|a| self.store.failing() && self.peers.outage(a.term, fresh, now))
+            let outage = i.lease.is_some_and(|a| self.store.failing() && self.peers.outage(a.term, fresh, now))
                 && self.may_renew(&i, now);
             if let Some(c) = i.cluster.as_mut().filter(|_| outage) {
                 if c.apply_heartbeat(report, true, now).is_some() {
@@ -260,8 +260,11 @@
             } else if self.alone(&i, report, now) {
                 // a start that is held up on its way finds a higher token: a
                 // withdrawal that is known here could not stop it
-                let token =
-                    if self.all_tell(&i, now) { raise_token(report.fencing_token) } else { report.fencing_token };
+                let token = if self.notices_required(&i, now) {
+                    raise_token(report.fencing_token)
+                } else {
+                    report.fencing_token
+                };
                 return Err(Response::new(200, &self.keep_alive(&i, report, token)));
             }
             return Err(match &i.leader {
@@ -290,8 +293,8 @@
         match (c.queue_changed, news) {
             // the next pass fills what this report has freed, and one
             // transaction stores both
-            (true, _) => self.to_place.wake(),
-            (false, true) => self.to_commit.wake(),
+            (true, _) => self.placement_wake.wake(),
+            (false, true) => self.commit_wake.wake(),
             _ => {}
         }
         Ok(pending)
@@ -311,11 +314,11 @@
         let state = Cut {
             unserved: age(self.store.last_served()),
             answers: !self.store.silent() || self.peers.reachable(self.policy.peer_limit * 3, now),
-            foreign: i.foreign.map(age),
-            asked: i.asked.map(age),
+            foreign: i.last_remote_zone_heartbeat.map(age),
+            asked: i.last_user_request.map(age),
         };
         *report.zone == *self.config.zone
-            && !self.config.siblings.is_empty()
+            && !self.config.peers.is_empty()
             && state.with_its_zone(self.policy.cut_after)
             && self.may_renew(i, now)
     }
@@ -325,7 +328,7 @@
         count(&self.telemetry.counters.kept_alive);
         let led = |id: &Name| i.cluster.as_ref().and_then(|c| c.jobs.get(id)).and_then(|j| j.outcome);
         lease_renewal_reply(report, token, |id| {
-            i.withdrawals.contains(id) || i.ledger.outcome(id).or_else(|| led(id)).is_some()
+            i.cancellations.contains(id) || i.jobs.outcome(id).or_else(|| led(id)).is_some()
         })
     }
 
@@ -346,10 +349,10 @@
     async fn validate(&self, spec: &JobSpec) -> Validation {
         {
             let i = self.lock();
-            if !i.synced || i.types.is_empty() {
+            if !i.synced || i.machine_types.is_empty() {
                 return Validation::Undetermined("not ready");
             }
-            if let Some(why) = unsatisfiable_reason(spec, &self.config.deployment.teams, &i.types) {
+            if let Some(why) = unsatisfiable_reason(spec, &self.config.deployment.teams, &i.machine_types) {
                 return Validation::Unsatisfiable(why);
             }
         }
@@ -362,7 +365,7 @@
     /// Hands a submission over to be stored, with those that wait meanwhile.
     async fn stored(&self, spec: Arc<JobSpec>, needs_cancelled_job: bool) -> StoreResult {
         let (reply, answer) = smol::channel::bounded(1);
-        if self.intake.submissions.0.try_send((spec, needs_cancelled_job, reply)).is_err() {
+        if self.user_requests.submissions.0.try_send((spec, needs_cancelled_job, reply)).is_err() {
             return StoreResult::Unknown;
         }
         timed(SUBMIT_LIMIT, answer.recv()).await.and_then(Result::ok).unwrap_or(StoreResult::Unknown)
@@ -378,11 +381,11 @@
         let (mut unknown, mut needs_cancelled_job, mut wrong) = (Vec::new(), false, None);
         {
             let mut i = self.lock();
-            if !i.chains {
+            if !i.dependencies_enabled {
                 return Validation::Undetermined("not every controller knows of jobs that wait for others yet");
             }
             for n in &spec.needs {
-                let needed = match i.ledger.status_of(n) {
+                let needed = match i.jobs.status_of(n) {
                     JobStatus::Open(o) => o.spec,
                     JobStatus::Ended(e) => {
                         needs_cancelled_job |= e.outcome == JobOutcome::Cancelled;
@@ -439,7 +442,7 @@
 
     /// Stores submissions, those that wait together in one transaction.
     pub async fn store_submissions(&self) {
-        let queue = &self.intake.submissions.1;
+        let queue = &self.user_requests.submissions.1;
         while let Ok(first) = queue.recv().await {
             let mut batch = vec![first];
             let mut bytes = 0;
@@ -462,7 +465,7 @@
                         let slow = now.duration_since(sent) > self.policy.renew;
                         for (spec, _, reply) in batch.drain(..) {
                             let id = spec.id.clone();
-                            self.stored_job(spec, stamp, now);
+                            self.apply_own_job(spec, stamp, now);
                             // by what was stored: the same id may have come twice, and one
                             // of the two before the end of what it needs was known
                             let end = format!("{}{id}", key::OUTCOME);
@@ -513,9 +516,9 @@
         if let Some((outcome, at)) = outcome {
             let mut i = self.lock();
             if outcome == JobOutcome::Cancelled {
-                i.withdrawals.record(at, id, Instant::now());
+                i.cancellations.record(at, id, Instant::now());
             }
-            i.ledger.insert_ended(EndedJob { spec: open.spec.clone(), revision: open.revision, outcome });
+            i.jobs.insert_ended(EndedJob { spec: open.spec.clone(), revision: open.revision, outcome });
         }
         Ok(Some((open, outcome.map(|f| f.0))))
     }
@@ -523,7 +526,7 @@
     /// What the store says of an id, asked from now on; `None` if it can't be told now.
     async fn look(&self, id: &Name) -> Option<LookupResult> {
         let (reply, answer) = smol::channel::bounded(1);
-        if self.intake.lookups.0.try_send((id.clone(), reply)).is_err() {
+        if self.user_requests.lookups.0.try_send((id.clone(), reply)).is_err() {
             count(&self.telemetry.counters.lookups_refused);
             return None;
         }
@@ -532,7 +535,7 @@
 
     pub(crate) async fn lookup_pause(&self, calls: f64) {
         let wait = {
-            let mut b = self.intake.lookup_calls.lock().unwrap_or_else(|e| e.into_inner());
+            let mut b = self.user_requests.lookup_calls.lock().unwrap_or_else(|e| e.into_inner());
             b.take(calls, Instant::now())
         };
         if !wait.is_zero() {
@@ -557,7 +560,7 @@
     /// users ask about jobs that are over for long, and about some that nobody
     /// submitted.
     pub async fn look_up(&self) {
-        let queue = &self.intake.lookups.1;
+        let queue = &self.user_requests.lookups.1;
         while let Ok(first) = queue.recv().await {
             smol::Timer::after(self.policy.confirm_gap).await;
             let mut batch = vec![first];
@@ -592,13 +595,13 @@
     /// The job's end, or none by the store's word; `None` if it can't be told now.
     async fn end_of(&self, id: &Name) -> Option<Option<JobOutcome>> {
         let (reply, answer) = smol::channel::bounded(1);
-        self.intake.checks.0.try_send((id.clone(), reply)).ok()?;
+        self.user_requests.checks.0.try_send((id.clone(), reply)).ok()?;
         timed(QUERY_LIMIT, answer.recv()).await?.ok()?
     }
 
     /// Confirms that jobs have no end, those that wait together at once.
     pub async fn confirm_open(&self) {
-        let queue = &self.intake.checks.1;
+        let queue = &self.user_requests.checks.1;
         while let Ok(first) = queue.recv().await {
             smol::Timer::after(self.policy.confirm_gap).await;
             let mut batch = vec![first];
@@ -653,7 +656,7 @@
     /// A job's state for display.
     fn state(&self, id: &Name, outcome: Option<JobOutcome>) -> JobState {
         let i = self.lock();
-        let tasks = i.ledger.task_count(id).unwrap_or(0);
+        let tasks = i.jobs.task_count(id).unwrap_or(0);
         let (mut done, mut running) = (0, 0);
         match outcome {
             Some(JobOutcome::Done) => done = tasks,
@@ -716,16 +719,16 @@
     /// What a job has to do with other jobs, as far as is known here.
     fn explained(&self, state: JobState) -> JobExplanation {
         let mut i = self.lock();
-        let spec = match i.ledger.status_of(&state.id) {
+        let spec = match i.jobs.status_of(&state.id) {
             JobStatus::Open(o) => Some(o.spec),
             JobStatus::Ended(e) => Some(e.spec),
             JobStatus::Unknown => None,
         };
         let needs = spec.map(|s| s.needs.clone()).unwrap_or_default();
         let cancelled = state.stage == JobOutcome::Cancelled.as_str();
-        let of = |n: &&Name| i.ledger.outcome(n) == Some(JobOutcome::Cancelled);
+        let of = |n: &&Name| i.jobs.outcome(n) == Some(JobOutcome::Cancelled);
         let cancelled_with = needs.iter().filter(|_| cancelled).find(of).cloned();
-        let open = |n: &Name| matches!(i.ledger.status_of(n), JobStatus::Open(_));
+        let open = |n: &Name| matches!(i.jobs.status_of(n), JobStatus::Open(_));
         let waits_for = needs.into_iter().filter(open).filter(|_| !cancelled).collect();
         JobExplanation { state, waits_for, cancelled_with }
     }
@@ -734,7 +737,7 @@
     async fn inquire(&self, id: &Name, wish: RequestKind, spec: Option<Arc<JobSpec>>) -> Reply {
         let (mut q, began, mut told_by) = (UserRequest::new(id.clone(), wish), Instant::now(), None);
         loop {
-            let told = self.told.listen();
+            let told = self.cancellation_known.listen();
             let now = Instant::now();
             match (self.next(id, &mut q, now), &spec) {
                 (NextAction::Reply(word), _) => return word,
@@ -747,11 +750,11 @@
                 (NextAction::Validate, Some(spec)) => q.apply_validation(self.validate(spec).await),
                 (NextAction::Store { needs_cancelled_job }, Some(spec)) => {
                     let outcome = self.stored(spec.clone(), needs_cancelled_job).await;
-                    q.apply_store_result(outcome, &mut self.lock().ledger);
+                    q.apply_store_result(outcome, &mut self.lock().jobs);
                 }
                 (NextAction::Validate | NextAction::Store { .. }, None) => return Reply::NotFound,
                 (NextAction::NotifyPeers, _) => {
-                    self.to_tell.notify(usize::MAX);
+                    self.cancellation_to_notify.notify(usize::MAX);
                     let limit = *told_by.get_or_insert(now + TELL_LIMIT);
                     let Some(left) = limit.checked_duration_since(now) else {
                         return Reply::RetryLater("not every controller knows of it yet");
@@ -766,13 +769,13 @@
     fn next(&self, id: &Name, q: &mut UserRequest, now: Instant) -> NextAction {
         let mut guard = self.lock();
         let i = &mut *guard;
-        let (whole, clear) = (self.whole(i), i.clear_of(id, now));
+        let (whole, clear) = (self.cancellations_complete_as_of(i), i.has_no_task_of(id, now));
         q.next_action(&mut StateView {
-            jobs: &mut i.ledger,
-            cancellations: &i.withdrawals,
-            notices: &mut i.telling,
+            jobs: &mut i.jobs,
+            cancellations: &i.cancellations,
+            notices: &mut i.cancellation_notices,
             cancellations_complete_as_of: whole,
-            notices_required: i.told_since.is_some(),
+            notices_required: i.notices_enabled_at.is_some(),
             no_task_left: clear,
             policy: &self.policy,
             now,
@@ -829,7 +832,7 @@
     async fn cancel(&self, id: &str) -> Result<JobOutcome, Error> {
         // with it as many of those that need it as fit; the leader has the rest
         let mut ends = vec![Name::from(id)];
-        ends.extend(self.lock().ledger.dependents(id, self.store.most.writes.saturating_sub(1)));
+        ends.extend(self.lock().jobs.dependents(id, self.store.most.writes.saturating_sub(1)));
         let path = format!("{}{id}", key::OUTCOME);
         loop {
             let txn = cancellations_txn(&ends);
--- a/src/intake/tests.rs
+++ b/src/intake/tests.rs
@@ -22,13 +22,13 @@
     let policy = Policy::new(&config).expect("the default policy");
     let node = Node::new(config, policy, Instant::now());
     let record = crate::authority::LeaderRecord { name: "another".into(), term: 1 };
-    node.lock().leader = Some(crate::node::LeaderSeen { record, stamp: 1 });
+    node.lock().leader = Some(crate::node::LeaderSeen { record, revision: 1 });
     let from = |zone: &str| http::encode(&std::collections::BTreeMap::from([("bay", zone)]));
     let own = node.config.zone.clone();
     assert_eq!(node.sends_on(&from(&own)).map(|r| r.status), Some(421));
-    assert!(node.lock().heard.is_some() && node.lock().foreign.is_none());
+    assert!(node.lock().last_heartbeat.is_some() && node.lock().last_remote_zone_heartbeat.is_none());
     assert_eq!(node.sends_on(&from("elsewhere")).map(|r| r.status), Some(421));
-    assert!(node.lock().foreign.is_some());
+    assert!(node.lock().last_remote_zone_heartbeat.is_some());
     assert!(node.sends_on(&[0x90]).is_none(), "what is no report is refused as before");
 }
 
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -57,7 +57,7 @@
                 }
             }
         }
-        self.to_place.wake();
+        self.placement_wake.wake();
         let work =
             futures_lite::future::or(self.commits(a), futures_lite::future::or(self.placing(), self.commanding()));
         let cloud = futures_lite::future::or(self.listing(a), self.cloud_work(a));
@@ -70,7 +70,7 @@
     async fn read_all(&self, a: Authority) -> Result<(), Error> {
         // the watch has to be past our own beginning, or a job named in a
         // record might still be unknown
-        while self.lock().epoch < a.stamp {
+        while self.lock().revision < a.revision {
             smol::Timer::after(Duration::from_millis(20)).await;
         }
         let asked = timed(self.policy.renew, self.ask_all(true));
@@ -112,11 +112,11 @@
             }
         }
         let mut i = self.lock();
-        c.set_types(&i.types);
+        c.set_types(&i.machine_types);
         // what has a start or a completed task on record had all it needs: no
         // start is stored before that.  Held back, its tasks would count nowhere
         let begun = started_jobs(stored.pages.iter().map(|p| &p.1));
-        for o in i.ledger.open() {
+        for o in i.jobs.open() {
             if begun.contains(&o.spec.id) {
                 c.add_started_job(o.spec.clone(), o.revision, None, now);
             } else {
@@ -128,7 +128,7 @@
             if c.jobs.contains_key(id) || missing.contains(id) {
                 continue;
             }
-            match (i.ledger.status_of(id), stored.over.get(id)) {
+            match (i.jobs.status_of(id), stored.over.get(id)) {
                 (JobStatus::Ended(e), _) => c.add_job(e.spec, e.revision, Some(e.outcome), now),
                 (_, Some(Some((o, outcome)))) => c.add_job(o.spec.clone(), o.revision, *outcome, now),
                 (_, Some(None)) => {}
@@ -149,13 +149,13 @@
             }
         }
         for n in c.dependency.unknown() {
-            if let Some(outcome) = i.ledger.outcome(&n) {
+            if let Some(outcome) = i.jobs.outcome(&n) {
                 c.set_outcome(&n, outcome, now);
             }
         }
         c.collect_garbage(now);
         c.machine_hints = self.peers.learned();
-        let zones = self.config.siblings.iter().map(|s| s.zone.as_str());
+        let zones = self.config.peers.iter().map(|s| s.zone.as_str());
         c.zones_with_controller = zones.chain([self.config.zone.as_str()]).map(Name::from).collect();
         tracing::info!("term {}: {} jobs, {} machines on record", a.term, c.jobs.len(), c.machines.len());
         i.cluster = Some(c);
--- a/src/leader/commits.rs
+++ b/src/leader/commits.rs
@@ -21,9 +21,9 @@
     pub(super) async fn commits(&self, a: Authority) -> &'static str {
         let mut most = self.store.most;
         loop {
-            let batch = self.lock().cluster.as_mut().and_then(|c| c.next_commit(a.stamp, &most));
+            let batch = self.lock().cluster.as_mut().and_then(|c| c.next_commit(a.revision, &most));
             let Some(batch) = batch else {
-                self.to_commit.wait(Duration::from_millis(500)).await;
+                self.commit_wake.wait(Duration::from_millis(500)).await;
                 continue;
             };
             let began = Instant::now();
@@ -40,9 +40,9 @@
                         tracing::debug!("{id} is {}", outcome.as_str());
                         self.apply_stored_outcome(&id, outcome, revision, now);
                     }
-                    self.stored.notify(usize::MAX);
-                    self.to_command.wake();
-                    self.to_place.wake();
+                    self.commit_done.notify(usize::MAX);
+                    self.command_wake.wake();
+                    self.placement_wake.wake();
                 }
                 Ok(TxnOutcome::Conflict(keys)) => {
                     if keys.iter().any(|k| k == key::LEADER) {
@@ -93,7 +93,7 @@
                 i.cluster.as_mut().map(asked).unwrap_or_default()
             };
             if ids.is_empty() {
-                self.to_ask.wait(self.policy.renew / 2).await;
+                self.outcome_fetch_wake.wait(self.policy.renew / 2).await;
                 continue;
             }
             match self.ends_of(ids).await {
--- a/src/leader/machines.rs
+++ b/src/leader/machines.rs
@@ -50,7 +50,7 @@
         if method == "POST" && !self.may_act(Instant::now()) {
             return Err(http::Error::Bad("leads no more"));
         }
-        self.cloud.send(self.config.services.cloud, method, target, body, CLOUD_LIMIT).await
+        self.cloud_client.send(self.config.services.cloud, method, target, body, CLOUD_LIMIT).await
     }
 
     async fn cloud_get<T: serde::de::DeserializeOwned>(&self, target: &str) -> Result<T, String> {
@@ -70,7 +70,7 @@
                 if let Some(c) = i.cluster.as_mut() {
                     c.set_types(&t.types);
                 }
-                i.types = t.types;
+                i.machine_types = t.types;
                 true
             }
             Ok(_) => false,
@@ -89,7 +89,7 @@
             if types_at.is_none_or(|t| t.elapsed() > self.policy.list_every * 10) && self.learn_types().await {
                 types_at = Some(Instant::now());
                 // kept for a start during an outage of the cloud
-                let mut types = self.lock().types.clone();
+                let mut types = self.lock().machine_types.clone();
                 for t in &mut types {
                     // prices move all the time; a start needs the sizes
                     (t.price, t.spot_price) = (t.price.ceil(), t.spot_price.ceil());
@@ -100,7 +100,7 @@
                 let fits = http::encode(&types).len() * 2 <= self.store.most.value_bytes;
                 if fits && stored.as_deref().map(sizes) != Some(sizes(&types)) {
                     let mut txn = Txn { preconditions: vec![], writes: vec![Write::set(key::TYPES, &types)] };
-                    txn.require(key::LEADER, a.stamp);
+                    txn.require(key::LEADER, a.revision);
                     if self.store.txn(&txn).await.is_ok() {
                         stored = Some(types);
                     }
@@ -147,27 +147,27 @@
             let now = Instant::now();
             let plan = {
                 let mut i = self.lock();
-                self.beat(&mut i, now);
-                if !i.acts(now) {
+                self.detect_stall(&mut i, now);
+                if !i.is_leader(now) {
                     continue;
                 }
-                let wants = std::mem::take(&mut i.wants);
+                let wants = std::mem::take(&mut i.unmet_demand);
                 let plan = i.cluster.as_mut().map(|c| {
                     let here = c.machine_count();
-                    c.fleet.adapt_heartbeat_capacity(self.lag.now(), here, &self.policy, now);
+                    c.fleet.adapt_heartbeat_capacity(self.scheduling_delay.now(), here, &self.policy, now);
                     (c.plan_fleet(&wants, now), here)
                 });
                 if let Some((_, here)) = &plan {
-                    i.spread = should_forward(*here, self.policy.spread_from, i.spread);
+                    i.forwarding_requested = should_forward(*here, self.policy.spread_from, i.forwarding_requested);
                 }
                 let plan = plan.map(|p| p.0).unwrap_or_default();
-                i.wants = wants;
+                i.unmet_demand = wants;
                 plan
             };
             // with thousands of machines a plan takes its time too
-            due = due.max(now + self.rest(now.elapsed(), self.policy.plan_share));
+            due = due.max(now + self.rest_after(now.elapsed(), self.policy.plan_share));
             self.carry_out(plan, a).await;
-            self.to_place.wake();
+            self.placement_wake.wake();
             self.clear_rentals(a).await;
         }
     }
@@ -182,7 +182,7 @@
         };
         let Some(mut new) = new else { return true };
         for _ in 0..RECORD_TRIES {
-            let tried = match self.store.txn(&new.txn(a.stamp)).await {
+            let tried = match self.store.txn(&new.txn(a.revision)).await {
                 Ok(TxnOutcome::Done(_)) => RecordAttempt::Done,
                 Ok(TxnOutcome::Conflict(keys)) => RecordAttempt::Conflict(keys),
                 Err(Error::Doubt(e)) => {
@@ -220,7 +220,7 @@
             return;
         }
         let mut txn = Txn { preconditions: vec![], writes: gone.iter().map(Write::delete).collect() };
-        txn.require(key::LEADER, a.stamp);
+        txn.require(key::LEADER, a.revision);
         if let Ok(TxnOutcome::Done(_)) = self.store.txn(&txn).await {
             if let Some(c) = self.lock().cluster.as_mut() {
                 c.fleet.records.retain(|k, _| !gone.contains(k));
@@ -247,8 +247,8 @@
                 if let Some(c) = self.lock().cluster.as_mut() {
                     c.apply_deletion(names, Instant::now());
                 }
-                self.to_place.wake();
-                self.to_commit.wake();
+                self.placement_wake.wake();
+                self.commit_wake.wake();
             }
             Ok((s, _)) => tracing::debug!("deletion: status {s}"),
             Err(e) => tracing::debug!("deletion: {e}"),
@@ -287,7 +287,7 @@
 
     /// Learns the types at the start, whoever leads.
     pub async fn types_at_start(self: Arc<Self>) {
-        while self.lock().types.is_empty() && !self.learn_types().await {
+        while self.lock().machine_types.is_empty() && !self.learn_types().await {
             smol::Timer::after(self.policy.renew).await;
         }
     }
--- a/src/leader/placing.rs
+++ b/src/leader/placing.rs
@@ -15,31 +15,31 @@
     /// Passes over the queue: when something changed, and now and then.
     pub(super) async fn placing(&self) -> &'static str {
         loop {
-            self.to_place.wait(Duration::from_millis(500)).await;
-            let next = self.lock().next_pass;
+            self.placement_wake.wait(Duration::from_millis(500)).await;
+            let next = self.lock().next_pass_at;
             if let Some(wait) = next.and_then(|t| t.checked_duration_since(Instant::now())) {
                 smol::Timer::after(wait).await;
             }
             self.pass(&mut self.lock(), Instant::now());
-            self.to_commit.wake();
-            self.to_command.wake();
+            self.commit_wake.wake();
+            self.command_wake.wake();
         }
     }
 
     /// One pass over the queue, if this controller may act and the last one is
     /// long enough ago: passes take no more than their share of the processor.
     pub fn pass(&self, i: &mut Inner, now: Instant) {
-        if i.next_pass.is_some_and(|t| now < t) || !i.acts(now) {
+        if i.next_pass_at.is_some_and(|t| now < t) || !i.is_leader(now) {
             return;
         }
         if let Some(c) = i.cluster.as_mut() {
-            i.wants = c.run_placement_pass(now);
+            i.unmet_demand = c.run_placement_pass(now);
             for waited in c.placement_waits.drain(..) {
                 self.telemetry.took(Timed::Placement, waited);
             }
             c.collect_garbage(now);
             let took = now.elapsed();
-            i.next_pass = Some(now + self.policy.pass_gap.max(self.rest(took, self.policy.pass_share)));
+            i.next_pass_at = Some(now + self.policy.pass_gap.max(self.rest_after(took, self.policy.pass_share)));
             self.telemetry.took(Timed::Pass, took);
         }
     }
@@ -59,8 +59,13 @@
                             return (d, None);
                         }
                         let body = http::encode(&d.body);
-                        let sent =
-                            self.workers.send(d.address, "POST", "/commands", Some(&body), self.policy.direct_limit);
+                        let sent = self.worker_client.send(
+                            d.address,
+                            "POST",
+                            "/commands",
+                            Some(&body),
+                            self.policy.direct_limit,
+                        );
                         let report = match sent.await {
                             Ok((200 | 409, body)) => http::decode::<Heartbeat>(&body).ok(),
                             Ok((s, _)) => {
@@ -83,7 +88,7 @@
                 }
             };
             let woken = async {
-                self.to_command.wait(Duration::from_millis(500)).await;
+                self.command_wake.wait(Duration::from_millis(500)).await;
                 None
             };
             if let Some((d, report)) = futures_lite::future::or(next, woken).await {
@@ -94,10 +99,10 @@
                     }
                     c.apply_direct_result(&d, report.as_ref(), Instant::now());
                     if c.queue_changed {
-                        self.to_place.wake();
+                        self.placement_wake.wake();
                     }
                 }
-                self.to_commit.wake();
+                self.commit_wake.wake();
             }
         }
     }
@@ -112,13 +117,13 @@
             let last = {
                 let now = Instant::now();
                 let mut i = self.lock();
-                self.beat(&mut i, now);
+                self.detect_stall(&mut i, now);
                 let Some(c) = &i.cluster else { continue };
                 let up = |m: &&Machine| {
                     m.removed_at.is_none() && (m.last_heartbeat.is_some() || m.state == Some(MachineState::Running))
                 };
-                let last = i.heard.unwrap_or(c.term_started_at).max(c.term_started_at).max(c.resumed_at);
-                if !i.acts(now) || c.machines.values().filter(up).count() < 2 {
+                let last = i.last_heartbeat.unwrap_or(c.term_started_at).max(c.term_started_at).max(c.resumed_at);
+                if !i.is_leader(now) || c.machines.values().filter(up).count() < 2 {
                     continue;
                 }
                 last
--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -33,7 +33,7 @@
 impl Node {
     /// Whether this controller may act now.
     pub fn may_act(&self, now: Instant) -> bool {
-        self.lock().acts(now)
+        self.lock().is_leader(now)
     }
 
     /// Stands for leader whenever there is none, and leads.
@@ -43,7 +43,7 @@
             let free = {
                 let i = self.lock();
                 i.synced
-                    && !stand_down.is_some_and(|s| s.holds(i.heard, Instant::now()))
+                    && !stand_down.is_some_and(|s| s.holds(i.last_heartbeat, Instant::now()))
                     && match &i.leader {
                         None => true,
                         // an earlier life of this very controller: it is dead
@@ -53,19 +53,19 @@
             if free {
                 match self.acquire().await {
                     Ok(Some(a)) => {
-                        self.lock().authority = Some(a);
+                        self.lock().lease = Some(a);
                         let why = futures_lite::future::or(self.keep(a), self.lead(a)).await;
                         tracing::info!("term {} ends here: {why}", a.term);
                         {
                             let mut i = self.lock();
-                            i.authority = None;
+                            i.lease = None;
                             i.cluster = None;
-                            i.wants.clear();
-                            if i.leader.as_ref().is_some_and(|l| l.stamp == a.stamp) {
+                            i.unmet_demand.clear();
+                            if i.leader.as_ref().is_some_and(|l| l.revision == a.revision) {
                                 i.leader = None;
                             }
                         }
-                        let _ = self.store.revoke(a.hold).await;
+                        let _ = self.store.revoke(a.lease_id).await;
                         if why == NO_WORKERS {
                             let now = Instant::now();
                             stand_down = Some(StandDown { from: now, to: now + self.policy.ttl * 3 });
@@ -76,7 +76,7 @@
                 }
                 smol::Timer::after(self.policy.renew / 4).await;
             } else {
-                self.to_lead.wait(self.policy.renew).await;
+                self.election_wake.wait(self.policy.renew).await;
             }
         }
     }
@@ -90,7 +90,7 @@
                 Some(r) if r.name == self.config.name => i.revision,
                 Some(record) => {
                     let mut inner = self.lock();
-                    inner.leader = Some(crate::node::LeaderSeen { record, stamp: i.revision });
+                    inner.leader = Some(crate::node::LeaderSeen { record, revision: i.revision });
                     return Ok(None);
                 }
                 None => return Ok(None),
@@ -115,9 +115,15 @@
         match self.store.txn(&txn).await? {
             TxnOutcome::Done(stamp) => {
                 tracing::info!("leads from now on, term {}", record.term);
-                self.lock().leader = Some(crate::node::LeaderSeen { record: record.clone(), stamp });
+                self.lock().leader = Some(crate::node::LeaderSeen { record: record.clone(), revision: stamp });
                 let until = lasts_until(sent, ttl, self.policy.drift);
-                Ok(Some(Authority { term: record.term, stamp, hold, until, since: sent }))
+                Ok(Some(Authority {
+                    term: record.term,
+                    revision: stamp,
+                    lease_id: hold,
+                    valid_until: until,
+                    started_at: sent,
+                }))
             }
             TxnOutcome::Conflict(_) => {
                 let _ = self.store.revoke(hold).await;
@@ -133,14 +139,14 @@
         let mut blind: Option<Instant> = None;
         loop {
             let sent = Instant::now();
-            let pause = match self.store.renew(a.hold, limit).await {
+            let pause = match self.store.renew(a.lease_id, limit).await {
                 Ok(()) => {
                     let now = Instant::now();
                     let mut i = self.lock();
-                    if let Some(x) = i.authority.as_mut() {
-                        x.until = lasts_until(sent, self.policy.ttl, self.policy.drift);
+                    if let Some(x) = i.lease.as_mut() {
+                        x.valid_until = lasts_until(sent, self.policy.ttl, self.policy.drift);
                     }
-                    blind = if self.leads(&i, now) { None } else { blind.or(Some(now)) };
+                    blind = if self.may_lead(&i, now) { None } else { blind.or(Some(now)) };
                     if blind.is_some_and(|t| now.saturating_duration_since(t) > self.policy.ttl * 2) {
                         return "its lease is served, and no changes are shown to it";
                     }
@@ -153,7 +159,7 @@
                     self.policy.renew / 4
                 }
             };
-            if self.lock().leader.as_ref().is_some_and(|l| l.stamp > a.stamp && l.record.term > a.term) {
+            if self.lock().leader.as_ref().is_some_and(|l| l.revision > a.revision && l.record.term > a.term) {
                 return "another leads";
             }
             smol::Timer::after(pause).await;
--- a/src/node.rs
+++ b/src/node.rs
@@ -29,54 +29,54 @@
     /// Who and in which term.
     pub record: LeaderRecord,
     /// Stamp of the key.
-    pub stamp: u64,
+    pub revision: u64,
 }
 
 /// What the slices share.
 pub struct Inner {
     /// Jobs by id.
-    pub ledger: JobIndex,
+    pub jobs: JobIndex,
     /// The watch has caught up once.
     pub synced: bool,
     /// All controllers have jobs that wait for others.
-    pub chains: bool,
+    pub dependencies_enabled: bool,
     /// All controllers forward reports.
-    pub reports_on: bool,
+    pub forwarding_enabled: bool,
     /// The leader has the others take workers' reports, as far as known.
-    pub spread: bool,
+    pub forwarding_requested: bool,
     /// Revision up to which the watch has been seen.
-    pub epoch: u64,
+    pub revision: u64,
     /// The withdrawals that are known here, for siblings' accounts.
-    pub withdrawals: CancellationLog,
+    pub cancellations: CancellationLog,
     /// Since when none is missing here.
-    pub knowledge: CancellationView,
+    pub cancellation_view: CancellationView,
     /// Those whose users are still to be told.
-    pub telling: CancellationNotices,
+    pub cancellation_notices: CancellationNotices,
     /// Since when this controller knows that all tell by that; see `gate::TOLD`.
-    pub told_since: Option<Instant>,
+    pub notices_enabled_at: Option<Instant>,
     /// Stamp of the record of what is on.
-    pub gates: u64,
+    pub features_revision: u64,
     /// Who leads.
     pub leader: Option<LeaderSeen>,
     /// Our own right to act.
-    pub authority: Option<Authority>,
+    pub lease: Option<Authority>,
     /// The leader's state, once it is read.
     pub cluster: Option<Cluster>,
     /// Machine types as last seen.
-    pub types: Vec<MachineType>,
+    pub machine_types: Vec<MachineType>,
     /// What found no place in the last pass.
-    pub wants: Vec<UnmetDemand>,
+    pub unmet_demand: Vec<UnmetDemand>,
     /// When a worker of another zone last reported here.
-    pub foreign: Option<Instant>,
+    pub last_remote_zone_heartbeat: Option<Instant>,
     /// When any worker last reported here.
-    pub heard: Option<Instant>,
+    pub last_heartbeat: Option<Instant>,
     /// When a user, or the load balancer for them, last reached this controller.
-    pub asked: Option<Instant>,
+    pub last_user_request: Option<Instant>,
     /// When this controller was last seen to move, and since when it has
     /// moved without a gap.
-    pub pulse: Option<Pulse>,
+    pub stall_detector: Option<Pulse>,
     /// No pass over the queue before this.
-    pub next_pass: Option<Instant>,
+    pub next_pass_at: Option<Instant>,
 }
 
 /// Tells when a controller itself stood still while its clocks ran on.
@@ -90,7 +90,7 @@
 
 impl Pulse {
     /// It moves at `now`; how long it stood still before, if it did.
-    pub fn beat(pulse: &mut Option<Pulse>, most: Duration, now: Instant) -> Option<Duration> {
+    pub fn tick(pulse: &mut Option<Pulse>, most: Duration, now: Instant) -> Option<Duration> {
         let p = pulse.get_or_insert(Pulse { last: now, since: now });
         let gap = now.saturating_duration_since(p.last);
         p.last = p.last.max(now);
@@ -108,48 +108,48 @@
         // told apart from every other life of this controller
         let life = RandomState::new().build_hasher().finish();
         Inner {
-            withdrawals: CancellationLog::new(life, withdrawals),
-            knowledge: CancellationView::default(),
-            telling: CancellationNotices::new(siblings, withdrawals),
-            told_since: None,
-            gates: 0,
-            asked: None,
-            ledger: JobIndex::new(ended_kept),
+            cancellations: CancellationLog::new(life, withdrawals),
+            cancellation_view: CancellationView::default(),
+            cancellation_notices: CancellationNotices::new(siblings, withdrawals),
+            notices_enabled_at: None,
+            features_revision: 0,
+            last_user_request: None,
+            jobs: JobIndex::new(ended_kept),
             synced: false,
-            chains: false,
-            reports_on: false,
-            spread: false,
-            epoch: 0,
+            dependencies_enabled: false,
+            forwarding_enabled: false,
+            forwarding_requested: false,
+            revision: 0,
             leader: None,
-            authority: None,
+            lease: None,
             cluster: None,
-            types: Vec::new(),
-            wants: Vec::new(),
-            foreign: None,
-            heard: None,
-            pulse: None,
-            next_pass: None,
+            machine_types: Vec::new(),
+            unmet_demand: Vec::new(),
+            last_remote_zone_heartbeat: None,
+            last_heartbeat: None,
+            stall_detector: None,
+            next_pass_at: None,
         }
     }
 
     /// Whether this controller leads and its lease still lasts.
-    pub fn acts(&self, now: Instant) -> bool {
-        self.authority.is_some_and(|a| now < a.until)
+    pub fn is_leader(&self, now: Instant) -> bool {
+        self.lease.is_some_and(|a| now < a.valid_until)
     }
 
     /// Whether all that this version has is on.
-    pub fn all_on(&self) -> bool {
-        self.chains && self.told_since.is_some() && self.reports_on
+    pub fn all_features_enabled(&self) -> bool {
+        self.dependencies_enabled && self.notices_enabled_at.is_some() && self.forwarding_enabled
     }
 
     /// Whether workers' reports are taken by all controllers and forwarded to the leader.
-    pub fn spreads(&self) -> bool {
-        self.spread && self.reports_on
+    pub fn forwards_heartbeats(&self) -> bool {
+        self.forwarding_requested && self.forwarding_enabled
     }
 
     /// Whether this controller leads and finds nothing of a job on any machine.
-    pub fn clear_of(&self, id: &Name, now: Instant) -> bool {
-        self.acts(now) && self.cluster.as_ref().is_some_and(|c| c.has_no_task_of(id))
+    pub fn has_no_task_of(&self, id: &Name, now: Instant) -> bool {
+        self.is_leader(now) && self.cluster.as_ref().is_some_and(|c| c.has_no_task_of(id))
     }
 }
 
@@ -162,38 +162,38 @@
     /// State service.
     pub store: Store,
     /// Client for the cloud.
-    pub cloud: http::Client,
+    pub cloud_client: http::Client,
     /// Calls to the cloud.
     pub cloud_calls: Mutex<Budget>,
     inner: Mutex<Inner>,
     /// Something to place.
-    pub to_place: Wake,
+    pub placement_wake: Wake,
     /// Something to store.
-    pub to_commit: Wake,
+    pub commit_wake: Wake,
     /// Needed jobs that the store has to be asked about.
-    pub to_ask: Wake,
+    pub outcome_fetch_wake: Wake,
     /// The other controllers.
     pub peers: Peers,
     /// Client for the workers.
-    pub workers: http::Client,
+    pub worker_client: http::Client,
     /// Something to tell workers.
-    pub to_command: Wake,
+    pub command_wake: Wake,
     /// A transaction of the leader's went through.
-    pub stored: event_listener::Event,
+    pub commit_done: event_listener::Event,
     /// There is a withdrawal to tell siblings of.
-    pub to_tell: event_listener::Event,
+    pub cancellation_to_notify: event_listener::Event,
     /// A sibling knows of one, or the leader found nothing of it.
-    pub told: event_listener::Event,
+    pub cancellation_known: event_listener::Event,
     /// The leader changed.
-    pub to_lead: Wake,
+    pub election_wake: Wake,
     /// Users' requests on their way to the store.
-    pub intake: Intake,
+    pub user_requests: Intake,
     /// Workers' reports on their way to the leader.
-    pub reports: ReportQueue,
+    pub heartbeat_queue: ReportQueue,
     /// Counters and latencies.
     pub telemetry: Telemetry,
     /// How long requests wait for their turn.
-    pub lag: Lag,
+    pub scheduling_delay: Lag,
 }
 
 impl Node {
@@ -209,25 +209,25 @@
         // no more can be stored while anybody may have to be told of them
         let withdrawals = limits.write_rps * policy.cancel.as_secs_f64();
         Node {
-            inner: Mutex::new(Inner::new(policy.ended_kept, withdrawals.ceil() as usize, config.siblings.len())),
+            inner: Mutex::new(Inner::new(policy.ended_kept, withdrawals.ceil() as usize, config.peers.len())),
             policy,
             store,
-            cloud: http::Client::default(),
+            cloud_client: http::Client::default(),
             cloud_calls: Mutex::new(Budget::new(rps * 0.7, rps * 1.4, now)),
-            to_place: Wake::default(),
-            to_commit: Wake::default(),
-            to_ask: Wake::default(),
-            peers: Peers::new(&config.siblings),
-            workers: http::Client::new(most_idle),
-            to_command: Wake::default(),
-            stored: event_listener::Event::new(),
-            to_tell: event_listener::Event::new(),
-            told: event_listener::Event::new(),
-            to_lead: Wake::default(),
-            intake: Intake::new(lookups, now),
-            reports: ReportQueue::default(),
+            placement_wake: Wake::default(),
+            commit_wake: Wake::default(),
+            outcome_fetch_wake: Wake::default(),
+            peers: Peers::new(&config.peers),
+            worker_client: http::Client::new(most_idle),
+            command_wake: Wake::default(),
+            commit_done: event_listener::Event::new(),
+            cancellation_to_notify: event_listener::Event::new(),
+            cancellation_known: event_listener::Event::new(),
+            election_wake: Wake::default(),
+            user_requests: Intake::new(lookups, now),
+            heartbeat_queue: ReportQueue::default(),
             telemetry: Telemetry::default(),
-            lag: Lag::default(),
+            scheduling_delay: Lag::default(),
             config,
         }
     }
@@ -241,8 +241,8 @@
     /// After a gap the silence was this controller's own: whatever it measures
     /// starts anew, so that nobody is taken for dead, cut off or refusing who
     /// merely was not listened to.
-    pub fn beat(&self, i: &mut Inner, now: Instant) {
-        let Some(gap) = Pulse::beat(&mut i.pulse, self.policy.stood_still, now) else { return };
+    pub fn detect_stall(&self, i: &mut Inner, now: Instant) {
+        let Some(gap) = Pulse::tick(&mut i.stall_detector, self.policy.stood_still, now) else { return };
         tracing::info!("stood still for {:.1} s: silences are measured anew", gap.as_secs_f64());
         self.store.woke(now);
         self.peers.woke();
@@ -252,10 +252,10 @@
     }
 
     /// Keeps the pulse while nothing else happens.
-    pub async fn pulse(&self) {
+    pub async fn run_stall_detector(&self) {
         loop {
             smol::Timer::after(self.policy.renew / 2).await;
-            self.beat(&mut self.lock(), Instant::now());
+            self.detect_stall(&mut self.lock(), Instant::now());
         }
     }
 
@@ -263,31 +263,31 @@
     /// keeps to its share of the processor, and when requests wait for their
     /// turn, decisions wait for a multiple of that.  Workers that are not heard
     /// lose what has been placed already.
-    pub fn rest(&self, took: Duration, share: f64) -> Duration {
-        let lag = self.lag.now().mul_f64(self.policy.lag_rest).min(self.policy.lag_rest_most);
+    pub fn rest_after(&self, took: Duration, share: f64) -> Duration {
+        let lag = self.scheduling_delay.now().mul_f64(self.policy.lag_rest).min(self.policy.lag_rest_most);
         took.div_f64(share).max(lag)
     }
 
     /// Since when no withdrawal is missing here that a user was told of before.
-    pub fn whole(&self, i: &Inner) -> Option<Instant> {
-        i.knowledge.complete_as_of(self.config.siblings.iter().map(|s| s.name.as_str()))
+    pub fn cancellations_complete_as_of(&self, i: &Inner) -> Option<Instant> {
+        i.cancellation_view.complete_as_of(self.config.peers.iter().map(|s| s.name.as_str()))
     }
 
     /// Whether all tell users of withdrawals only when all know.  Whoever does not
     /// know that it is on has a picture older than any on which it is told.
-    pub fn all_tell(&self, i: &Inner, now: Instant) -> bool {
-        i.told_since.is_some_and(|t| now.saturating_duration_since(t) >= self.policy.cancel)
+    pub fn notices_required(&self, i: &Inner, now: Instant) -> bool {
+        i.notices_enabled_at.is_some_and(|t| now.saturating_duration_since(t) >= self.policy.cancel)
     }
 
     /// Whether what is known of withdrawals is young enough to renew workers'
     /// leases, nobody else's word being had.
     pub fn may_renew(&self, i: &Inner, now: Instant) -> bool {
-        may_renew(self.whole(i), self.all_tell(i, now), &self.policy, now)
+        may_renew(self.cancellations_complete_as_of(i), self.notices_required(i, now), &self.policy, now)
     }
 
     /// Whether this controller leads, and knows enough to go on leading.
-    pub fn leads(&self, i: &Inner, now: Instant) -> bool {
-        i.acts(now) && may_lead(self.whole(i), &self.policy, now)
+    pub fn may_lead(&self, i: &Inner, now: Instant) -> bool {
+        i.is_leader(now) && may_lead(self.cancellations_complete_as_of(i), &self.policy, now)
     }
 
     /// The teams' limits.
@@ -300,51 +300,51 @@
     }
 
     /// A job that the watch shows.
-    pub fn learn_job(&self, spec: Arc<JobSpec>, stamp: u64, now: Instant) {
+    pub fn apply_watched_job(&self, spec: Arc<JobSpec>, stamp: u64, now: Instant) {
         let mut i = self.lock();
-        if i.ledger.insert_seen(spec.clone(), stamp) {
-            self.opened(&mut i, spec, stamp, now);
+        if i.jobs.insert_seen(spec.clone(), stamp) {
+            self.job_opened(&mut i, spec, stamp, now);
         }
     }
 
     /// A job that a transaction of this controller's has stored.
-    pub fn stored_job(&self, spec: Arc<JobSpec>, stamp: u64, now: Instant) {
+    pub fn apply_own_job(&self, spec: Arc<JobSpec>, stamp: u64, now: Instant) {
         let mut i = self.lock();
-        if i.ledger.insert_stored(spec.clone(), stamp) {
-            self.opened(&mut i, spec, stamp, now);
+        if i.jobs.insert_stored(spec.clone(), stamp) {
+            self.job_opened(&mut i, spec, stamp, now);
         }
     }
 
-    pub(crate) fn opened(&self, i: &mut Inner, spec: Arc<JobSpec>, stamp: u64, now: Instant) {
+    pub(crate) fn job_opened(&self, i: &mut Inner, spec: Arc<JobSpec>, stamp: u64, now: Instant) {
         let Some(c) = i.cluster.as_mut() else { return };
         c.add_job(spec.clone(), stamp, None, now);
         for n in &spec.needs {
             if c.dependency.is_unknown(n) {
-                match i.ledger.outcome(n) {
+                match i.jobs.outcome(n) {
                     Some(outcome) => c.set_outcome(n, outcome, now),
-                    None => self.to_ask.wake(),
+                    None => self.outcome_fetch_wake.wake(),
                 }
             }
         }
-        self.to_place.wake();
-        self.to_commit.wake();
+        self.placement_wake.wake();
+        self.commit_wake.wake();
     }
 
     /// A job's end, as stored at this revision.
     pub fn apply_stored_outcome(&self, id: &str, outcome: JobOutcome, stamp: u64, now: Instant) {
         let mut i = self.lock();
         if outcome == JobOutcome::Cancelled {
-            i.withdrawals.record(stamp, id, now);
+            i.cancellations.record(stamp, id, now);
         }
-        i.ledger.apply_outcome(id, outcome);
-        self.closed(&mut i, id, outcome, now);
+        i.jobs.apply_outcome(id, outcome);
+        self.job_closed(&mut i, id, outcome, now);
     }
 
-    pub(crate) fn closed(&self, i: &mut Inner, id: &str, outcome: JobOutcome, now: Instant) {
+    pub(crate) fn job_closed(&self, i: &mut Inner, id: &str, outcome: JobOutcome, now: Instant) {
         if let Some(c) = i.cluster.as_mut() {
             c.set_outcome(id, outcome, now);
-            self.to_place.wake();
-            self.to_commit.wake();
+            self.placement_wake.wake();
+            self.commit_wake.wake();
         }
     }
 }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -34,7 +34,7 @@
         let limit = self.policy.peer_limit;
         let (since, (life, had)) = {
             let i = self.lock();
-            (i.synced.then_some(i.epoch), i.knowledge.next_request(&l.name))
+            (i.synced.then_some(i.revision), i.cancellation_view.next_request(&l.name))
         };
         let ask = wire::StatusRequest {
             without_machines: !self.keeps_machines(),
@@ -58,7 +58,7 @@
         lock(&self.peers.seen).insert(l.name.clone(), seen);
         if progress {
             if s.leads {
-                self.lock().spread = s.spread;
+                self.lock().forwarding_requested = s.spread;
             }
             if !s.machines.is_empty() {
                 *lock(&self.peers.learned) = from_wire(s.machines, &s.images, now);
@@ -71,7 +71,7 @@
     /// Whether this controller is one of the few that keep what the leader learned of machines
     /// for the next one: of many controllers the first by name.
     fn keeps_machines(&self) -> bool {
-        self.config.siblings.iter().filter(|s| s.name < self.config.name).count() < MACHINES_KEPT_BY
+        self.config.peers.iter().filter(|s| s.name < self.config.name).count() < MACHINES_KEPT_BY
     }
 
     /// A sibling has accounted for the withdrawals that it knows.
@@ -82,14 +82,14 @@
         for w in &a.cancellations {
             self.apply_stored_outcome(&w.id, JobOutcome::Cancelled, w.revision, now);
         }
-        self.lock().knowledge.peer_answered(name, sent, &a);
+        self.lock().cancellation_view.peer_answered(name, sent, &a);
     }
 
     /// The account that a sibling asks for, if there is no gap in it.
     fn account(&self, r: &wire::StatusRequest) -> Option<wire::Account> {
         let i = self.lock();
         let since = r.withdrawn_since.filter(|_| i.synced)?;
-        let a = i.withdrawals.batch_since(since, r.withdrawn_life, r.withdrawn_had)?;
+        let a = i.cancellations.batch_since(since, r.withdrawn_life, r.withdrawn_had)?;
         let known = a.cancellations.into_iter().map(|w| wire::Withdrawal { stamp: w.revision, id: w.id.to_string() });
         Some(wire::Account { life: a.incarnation, known: known.collect(), next: a.next, whole: a.complete })
     }
@@ -103,11 +103,11 @@
 
     async fn tell_one(&self, n: usize, l: &Link) {
         loop {
-            let more = self.to_tell.listen();
+            let more = self.cancellation_to_notify.listen();
             let (known, new) = {
                 let mut guard = self.lock();
                 let i = &mut *guard;
-                i.telling.for_peer(n, &i.withdrawals, &self.policy, Instant::now())
+                i.cancellation_notices.for_peer(n, &i.cancellations, &self.policy, Instant::now())
             };
             if known.is_empty() {
                 more.await;
@@ -126,10 +126,10 @@
             };
             {
                 let mut i = self.lock();
-                i.telling.mark_acknowledged(n, &known);
-                answer.clear.iter().for_each(|id| i.telling.settle(&id.as_str().into()));
+                i.cancellation_notices.mark_acknowledged(n, &known);
+                answer.clear.iter().for_each(|id| i.cancellation_notices.settle(&id.as_str().into()));
             }
-            self.told.notify(usize::MAX);
+            self.cancellation_known.notify(usize::MAX);
         }
     }
 
@@ -139,7 +139,7 @@
             let trouble = self.store.failing() || {
                 // served, and yet the watch shows nothing: siblings know more
                 let i = self.lock();
-                i.synced && self.whole(&i).is_some_and(|t| t.elapsed() > self.policy.ttl * 3)
+                i.synced && self.cancellations_complete_as_of(&i).is_some_and(|t| t.elapsed() > self.policy.ttl * 3)
             };
             if self.store.silent() {
                 // the end of a cut has to be noticed soon
@@ -147,7 +147,7 @@
             }
             let (leader, gated) = {
                 let i = self.lock();
-                (i.leader.as_ref().map(|l| l.record.name.clone()), !i.all_on())
+                (i.leader.as_ref().map(|l| l.record.name.clone()), !i.all_features_enabled())
             };
             // until all is on everybody is asked, and so told what is here
             let asked = self.peers.links.iter().filter(|l| trouble || gated || leader.as_deref() == Some(&l.name));
@@ -258,7 +258,7 @@
             self.0.apply_stored_outcome(&w.id, JobOutcome::Cancelled, w.stamp, now);
         }
         let i = self.0.lock();
-        let clear = known.into_iter().map(|w| w.id).filter(|id| i.clear_of(&id.as_str().into(), now)).collect();
+        let clear = known.into_iter().map(|w| w.id).filter(|id| i.has_no_task_of(&id.as_str().into(), now)).collect();
         Ok(tonic::Response::new(wire::TellResponse { clear }))
     }
 
@@ -302,7 +302,7 @@
         let served = !self.0.store.failing();
         let (term, heard, spread) = {
             let i = self.0.lock();
-            (i.leader.as_ref().map_or(0, |l| l.record.term), i.heard, i.spread)
+            (i.leader.as_ref().map_or(0, |l| l.record.term), i.last_heartbeat, i.forwarding_requested)
         };
         let heard_ms = heard.map(|t| t.elapsed().as_millis() as u64);
         let (knows, version) = (gates::known(), gates::VERSION.to_owned());
--- a/src/reports.rs
+++ b/src/reports.rs
@@ -50,13 +50,13 @@
         {
             let now = Instant::now();
             let mut i = self.lock();
-            self.beat(&mut i, now);
+            self.detect_stall(&mut i, now);
             self.worker_reported(&mut i, &report.zone, now);
         }
         let (reply, answer) = smol::channel::bounded(1);
         let until = Instant::now() + ANSWER_LIMIT;
         let waiting = WaitingReport { report, body: body.to_vec(), until, reply };
-        if self.reports.waiting.0.try_send(waiting).is_err() {
+        if self.heartbeat_queue.waiting.0.try_send(waiting).is_err() {
             return Some(Response::refuse(503, "too many reports wait"));
         }
         match timed(ANSWER_LIMIT, answer.recv()).await {
@@ -69,13 +69,13 @@
 
     /// Whether reports go to the leader by way of this controller now.
     pub(crate) fn forwards(&self, now: Instant) -> bool {
-        let failed = *lock(&self.reports.failed);
+        let failed = *lock(&self.heartbeat_queue.failed);
         if failed.is_some_and(|t| now.saturating_duration_since(t) < self.policy.peer_limit) {
             return false;
         }
         let i = self.lock();
-        let leads_here = i.authority.is_some() || i.leader.as_ref().is_some_and(|l| l.record.name == self.config.name);
-        i.spreads() && !leads_here
+        let leads_here = i.lease.is_some() || i.leader.as_ref().is_some_and(|l| l.record.name == self.config.name);
+        i.forwards_heartbeats() && !leads_here
     }
 
     /// Forwards what waits, for as long as the controller runs.
@@ -90,7 +90,7 @@
         loop {
             let batch = {
                 let _turn = gathers.lock().await;
-                self.gather(&self.reports.waiting.1).await
+                self.gather(&self.heartbeat_queue.waiting.1).await
             };
             self.deliver(batch).await;
             let keep = self.policy.lease.mul_f64(TIDY_AFTER_LEASES);
@@ -102,7 +102,7 @@
     }
 
     fn forwarding(&self) -> MutexGuard<'_, HeartbeatForwarding> {
-        lock(&self.reports.forwarding)
+        lock(&self.heartbeat_queue.forwarding)
     }
 
     /// The reports that come within a short time.
@@ -135,7 +135,7 @@
                 Sent::NotLeading => drop(smol::Timer::after(self.policy.renew / 4).await),
                 Sent::Failed => {
                     // their senders end with the batch: each report is dealt with here
-                    *lock(&self.reports.failed) = Some(Instant::now());
+                    *lock(&self.heartbeat_queue.failed) = Some(Instant::now());
                     return;
                 }
             }
@@ -195,7 +195,7 @@
         let term = {
             let i = self.lock();
             // one that still reads the store is waited for
-            match (i.authority, &i.cluster) {
+            match (i.lease, &i.cluster) {
                 (Some(a), Some(_)) if a.term == batch.term => a.term,
                 _ => return wire::ReportAnswers::default(),
             }
@@ -236,9 +236,9 @@
         };
         let now = Instant::now();
         let mut i = self.lock();
-        self.beat(&mut i, now);
-        i.heard = Some(now);
-        let answer = match self.leads(&i, now) {
+        self.detect_stall(&mut i, now);
+        i.last_heartbeat = Some(now);
+        let answer = match self.may_lead(&i, now) {
             true => i.cluster.as_mut().and_then(|c| c.apply_unchanged(&unchanged, now)),
             // the whole report is judged as any other
             false => None,
@@ -260,13 +260,13 @@
     /// The controller that takes a worker's reports for the leader, if there is one: only one
     /// that has lately reached this leader.
     pub(crate) fn sends_out(&self, machine: &str, zone: &str, now: Instant) -> Option<Response> {
-        if !self.lock().spreads() {
+        if !self.lock().forwards_heartbeats() {
             return None;
         }
         let fresh = self.policy.peer_limit * 4;
         let asked = lock(&self.peers.asked);
         let lately = |name: &str| asked.get(name).is_some_and(|t| now.saturating_duration_since(*t) < fresh);
-        let siblings = self.config.siblings.iter().filter(|s| lately(&s.name));
+        let siblings = self.config.peers.iter().filter(|s| lately(&s.name));
         let all: Vec<Forwarder<'_>> = siblings.map(|s| Forwarder { name: &s.name, zone: &s.zone }).collect();
         let to = assigned_forwarder(machine, zone, &all)?;
         Some(crate::intake::redirect(Some(to)))
--- a/src/reports/tests.rs
+++ b/src/reports/tests.rs
@@ -22,10 +22,10 @@
     {
         let mut i = n.lock();
         let until = now + Duration::from_secs(60);
-        i.authority = Some(Authority { term: TERM, stamp: 1, hold: 1, until, since: now });
+        i.lease = Some(Authority { term: TERM, revision: 1, lease_id: 1, valid_until: until, started_at: now });
         i.cluster = Some(Cluster::new(TERM, n.policy.clone(), n.teams(), now));
-        i.knowledge.watch_answered(now);
-        (i.reports_on, i.spread) = (true, true);
+        i.cancellation_view.watch_answered(now);
+        (i.forwarding_enabled, i.forwarding_requested) = (true, true);
     }
     n
 }
@@ -74,7 +74,10 @@
     let a = smol::block_on(n.take_batch(batch(TERM, vec![repeats(&report(2, 0), 1), repeats(&report(2, 0), 1)])));
     let short = wire::ReportAnswer { status: 200, body: vec![], token };
     assert_eq!(a.answers, [short, wire::ReportAnswer::default()], "the second comes too late");
-    assert!(n.lock().heard.is_some() && n.lock().foreign.is_none(), "its own sockets were not reached");
+    assert!(
+        n.lock().last_heartbeat.is_some() && n.lock().last_remote_zone_heartbeat.is_none(),
+        "its own sockets were not reached"
+    );
 }
 
 /// A batch for another term, and one that finds the lease over, gets no answer that renews.
@@ -87,8 +90,8 @@
     }
     let a = smol::block_on(n.take_batch(batch(TERM, vec![full(&report(1, 0))])));
     assert_eq!(a.answers[0].status, 200);
-    if let Some(a) = n.lock().authority.as_mut() {
-        a.until = Instant::now();
+    if let Some(a) = n.lock().lease.as_mut() {
+        a.valid_until = Instant::now();
     }
     let reports = vec![full(&report(2, 0)), repeats(&report(3, 0), 1)];
     let a = smol::block_on(n.take_batch(batch(TERM, reports)));
@@ -108,16 +111,16 @@
     let (n, now) = (leader(), Instant::now());
     let to = |n: &Node, at: Instant| n.sends_out("i-000001", "a", at).map(|r| (r.status, r.body));
     assert!(to(&n, now).is_none(), "nobody has asked");
-    let name = n.config.siblings[0].name.clone();
+    let name = n.config.peers[0].name.clone();
     lock(&n.peers.asked).insert(name.clone(), now);
     let (status, body) = to(&n, now).expect("one has");
     assert_eq!(status, 421);
     assert!(body.windows(name.len()).any(|w| w == name.as_bytes()));
     assert!(to(&n, now + n.policy.peer_limit * 5).is_none(), "too long ago");
-    n.lock().spread = false;
+    n.lock().forwarding_requested = false;
     assert!(to(&n, now).is_none(), "few machines");
-    n.lock().spread = true;
-    n.lock().reports_on = false;
+    n.lock().forwarding_requested = true;
+    n.lock().forwarding_enabled = false;
     assert!(to(&n, now).is_none(), "an earlier version is among them");
 }
 
@@ -129,14 +132,14 @@
     let record = LeaderRecord { name: "another".into(), term: TERM };
     {
         let mut i = n.lock();
-        i.leader = Some(LeaderSeen { record, stamp: 1 });
-        (i.reports_on, i.spread) = (true, true);
+        i.leader = Some(LeaderSeen { record, revision: 1 });
+        (i.forwarding_enabled, i.forwarding_requested) = (true, true);
     }
     assert!(n.forwards(now));
-    *lock(&n.reports.failed) = Some(now);
+    *lock(&n.heartbeat_queue.failed) = Some(now);
     assert!(!n.forwards(now));
     assert!(n.forwards(now + n.policy.peer_limit));
-    n.lock().spread = false;
+    n.lock().forwarding_requested = false;
     assert!(!n.forwards(now + n.policy.peer_limit));
     assert!(!leader().forwards(now), "it leads itself");
 }
--- a/src/run.rs
+++ b/src/run.rs
@@ -44,7 +44,7 @@
         let n = node.clone();
         turns.duty(async move { n.show().await });
         let n = node.clone();
-        turns.duty(async move { n.pulse().await });
+        turns.duty(async move { n.run_stall_detector().await });
         let n = node.clone();
         let watch = turns.duties.spawn(async move { n.watch().await });
         let n = node.clone();
@@ -59,7 +59,7 @@
         turns.duty(async move { n.forward_reports().await });
         turns.duty(node.clone().types_at_start());
         let n = node.clone();
-        requests.spawn(async move { n.lag.measure(n.policy.pass_gap * 2).await }).detach();
+        requests.spawn(async move { n.scheduling_delay.measure(n.policy.pass_gap * 2).await }).detach();
         let handler = Rc::new(move |r| node.clone().handle(r));
         let serving = serve(requests.clone(), listener, limits, handler);
         let served = requests.spawn(async move {
--- a/src/siblings.rs
+++ b/src/siblings.rs
@@ -158,9 +158,9 @@
 
 impl Peers {
     /// The siblings of the settings.
-    pub fn new(siblings: &[crate::config::Sibling]) -> Peers {
+    pub fn new(siblings: &[crate::config::Peer]) -> Peers {
         let (s, work) = smol::channel::bounded(MOST_WORK);
-        let link = |s: &crate::config::Sibling| Link { name: s.name.clone(), addr: s.addr, open: Mutex::default() };
+        let link = |s: &crate::config::Peer| Link { name: s.name.clone(), addr: s.addr, open: Mutex::default() };
         Peers {
             links: siblings.iter().map(link).collect(),
             seen: Mutex::default(),
--- a/src/status.rs
+++ b/src/status.rs
@@ -26,7 +26,7 @@
     /// What operators ask for.
     pub fn status(&self, now: Instant) -> Status {
         let i = self.lock();
-        let leading = i.cluster.as_ref().filter(|_| i.acts(now)).map(|c| {
+        let leading = i.cluster.as_ref().filter(|_| i.is_leader(now)).map(|c| {
             let since = |t: Instant| now.duration_since(t).as_secs_f64();
             let mut f = Figures {
                 term: c.term,
@@ -77,10 +77,10 @@
             version: env!("CARGO_PKG_VERSION").into(),
             leader: i.leader.as_ref().map(|l| l.record.name.clone()),
             served: !self.store.failing(),
-            known_jobs: i.ledger.len(),
-            ended_jobs: i.ledger.ended(),
+            known_jobs: i.jobs.len(),
+            ended_jobs: i.jobs.ended(),
             leading,
-            chains: i.chains,
+            chains: i.dependencies_enabled,
             versions: self.versions(),
             counters: counters.iter().map(|(n, c)| ((*n).to_owned(), c.load(Ordering::Relaxed))).collect(),
             latencies: self.telemetry.latencies(),
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -19,7 +19,7 @@
             (Some(path), _, Some(data)) => {
                 if path.starts_with(key::JOB) {
                     if let Some(spec) = read_value::<JobSpec>(&path, data) {
-                        self.learn_job(Arc::new(spec), e.revision, now);
+                        self.apply_watched_job(Arc::new(spec), e.revision, now);
                     }
                 } else if let Some(id) = path.strip_prefix(key::OUTCOME) {
                     if let Some(f) = read_value::<OutcomeRecord>(&path, data) {
@@ -28,8 +28,8 @@
                 } else if path == key::LEADER {
                     if let Some(record) = read_value::<LeaderRecord>(&path, data) {
                         tracing::info!("{} leads, term {}", record.name, record.term);
-                        self.lock().leader = Some(LeaderSeen { record, stamp: e.revision });
-                        self.to_lead.wake();
+                        self.lock().leader = Some(LeaderSeen { record, revision: e.revision });
+                        self.election_wake.wake();
                     }
                 } else if path == key::GATES {
                     if let Some(g) = read_value::<FeatureGates>(&path, data) {
@@ -38,8 +38,8 @@
                 } else if path == key::TYPES {
                     if let Some(t) = read_value::<Vec<MachineType>>(&path, data) {
                         let mut i = self.lock();
-                        if i.types.is_empty() {
-                            i.types = t;
+                        if i.machine_types.is_empty() {
+                            i.machine_types = t;
                         }
                     }
                 }
@@ -47,7 +47,7 @@
             (_, Some(path), _) if path == key::LEADER => {
                 tracing::info!("nobody leads");
                 self.lock().leader = None;
-                self.to_lead.wake();
+                self.election_wake.wake();
             }
             _ => {}
         }
@@ -55,12 +55,12 @@
 
     fn caught_up(&self, epoch: u64) {
         let mut inner = self.lock();
-        inner.epoch = inner.epoch.max(epoch);
+        inner.revision = inner.revision.max(epoch);
         if !inner.synced {
-            tracing::info!("caught up with the store at {epoch}, {} unfinished jobs", inner.ledger.len());
+            tracing::info!("caught up with the store at {epoch}, {} unfinished jobs", inner.jobs.len());
         }
         inner.synced = true;
-        self.to_lead.wake();
+        self.election_wake.wake();
     }
 
     /// Whether the store holds the layout of an earlier version, which this
@@ -89,8 +89,8 @@
         };
         {
             let mut i = self.lock();
-            i.ledger.raise_floor(epoch);
-            i.withdrawals.begin_watch(epoch, sent);
+            i.jobs.raise_floor(epoch);
+            i.cancellations.begin_watch(epoch, sent);
             if page.items.is_empty() {
                 i.leader = None;
             }
@@ -134,7 +134,7 @@
                 }
             }
         }
-        self.lock().knowledge.watch_answered(sent);
+        self.lock().cancellation_view.watch_answered(sent);
         Ok(since)
     }
 
@@ -143,11 +143,11 @@
         let (mut guard, now) = (self.lock(), Instant::now());
         let i = &mut *guard;
         let mut news = Vec::new();
-        sweep.apply_pages(&mut i.ledger, |n| news.push(n));
+        sweep.apply_pages(&mut i.jobs, |n| news.push(n));
         for n in news {
             match n {
-                ScanEvent::Open(o) => self.opened(i, o.spec, o.revision, now),
-                ScanEvent::Ended(id, outcome) => self.closed(i, &id, outcome, now),
+                ScanEvent::Open(o) => self.job_opened(i, o.spec, o.revision, now),
+                ScanEvent::Ended(id, outcome) => self.job_closed(i, &id, outcome, now),
             }
         }
     }
@@ -161,16 +161,16 @@
         for e in news {
             self.event(e);
         }
-        self.lock().ledger.raise_floor(epoch);
+        self.lock().jobs.raise_floor(epoch);
         epoch
     }
 
     /// The watch has shown all up to a revision; how long the next one may wait.
     fn shown(&self, sent: Instant, epoch: u64) -> Duration {
         let mut i = self.lock();
-        i.epoch = i.epoch.max(epoch);
-        i.knowledge.watch_answered(sent);
-        match i.authority {
+        i.revision = i.revision.max(epoch);
+        i.cancellation_view.watch_answered(sent);
+        match i.lease {
             Some(_) => Duration::ZERO,
             None => self.policy.watch_gap,
         }
