--- a/src/authority.rs
+++ b/src/authority.rs
@@ -18,7 +18,7 @@
 
 /// The right to act.
 #[derive(Debug, Clone, Copy)]
-pub struct Authority {
+pub struct LeaderLease {
     /// Term.
     pub term: u64,
     /// Stamp of the leader key.
@@ -32,7 +32,7 @@
 }
 
 /// Until when a lease that was asked for at `sent` can be relied on.
-pub fn lasts_until(sent: Instant, ttl: Duration, drift: f64) -> Instant {
+pub fn lease_valid_until(sent: Instant, ttl: Duration, drift: f64) -> Instant {
     // our clock may run slow against the service's by the drift of both
     sent + ttl.mul_f64(1.0 - 2.0 * drift)
 }
@@ -73,24 +73,27 @@
 /// What a controller that nobody seems to answer knows of who reaches it: how long
 /// ago each was last heard, if ever.
 #[derive(Debug, Clone, Copy)]
-pub struct Cut {
+pub struct PartitionSuspicion {
     /// Since the state service last carried out anything.
-    pub unserved: Duration,
+    pub since_store_answer: Duration,
     /// The state service or a sibling answers, be it with a refusal.
-    pub answers: bool,
+    pub any_answer: bool,
     /// Since a worker of another zone came.
-    pub foreign: Option<Duration>,
+    pub since_remote_zone_heartbeat: Option<Duration>,
     /// Since a user came, or a probe for them.
-    pub asked: Option<Duration>,
+    pub since_user_request: Option<Duration>,
 }
 
-impl Cut {
+impl PartitionSuspicion {
     /// Whether it is its zone that is cut off, not it alone: nobody from outside
-    /// has come for so long.  Cut off alone, it would keep its zone's workers from
+    /// has come for so long.  PartitionSuspicion off alone, it would keep its zone's workers from
     /// a leader whom they reach.
-    pub fn with_its_zone(&self, after: Duration) -> bool {
+    pub fn includes_own_zone(&self, after: Duration) -> bool {
         let quiet = |t: Option<Duration>| t.is_none_or(|t| t > after);
-        self.unserved >= after && !self.answers && quiet(self.foreign) && quiet(self.asked)
+        self.since_store_answer >= after
+            && !self.any_answer
+            && quiet(self.since_remote_zone_heartbeat)
+            && quiet(self.since_user_request)
     }
 }
 
--- a/src/authority/tests.rs
+++ b/src/authority/tests.rs
@@ -52,23 +52,28 @@
 fn one_that_users_reach_is_cut_off_alone() {
     let s = |n| Some(Duration::from_secs(n));
     let after = Duration::from_secs(6);
-    let cut = Cut { unserved: after * 2, answers: false, foreign: s(10), asked: None };
-    assert!(cut.with_its_zone(after));
-    assert!(Cut { asked: s(7), ..cut }.with_its_zone(after));
+    let cut = PartitionSuspicion {
+        since_store_answer: after * 2,
+        any_answer: false,
+        since_remote_zone_heartbeat: s(10),
+        since_user_request: None,
+    };
+    assert!(cut.includes_own_zone(after));
+    assert!(PartitionSuspicion { since_user_request: s(7), ..cut }.includes_own_zone(after));
     for alone in [
-        Cut { asked: s(1), ..cut },
-        Cut { foreign: s(1), ..cut },
-        Cut { answers: true, ..cut },
-        Cut { unserved: after / 2, ..cut },
+        PartitionSuspicion { since_user_request: s(1), ..cut },
+        PartitionSuspicion { since_remote_zone_heartbeat: s(1), ..cut },
+        PartitionSuspicion { any_answer: true, ..cut },
+        PartitionSuspicion { since_store_answer: after / 2, ..cut },
     ] {
-        assert!(!alone.with_its_zone(after), "{alone:?}");
+        assert!(!alone.includes_own_zone(after), "{alone:?}");
     }
 }
 
 #[test]
 fn authority_counts_from_the_sending() {
     let sent = Instant::now();
-    let until = lasts_until(sent, Duration::from_secs(4), 0.0005);
+    let until = lease_valid_until(sent, Duration::from_secs(4), 0.0005);
     assert!(until < sent + Duration::from_secs(4));
     assert!(until > sent + Duration::from_millis(3990));
 }
--- a/src/gates.rs
+++ b/src/gates.rs
@@ -9,10 +9,10 @@
     JOB_DEPENDENCIES, SUPPORTED,
 };
 
-use crate::authority::Authority;
-use crate::node::Node;
+use crate::authority::LeaderLease;
+use crate::node::Controller;
 use crate::siblings::lock;
-use crate::store::{key, read_value, Error, Txn, TxnOutcome, Write};
+use crate::store::{key, read_value, StoreError, Txn, TxnOutcome, Write};
 
 /// The state service gives no longer lease.
 const LONGEST_LEASE: Duration = Duration::from_secs(600);
@@ -21,13 +21,13 @@
 pub(crate) const VERSION: &str = env!("CARGO_PKG_VERSION");
 
 /// The features of this version, for the wire.
-pub(crate) fn known() -> Vec<String> {
+pub(crate) fn supported_features() -> Vec<String> {
     SUPPORTED.iter().map(|k| (*k).to_owned()).collect()
 }
 
-impl Node {
+impl Controller {
     /// A sibling has told what it has.
-    pub(crate) fn shows(&self, name: &str, knows: Vec<String>, version: String, at: Instant) {
+    pub(crate) fn record_peer_features(&self, name: &str, knows: Vec<String>, version: String, at: Instant) {
         let mut roster = lock(&self.peers.roster);
         // who asks does not say its version; its answers do
         let version = match roster.get(name) {
@@ -38,7 +38,7 @@
     }
 
     /// The siblings' versions, as far as they have told.
-    pub(crate) fn versions(&self) -> std::collections::BTreeMap<String, String> {
+    pub(crate) fn peer_versions(&self) -> std::collections::BTreeMap<String, String> {
         let roster = lock(&self.peers.roster);
         let of = |s: &AdvertisedFeatures| match (s.features.is_empty(), s.version.is_empty()) {
             (true, _) => "earlier".to_owned(),
@@ -50,7 +50,7 @@
     }
 
     /// The stored record of what is on, as the store shows it.
-    pub(crate) fn gates_are(&self, g: &FeatureGates, stamp: u64, now: Instant) {
+    pub(crate) fn apply_feature_gates(&self, g: &FeatureGates, stamp: u64, now: Instant) {
         let mut i = self.lock();
         i.features_revision = i.features_revision.max(stamp);
         if i.notices_enabled_at.is_none() && g.enabled.iter().any(|f| f == CONFIRMED_CANCELLATIONS) {
@@ -70,7 +70,7 @@
     /// Leaves a record of what this controller has, until all is on.  It hangs on a
     /// lease of its own, which outlasts a cut: a controller that is cut off, or down
     /// for a moment, is still the version that it was.
-    pub async fn show(&self) {
+    pub async fn publish_features(&self) {
         let mut hold = None;
         // what is on is known only once the store has been read
         while !self.lock().synced {
@@ -82,17 +82,17 @@
                     Some(h) => self.store.renew(h, self.policy.ttl / 2).await.map(|()| h),
                     None => {
                         let h = self.store.grant(self.policy.cut_keep.min(LONGEST_LEASE)).await?;
-                        let member = MemberRecord { features: known(), version: VERSION.to_owned() };
+                        let member = MemberRecord { features: supported_features(), version: VERSION.to_owned() };
                         let path = format!("{}{}", key::MEMBER, self.config.name);
                         let txn = Txn { preconditions: vec![], writes: vec![Write::set_with_lease(path, &member, h)] };
                         self.store.txn(&txn).await.map(|_| h)
                     }
                 }
             };
-            let done: Result<u64, Error> = done.await;
+            let done: Result<u64, StoreError> = done.await;
             hold = match done {
                 Ok(h) => Some(h),
-                Err(Error::NoLease) => None,
+                Err(StoreError::NoLease) => None,
                 Err(_) => hold,
             };
             smol::Timer::after(self.policy.ttl / 2).await;
@@ -101,7 +101,7 @@
 
     /// Opens the gate once every controller of the settings is known to have
     /// what is behind it, by its own word or by its record.
-    pub(crate) async fn gate(&self, a: Authority) -> &'static str {
+    pub(crate) async fn run_feature_gate(&self, a: LeaderLease) -> &'static str {
         while !self.lock().all_features_enabled() {
             match self.store.list(key::MEMBER).await {
                 Ok(members) => {
@@ -141,7 +141,7 @@
                 txn.require(key::LEADER, a.revision);
                 txn.require(key::GATES, stamp);
                 match self.store.txn(&txn).await {
-                    Ok(TxnOutcome::Done(stamp)) => self.gates_are(&gates, stamp, Instant::now()),
+                    Ok(TxnOutcome::Done(stamp)) => self.apply_feature_gates(&gates, stamp, Instant::now()),
                     Ok(TxnOutcome::Conflict(keys)) => tracing::info!("the gate is in conflict over {keys:?}"),
                     Err(e) => tracing::debug!("the gate: {e}"),
                 }
--- a/src/intake.rs
+++ b/src/intake.rs
@@ -11,7 +11,7 @@
 use futures_util::stream::StreamExt;
 use serde::Serialize;
 
-use crate::authority::Cut;
+use crate::authority::PartitionSuspicion;
 use crate::cluster::raise_token;
 use crate::http::{self, Request, Response};
 use coralnotch_core::lookup::{Lookup, LookupResult};
@@ -22,10 +22,10 @@
 
 use crate::job_index::{EndedJob, JobStatus, OpenJob};
 use crate::model::*;
-use crate::node::{Inner, Node};
+use crate::node::{Controller, ControllerState};
 use crate::siblings::{lock, wire};
-use crate::store::{key, read_value, Error, Txn, TxnOutcome, Write};
-use crate::telemetry::{count, Timed};
+use crate::store::{key, read_value, StoreError, Txn, TxnOutcome, Write};
+use crate::telemetry::{count, TimedOperation};
 use crate::wait::timed;
 use crate::workers::{lease_renewal_reply, Heartbeat, HeartbeatOrigin, HeartbeatReply};
 
@@ -58,9 +58,9 @@
     bytes + bytes / 4 + 128
 }
 
-impl Node {
+impl Controller {
     /// Answers one request.
-    pub async fn handle(self: Arc<Self>, r: Request) -> Response {
+    pub async fn handle_request(self: Arc<Self>, r: Request) -> Response {
         match (r.method.as_str(), r.path.as_str()) {
             ("GET", "/healthz") => {
                 self.lock().last_user_request = Some(Instant::now());
@@ -77,7 +77,7 @@
                 self.lock().last_user_request = Some(Instant::now());
                 // apart, or every connection, most of them workers', would be as
                 // large as the longest way of a user's request
-                let a = Box::pin(self.users(&r)).await;
+                let a = Box::pin(self.route_user_request(&r)).await;
                 if a.status == 503 {
                     count(&c.refused);
                 }
@@ -87,29 +87,29 @@
     }
 
     /// Answers a user's request, here or by a sibling.
-    async fn users(&self, r: &Request) -> Response {
+    async fn route_user_request(&self, r: &Request) -> Response {
         // refused or cut off from the state service: a sibling may not be
-        let cut = self.store.failing();
+        let cut = self.store.is_failing();
         if cut {
-            if let Some(a) = self.relay(r).await {
+            if let Some(a) = self.relay_to_peer(r).await {
                 return a;
             }
         }
-        let answer = self.user(r).await;
-        if !cut && answer.status == 503 && self.store.failing() {
-            return self.relay(r).await.unwrap_or(answer);
+        let answer = self.handle_user_request(r).await;
+        if !cut && answer.status == 503 && self.store.is_failing() {
+            return self.relay_to_peer(r).await.unwrap_or(answer);
         }
         answer
     }
 
     /// Answers a user's request here.
-    pub async fn user(&self, r: &Request) -> Response {
+    pub async fn handle_user_request(&self, r: &Request) -> Response {
         let rest = r.path.strip_prefix("/v2/runs");
         let began = Instant::now();
         match (r.method.as_str(), rest) {
             ("POST", Some("")) => {
                 let a = self.submit(&r.body).await;
-                self.telemetry.took(Timed::Submission, began.elapsed());
+                self.telemetry.record(TimedOperation::Submission, began.elapsed());
                 return a;
             }
             (_, Some("")) => return Response::refuse(405, "wrong method"),
@@ -124,11 +124,11 @@
             return Response::refuse(404, "no such path");
         }
         let (answer, what) = match (r.method.as_str(), withdraw) {
-            ("POST", true) => (self.withdraw(id).await, Timed::Withdrawal),
-            ("GET", false) => (self.query(id, r.query == "why").await, Timed::Query),
+            ("POST", true) => (self.withdraw(id).await, TimedOperation::Withdrawal),
+            ("GET", false) => (self.query(id, r.query == "why").await, TimedOperation::Query),
             _ => return Response::refuse(405, "wrong method"),
         };
-        self.telemetry.took(what, began.elapsed());
+        self.telemetry.record(what, began.elapsed());
         answer
     }
 
@@ -140,8 +140,8 @@
         // without the state service a node can still relay, and in an outage
         // it refuses at once: only one that reaches nobody is of no use
         let now = Instant::now();
-        let cut = self.store.failing() && now.duration_since(self.store.last_served()) > self.policy.ttl;
-        if ready && (!cut || self.peers.reachable(self.policy.peer_limit * 3, now)) {
+        let cut = self.store.is_failing() && now.duration_since(self.store.last_served()) > self.policy.ttl;
+        if ready && (!cut || self.peers.any_reachable(self.policy.peer_limit * 3, now)) {
             Response::new(200, &JobState { id: "ok".into(), stage: "ok".into(), done: 0, running: 0 })
         } else {
             Response::refuse(503, "not ready")
@@ -149,7 +149,7 @@
     }
 
     /// A worker of a zone has reported here.
-    pub(crate) fn worker_reported(&self, i: &mut Inner, zone: &str, now: Instant) {
+    pub(crate) fn note_worker_contact(&self, i: &mut ControllerState, zone: &str, now: Instant) {
         i.last_heartbeat = Some(now);
         if *zone != *self.config.zone {
             i.last_remote_zone_heartbeat = Some(now);
@@ -163,20 +163,20 @@
         let origin: HeartbeatOrigin = http::decode(body).ok()?;
         let mut i = self.lock();
         let now = Instant::now();
-        if i.lease.is_some() || i.cluster.is_some() || self.store.failing() {
+        if i.lease.is_some() || i.cluster.is_some() || self.store.is_failing() {
             return None;
         }
         let leader = i.leader.as_ref().filter(|l| l.record.name != self.config.name)?;
         let answer = redirect(Some(&leader.record.name));
         self.detect_stall(&mut i, now);
-        self.worker_reported(&mut i, &origin.zone, now);
+        self.note_worker_contact(&mut i, &origin.zone, now);
         Some(answer)
     }
 
     async fn hello(&self, body: &[u8]) -> Response {
-        if self.forwards(Instant::now()) {
+        if self.may_forward(Instant::now()) {
             // apart: few connections wait for the leader at once
-            if let Some(answer) = Box::pin(self.forward(body)).await {
+            if let Some(answer) = Box::pin(self.forward_heartbeat(body)).await {
                 return answer;
             }
         }
@@ -187,21 +187,21 @@
             Ok(r) => r,
             Err(e) => return Response::refuse(400, &e.to_string()),
         };
-        if let Some(elsewhere) = self.sends_out(&report.machine, &report.zone, Instant::now()) {
+        if let Some(elsewhere) = self.redirect_to_forwarder(&report.machine, &report.zone, Instant::now()) {
             return elsewhere;
         }
         count(&self.telemetry.counters.reports);
-        match self.take_in(&report, true) {
+        match self.accept_heartbeat(&report, true) {
             Ok(false) => {}
-            Ok(true) => self.await_commit(&[&report]).await,
+            Ok(true) => self.wait_for_commit(&[&report]).await,
             Err(r) => return r,
         }
-        self.answer(&report)
+        self.reply_to_heartbeat(&report)
     }
 
     /// What a report frees is filled with its very answer, if the store is quick about it;
     /// commands leave only once stored.
-    pub(crate) async fn await_commit(&self, reports: &[&Heartbeat]) {
+    pub(crate) async fn wait_for_commit(&self, reports: &[&Heartbeat]) {
         let _ = timed(self.policy.commit_wait, async {
             loop {
                 let stored = self.commit_done.listen();
@@ -217,7 +217,7 @@
     }
 
     /// The leader's answer to a report that it has taken in.
-    pub(crate) fn answer(&self, report: &Heartbeat) -> Response {
+    pub(crate) fn reply_to_heartbeat(&self, report: &Heartbeat) -> Response {
         let mut i = self.lock();
         let now = Instant::now();
         // checked at the moment of answering: the lease may have run out
@@ -231,12 +231,12 @@
 
     /// Takes a report into the leader's state; whether its answer should wait
     /// for the store.  `direct`: its worker sent it here.
-    pub(crate) fn take_in(&self, report: &Heartbeat, direct: bool) -> Result<bool, Response> {
+    pub(crate) fn accept_heartbeat(&self, report: &Heartbeat, direct: bool) -> Result<bool, Response> {
         let mut i = self.lock();
         let now = Instant::now();
         self.detect_stall(&mut i, now);
         match direct {
-            true => self.worker_reported(&mut i, &report.zone, now),
+            true => self.note_worker_contact(&mut i, &report.zone, now),
             // workers are heard; what reaches this controller itself only those tell
             false => i.last_heartbeat = Some(now),
         }
@@ -250,8 +250,9 @@
             // been missed; as silence is never a proof here, that is safe even
             // if they were wrong
             let fresh = self.policy.peer_limit * 3;
-            let outage = i.lease.is_some_and(|a| self.store.failing() && self.peers.outage(a.term, fresh, now))
-                && self.may_renew(&i, now);
+            let outage =
+                i.lease.is_some_and(|a| self.store.is_failing() && self.peers.confirm_outage(a.term, fresh, now))
+                    && self.may_renew(&i, now);
             if let Some(c) = i.cluster.as_mut().filter(|_| outage) {
                 if c.apply_heartbeat(report, true, now).is_some() {
                     let token = c.fencing_token_for(&report.machine);
@@ -283,7 +284,7 @@
         }
         let news = c.queue_changed;
         if news {
-            self.pass(&mut i, now);
+            self.run_pass(&mut i, now);
         }
         let Some(c) = i.cluster.as_mut() else { return Ok(false) };
         let pending = c.has_pending_start(report);
@@ -309,22 +310,22 @@
     /// here: renewals end in time for it.  Users belong to no zone: where one
     /// comes, or a probe for them, it is this controller alone that is cut off,
     /// and its zone's workers can turn to another.
-    fn alone(&self, i: &Inner, report: &Heartbeat, now: Instant) -> bool {
+    fn alone(&self, i: &ControllerState, report: &Heartbeat, now: Instant) -> bool {
         let age = |t: Instant| now.saturating_duration_since(t);
-        let state = Cut {
-            unserved: age(self.store.last_served()),
-            answers: !self.store.silent() || self.peers.reachable(self.policy.peer_limit * 3, now),
-            foreign: i.last_remote_zone_heartbeat.map(age),
-            asked: i.last_user_request.map(age),
+        let state = PartitionSuspicion {
+            since_store_answer: age(self.store.last_served()),
+            any_answer: !self.store.is_silent() || self.peers.any_reachable(self.policy.peer_limit * 3, now),
+            since_remote_zone_heartbeat: i.last_remote_zone_heartbeat.map(age),
+            since_user_request: i.last_user_request.map(age),
         };
         *report.zone == *self.config.zone
             && !self.config.peers.is_empty()
-            && state.with_its_zone(self.policy.cut_after)
+            && state.includes_own_zone(self.policy.cut_after)
             && self.may_renew(i, now)
     }
 
     /// Renews the worker's lease without leading.
-    fn keep_alive(&self, i: &Inner, report: &Heartbeat, token: u64) -> HeartbeatReply {
+    fn keep_alive(&self, i: &ControllerState, report: &Heartbeat, token: u64) -> HeartbeatReply {
         count(&self.telemetry.counters.kept_alive);
         let led = |id: &Name| i.cluster.as_ref().and_then(|c| c.jobs.get(id)).and_then(|j| j.outcome);
         lease_renewal_reply(report, token, |id| {
@@ -426,7 +427,7 @@
                     Some(LookupResult::NotFound) => return Some(Some("needs a job that was never accepted")),
                     Some(_) => {
                         // unfinished, and the watch has not shown it yet
-                        self.lookup_pause(1.0).await;
+                        self.throttle_lookup(1.0).await;
                         let path = format!("{}{id}", key::JOB);
                         let item = self.store.get(&path).await.ok()??;
                         if read_value::<JobSpec>(&path, item.value)?.shape == Shape::Service {
@@ -441,7 +442,7 @@
     }
 
     /// Stores submissions, those that wait together in one transaction.
-    pub async fn store_submissions(&self) {
+    pub async fn run_submissions(&self) {
         let queue = &self.user_requests.submissions.1;
         while let Ok(first) = queue.recv().await {
             let mut batch = vec![first];
@@ -483,7 +484,7 @@
                             }
                         }
                     }
-                    Err(Error::Refused(429)) if tries < 4 => {
+                    Err(StoreError::Refused(429)) if tries < 4 => {
                         tries += 1;
                         smol::Timer::after(Duration::from_millis(150)).await;
                     }
@@ -500,17 +501,17 @@
 
     /// A job and its end as stored, or nothing if it was never accepted.  What
     /// is over is kept for the next question; what is not comes by the watch.
-    pub(crate) async fn read_job(&self, id: &str) -> Result<Option<(OpenJob, Option<JobOutcome>)>, Error> {
+    pub(crate) async fn read_job(&self, id: &str) -> Result<Option<(OpenJob, Option<JobOutcome>)>, StoreError> {
         let (job, end) = (format!("{}{id}", key::JOB), format!("{}{id}", key::OUTCOME));
         // the end last: it may come in between
         let Some(item) = self.store.get(&job).await? else { return Ok(None) };
         let end = self.store.get(&end).await?;
-        let spec = read_value::<JobSpec>(&job, item.value).ok_or(Error::Unreadable)?;
+        let spec = read_value::<JobSpec>(&job, item.value).ok_or(StoreError::Unreadable)?;
         let open = OpenJob { spec: Arc::new(spec), revision: item.revision };
         let outcome = match end {
             None => None,
             Some(e) => {
-                Some((read_value::<OutcomeRecord>(&e.key, e.value).ok_or(Error::Unreadable)?.outcome, e.revision))
+                Some((read_value::<OutcomeRecord>(&e.key, e.value).ok_or(StoreError::Unreadable)?.outcome, e.revision))
             }
         };
         if let Some((outcome, at)) = outcome {
@@ -533,7 +534,7 @@
         timed(QUERY_LIMIT, answer.recv()).await?.ok()?
     }
 
-    pub(crate) async fn lookup_pause(&self, calls: f64) {
+    pub(crate) async fn throttle_lookup(&self, calls: f64) {
         let wait = {
             let mut b = self.user_requests.lookup_calls.lock().unwrap_or_else(|e| e.into_inner());
             b.take(calls, Instant::now())
@@ -546,7 +547,7 @@
     /// Asks the store until all of these is known; false if it can't be told now.
     async fn settle(&self, asked: &mut Lookup) -> bool {
         while let Some(txn) = asked.txn() {
-            self.lookup_pause(1.0).await;
+            self.throttle_lookup(1.0).await;
             match self.store.txn(&txn).await {
                 Ok(TxnOutcome::Done(_)) => asked.mark_settled(),
                 Ok(TxnOutcome::Conflict(keys)) if asked.apply_conflict(&keys) => {}
@@ -559,7 +560,7 @@
     /// Looks up ids that are not known here, those that wait together at once:
     /// users ask about jobs that are over for long, and about some that nobody
     /// submitted.
-    pub async fn look_up(&self) {
+    pub async fn run_lookups(&self) {
         let queue = &self.user_requests.lookups.1;
         while let Ok(first) = queue.recv().await {
             smol::Timer::after(self.policy.confirm_gap).await;
@@ -576,7 +577,7 @@
             let mut asked = Lookup::new(batch.iter().map(|(id, _)| id));
             let failed = !self.settle(&mut asked).await;
             for id in asked.ended() {
-                self.lookup_pause(2.0).await;
+                self.throttle_lookup(2.0).await;
                 let read = self.read_job(&id).await;
                 let found = match read {
                     Ok(Some((_, Some(outcome)))) => Some(LookupResult::Ended(outcome)),
@@ -600,7 +601,7 @@
     }
 
     /// Confirms that jobs have no end, those that wait together at once.
-    pub async fn confirm_open(&self) {
+    pub async fn run_confirmations(&self) {
         let queue = &self.user_requests.checks.1;
         while let Ok(first) = queue.recv().await {
             smol::Timer::after(self.policy.confirm_gap).await;
@@ -629,7 +630,7 @@
                             }
                         }
                     }
-                    Err(Error::Refused(429)) if tries < 3 => {
+                    Err(StoreError::Refused(429)) if tries < 3 => {
                         tries += 1;
                         smol::Timer::after(Duration::from_millis(100)).await;
                     }
@@ -686,7 +687,7 @@
     }
 
     /// The progress of jobs, counted lately or now: many siblings ask.
-    pub fn progress_told(&self, now: Instant) -> Vec<wire::Progress> {
+    pub fn recent_progress(&self, now: Instant) -> Vec<wire::Progress> {
         let mut told = lock(&self.peers.told_progress);
         match told.as_ref() {
             Some((at, jobs)) if now.saturating_duration_since(*at) < PROGRESS_KEPT => jobs.clone(),
@@ -829,7 +830,7 @@
     }
 
     /// Stores the cancellation of a job; what became of it.
-    async fn cancel(&self, id: &str) -> Result<JobOutcome, Error> {
+    async fn cancel(&self, id: &str) -> Result<JobOutcome, StoreError> {
         // with it as many of those that need it as fit; the leader has the rest
         let mut ends = vec![Name::from(id)];
         ends.extend(self.lock().jobs.dependents(id, self.store.most.writes.saturating_sub(1)));
@@ -845,7 +846,7 @@
                 // one of the others has ended by itself: this one alone then
                 TxnOutcome::Conflict(keys) if ends.len() > 1 && !keys.contains(&path) => ends.truncate(1),
                 // whoever loses the race says what the store says
-                TxnOutcome::Conflict(_) => return self.read_outcome(&path).await.ok_or(Error::Refused(503)),
+                TxnOutcome::Conflict(_) => return self.read_outcome(&path).await.ok_or(StoreError::Refused(503)),
             }
         }
     }
--- a/src/intake/tests.rs
+++ b/src/intake/tests.rs
@@ -9,9 +9,9 @@
 fn a_connection_that_waits_is_small() {
     let config = Config::parse("test", SETTINGS).expect("settings of the tests");
     let policy = Policy::new(&config).expect("the default policy");
-    let node = Arc::new(Node::new(config, policy, Instant::now()));
+    let node = Arc::new(Controller::new(config, policy, Instant::now()));
     let r = Request { method: String::new(), path: String::new(), query: String::new(), body: Vec::new() };
-    assert!(std::mem::size_of_val(&node.handle(r)) <= 1024);
+    assert!(std::mem::size_of_val(&node.handle_request(r)) <= 1024);
 }
 
 /// A worker that is sent on tells all the same that other zones reach this
@@ -20,9 +20,9 @@
 fn a_worker_that_is_sent_on_was_heard() {
     let config = Config::parse("test", SETTINGS).expect("settings of the tests");
     let policy = Policy::new(&config).expect("the default policy");
-    let node = Node::new(config, policy, Instant::now());
+    let node = Controller::new(config, policy, Instant::now());
     let record = crate::authority::LeaderRecord { name: "another".into(), term: 1 };
-    node.lock().leader = Some(crate::node::LeaderSeen { record, revision: 1 });
+    node.lock().leader = Some(crate::node::ObservedLeader { record, revision: 1 });
     let from = |zone: &str| http::encode(&std::collections::BTreeMap::from([("bay", zone)]));
     let own = node.config.zone.clone();
     assert_eq!(node.sends_on(&from(&own)).map(|r| r.status), Some(421));
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -10,13 +10,13 @@
 
 use futures_util::stream::StreamExt;
 
-use crate::authority::Authority;
+use crate::authority::LeaderLease;
 use crate::cluster::{Cluster, MachineLocation, PlacementShard, Rental};
 use crate::commit::{read_shard, started_jobs};
 use crate::job_index::{JobStatus, OpenJob};
 use crate::model::*;
-use crate::node::Node;
-use crate::store::{key, read_value, Error, KeyValue};
+use crate::node::Controller;
+use crate::store::{key, read_value, KeyValue, StoreError};
 use crate::wait::timed;
 
 /// What a new leader has read.
@@ -33,9 +33,13 @@
     /// Takes in what a job that pages name was read as.  A record that is
     /// missing or strange is read once a term: it will not get better, and
     /// nobody would lead for it.
-    fn read(&mut self, id: Name, job: Result<Option<(OpenJob, Option<JobOutcome>)>, Error>) -> Result<(), Error> {
+    fn read(
+        &mut self,
+        id: Name,
+        job: Result<Option<(OpenJob, Option<JobOutcome>)>, StoreError>,
+    ) -> Result<(), StoreError> {
         let job = match job {
-            Err(Error::Unreadable) => None,
+            Err(StoreError::Unreadable) => None,
             other => other?,
         };
         if job.is_none() {
@@ -45,9 +49,9 @@
         Ok(())
     }
 }
-impl Node {
+impl Controller {
     /// Leads until the term is over; the caller drops this when it is.
-    pub async fn lead(&self, a: Authority) -> &'static str {
+    pub async fn lead(&self, a: LeaderLease) -> &'static str {
         loop {
             match self.read_all(a).await {
                 Ok(()) => break,
@@ -59,21 +63,21 @@
         }
         self.placement_wake.wake();
         let work =
-            futures_lite::future::or(self.commits(a), futures_lite::future::or(self.placing(), self.commanding()));
+            futures_lite::future::or(self.run_commits(a), futures_lite::future::or(self.placing(), self.commanding()));
         let cloud = futures_lite::future::or(self.listing(a), self.cloud_work(a));
-        let chains = futures_lite::future::or(self.gate(a), self.asking());
+        let chains = futures_lite::future::or(self.run_feature_gate(a), self.run_outcome_fetches());
         let work = futures_lite::future::or(work, chains);
         futures_lite::future::or(futures_lite::future::or(work, cloud), self.watch_contact()).await
     }
 
     /// A new leader's picture: jobs from the watch, the rest from the store.
-    async fn read_all(&self, a: Authority) -> Result<(), Error> {
+    async fn read_all(&self, a: LeaderLease) -> Result<(), StoreError> {
         // the watch has to be past our own beginning, or a job named in a
         // record might still be unknown
         while self.lock().revision < a.revision {
             smol::Timer::after(Duration::from_millis(20)).await;
         }
-        let asked = timed(self.policy.renew, self.ask_all(true));
+        let asked = timed(self.policy.renew, self.poll_all_peers(true));
         let stored = futures_util::future::join(self.store.list(key::SHARD), self.store.list(key::RENTAL));
         let ((pages, rentals), _) = futures_util::future::join(stored, asked).await;
         let pages: Vec<_> = pages?.into_iter().filter_map(|i| read_shard(&i.key, &i)).collect();
@@ -103,7 +107,7 @@
     /// still have tasks somewhere.  Jobs that starts on record name and that
     /// are not in memory any more are given back to be read: without them a
     /// new leader would neither count nor stop what may run of them.
-    fn take_over(&self, a: Authority, stored: Stored, now: Instant) -> Result<(), (Stored, Vec<Name>)> {
+    fn take_over(&self, a: LeaderLease, stored: Stored, now: Instant) -> Result<(), (Stored, Vec<Name>)> {
         let mut c = Cluster::new(a.term, self.policy.clone(), self.teams(), now);
         for o in self.config.deployment.objectives.iter().filter(|o| o.kind == "wait") {
             if let (Some(class), Some(within)) = (&o.class, o.within_s) {
@@ -154,7 +158,7 @@
             }
         }
         c.collect_garbage(now);
-        c.machine_hints = self.peers.learned();
+        c.machine_hints = self.peers.machine_hints();
         let zones = self.config.peers.iter().map(|s| s.zone.as_str());
         c.zones_with_controller = zones.chain([self.config.zone.as_str()]).map(Name::from).collect();
         tracing::info!("term {}: {} jobs, {} machines on record", a.term, c.jobs.len(), c.machines.len());
--- a/src/leader/commits.rs
+++ b/src/leader/commits.rs
@@ -3,12 +3,12 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-use crate::authority::Authority;
+use crate::authority::LeaderLease;
 use crate::cluster::Cluster;
 use crate::model::*;
-use crate::node::Node;
-use crate::store::{key, read_value, Error, KeyValue, TxnOutcome};
-use crate::telemetry::{count, Timed};
+use crate::node::Controller;
+use crate::store::{key, read_value, KeyValue, StoreError, TxnOutcome};
+use crate::telemetry::{count, TimedOperation};
 
 /// Needed jobs that the store is asked about at once.
 const MOST_ASKED: usize = 10_000;
@@ -16,9 +16,9 @@
 /// So many are asked about one by one; of more the pages are read.
 const FEW_ASKED: usize = 32;
 
-impl Node {
+impl Controller {
     /// Stores what there is to store, one transaction at a time.
-    pub(super) async fn commits(&self, a: Authority) -> &'static str {
+    pub(super) async fn run_commits(&self, a: LeaderLease) -> &'static str {
         let mut most = self.store.most;
         loop {
             let batch = self.lock().cluster.as_mut().and_then(|c| c.next_commit(a.revision, &most));
@@ -29,7 +29,7 @@
             let began = Instant::now();
             let outcome = self.store.txn(&batch.txn).await;
             let now = Instant::now();
-            self.telemetry.took(Timed::Commit, now - began);
+            self.telemetry.record(TimedOperation::Commit, now - began);
             if !matches!(outcome, Ok(TxnOutcome::Done(_))) {
                 count(&self.telemetry.counters.commits_failed);
             }
@@ -69,7 +69,7 @@
                     if let Some(c) = self.lock().cluster.as_mut() {
                         c.restore_uncommitted(batch);
                     }
-                    if matches!(e, Error::Refused(400)) {
+                    if matches!(e, StoreError::Refused(400)) {
                         // larger than the service takes, whatever the settings
                         // say: the same again would be refused again
                         most = most.reduced();
@@ -84,7 +84,7 @@
     /// Asks the store after needed jobs of which nothing is known here: they
     /// ended before this controller began, or too long ago to be kept.  Only what
     /// waits for them waits meanwhile.
-    pub(super) async fn asking(&self) -> &'static str {
+    pub(super) async fn run_outcome_fetches(&self) -> &'static str {
         loop {
             let now = Instant::now();
             let ids = {
@@ -110,7 +110,7 @@
 
     /// The ends of these jobs with their stamps, as far as they have one: a few one by one, many
     /// from the pages of all ends.
-    async fn ends_of(&self, mut ids: Vec<Name>) -> Result<Vec<(Name, JobOutcome, u64)>, Error> {
+    async fn ends_of(&self, mut ids: Vec<Name>) -> Result<Vec<(Name, JobOutcome, u64)>, StoreError> {
         let read = |i: KeyValue| {
             let outcome = read_value::<OutcomeRecord>(&i.key, i.value)?.outcome;
             Some((Name::from(i.key.strip_prefix(key::OUTCOME)?), outcome, i.revision))
@@ -118,7 +118,7 @@
         let mut ends = Vec::new();
         if ids.len() <= FEW_ASKED {
             for id in ids {
-                self.lookup_pause(1.0).await;
+                self.throttle_lookup(1.0).await;
                 ends.extend(self.store.get(&format!("{}{id}", key::OUTCOME)).await?.and_then(read));
             }
             return Ok(ends);
--- a/src/leader/machines.rs
+++ b/src/leader/machines.rs
@@ -6,13 +6,13 @@
 use coralnotch_core::heartbeat_forwarding::should_forward;
 use serde::{Deserialize, Serialize};
 
-use crate::authority::Authority;
+use crate::authority::LeaderLease;
 use crate::cluster::{ListedMachine, RecordAttempt, Rental};
 use crate::fleet::FleetPlan;
 use crate::http;
 use crate::model::*;
-use crate::node::Node;
-use crate::store::{key, Error, Txn, TxnOutcome, Write};
+use crate::node::Controller;
+use crate::store::{key, StoreError, Txn, TxnOutcome, Write};
 
 #[derive(Deserialize)]
 struct Types {
@@ -38,7 +38,7 @@
 /// How long the cloud may take to answer.
 const CLOUD_LIMIT: Duration = Duration::from_secs(4);
 
-impl Node {
+impl Controller {
     /// One call to the cloud, within its limit; retries are the caller's.
     async fn cloud_call(&self, method: &str, target: &str, body: Option<&[u8]>) -> Result<(u16, Vec<u8>), http::Error> {
         let wait = self.cloud_calls.lock().unwrap_or_else(|e| e.into_inner()).take(1.0, Instant::now());
@@ -82,7 +82,7 @@
     }
 
     /// Lists machines, and types now and then.
-    pub(super) async fn listing(&self, a: Authority) -> &'static str {
+    pub(super) async fn listing(&self, a: LeaderLease) -> &'static str {
         let mut types_at: Option<Instant> = None;
         let mut stored: Option<Vec<MachineType>> = None;
         loop {
@@ -136,7 +136,7 @@
     }
 
     /// Rents and returns.
-    pub(super) async fn cloud_work(&self, a: Authority) -> &'static str {
+    pub(super) async fn cloud_work(&self, a: LeaderLease) -> &'static str {
         let mut due = Instant::now();
         loop {
             let now = Instant::now();
@@ -175,7 +175,7 @@
     /// Puts rentals on record before they are asked for: should this term end
     /// before the answer, the next leader learns of them.  One key for all that
     /// are new.  Without a record they are planned again.
-    async fn record(&self, rentals: &[Rental], a: Authority) -> bool {
+    async fn record(&self, rentals: &[Rental], a: LeaderLease) -> bool {
         let new = match self.lock().cluster.as_mut() {
             Some(c) => c.fleet.begin_recording(rentals, a.term),
             None => return false,
@@ -185,7 +185,7 @@
             let tried = match self.store.txn(&new.txn(a.revision)).await {
                 Ok(TxnOutcome::Done(_)) => RecordAttempt::Done,
                 Ok(TxnOutcome::Conflict(keys)) => RecordAttempt::Conflict(keys),
-                Err(Error::Doubt(e)) => {
+                Err(StoreError::Doubt(e)) => {
                     tracing::debug!("a record of rentals is in doubt: {e}");
                     RecordAttempt::Doubt
                 }
@@ -209,7 +209,7 @@
     }
 
     /// Removes records of which nothing is to be learned any more.
-    async fn clear_rentals(&self, a: Authority) {
+    async fn clear_rentals(&self, a: LeaderLease) {
         let most = self.store.most.writes / 2;
         let gone = {
             let i = self.lock();
@@ -228,7 +228,7 @@
         }
     }
 
-    async fn carry_out(&self, plan: FleetPlan, a: Authority) {
+    async fn carry_out(&self, plan: FleetPlan, a: LeaderLease) {
         let rentals = async {
             if self.record(&plan.rent, a).await {
                 futures_util::future::join_all(plan.rent.iter().map(|r| self.rent(r))).await;
--- a/src/leader/placing.rs
+++ b/src/leader/placing.rs
@@ -7,11 +7,11 @@
 use crate::authority::{WorkerContact, NO_WORKERS};
 use crate::cluster::{Machine, MachineState};
 use crate::http;
-use crate::node::{Inner, Node};
-use crate::telemetry::{count, Timed};
+use crate::node::{Controller, ControllerState};
+use crate::telemetry::{count, TimedOperation};
 use crate::workers::Heartbeat;
 
-impl Node {
+impl Controller {
     /// Passes over the queue: when something changed, and now and then.
     pub(super) async fn placing(&self) -> &'static str {
         loop {
@@ -20,7 +20,7 @@
             if let Some(wait) = next.and_then(|t| t.checked_duration_since(Instant::now())) {
                 smol::Timer::after(wait).await;
             }
-            self.pass(&mut self.lock(), Instant::now());
+            self.run_pass(&mut self.lock(), Instant::now());
             self.commit_wake.wake();
             self.command_wake.wake();
         }
@@ -28,19 +28,19 @@
 
     /// One pass over the queue, if this controller may act and the last one is
     /// long enough ago: passes take no more than their share of the processor.
-    pub fn pass(&self, i: &mut Inner, now: Instant) {
+    pub fn run_pass(&self, i: &mut ControllerState, now: Instant) {
         if i.next_pass_at.is_some_and(|t| now < t) || !i.is_leader(now) {
             return;
         }
         if let Some(c) = i.cluster.as_mut() {
             i.unmet_demand = c.run_placement_pass(now);
             for waited in c.placement_waits.drain(..) {
-                self.telemetry.took(Timed::Placement, waited);
+                self.telemetry.record(TimedOperation::Placement, waited);
             }
             c.collect_garbage(now);
             let took = now.elapsed();
             i.next_pass_at = Some(now + self.policy.pass_gap.max(self.rest_after(took, self.policy.pass_share)));
-            self.telemetry.took(Timed::Pass, took);
+            self.telemetry.record(TimedOperation::Pass, took);
         }
     }
 
@@ -131,10 +131,10 @@
             if last.elapsed() < self.policy.deaf {
                 continue;
             }
-            self.ask_all(false).await;
+            self.poll_all_peers(false).await;
             let now = Instant::now();
-            let answered = self.peers.reachable(self.policy.deaf_alone, now);
-            if contact.is_lost(last, self.peers.heard(), answered, &self.policy, now) {
+            let answered = self.peers.any_reachable(self.policy.deaf_alone, now);
+            if contact.is_lost(last, self.peers.last_worker_contact(), answered, &self.policy, now) {
                 return NO_WORKERS;
             }
         }
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -11,12 +11,12 @@
     let now = Instant::now();
     let config = Config::parse("test", SETTINGS).expect("settings of the tests");
     let policy = Policy::new(&config).expect("the default policy");
-    let node = Node::new(config, policy, now);
+    let node = Controller::new(config, policy, now);
     for id in ["j-000001", "j-000002", "j-000003"] {
         node.apply_watched_job(spec(id, 1), 1, now);
     }
     node.apply_stored_outcome("j-000001", JobOutcome::Cancelled, 2, now);
-    let a = Authority { term: 2, revision: 1, lease_id: 1, valid_until: now, started_at: now };
+    let a = LeaderLease { term: 2, revision: 1, lease_id: 1, valid_until: now, started_at: now };
     assert!(node.take_over(a, Stored::default(), now).is_ok());
     node.apply_stored_outcome("j-000002", JobOutcome::Cancelled, 3, now);
     node.apply_watched_job(spec("j-000004", 1), 2, now);
@@ -34,7 +34,7 @@
     let now = Instant::now();
     let config = Config::parse("test", SETTINGS).expect("settings of the tests");
     let policy = Policy::new(&config).expect("the default policy");
-    let node = Node::new(config, policy, now);
+    let node = Controller::new(config, policy, now);
     node.apply_watched_job(spec("j-000001", 1), 1, now);
     let start = |job: &str| crate::cluster::StartRecord {
         machine: "i-1".into(),
@@ -46,7 +46,7 @@
         PlacementShard { revision: 3, starts: vec![start("j-000001"), start("j-000002")], completed: Vec::new() };
     let places = HashMap::from([("i-1".into(), ("t".into(), "z0".into(), false))]);
     let stored = Stored { pages: vec![(0, page, places)], ..Stored::default() };
-    let a = Authority { term: 2, revision: 1, lease_id: 1, valid_until: now, started_at: now };
+    let a = LeaderLease { term: 2, revision: 1, lease_id: 1, valid_until: now, started_at: now };
     let Err((mut stored, missing)) = node.take_over(a, stored, now) else { panic!("it leads without knowing") };
     assert_eq!(missing, ["j-000002".into()]);
     assert!(node.lock().cluster.is_none(), "no half of a picture");
@@ -66,7 +66,7 @@
     let now = Instant::now();
     let config = Config::parse("test", SETTINGS).expect("settings of the tests");
     let policy = Policy::new(&config).expect("the default policy");
-    let node = Node::new(config, policy, now);
+    let node = Controller::new(config, policy, now);
     node.apply_watched_job(spec("j-000001", 1), 1, now);
     let starts = ["j-000001", "j-000002", "j-000003"].map(|job| crate::cluster::StartRecord {
         machine: "i-1".into(),
@@ -77,12 +77,12 @@
     let page = PlacementShard { revision: 3, starts: starts.into(), completed: Vec::new() };
     let places = HashMap::from([("i-1".into(), ("t".into(), "z0".into(), false))]);
     let stored = Stored { pages: vec![(0, page, places)], ..Stored::default() };
-    let a = Authority { term: 2, revision: 1, lease_id: 1, valid_until: now, started_at: now };
+    let a = LeaderLease { term: 2, revision: 1, lease_id: 1, valid_until: now, started_at: now };
     let Err((mut stored, missing)) = node.take_over(a, stored, now) else { panic!("it leads without asking") };
     assert_eq!(missing.len(), 2);
     // no answer at all says nothing about the record
-    assert!(stored.read("j-000002".into(), Err(Error::Refused(503))).is_err());
-    assert!(stored.read("j-000002".into(), Err(Error::Unreadable)).is_ok());
+    assert!(stored.read("j-000002".into(), Err(StoreError::Refused(503))).is_err());
+    assert!(stored.read("j-000002".into(), Err(StoreError::Unreadable)).is_ok());
     assert!(stored.read("j-000003".into(), Ok(None)).is_ok());
     assert!(node.take_over(a, stored, now).is_ok());
     let i = node.lock();
--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -6,9 +6,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::authority::{lasts_until, Authority, LeaderRecord, NO_WORKERS};
-use crate::node::Node;
-use crate::store::{key, read_value, Error, Precondition, Txn, TxnOutcome, Write};
+use crate::authority::{lease_valid_until, LeaderLease, LeaderRecord, NO_WORKERS};
+use crate::node::Controller;
+use crate::store::{key, read_value, Precondition, StoreError, Txn, TxnOutcome, Write};
 
 #[derive(Serialize, Deserialize)]
 struct TermRecord {
@@ -30,14 +30,14 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Whether this controller may act now.
     pub fn may_act(&self, now: Instant) -> bool {
         self.lock().is_leader(now)
     }
 
     /// Stands for leader whenever there is none, and leads.
-    pub async fn stand(&self) {
+    pub async fn run_elections(&self) {
         let mut stand_down: Option<StandDown> = None;
         loop {
             let free = {
@@ -51,10 +51,10 @@
                     }
             };
             if free {
-                match self.acquire().await {
+                match self.acquire_lease().await {
                     Ok(Some(a)) => {
                         self.lock().lease = Some(a);
-                        let why = futures_lite::future::or(self.keep(a), self.lead(a)).await;
+                        let why = futures_lite::future::or(self.renew_lease(a), self.lead(a)).await;
                         tracing::info!("term {} ends here: {why}", a.term);
                         {
                             let mut i = self.lock();
@@ -81,7 +81,7 @@
         }
     }
 
-    async fn acquire(&self) -> Result<Option<Authority>, Error> {
+    async fn acquire_lease(&self) -> Result<Option<LeaderLease>, StoreError> {
         let ttl = self.policy.ttl;
         let old = self.store.get(key::LEADER).await?;
         let stamp = match &old {
@@ -90,7 +90,7 @@
                 Some(r) if r.name == self.config.name => i.revision,
                 Some(record) => {
                     let mut inner = self.lock();
-                    inner.leader = Some(crate::node::LeaderSeen { record, revision: i.revision });
+                    inner.leader = Some(crate::node::ObservedLeader { record, revision: i.revision });
                     return Ok(None);
                 }
                 None => return Ok(None),
@@ -115,9 +115,9 @@
         match self.store.txn(&txn).await? {
             TxnOutcome::Done(stamp) => {
                 tracing::info!("leads from now on, term {}", record.term);
-                self.lock().leader = Some(crate::node::LeaderSeen { record: record.clone(), revision: stamp });
-                let until = lasts_until(sent, ttl, self.policy.drift);
-                Ok(Some(Authority {
+                self.lock().leader = Some(crate::node::ObservedLeader { record: record.clone(), revision: stamp });
+                let until = lease_valid_until(sent, ttl, self.policy.drift);
+                Ok(Some(LeaderLease {
                     term: record.term,
                     revision: stamp,
                     lease_id: hold,
@@ -133,7 +133,7 @@
     }
 
     /// Renews until the lease is gone or another leads.
-    async fn keep(&self, a: Authority) -> &'static str {
+    async fn renew_lease(&self, a: LeaderLease) -> &'static str {
         let limit = self.policy.renew * 2;
         // since when the lease is renewed and the watch shows too little to lead by
         let mut blind: Option<Instant> = None;
@@ -144,7 +144,7 @@
                     let now = Instant::now();
                     let mut i = self.lock();
                     if let Some(x) = i.lease.as_mut() {
-                        x.valid_until = lasts_until(sent, self.policy.ttl, self.policy.drift);
+                        x.valid_until = lease_valid_until(sent, self.policy.ttl, self.policy.drift);
                     }
                     blind = if self.may_lead(&i, now) { None } else { blind.or(Some(now)) };
                     if blind.is_some_and(|t| now.saturating_duration_since(t) > self.policy.ttl * 2) {
@@ -152,7 +152,7 @@
                     }
                     self.policy.renew
                 }
-                Err(Error::NoLease) => return "its lease is gone",
+                Err(StoreError::NoLease) => return "its lease is gone",
                 // in an outage the lease outlives it: go on asking
                 Err(e) => {
                     tracing::debug!("renewal: {e}");
--- a/src/node.rs
+++ b/src/node.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-use crate::authority::{Authority, LeaderRecord};
+use crate::authority::{LeaderLease, LeaderRecord};
 use crate::cluster::UnmetDemand;
 use crate::cluster::{Cluster, TeamLimit};
 use crate::config::Config;
@@ -15,17 +15,17 @@
 use crate::job_index::JobIndex;
 use crate::model::*;
 use crate::policy::Policy;
-use crate::queues::{Intake, ReportQueue};
+use crate::queues::{HeartbeatQueue, UserRequestQueues};
 use crate::siblings::Peers;
-use crate::store::{Budget, Store};
+use crate::store::{RateLimiter, StateStore};
 use crate::telemetry::Telemetry;
-use crate::turns::Lag;
-use crate::wait::Wake;
+use crate::turns::SchedulingDelay;
+use crate::wait::WakeUp;
 use coralnotch_core::cancellation::{may_lead, may_renew, CancellationLog, CancellationNotices, CancellationView};
 
 /// The leader as seen in the store.
 #[derive(Debug, Clone)]
-pub struct LeaderSeen {
+pub struct ObservedLeader {
     /// Who and in which term.
     pub record: LeaderRecord,
     /// Stamp of the key.
@@ -33,7 +33,7 @@
 }
 
 /// What the slices share.
-pub struct Inner {
+pub struct ControllerState {
     /// Jobs by id.
     pub jobs: JobIndex,
     /// The watch has caught up once.
@@ -57,9 +57,9 @@
     /// Stamp of the record of what is on.
     pub features_revision: u64,
     /// Who leads.
-    pub leader: Option<LeaderSeen>,
+    pub leader: Option<ObservedLeader>,
     /// Our own right to act.
-    pub lease: Option<Authority>,
+    pub lease: Option<LeaderLease>,
     /// The leader's state, once it is read.
     pub cluster: Option<Cluster>,
     /// Machine types as last seen.
@@ -74,24 +74,24 @@
     pub last_user_request: Option<Instant>,
     /// When this controller was last seen to move, and since when it has
     /// moved without a gap.
-    pub stall_detector: Option<Pulse>,
+    pub stall_detector: Option<StallDetector>,
     /// No pass over the queue before this.
     pub next_pass_at: Option<Instant>,
 }
 
 /// Tells when a controller itself stood still while its clocks ran on.
 #[derive(Debug, Clone, Copy)]
-pub struct Pulse {
+pub struct StallDetector {
     /// It was moving then.
     pub last: Instant,
     /// It has been moving without a gap since then.
     pub since: Instant,
 }
 
-impl Pulse {
+impl StallDetector {
     /// It moves at `now`; how long it stood still before, if it did.
-    pub fn tick(pulse: &mut Option<Pulse>, most: Duration, now: Instant) -> Option<Duration> {
-        let p = pulse.get_or_insert(Pulse { last: now, since: now });
+    pub fn tick(pulse: &mut Option<StallDetector>, most: Duration, now: Instant) -> Option<Duration> {
+        let p = pulse.get_or_insert(StallDetector { last: now, since: now });
         let gap = now.saturating_duration_since(p.last);
         p.last = p.last.max(now);
         (gap > most).then(|| {
@@ -101,13 +101,13 @@
     }
 }
 
-impl Inner {
+impl ControllerState {
     /// Nothing is known yet; the ledger will keep so many ended jobs, and so many
     /// withdrawals are kept to account for.
-    pub fn new(ended_kept: usize, withdrawals: usize, siblings: usize) -> Inner {
+    pub fn new(ended_kept: usize, withdrawals: usize, siblings: usize) -> ControllerState {
         // told apart from every other life of this controller
         let life = RandomState::new().build_hasher().finish();
-        Inner {
+        ControllerState {
             cancellations: CancellationLog::new(life, withdrawals),
             cancellation_view: CancellationView::default(),
             cancellation_notices: CancellationNotices::new(siblings, withdrawals),
@@ -154,30 +154,30 @@
 }
 
 /// A controller.
-pub struct Node {
+pub struct Controller {
     /// Settings.
     pub config: Config,
     /// Tunables.
     pub policy: Arc<Policy>,
     /// State service.
-    pub store: Store,
+    pub store: StateStore,
     /// Client for the cloud.
     pub cloud_client: http::Client,
     /// Calls to the cloud.
-    pub cloud_calls: Mutex<Budget>,
-    inner: Mutex<Inner>,
+    pub cloud_calls: Mutex<RateLimiter>,
+    inner: Mutex<ControllerState>,
     /// Something to place.
-    pub placement_wake: Wake,
+    pub placement_wake: WakeUp,
     /// Something to store.
-    pub commit_wake: Wake,
+    pub commit_wake: WakeUp,
     /// Needed jobs that the store has to be asked about.
-    pub outcome_fetch_wake: Wake,
+    pub outcome_fetch_wake: WakeUp,
     /// The other controllers.
     pub peers: Peers,
     /// Client for the workers.
     pub worker_client: http::Client,
     /// Something to tell workers.
-    pub command_wake: Wake,
+    pub command_wake: WakeUp,
     /// A transaction of the leader's went through.
     pub commit_done: event_listener::Event,
     /// There is a withdrawal to tell siblings of.
@@ -185,55 +185,55 @@
     /// A sibling knows of one, or the leader found nothing of it.
     pub cancellation_known: event_listener::Event,
     /// The leader changed.
-    pub election_wake: Wake,
+    pub election_wake: WakeUp,
     /// Users' requests on their way to the store.
-    pub user_requests: Intake,
+    pub user_requests: UserRequestQueues,
     /// Workers' reports on their way to the leader.
-    pub heartbeat_queue: ReportQueue,
+    pub heartbeat_queue: HeartbeatQueue,
     /// Counters and latencies.
     pub telemetry: Telemetry,
     /// How long requests wait for their turn.
-    pub scheduling_delay: Lag,
+    pub scheduling_delay: SchedulingDelay,
 }
 
-impl Node {
+impl Controller {
     /// A controller that has not started yet.
-    pub fn new(config: Config, policy: Policy, now: Instant) -> Node {
+    pub fn new(config: Config, policy: Policy, now: Instant) -> Controller {
         let most_idle = policy.direct_calls;
         let policy = Arc::new(policy);
         let rps = config.deployment.cloud.rps;
         // nobody says when the limits change: the first write keeps to the later
         let limits = &config.deployment.state.least();
-        let store = Store::new(config.services.state, limits, limits.rps * policy.read_share, now);
+        let store = StateStore::new(config.services.state, limits, limits.rps * policy.read_share, now);
         let lookups = limits.rps * policy.lookup_share;
         // no more can be stored while anybody may have to be told of them
         let withdrawals = limits.write_rps * policy.cancel.as_secs_f64();
-        Node {
-            inner: Mutex::new(Inner::new(policy.ended_kept, withdrawals.ceil() as usize, config.peers.len())),
+        Controller {
+            inner: Mutex::new(ControllerState::new(policy.ended_kept, withdrawals.ceil() as usize, config.peers.len())),
             policy,
             store,
             cloud_client: http::Client::default(),
-            cloud_calls: Mutex::new(Budget::new(rps * 0.7, rps * 1.4, now)),
-            placement_wake: Wake::default(),
-            commit_wake: Wake::default(),
-            outcome_fetch_wake: Wake::default(),
+            cloud_calls: Mutex::new(RateLimiter::new(rps * 0.7, rps * 1.4, now)),
+            placement_wake: WakeUp::default(),
+            commit_wake: WakeUp::default(),
+            outcome_fetch_wake: WakeUp::default(),
             peers: Peers::new(&config.peers),
             worker_client: http::Client::new(most_idle),
-            command_wake: Wake::default(),
+            command_wake: WakeUp::default(),
             commit_done: event_listener::Event::new(),
             cancellation_to_notify: event_listener::Event::new(),
             cancellation_known: event_listener::Event::new(),
-            election_wake: Wake::default(),
-            user_requests: Intake::new(lookups, now),
-            heartbeat_queue: ReportQueue::default(),
+            election_wake: WakeUp::default(),
+            user_requests: UserRequestQueues::new(lookups, now),
+            heartbeat_queue: HeartbeatQueue::default(),
             telemetry: Telemetry::default(),
-            scheduling_delay: Lag::default(),
+            scheduling_delay: SchedulingDelay::default(),
             config,
         }
     }
 
     /// The shared state; never held over an await.
-    pub fn lock(&self) -> MutexGuard<'_, Inner> {
+    pub fn lock(&self) -> MutexGuard<'_, ControllerState> {
         self.inner.lock().unwrap_or_else(|e| e.into_inner())
     }
 
@@ -241,11 +241,11 @@
     /// After a gap the silence was this controller's own: whatever it measures
     /// starts anew, so that nobody is taken for dead, cut off or refusing who
     /// merely was not listened to.
-    pub fn detect_stall(&self, i: &mut Inner, now: Instant) {
-        let Some(gap) = Pulse::tick(&mut i.stall_detector, self.policy.stood_still, now) else { return };
+    pub fn detect_stall(&self, i: &mut ControllerState, now: Instant) {
+        let Some(gap) = StallDetector::tick(&mut i.stall_detector, self.policy.stood_still, now) else { return };
         tracing::info!("stood still for {:.1} s: silences are measured anew", gap.as_secs_f64());
-        self.store.woke(now);
-        self.peers.woke();
+        self.store.reset_after_stall(now);
+        self.peers.reset_after_stall();
         if let Some(c) = i.cluster.as_mut() {
             c.resumed_at = now;
         }
@@ -269,24 +269,24 @@
     }
 
     /// Since when no withdrawal is missing here that a user was told of before.
-    pub fn cancellations_complete_as_of(&self, i: &Inner) -> Option<Instant> {
+    pub fn cancellations_complete_as_of(&self, i: &ControllerState) -> Option<Instant> {
         i.cancellation_view.complete_as_of(self.config.peers.iter().map(|s| s.name.as_str()))
     }
 
     /// Whether all tell users of withdrawals only when all know.  Whoever does not
     /// know that it is on has a picture older than any on which it is told.
-    pub fn notices_required(&self, i: &Inner, now: Instant) -> bool {
+    pub fn notices_required(&self, i: &ControllerState, now: Instant) -> bool {
         i.notices_enabled_at.is_some_and(|t| now.saturating_duration_since(t) >= self.policy.cancel)
     }
 
     /// Whether what is known of withdrawals is young enough to renew workers'
     /// leases, nobody else's word being had.
-    pub fn may_renew(&self, i: &Inner, now: Instant) -> bool {
+    pub fn may_renew(&self, i: &ControllerState, now: Instant) -> bool {
         may_renew(self.cancellations_complete_as_of(i), self.notices_required(i, now), &self.policy, now)
     }
 
     /// Whether this controller leads, and knows enough to go on leading.
-    pub fn may_lead(&self, i: &Inner, now: Instant) -> bool {
+    pub fn may_lead(&self, i: &ControllerState, now: Instant) -> bool {
         i.is_leader(now) && may_lead(self.cancellations_complete_as_of(i), &self.policy, now)
     }
 
@@ -315,7 +315,7 @@
         }
     }
 
-    pub(crate) fn job_opened(&self, i: &mut Inner, spec: Arc<JobSpec>, stamp: u64, now: Instant) {
+    pub(crate) fn job_opened(&self, i: &mut ControllerState, spec: Arc<JobSpec>, stamp: u64, now: Instant) {
         let Some(c) = i.cluster.as_mut() else { return };
         c.add_job(spec.clone(), stamp, None, now);
         for n in &spec.needs {
@@ -340,7 +340,7 @@
         self.job_closed(&mut i, id, outcome, now);
     }
 
-    pub(crate) fn job_closed(&self, i: &mut Inner, id: &str, outcome: JobOutcome, now: Instant) {
+    pub(crate) fn job_closed(&self, i: &mut ControllerState, id: &str, outcome: JobOutcome, now: Instant) {
         if let Some(c) = i.cluster.as_mut() {
             c.set_outcome(id, outcome, now);
             self.placement_wake.wake();
--- a/src/node/tests.rs
+++ b/src/node/tests.rs
@@ -7,10 +7,10 @@
     fn the_pulse_tells_gaps(ticks in prop::collection::vec(0u64..9000, 1..40)) {
         let (mut now, mut pulse, most) = (Instant::now(), None, Duration::from_secs(2));
         let mut since = now;
-        Pulse::tick(&mut pulse, most, now);
+        StallDetector::tick(&mut pulse, most, now);
         for t in ticks {
             now += Duration::from_millis(t);
-            let gap = Pulse::tick(&mut pulse, most, now);
+            let gap = StallDetector::tick(&mut pulse, most, now);
             prop_assert_eq!(gap.is_some(), t > 2000);
             if gap.is_some() {
                 since = now;
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -19,18 +19,18 @@
 use crate::gates;
 use crate::http::{Request, Response};
 use crate::model::JobOutcome;
-use crate::node::Node;
+use crate::node::Controller;
 use crate::siblings::wire::peer_server::{Peer, PeerServer};
-use crate::siblings::{from_wire, lock, to_wire, wire, Link, Seen, Work};
+use crate::siblings::{from_wire, lock, to_wire, wire, PeerLink, PeerStatus, Work};
 
 /// Controllers that keep what the leader learned of machines.
 const MACHINES_KEPT_BY: usize = 3;
 /// Requests of one sibling at once.
 const MOST_STREAMS: u32 = 64;
 
-impl Node {
+impl Controller {
     /// Asks one sibling how it stands.
-    async fn ask(&self, l: &Link, progress: bool) {
+    async fn poll_peer(&self, l: &PeerLink, progress: bool) {
         let limit = self.policy.peer_limit;
         let (since, (life, had)) = {
             let i = self.lock();
@@ -40,7 +40,7 @@
             without_machines: !self.keeps_machines(),
             progress,
             from: self.config.name.clone(),
-            knows: gates::known(),
+            knows: gates::supported_features(),
             withdrawn_since: since,
             withdrawn_life: life,
             withdrawn_had: had,
@@ -52,9 +52,9 @@
         if let Some(account) = s.account {
             self.accounts(&l.name, account, sent, now);
         }
-        self.shows(&l.name, s.knows, s.version, now);
+        self.record_peer_features(&l.name, s.knows, s.version, now);
         let heard = s.heard_ms.and_then(|ms| now.checked_sub(Duration::from_millis(ms)));
-        let seen = Seen { at: now, served: s.served, term: s.term, heard };
+        let seen = PeerStatus { at: now, served: s.served, term: s.term, heard };
         lock(&self.peers.seen).insert(l.name.clone(), seen);
         if progress {
             if s.leads {
@@ -96,12 +96,12 @@
 
     /// Tells the siblings of withdrawals whose users wait, each as soon as it can be
     /// reached, and asks the leader among them what is left of these.
-    pub async fn tell(&self) {
+    pub async fn run_cancellation_notices(&self) {
         let each = self.peers.links.iter().enumerate().map(|(n, l)| self.tell_one(n, l));
         futures_util::future::join_all(each).await;
     }
 
-    async fn tell_one(&self, n: usize, l: &Link) {
+    async fn tell_one(&self, n: usize, l: &PeerLink) {
         loop {
             let more = self.cancellation_to_notify.listen();
             let (known, new) = {
@@ -134,14 +134,14 @@
     }
 
     /// Follows the leader's progress, and in trouble all siblings' state.
-    pub async fn follow(&self) {
+    pub async fn run_peer_polling(&self) {
         loop {
-            let trouble = self.store.failing() || {
+            let trouble = self.store.is_failing() || {
                 // served, and yet the watch shows nothing: siblings know more
                 let i = self.lock();
                 i.synced && self.cancellations_complete_as_of(&i).is_some_and(|t| t.elapsed() > self.policy.ttl * 3)
             };
-            if self.store.silent() {
+            if self.store.is_silent() {
                 // the end of a cut has to be noticed soon
                 let _ = self.store.get(crate::store::key::LEADER).await;
             }
@@ -151,7 +151,7 @@
             };
             // until all is on everybody is asked, and so told what is here
             let asked = self.peers.links.iter().filter(|l| trouble || gated || leader.as_deref() == Some(&l.name));
-            futures_util::future::join_all(asked.map(|l| self.ask(l, leader.as_deref() == Some(&l.name)))).await;
+            futures_util::future::join_all(asked.map(|l| self.poll_peer(l, leader.as_deref() == Some(&l.name)))).await;
             let pause = if trouble { self.policy.peer_limit / 2 } else { self.policy.peer_limit * 3 };
             let pause = if gated { pause.min(self.policy.renew / 2) } else { pause };
             smol::Timer::after(pause).await;
@@ -160,18 +160,18 @@
 
     /// Asks all siblings how they stand, or also what a previous leader had learned
     /// of machines.
-    pub async fn ask_all(&self, learned: bool) {
-        futures_util::future::join_all(self.peers.links.iter().map(|l| self.ask(l, learned))).await;
+    pub async fn poll_all_peers(&self, learned: bool) {
+        futures_util::future::join_all(self.peers.links.iter().map(|l| self.poll_peer(l, learned))).await;
     }
 
     /// Has a sibling answer a user's request.
-    pub async fn relay(&self, r: &Request) -> Option<Response> {
+    pub async fn relay_to_peer(&self, r: &Request) -> Option<Response> {
         let now = Instant::now();
         let fresh = self.policy.peer_limit * 3;
         // those that said they are served first, those that are not never
-        let mut order: Vec<(bool, &Link)> = {
+        let mut order: Vec<(bool, &PeerLink)> = {
             let seen = lock(&self.peers.seen);
-            let state = |l: &Link| seen.get(&l.name).filter(|s| now.duration_since(s.at) < fresh).map(|s| s.served);
+            let state = |l: &PeerLink| seen.get(&l.name).filter(|s| now.duration_since(s.at) < fresh).map(|s| s.served);
             self.peers.links.iter().filter(|l| state(l) != Some(false)).map(|l| (state(l).is_none(), l)).collect()
         };
         order.sort_by_key(|o| o.0);
@@ -188,7 +188,7 @@
     }
 
     /// Runs what the links need, for as long as the controller runs.
-    pub async fn peer_work(self: Arc<Self>, spawn: impl Fn(Work)) {
+    pub async fn run_peer_connections(self: Arc<Self>, spawn: impl Fn(Work)) {
         while let Ok(work) = self.peers.work.recv().await {
             spawn(work);
         }
@@ -224,7 +224,7 @@
 }
 
 /// The serving side.
-struct PeerService(Arc<Node>);
+struct PeerService(Arc<Controller>);
 
 #[tonic::async_trait]
 impl Peer for PeerService {
@@ -234,7 +234,10 @@
     ) -> Result<tonic::Response<wire::RelayResponse>, tonic::Status> {
         let r = r.into_inner();
         // answered here or not at all: a relayed request is not relayed again
-        let a = self.0.user(&Request { method: r.method, path: r.path, query: String::new(), body: r.body }).await;
+        let a = self
+            .0
+            .handle_user_request(&Request { method: r.method, path: r.path, query: String::new(), body: r.body })
+            .await;
         Ok(tonic::Response::new(wire::RelayResponse {
             status: a.status.into(),
             body: a.body,
@@ -246,7 +249,7 @@
         &self,
         r: tonic::Request<wire::ReportBatch>,
     ) -> Result<tonic::Response<wire::ReportAnswers>, tonic::Status> {
-        Ok(tonic::Response::new(self.0.take_batch(r.into_inner()).await))
+        Ok(tonic::Response::new(self.0.accept_batch(r.into_inner()).await))
     }
 
     async fn tell(
@@ -270,12 +273,12 @@
         let (progress, now) = (r.progress, Instant::now());
         let account = self.0.account(&r);
         if !r.from.is_empty() {
-            self.0.shows(&r.from, r.knows.clone(), String::new(), now);
+            self.0.record_peer_features(&r.from, r.knows.clone(), String::new(), now);
         }
         if progress && !r.from.is_empty() {
             lock(&self.0.peers.asked).insert(r.from.clone(), now);
         }
-        let jobs = if progress { self.0.progress_told(now) } else { Vec::new() };
+        let jobs = if progress { self.0.recent_progress(now) } else { Vec::new() };
         let (machines, images) = match progress && !r.without_machines {
             false => Default::default(),
             true => match self.0.lock().cluster.as_ref() {
@@ -299,13 +302,13 @@
             },
         };
         let leads = self.0.may_act(Instant::now());
-        let served = !self.0.store.failing();
+        let served = !self.0.store.is_failing();
         let (term, heard, spread) = {
             let i = self.0.lock();
             (i.leader.as_ref().map_or(0, |l| l.record.term), i.last_heartbeat, i.forwarding_requested)
         };
         let heard_ms = heard.map(|t| t.elapsed().as_millis() as u64);
-        let (knows, version) = (gates::known(), gates::VERSION.to_owned());
+        let (knows, version) = (gates::supported_features(), gates::VERSION.to_owned());
         let spread = spread && leads;
         let s = wire::StatusResponse {
             served,
--- a/src/queues.rs
+++ b/src/queues.rs
@@ -9,36 +9,36 @@
 
 use crate::http::Response;
 use crate::model::*;
-use crate::store::Budget;
+use crate::store::RateLimiter;
 use crate::workers::Heartbeat;
 
 pub(crate) type ReplySender<T> = smol::channel::Sender<T>;
 pub(crate) type Queue<T> = (smol::channel::Sender<T>, smol::channel::Receiver<T>);
 
 /// Users' requests on their way to the store, gathered into transactions.
-pub struct Intake {
+pub struct UserRequestQueues {
     /// Submissions, and whether each ends with a cancelled job that it needs.
     pub(crate) submissions: Queue<(Arc<JobSpec>, bool, ReplySender<StoreResult>)>,
     pub(crate) checks: Queue<(Name, ReplySender<Option<Option<JobOutcome>>>)>,
     /// Ids that are not known here.
     pub(crate) lookups: Queue<(Name, ReplySender<Option<LookupResult>>)>,
     /// Requests to the store for these.
-    pub(crate) lookup_calls: Mutex<Budget>,
+    pub(crate) lookup_calls: Mutex<RateLimiter>,
 }
 
 /// Requests that may wait for the store at once; more are refused.
 const MOST_WAITING: usize = 512;
 
-impl Intake {
+impl UserRequestQueues {
     /// Queues of nothing.  Queries for unknown ids may take so many requests a
     /// second; no more of them wait than a second serves, the rest is refused.
-    pub fn new(lookup_rate: f64, now: Instant) -> Intake {
+    pub fn new(lookup_rate: f64, now: Instant) -> UserRequestQueues {
         let most = (lookup_rate as usize).clamp(1, MOST_WAITING);
-        Intake {
+        UserRequestQueues {
             submissions: smol::channel::bounded(MOST_WAITING),
             checks: smol::channel::bounded(MOST_WAITING),
             lookups: smol::channel::bounded(most),
-            lookup_calls: Mutex::new(Budget::new(lookup_rate, lookup_rate, now)),
+            lookup_calls: Mutex::new(RateLimiter::new(lookup_rate, lookup_rate, now)),
         }
     }
 }
@@ -57,16 +57,16 @@
 }
 
 /// The reports that wait to be forwarded, and what the leader took of earlier ones.
-pub struct ReportQueue {
+pub struct HeartbeatQueue {
     pub(crate) waiting: Queue<WaitingReport>,
     pub(crate) forwarding: Mutex<HeartbeatForwarding>,
     /// The leader did not answer then: reports are dealt with here for a while.
     pub(crate) failed: Mutex<Option<Instant>>,
 }
 
-impl Default for ReportQueue {
-    fn default() -> ReportQueue {
-        ReportQueue {
+impl Default for HeartbeatQueue {
+    fn default() -> HeartbeatQueue {
+        HeartbeatQueue {
             waiting: smol::channel::bounded(MOST_REPORTS),
             forwarding: Mutex::default(),
             failed: Mutex::default(),
--- a/src/reports.rs
+++ b/src/reports.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::http::{self, Response};
-use crate::node::Node;
+use crate::node::Controller;
 use crate::queues::WaitingReport;
 use crate::siblings::{lock, wire};
 use crate::telemetry::count;
@@ -42,16 +42,16 @@
     Failed,
 }
 
-impl Node {
+impl Controller {
     /// Forwards a report and gives the leader's answer; `None`: this controller has to see to it
     /// itself.
-    pub(crate) async fn forward(&self, body: &[u8]) -> Option<Response> {
+    pub(crate) async fn forward_heartbeat(&self, body: &[u8]) -> Option<Response> {
         let report: Heartbeat = http::decode(body).ok()?;
         {
             let now = Instant::now();
             let mut i = self.lock();
             self.detect_stall(&mut i, now);
-            self.worker_reported(&mut i, &report.zone, now);
+            self.note_worker_contact(&mut i, &report.zone, now);
         }
         let (reply, answer) = smol::channel::bounded(1);
         let until = Instant::now() + ANSWER_LIMIT;
@@ -68,7 +68,7 @@
     }
 
     /// Whether reports go to the leader by way of this controller now.
-    pub(crate) fn forwards(&self, now: Instant) -> bool {
+    pub(crate) fn may_forward(&self, now: Instant) -> bool {
         let failed = *lock(&self.heartbeat_queue.failed);
         if failed.is_some_and(|t| now.saturating_duration_since(t) < self.policy.peer_limit) {
             return false;
@@ -79,7 +79,7 @@
     }
 
     /// Forwards what waits, for as long as the controller runs.
-    pub async fn forward_reports(&self) {
+    pub async fn run_heartbeat_forwarding(&self) {
         let gathers = smol::lock::Mutex::new(());
         futures_util::future::join_all((0..CALLS_MOST).map(|_| self.forward_batches(&gathers))).await;
     }
@@ -191,7 +191,7 @@
     }
 
     /// Takes a batch of reports in, and answers each; none if this controller does not lead.
-    pub(crate) async fn take_batch(&self, batch: wire::ReportBatch) -> wire::ReportAnswers {
+    pub(crate) async fn accept_batch(&self, batch: wire::ReportBatch) -> wire::ReportAnswers {
         let term = {
             let i = self.lock();
             // one that still reads the store is waited for
@@ -205,7 +205,7 @@
             Taken::In { report, pending: true } => Some(report),
             _ => None,
         });
-        self.await_commit(&pending.collect::<Vec<_>>()).await;
+        self.wait_for_commit(&pending.collect::<Vec<_>>()).await;
         let answers = taken.into_iter().map(|t| self.answer_one(t)).collect();
         wire::ReportAnswers { term, answers }
     }
@@ -220,7 +220,7 @@
             Ok(report) => report,
             Err(e) => return Taken::Answered(to_answer(&Response::refuse(400, &e.to_string()))),
         };
-        match self.take_in(&report, false) {
+        match self.accept_heartbeat(&report, false) {
             Ok(pending) => Taken::In { report, pending },
             Err(response) => Taken::Answered(to_answer(&response)),
         }
@@ -253,13 +253,13 @@
     fn answer_one(&self, taken: Taken) -> wire::ReportAnswer {
         match taken {
             Taken::Answered(a) => a,
-            Taken::In { report, .. } => to_answer(&self.answer(&report)),
+            Taken::In { report, .. } => to_answer(&self.reply_to_heartbeat(&report)),
         }
     }
 
     /// The controller that takes a worker's reports for the leader, if there is one: only one
     /// that has lately reached this leader.
-    pub(crate) fn sends_out(&self, machine: &str, zone: &str, now: Instant) -> Option<Response> {
+    pub(crate) fn redirect_to_forwarder(&self, machine: &str, zone: &str, now: Instant) -> Option<Response> {
         if !self.lock().forwards_heartbeats() {
             return None;
         }
--- a/src/reports/tests.rs
+++ b/src/reports/tests.rs
@@ -1,28 +1,28 @@
 use super::*;
-use crate::authority::{Authority, LeaderRecord};
+use crate::authority::{LeaderLease, LeaderRecord};
 use crate::cluster::Cluster;
 use crate::config::Config;
-use crate::node::LeaderSeen;
+use crate::node::ObservedLeader;
 use crate::policy::Policy;
 use coralnotch_policy::example::SETTINGS;
 
 const TERM: u64 = 3;
 
-fn node() -> Node {
+fn node() -> Controller {
     let sibling = "[[siblings]]\nhost_name = \"b\"\ndomain = \"z1\"\naddr = \"127.0.0.1:5\"\n[services]";
     let settings = SETTINGS.replace("[services]", sibling);
     let config = Config::parse("test", &settings).expect("settings of the tests");
     let policy = Policy::new(&config).expect("the default policy");
-    Node::new(config, policy, Instant::now())
+    Controller::new(config, policy, Instant::now())
 }
 
 /// A controller that leads, and has all others forward reports.
-fn leader() -> Node {
+fn leader() -> Controller {
     let (n, now) = (node(), Instant::now());
     {
         let mut i = n.lock();
         let until = now + Duration::from_secs(60);
-        i.lease = Some(Authority { term: TERM, revision: 1, lease_id: 1, valid_until: until, started_at: now });
+        i.lease = Some(LeaderLease { term: TERM, revision: 1, lease_id: 1, valid_until: until, started_at: now });
         i.cluster = Some(Cluster::new(TERM, n.policy.clone(), n.teams(), now));
         i.cancellation_view.watch_answered(now);
         (i.forwarding_enabled, i.forwarding_requested) = (true, true);
@@ -67,11 +67,11 @@
     let other = Heartbeat { machine: "i-000002".into(), ..report(5, 0) };
     let reports =
         vec![full(&report(1, 0)), repeats(&other, 4), wire::Report { full: vec![0x90], ..Default::default() }];
-    let a = smol::block_on(n.take_batch(batch(TERM, reports)));
+    let a = smol::block_on(n.accept_batch(batch(TERM, reports)));
     assert_eq!((a.term, a.answers.iter().map(|a| a.status).collect::<Vec<_>>()), (TERM, vec![200, 0, 400]));
     let first: HeartbeatReply = http::decode(&a.answers[0].body).expect("an answer to a worker");
     assert_eq!((first.fencing_token, first.commands.len()), (token, 0));
-    let a = smol::block_on(n.take_batch(batch(TERM, vec![repeats(&report(2, 0), 1), repeats(&report(2, 0), 1)])));
+    let a = smol::block_on(n.accept_batch(batch(TERM, vec![repeats(&report(2, 0), 1), repeats(&report(2, 0), 1)])));
     let short = wire::ReportAnswer { status: 200, body: vec![], token };
     assert_eq!(a.answers, [short, wire::ReportAnswer::default()], "the second comes too late");
     assert!(
@@ -85,22 +85,22 @@
 fn only_the_leader_of_the_term_answers() {
     let n = leader();
     for term in [TERM - 1, TERM + 1] {
-        let a = smol::block_on(n.take_batch(batch(term, vec![full(&report(1, 0))])));
+        let a = smol::block_on(n.accept_batch(batch(term, vec![full(&report(1, 0))])));
         assert!(a.answers.is_empty(), "term {term}");
     }
-    let a = smol::block_on(n.take_batch(batch(TERM, vec![full(&report(1, 0))])));
+    let a = smol::block_on(n.accept_batch(batch(TERM, vec![full(&report(1, 0))])));
     assert_eq!(a.answers[0].status, 200);
     if let Some(a) = n.lock().lease.as_mut() {
         a.valid_until = Instant::now();
     }
     let reports = vec![full(&report(2, 0)), repeats(&report(3, 0), 1)];
-    let a = smol::block_on(n.take_batch(batch(TERM, reports)));
+    let a = smol::block_on(n.accept_batch(batch(TERM, reports)));
     assert!(a.answers.iter().all(|a| a.status != 200), "{:?}", a.answers);
-    let a = smol::block_on(node().take_batch(batch(TERM, vec![full(&report(1, 0))])));
+    let a = smol::block_on(node().accept_batch(batch(TERM, vec![full(&report(1, 0))])));
     assert!(a.answers.is_empty(), "it never led");
     let reading = leader();
     reading.lock().cluster = None;
-    let a = smol::block_on(reading.take_batch(batch(TERM, vec![full(&report(1, 0))])));
+    let a = smol::block_on(reading.accept_batch(batch(TERM, vec![full(&report(1, 0))])));
     assert!(a.answers.is_empty(), "it has not read the store yet, and is asked again");
 }
 
@@ -109,7 +109,7 @@
 #[test]
 fn workers_are_sent_to_whoever_reaches_the_leader() {
     let (n, now) = (leader(), Instant::now());
-    let to = |n: &Node, at: Instant| n.sends_out("i-000001", "a", at).map(|r| (r.status, r.body));
+    let to = |n: &Controller, at: Instant| n.redirect_to_forwarder("i-000001", "a", at).map(|r| (r.status, r.body));
     assert!(to(&n, now).is_none(), "nobody has asked");
     let name = n.config.peers[0].name.clone();
     lock(&n.peers.asked).insert(name.clone(), now);
@@ -132,14 +132,14 @@
     let record = LeaderRecord { name: "another".into(), term: TERM };
     {
         let mut i = n.lock();
-        i.leader = Some(LeaderSeen { record, revision: 1 });
+        i.leader = Some(ObservedLeader { record, revision: 1 });
         (i.forwarding_enabled, i.forwarding_requested) = (true, true);
     }
-    assert!(n.forwards(now));
+    assert!(n.may_forward(now));
     *lock(&n.heartbeat_queue.failed) = Some(now);
-    assert!(!n.forwards(now));
-    assert!(n.forwards(now + n.policy.peer_limit));
+    assert!(!n.may_forward(now));
+    assert!(n.may_forward(now + n.policy.peer_limit));
     n.lock().forwarding_requested = false;
-    assert!(!n.forwards(now + n.policy.peer_limit));
-    assert!(!leader().forwards(now), "it leads itself");
+    assert!(!n.may_forward(now + n.policy.peer_limit));
+    assert!(!leader().may_forward(now), "it leads itself");
 }
--- a/src/run.rs
+++ b/src/run.rs
@@ -8,13 +8,13 @@
 
 use crate::config::Config;
 use crate::http::{serve, ServerLimits};
-use crate::node::Node;
+use crate::node::Controller;
 use crate::policy::Policy;
-use crate::turns::Turns;
+use crate::turns::PriorityExecutor;
 
 /// Runs a controller on this thread.
 pub fn run(config: Config, policy: Policy) -> std::io::Result<()> {
-    let turns = Turns::default();
+    let turns = PriorityExecutor::default();
     // sockets are left for the state service, the cloud and siblings, and for
     // direct commands to workers
     let most = config.deployment.quota.fd_limit;
@@ -28,39 +28,39 @@
         answer: Duration::from_secs(5),
     };
     let (bind, peer_bind) = (config.bind, config.peer_bind);
-    let node = Arc::new(Node::new(config, policy, Instant::now()));
+    let node = Arc::new(Controller::new(config, policy, Instant::now()));
     let requests = turns.requests.clone();
     smol::block_on(turns.clone().run(async {
         let listener = TcpListener::bind(bind).await?;
         tracing::info!("{} listens on {bind}", node.config.name);
         let peers = TcpListener::bind(peer_bind).await?;
-        turns.duty(node.clone().serve_peers(peers));
-        let (n, e) = (node.clone(), turns.duties.clone());
-        turns.duty(async move { n.peer_work(|w| e.spawn(w).detach()).await });
+        turns.spawn_control(node.clone().serve_peers(peers));
+        let (n, e) = (node.clone(), turns.control.clone());
+        turns.spawn_control(async move { n.run_peer_connections(|w| e.spawn(w).detach()).await });
         let n = node.clone();
-        turns.duty(async move { n.follow().await });
+        turns.spawn_control(async move { n.run_peer_polling().await });
         let n = node.clone();
-        turns.duty(async move { n.tell().await });
+        turns.spawn_control(async move { n.run_cancellation_notices().await });
         let n = node.clone();
-        turns.duty(async move { n.show().await });
+        turns.spawn_control(async move { n.publish_features().await });
         let n = node.clone();
-        turns.duty(async move { n.run_stall_detector().await });
+        turns.spawn_control(async move { n.run_stall_detector().await });
         let n = node.clone();
-        let watch = turns.duties.spawn(async move { n.watch().await });
+        let watch = turns.control.spawn(async move { n.run_watch().await });
         let n = node.clone();
-        turns.duty(async move { n.stand().await });
+        turns.spawn_control(async move { n.run_elections().await });
         let n = node.clone();
-        turns.duty(async move { n.store_submissions().await });
+        turns.spawn_control(async move { n.run_submissions().await });
         let n = node.clone();
-        turns.duty(async move { n.confirm_open().await });
+        turns.spawn_control(async move { n.run_confirmations().await });
         let n = node.clone();
-        turns.duty(async move { n.look_up().await });
+        turns.spawn_control(async move { n.run_lookups().await });
         let n = node.clone();
-        turns.duty(async move { n.forward_reports().await });
-        turns.duty(node.clone().types_at_start());
+        turns.spawn_control(async move { n.run_heartbeat_forwarding().await });
+        turns.spawn_control(node.clone().types_at_start());
         let n = node.clone();
         requests.spawn(async move { n.scheduling_delay.measure(n.policy.pass_gap * 2).await }).detach();
-        let handler = Rc::new(move |r| node.clone().handle(r));
+        let handler = Rc::new(move |r| node.clone().handle_request(r));
         let serving = serve(requests.clone(), listener, limits, handler);
         let served = requests.spawn(async move {
             serving.await;
--- a/src/siblings.rs
+++ b/src/siblings.rs
@@ -54,7 +54,7 @@
 
 /// How a sibling stood when it last answered.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen {
+pub struct PeerStatus {
     pub(crate) at: Instant,
     pub(crate) served: bool,
     pub(crate) term: u64,
@@ -62,7 +62,7 @@
     pub(crate) heard: Option<Instant>,
 }
 
-pub(crate) struct Link {
+pub(crate) struct PeerLink {
     pub(crate) name: String,
     addr: SocketAddr,
     open: Mutex<Option<SendRequest<Body>>>,
@@ -70,8 +70,8 @@
 
 /// The siblings.
 pub struct Peers {
-    pub(crate) links: Vec<Link>,
-    pub(crate) seen: Mutex<HashMap<String, Seen>>,
+    pub(crate) links: Vec<PeerLink>,
+    pub(crate) seen: Mutex<HashMap<String, PeerStatus>>,
     /// Progress of jobs as the leader last told.
     pub(crate) progress: Mutex<HashMap<crate::model::Name, (u32, u32)>>,
     /// When each sibling last asked this controller for the progress of jobs.
@@ -160,7 +160,7 @@
     /// The siblings of the settings.
     pub fn new(siblings: &[crate::config::Peer]) -> Peers {
         let (s, work) = smol::channel::bounded(MOST_WORK);
-        let link = |s: &crate::config::Peer| Link { name: s.name.clone(), addr: s.addr, open: Mutex::default() };
+        let link = |s: &crate::config::Peer| PeerLink { name: s.name.clone(), addr: s.addr, open: Mutex::default() };
         Peers {
             links: siblings.iter().map(link).collect(),
             seen: Mutex::default(),
@@ -174,7 +174,7 @@
         }
     }
 
-    async fn client(&self, l: &Link) -> Option<PeerClient<Channel>> {
+    async fn client(&self, l: &PeerLink) -> Option<PeerClient<Channel>> {
         let open = lock(&l.open).clone().filter(|s| !s.is_closed());
         let send = match open {
             Some(s) => s,
@@ -201,7 +201,7 @@
     /// One call; a link that fails is opened anew the next time.
     pub(crate) async fn call<T, F>(
         &self,
-        l: &Link,
+        l: &PeerLink,
         limit: Duration,
         work: impl FnOnce(PeerClient<Channel>) -> F,
     ) -> Option<T>
@@ -226,30 +226,30 @@
     }
 
     /// What the leader had learned of machines, as it last told.
-    pub fn learned(&self) -> HashMap<Name, MachineHints> {
+    pub fn machine_hints(&self) -> HashMap<Name, MachineHints> {
         lock(&self.learned).clone()
     }
 
     /// Whether siblings answered lately, all of them refused by the state
     /// service and none of a later term: an outage, not our own trouble.
-    pub fn outage(&self, term: u64, fresh: Duration, now: Instant) -> bool {
+    pub fn confirm_outage(&self, term: u64, fresh: Duration, now: Instant) -> bool {
         let seen = lock(&self.seen);
         let mut lately = seen.values().filter(|s| now.duration_since(s.at) < fresh).peekable();
         lately.peek().is_some() && lately.all(|s| !s.served && s.term <= term)
     }
 
     /// This controller stood still: what it knew of the siblings is old.
-    pub fn woke(&self) {
+    pub fn reset_after_stall(&self) {
         lock(&self.seen).clear();
     }
 
     /// When a worker last reported to any sibling, as far as they told.
-    pub fn heard(&self) -> Option<Instant> {
+    pub fn last_worker_contact(&self) -> Option<Instant> {
         lock(&self.seen).values().filter_map(|s| s.heard).max()
     }
 
     /// Whether there are siblings, and some answered lately.
-    pub fn reachable(&self, fresh: Duration, now: Instant) -> bool {
+    pub fn any_reachable(&self, fresh: Duration, now: Instant) -> bool {
         lock(&self.seen).values().any(|s| now.duration_since(s.at) < fresh)
     }
 }
--- a/src/status.rs
+++ b/src/status.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use crate::cluster::Machine;
-use crate::node::Node;
-use crate::telemetry::{Figures, Status, Waiting};
+use crate::node::Controller;
+use crate::telemetry::{LeaderStatus, Status, Waiting};
 
 /// Most waiting jobs that a status names.
 const MOST_NAMED: usize = 12;
@@ -22,13 +22,13 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// What operators ask for.
     pub fn status(&self, now: Instant) -> Status {
         let i = self.lock();
         let leading = i.cluster.as_ref().filter(|_| i.is_leader(now)).map(|c| {
             let since = |t: Instant| now.duration_since(t).as_secs_f64();
-            let mut f = Figures {
+            let mut f = LeaderStatus {
                 term: c.term,
                 since_s: since(c.term_started_at),
                 cut: c.fleet.partitioned_zones.iter().cloned().collect(),
@@ -36,7 +36,7 @@
                 pages: c.shards.len(),
                 held: c.dependency.len(),
                 rentals: c.fleet.open_rentals.len(),
-                ..Figures::default()
+                ..LeaderStatus::default()
             };
             for m in c.machines.values().filter(|m| m.removed_at.is_none()) {
                 let state = state_of(m, self.policy.fresh, now);
@@ -76,12 +76,12 @@
             name: self.config.name.clone(),
             version: env!("CARGO_PKG_VERSION").into(),
             leader: i.leader.as_ref().map(|l| l.record.name.clone()),
-            served: !self.store.failing(),
+            served: !self.store.is_failing(),
             known_jobs: i.jobs.len(),
             ended_jobs: i.jobs.ended(),
             leading,
             chains: i.dependencies_enabled,
-            versions: self.versions(),
+            versions: self.peer_versions(),
             counters: counters.iter().map(|(n, c)| ((*n).to_owned(), c.load(Ordering::Relaxed))).collect(),
             latencies: self.telemetry.latencies(),
         }
--- a/src/store.rs
+++ b/src/store.rs
@@ -47,7 +47,7 @@
 
 /// Why the state service did not do it.
 #[derive(Debug, thiserror::Error)]
-pub enum Error {
+pub enum StoreError {
     /// No answer: it may have been, or may still be, carried out.
     #[error("in doubt: {0}")]
     Doubt(#[from] http::Error),
@@ -76,17 +76,17 @@
 
 /// A budget of calls a second, with a burst.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RateLimiter {
     rate: f64,
     burst: f64,
     have: f64,
     at: Instant,
 }
 
-impl Budget {
+impl RateLimiter {
     /// A full budget.
-    pub fn new(rate: f64, burst: f64, now: Instant) -> Budget {
-        Budget { rate, burst, have: burst, at: now }
+    pub fn new(rate: f64, burst: f64, now: Instant) -> RateLimiter {
+        RateLimiter { rate, burst, have: burst, at: now }
     }
     /// Takes `n`, going into debt if need be; how long to wait first.
     pub fn take(&mut self, n: f64, now: Instant) -> Duration {
@@ -102,12 +102,12 @@
 }
 
 /// The client.
-pub struct Store {
+pub struct StateStore {
     addr: SocketAddr,
     http: http::Client,
-    calls: Mutex<Budget>,
-    writes: Mutex<Budget>,
-    reads: Mutex<Budget>,
+    calls: Mutex<RateLimiter>,
+    writes: Mutex<RateLimiter>,
+    reads: Mutex<RateLimiter>,
     /// What one transaction may hold.
     pub most: TxnLimits,
     last_served: Mutex<Instant>,
@@ -125,21 +125,21 @@
 /// How long an ordinary request may take.
 const LIMIT: Duration = Duration::from_millis(1500);
 
-impl Store {
+impl StateStore {
     /// A client that keeps to this controller's share of the limits.  Reads of
     /// many pages keep to `read_rate` requests a second: however long they are,
     /// they leave room for renewals and transactions, here and elsewhere.
-    pub fn new(addr: SocketAddr, limits: &Limits, read_rate: f64, now: Instant) -> Store {
+    pub fn new(addr: SocketAddr, limits: &Limits, read_rate: f64, now: Instant) -> StateStore {
         // the leader writes most, and only one controller leads: each may use
         // a bit over half, and the service's 429 settles the rest
         let (calls, writes) = (limits.rps * 0.5, limits.write_rps * 0.55);
         let most_writes = limits.txn_ops.min((writes as usize).max(1));
-        Store {
+        StateStore {
             addr,
             http: http::Client::default(),
-            calls: Mutex::new(Budget::new(calls, calls, now)),
-            writes: Mutex::new(Budget::new(writes, writes, now)),
-            reads: Mutex::new(Budget::new(read_rate, read_rate, now)),
+            calls: Mutex::new(RateLimiter::new(calls, calls, now)),
+            writes: Mutex::new(RateLimiter::new(writes, writes, now)),
+            reads: Mutex::new(RateLimiter::new(read_rate, read_rate, now)),
             most: TxnLimits {
                 writes: most_writes,
                 preconditions: limits.txn_ops * 4,
@@ -164,18 +164,18 @@
     }
 
     /// Whether the last request was refused or got no answer.
-    pub fn failing(&self) -> bool {
+    pub fn is_failing(&self) -> bool {
         self.failing.load(Ordering::Relaxed)
     }
 
     /// Whether the last request got no answer at all, not even a refusal.
-    pub fn silent(&self) -> bool {
+    pub fn is_silent(&self) -> bool {
         self.silent.load(Ordering::Relaxed)
     }
 
     /// This controller stood still: that nothing was carried out meanwhile says
     /// nothing of the service.
-    pub fn woke(&self, now: Instant) {
+    pub fn reset_after_stall(&self, now: Instant) {
         *self.last_served.lock().unwrap_or_else(|e| e.into_inner()) = now;
         self.failing.store(false, Ordering::Relaxed);
         self.silent.store(false, Ordering::Relaxed);
@@ -192,7 +192,7 @@
         target: &str,
         body: Option<&[u8]>,
         limit: Duration,
-    ) -> Result<(u16, Vec<u8>), Error> {
+    ) -> Result<(u16, Vec<u8>), StoreError> {
         let began = Instant::now();
         let sent = self.http.send(self.addr, method, target, body, limit).await;
         // a deadline that passed long ago passed while this controller stood
@@ -204,7 +204,7 @@
         }
         let (status, body) = sent?;
         match status {
-            429 | 500.. => Err(Error::Refused(status)),
+            429 | 500.. => Err(StoreError::Refused(status)),
             _ => {
                 *self.last_served.lock().unwrap_or_else(|e| e.into_inner()) = Instant::now();
                 Ok((status, body))
@@ -213,42 +213,42 @@
     }
 
     /// One transaction, once.
-    pub async fn txn(&self, txn: &Txn) -> Result<TxnOutcome, Error> {
+    pub async fn txn(&self, txn: &Txn) -> Result<TxnOutcome, StoreError> {
         self.pace(txn.writes.len()).await;
         let (status, body) = self.call("POST", "/txn", Some(&http::encode(txn)), LIMIT).await?;
         match status {
             200 => Ok(TxnOutcome::Done(http::decode::<Epoch>(&body)?.epoch)),
             409 => Ok(TxnOutcome::Conflict(http::decode::<Failed>(&body)?.failed)),
-            400 if String::from_utf8_lossy(&body).contains("no such lease") => Err(Error::NoLease),
+            400 if String::from_utf8_lossy(&body).contains("no such lease") => Err(StoreError::NoLease),
             s => {
                 tracing::error!("state service answers {s} to a transaction of {} writes", txn.writes.len());
-                Err(Error::Refused(s))
+                Err(StoreError::Refused(s))
             }
         }
     }
 
     /// One key.
-    pub async fn get(&self, path: &str) -> Result<Option<KeyValue>, Error> {
+    pub async fn get(&self, path: &str) -> Result<Option<KeyValue>, StoreError> {
         self.pace(0).await;
         match self.call("GET", &format!("/kv/{path}"), None, LIMIT).await? {
             (200, body) => Ok(Some(http::decode(&body)?)),
             (404, _) => Ok(None),
-            (s, _) => Err(Error::Refused(s)),
+            (s, _) => Err(StoreError::Refused(s)),
         }
     }
 
     /// Whether there are keys with a prefix.
-    pub async fn any(&self, prefix: &str) -> Result<bool, Error> {
+    pub async fn has_keys(&self, prefix: &str) -> Result<bool, StoreError> {
         self.pace(0).await;
         match self.call("GET", &format!("/kv?under={prefix}&page=1"), None, LIMIT).await? {
             (200, body) => Ok(!http::decode::<KeyPage>(&body)?.items.is_empty()),
-            (s, _) => Err(Error::Refused(s)),
+            (s, _) => Err(StoreError::Refused(s)),
         }
     }
 
     /// Some keys with a prefix, after one of them or from the first, within the
     /// rate for reads of many pages.
-    pub async fn page(&self, prefix: &str, since: &str) -> Result<KeyPage, Error> {
+    pub async fn page(&self, prefix: &str, since: &str) -> Result<KeyPage, StoreError> {
         let wait = self.reads.lock().unwrap_or_else(|e| e.into_inner()).take(1.0, Instant::now());
         if !wait.is_zero() {
             smol::Timer::after(wait).await;
@@ -258,12 +258,12 @@
         let target = format!("/kv?under={prefix}{since}&page={MOST_ROWS}");
         match self.call("GET", &target, None, LIMIT * 2).await? {
             (200, body) => Ok(http::decode(&body)?),
-            (s, _) => Err(Error::Refused(s)),
+            (s, _) => Err(StoreError::Refused(s)),
         }
     }
 
     /// All keys with a prefix; for what is bounded by the work at hand.
-    pub async fn list(&self, prefix: &str) -> Result<Vec<KeyValue>, Error> {
+    pub async fn list(&self, prefix: &str) -> Result<Vec<KeyValue>, StoreError> {
         let (mut all, mut after) = (Vec::new(), String::new());
         loop {
             let page = self.page(prefix, &after).await?;
@@ -277,7 +277,12 @@
     }
 
     /// Waits for changes after a revision.
-    pub async fn changes(&self, prefix: &str, since: u64, block: Duration) -> Result<(Vec<WatchEvent>, u64), Error> {
+    pub async fn changes(
+        &self,
+        prefix: &str,
+        since: u64,
+        block: Duration,
+    ) -> Result<(Vec<WatchEvent>, u64), StoreError> {
         self.pace(0).await;
         let target = format!("/changes?under={prefix}&since={since}&blockMs={}", block.as_millis());
         // a watch that hangs must not keep a withdrawal from the leader: it is
@@ -287,32 +292,32 @@
                 let c: Changes = http::decode(&body)?;
                 Ok((c.news, c.epoch))
             }
-            (410, _) => Err(Error::Gone),
-            (s, _) => Err(Error::Refused(s)),
+            (410, _) => Err(StoreError::Gone),
+            (s, _) => Err(StoreError::Refused(s)),
         }
     }
 
     /// A new lease.
-    pub async fn grant(&self, ttl: Duration) -> Result<u64, Error> {
+    pub async fn grant(&self, ttl: Duration) -> Result<u64, StoreError> {
         self.pace(0).await;
         let body = http::encode(&Ttl { ttl_ms: ttl.as_millis() as u64 });
         match self.call("POST", "/leases", Some(&body), LIMIT).await? {
             (200, body) => Ok(http::decode::<Lease>(&body)?.hold),
-            (s, _) => Err(Error::Refused(s)),
+            (s, _) => Err(StoreError::Refused(s)),
         }
     }
 
     /// Renews a lease; not held back by the budget, for all else hangs on it.
-    pub async fn renew(&self, hold: u64, limit: Duration) -> Result<(), Error> {
+    pub async fn renew(&self, hold: u64, limit: Duration) -> Result<(), StoreError> {
         match self.call("POST", &format!("/leases/{hold}/renew"), Some(&[0x80]), limit).await? {
             (200..=299, _) => Ok(()),
-            (404, _) => Err(Error::NoLease),
-            (s, _) => Err(Error::Refused(s)),
+            (404, _) => Err(StoreError::NoLease),
+            (s, _) => Err(StoreError::Refused(s)),
         }
     }
 
     /// Ends a lease.
-    pub async fn revoke(&self, hold: u64) -> Result<(), Error> {
+    pub async fn revoke(&self, hold: u64) -> Result<(), StoreError> {
         self.call("DELETE", &format!("/leases/{hold}"), None, LIMIT).await.map(|_| ())
     }
 }
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -13,7 +13,7 @@
 
 /// What is timed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Timed {
+pub enum TimedOperation {
     /// A submission, from its arrival to its answer.
     Submission,
     /// A query.
@@ -28,14 +28,14 @@
     Placement,
 }
 
-impl Timed {
-    const ALL: [(Timed, &'static str); 6] = [
-        (Timed::Submission, "submission"),
-        (Timed::Query, "query"),
-        (Timed::Withdrawal, "withdrawal"),
-        (Timed::Commit, "commit"),
-        (Timed::Pass, "pass"),
-        (Timed::Placement, "placement"),
+impl TimedOperation {
+    const ALL: [(TimedOperation, &'static str); 6] = [
+        (TimedOperation::Submission, "submission"),
+        (TimedOperation::Query, "query"),
+        (TimedOperation::Withdrawal, "withdrawal"),
+        (TimedOperation::Commit, "commit"),
+        (TimedOperation::Pass, "pass"),
+        (TimedOperation::Placement, "placement"),
     ];
 }
 
@@ -84,7 +84,7 @@
     fn default() -> Self {
         // two digits are enough for people, and keep a histogram at some KiB
         let histogram = || Histogram::new_with_bounds(1, LONGEST_US, 2).ok();
-        let latencies = Timed::ALL.iter().filter_map(|_| histogram()).collect();
+        let latencies = TimedOperation::ALL.iter().filter_map(|_| histogram()).collect();
         Telemetry { counters: Counters::default(), latencies: Mutex::new(latencies) }
     }
 }
@@ -104,7 +104,7 @@
 
 impl Telemetry {
     /// Something took so long.
-    pub fn took(&self, what: Timed, time: Duration) {
+    pub fn record(&self, what: TimedOperation, time: Duration) {
         let us = u64::try_from(time.as_micros()).unwrap_or(LONGEST_US);
         let mut all = self.latencies.lock().unwrap_or_else(|e| e.into_inner());
         if let Some(h) = all.get_mut(what as usize) {
@@ -121,7 +121,7 @@
             p99_ms: h.value_at_quantile(0.99) as f64 / 1e3,
             max_ms: h.max() as f64 / 1e3,
         };
-        let some = Timed::ALL.iter().zip(all.iter()).filter(|(_, h)| !h.is_empty());
+        let some = TimedOperation::ALL.iter().zip(all.iter()).filter(|(_, h)| !h.is_empty());
         some.map(|((_, name), h)| ((*name).to_owned(), short(h))).collect()
     }
 }
@@ -143,7 +143,7 @@
 
 /// What the leader knows, in figures.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Figures {
+pub struct LeaderStatus {
     /// Term.
     pub term: u64,
     /// For how long it has led.
@@ -190,7 +190,7 @@
     #[serde(default)]
     pub ended_jobs: usize,
     /// Set on the leader.
-    pub leading: Option<Figures>,
+    pub leading: Option<LeaderStatus>,
     /// Whether jobs that wait for others are taken: every controller has them.
     #[serde(default)]
     pub chains: bool,
--- a/src/telemetry/tests.rs
+++ b/src/telemetry/tests.rs
@@ -4,9 +4,9 @@
 fn latencies_are_told_in_milliseconds() {
     let t = Telemetry::default();
     for ms in 1..=100 {
-        t.took(Timed::Query, Duration::from_millis(ms));
+        t.record(TimedOperation::Query, Duration::from_millis(ms));
     }
-    t.took(Timed::Commit, Duration::from_secs(100_000));
+    t.record(TimedOperation::Commit, Duration::from_secs(100_000));
     let all = t.latencies();
     assert_eq!(all.len(), 2);
     let q = all["query"];
--- a/src/turns.rs
+++ b/src/turns.rs
@@ -26,9 +26,9 @@
 /// It tells of too much work from any cause, and needs no estimate of costs; what
 /// can wait goes by it.
 #[derive(Debug, Default)]
-pub struct Lag(AtomicU64);
+pub struct SchedulingDelay(AtomicU64);
 
-impl Lag {
+impl SchedulingDelay {
     /// How long requests have lately waited.
     pub fn now(&self) -> Duration {
         Duration::from_micros(self.0.load(Ordering::Relaxed))
@@ -52,18 +52,18 @@
 
 /// The two queues.
 #[derive(Clone, Default)]
-pub struct Turns {
+pub struct PriorityExecutor {
     /// Leadership, the store, the queue, the fleet, siblings: what all requests
     /// hang on.
-    pub duties: Rc<LocalExecutor<'static>>,
+    pub control: Rc<LocalExecutor<'static>>,
     /// Connections of users and workers.
     pub requests: Rc<LocalExecutor<'static>>,
 }
 
-impl Turns {
+impl PriorityExecutor {
     /// Runs a duty of its own.
-    pub fn duty(&self, work: impl Future<Output = ()> + 'static) {
-        self.duties.spawn(work).detach();
+    pub fn spawn_control(&self, work: impl Future<Output = ()> + 'static) {
+        self.control.spawn(work).detach();
     }
 
     /// Runs everything until `main` comes to its end.
@@ -82,7 +82,7 @@
                 if some {
                     yield_now().await;
                 } else {
-                    or(self.duties.tick(), self.requests.tick()).await;
+                    or(self.control.tick(), self.requests.tick()).await;
                 }
             }
         };
@@ -91,7 +91,7 @@
 
     /// Runs duties until none is ready.
     fn settle(&self) {
-        while self.duties.try_tick() {}
+        while self.control.try_tick() {}
     }
 }
 
--- a/src/turns/tests.rs
+++ b/src/turns/tests.rs
@@ -5,7 +5,7 @@
 /// was decided before was lost with the leases of those not heard.
 #[test]
 fn a_wait_is_seen_at_once_and_fades() {
-    let (lag, s) = (Lag::default(), Duration::from_millis);
+    let (lag, s) = (SchedulingDelay::default(), Duration::from_millis);
     lag.told(s(800));
     assert_eq!(lag.now(), s(800));
     lag.told(s(2000));
@@ -19,7 +19,7 @@
 /// However many requests are ready, a duty that becomes ready is next.
 #[test]
 fn a_duty_waits_for_no_more_than_one_request() {
-    let turns = Turns::default();
+    let turns = PriorityExecutor::default();
     let (served, worst) = (Rc::new(Cell::new(0u32)), Rc::new(Cell::new(0u32)));
     let (wake, woken) = smol::channel::unbounded::<u32>();
     for _ in 0..5000 {
@@ -32,7 +32,7 @@
     }
     drop(wake);
     let (s, w) = (served.clone(), worst.clone());
-    let duty = turns.duties.spawn(async move {
+    let duty = turns.control.spawn(async move {
         while let Ok(at) = woken.recv().await {
             w.set(w.get().max(s.get() - at));
         }
--- a/src/wait.rs
+++ b/src/wait.rs
@@ -6,16 +6,16 @@
 use futures_lite::future::or;
 
 /// A wake-up that is never lost and never queues up.
-pub struct Wake(smol::channel::Sender<()>, smol::channel::Receiver<()>);
+pub struct WakeUp(smol::channel::Sender<()>, smol::channel::Receiver<()>);
 
-impl Default for Wake {
+impl Default for WakeUp {
     fn default() -> Self {
         let (s, r) = smol::channel::bounded(1);
-        Wake(s, r)
+        WakeUp(s, r)
     }
 }
 
-impl Wake {
+impl WakeUp {
     /// Wakes whoever waits, now or next.
     pub fn wake(&self) {
         let _ = self.0.try_send(());
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -9,11 +9,11 @@
 use crate::authority::LeaderRecord;
 use crate::job_index::{InitialScan, ScanEvent};
 use crate::model::*;
-use crate::node::{LeaderSeen, Node};
-use crate::store::{key, read_value, Error, KeyValue, WatchEvent};
+use crate::node::{Controller, ObservedLeader};
+use crate::store::{key, read_value, KeyValue, StoreError, WatchEvent};
 
-impl Node {
-    fn event(&self, e: WatchEvent) {
+impl Controller {
+    fn apply_event(&self, e: WatchEvent) {
         let now = Instant::now();
         match (e.set, e.delete, e.value) {
             (Some(path), _, Some(data)) => {
@@ -28,12 +28,12 @@
                 } else if path == key::LEADER {
                     if let Some(record) = read_value::<LeaderRecord>(&path, data) {
                         tracing::info!("{} leads, term {}", record.name, record.term);
-                        self.lock().leader = Some(LeaderSeen { record, revision: e.revision });
+                        self.lock().leader = Some(ObservedLeader { record, revision: e.revision });
                         self.election_wake.wake();
                     }
                 } else if path == key::GATES {
                     if let Some(g) = read_value::<FeatureGates>(&path, data) {
-                        self.gates_are(&g, e.revision, now);
+                        self.apply_feature_gates(&g, e.revision, now);
                     }
                 } else if path == key::TYPES {
                     if let Some(t) = read_value::<Vec<MachineType>>(&path, data) {
@@ -53,7 +53,7 @@
         }
     }
 
-    fn caught_up(&self, epoch: u64) {
+    fn mark_synced(&self, epoch: u64) {
         let mut inner = self.lock();
         inner.revision = inner.revision.max(epoch);
         if !inner.synced {
@@ -65,9 +65,9 @@
 
     /// Whether the store holds the layout of an earlier version, which this
     /// program does not read: two layouts side by side would run tasks twice.
-    async fn outdated(&self) -> bool {
+    async fn has_previous_layout(&self) -> bool {
         loop {
-            match self.store.any(key::PREVIOUS_LAYOUT).await {
+            match self.store.has_keys(key::PREVIOUS_LAYOUT).await {
                 Ok(found) => return found,
                 Err(e) => {
                     tracing::debug!("cannot read the store yet: {e}");
@@ -79,13 +79,13 @@
 
     /// Reads all that is unfinished, and returns the revision to watch from.  Memory is taken for what is unfinished and for a page at a time,
     /// whatever the history.
-    async fn catch_up(&self) -> Result<u64, Error> {
+    async fn catch_up(&self) -> Result<u64, StoreError> {
         let first = !self.lock().synced;
         let sent = Instant::now();
         let page = self.store.page(key::LEADER, "").await?;
         let epoch = page.revision;
         let seen = |i: KeyValue| {
-            self.event(WatchEvent { set: Some(i.key), delete: None, value: Some(i.value), revision: i.revision })
+            self.apply_event(WatchEvent { set: Some(i.key), delete: None, value: Some(i.value), revision: i.revision })
         };
         {
             let mut i = self.lock();
@@ -127,9 +127,9 @@
                     Ok((news, epoch)) => {
                         let ended = |e: &WatchEvent| Some(Name::from(e.set.as_ref()?.strip_prefix(key::OUTCOME)?));
                         sweep.mark_ended(news.iter().filter_map(ended));
-                        since = self.changed(news, epoch.max(since));
+                        since = self.apply_changes(news, epoch.max(since));
                     }
-                    Err(Error::Gone) => return Err(Error::Gone),
+                    Err(StoreError::Gone) => return Err(StoreError::Gone),
                     Err(e) => tracing::debug!("watch: {e}"),
                 }
             }
@@ -154,12 +154,12 @@
 
     /// Changes up to a revision, in their order and with no await between them:
     /// the ledger's floor is the last one's.
-    fn changed(&self, mut news: Vec<WatchEvent>, epoch: u64) -> u64 {
+    fn apply_changes(&self, mut news: Vec<WatchEvent>, epoch: u64) -> u64 {
         // a job and its end may be of one transaction: an end that came first
         // would find no job, and the job would never end here
         news.sort_by_key(|e| (e.revision, e.set.as_ref().is_some_and(|p| p.starts_with(key::OUTCOME))));
         for e in news {
-            self.event(e);
+            self.apply_event(e);
         }
         self.lock().jobs.raise_floor(epoch);
         epoch
@@ -178,8 +178,8 @@
 
     /// Keeps up with the store for as long as the controller runs.  Returns
     /// only if the store is not for this version.
-    pub async fn watch(&self) -> &'static str {
-        if self.outdated().await {
+    pub async fn run_watch(&self) -> &'static str {
+        if self.has_previous_layout().await {
             return "the state service holds the layout of an earlier version (keys under c1/): \
                     finish its jobs with that version, or remove the keys, and start again";
         }
@@ -196,18 +196,18 @@
                     continue;
                 }
             };
-            self.caught_up(since);
+            self.mark_synced(since);
             loop {
                 let sent = Instant::now();
                 match self.store.changes(key::WATCHED, since, block).await {
                     Ok((news, epoch)) => {
-                        since = self.changed(news, epoch.max(since));
+                        since = self.apply_changes(news, epoch.max(since));
                         let gap = self.shown(sent, since);
                         if !gap.is_zero() {
                             smol::Timer::after(gap).await;
                         }
                     }
-                    Err(Error::Gone) => break,
+                    Err(StoreError::Gone) => break,
                     Err(e) => {
                         tracing::debug!("watch: {e}");
                         smol::Timer::after(self.policy.renew / 2).await;
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -15,11 +15,11 @@
 use coralnotch::model::{
     JobExplanation, JobOutcome, JobSpec, JobState, MachineType, OutcomeRecord, Priority, Ranges, Shape,
 };
-use coralnotch::node::Node;
+use coralnotch::node::Controller;
 use coralnotch::policy::Policy;
 use coralnotch::siblings::wire;
 use coralnotch::store::key;
-use coralnotch::telemetry::{Status, Timed};
+use coralnotch::telemetry::{Status, TimedOperation};
 use coralnotch_core::feature_gate::{FeatureGates, MemberRecord};
 use coralnotch_wire::cloud::{ListedMachine, MachineState, Rental};
 use coralnotch_wire::http;
@@ -172,10 +172,10 @@
     assert_eq!([key::SHARD, key::RENTAL, key::PREVIOUS_LAYOUT], ["c2/p/page/", "c2/p/rental/", "c1/"]);
 }
 
-fn node() -> Node {
+fn node() -> Controller {
     let config = Config::parse("settings", coralnotch_policy::example::SETTINGS).expect("settings");
     let policy = Policy::new(&config).expect("a policy");
-    Node::new(config, policy, Instant::now())
+    Controller::new(config, policy, Instant::now())
 }
 
 #[test]
@@ -185,14 +185,14 @@
     assert_eq!((status.known_jobs, status.leading.map(|f| f.held)), (3, Some(1)));
     let node = node();
     for (what, name) in [
-        (Timed::Submission, "submission"),
-        (Timed::Query, "query"),
-        (Timed::Withdrawal, "withdrawal"),
-        (Timed::Commit, "commit"),
-        (Timed::Pass, "pass"),
-        (Timed::Placement, "placement"),
+        (TimedOperation::Submission, "submission"),
+        (TimedOperation::Query, "query"),
+        (TimedOperation::Withdrawal, "withdrawal"),
+        (TimedOperation::Commit, "commit"),
+        (TimedOperation::Pass, "pass"),
+        (TimedOperation::Placement, "placement"),
     ] {
-        node.telemetry.took(what, Duration::from_millis(3));
+        node.telemetry.record(what, Duration::from_millis(3));
         assert!(node.telemetry.latencies().contains_key(name), "{name}");
     }
     let counters: Vec<String> = node.status(Instant::now()).counters.into_keys().collect();
