--- a/benches/history/main.rs
+++ b/benches/history/main.rs
@@ -17,8 +17,8 @@
 use clap::Parser;
 use coralnotch::http::{self, Client};
 use coralnotch::model::{JobOutcome, JobSpec, OutcomeRecord, Priority, Shape};
-use coralnotch::store::key;
-use coralnotch::telemetry::Status;
+use coralnotch::operators::telemetry::Status;
+use coralnotch::state_store::client::key;
 use rmpv::Value;
 
 #[derive(Parser)]
--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -61,7 +61,7 @@
                             if let Write::Set { set, data, .. } = w {
                                 let size = serde_json::to_string(&data).map_or(0, |s| s.len());
                                 prop_assert!(size <= most, "a page of {} bytes", size);
-                                let item = KeyValue { key: set.clone(), value: data.clone(), revision: revision };
+                                let item = KeyValue { key: set.clone(), value: data.clone(), revision };
                                 store.insert(set.clone(), item);
                             }
                         }
@@ -227,7 +227,7 @@
             let Write::Set { set, data, .. } = w else { continue };
             let size = serde_json::to_string(&data).map_or(0, |s| s.len());
             assert!(size <= most.shard_bytes, "a value of {size} bytes");
-            store.insert(set.clone(), KeyValue { key: set.clone(), value: data.clone(), revision: revision });
+            store.insert(set.clone(), KeyValue { key: set.clone(), value: data.clone(), revision });
         }
         c.apply_commit(b, revision, now);
         let mut next = cluster(2, now);
--- a/src/cli.rs
+++ b/src/commands/cli.rs
@@ -8,7 +8,7 @@
 use clap::{Parser, Subcommand};
 use tracing_subscriber::filter::LevelFilter;
 
-use crate::client::{say, BAD_SETTINGS};
+use crate::commands::client::{say, BAD_SETTINGS};
 use crate::config::Config;
 use crate::policy::Checked;
 
@@ -46,7 +46,7 @@
         /// line each; - for standard input.  Jobs without `nameId` get one.
         file: String,
         #[command(flatten)]
-        how: crate::submit::How,
+        how: crate::commands::submit::How,
     },
     /// Follow a job until it is over.
     Follow {
@@ -104,7 +104,7 @@
     let (config, policy, run) = match &args.command {
         Command::Serve { config, policy } => (config, policy, true),
         Command::Check { config, policy } => (config, policy, false),
-        Command::Submit { file, how } => return crate::submit::run(file, how),
+        Command::Submit { file, how } => return crate::commands::submit::run(file, how),
         other => return ask(other),
     };
     let (settings, checked) = match load(config, policy.as_deref()) {
@@ -147,7 +147,7 @@
 
 /// Runs a command against a running controller.
 fn ask(command: &Command) -> ExitCode {
-    use crate::client::{explained_text, job_text, print, status_text, Controller, Error};
+    use crate::commands::client::{explained_text, job_text, print, status_text, Controller, Error};
     let at = |to: &To| Controller::new(to.node, Duration::from_secs(to.patience));
     let done = smol::block_on(async {
         Ok(match command {
--- a/src/submit.rs
+++ b/src/commands/submit.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-use crate::client::{say, Controller, BAD_SETTINGS};
+use crate::commands::client::{say, Controller, BAD_SETTINGS};
 use crate::model::{JobSpec, Name, Shape};
 
 /// How to submit.
@@ -188,7 +188,7 @@
                 Some(found) => *found,
                 None => match controller.show(n).await {
                     Ok(_) => true,
-                    Err(crate::client::Error::Refused { status: 404, .. }) => false,
+                    Err(crate::commands::client::Error::Refused { status: 404, .. }) => false,
                     Err(e) => return Err(Failed(1, e.to_string())),
                 },
             };
--- a/src/node.rs
+++ b/src/controller.rs
@@ -7,20 +7,20 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-use crate::authority::{LeaderLease, LeaderRecord};
 use crate::cluster::UnmetDemand;
 use crate::cluster::{Cluster, TeamLimit};
 use crate::config::Config;
 use crate::http;
 use crate::job_index::JobIndex;
+use crate::leadership::lease::{LeaderLease, LeaderRecord};
 use crate::model::*;
+use crate::operators::telemetry::Telemetry;
+use crate::peers::links::Peers;
 use crate::policy::Policy;
-use crate::queues::{HeartbeatQueue, UserRequestQueues};
-use crate::siblings::Peers;
-use crate::store::{RateLimiter, StateStore};
-use crate::telemetry::Telemetry;
-use crate::turns::SchedulingDelay;
-use crate::wait::WakeUp;
+use crate::runtime::executor::SchedulingDelay;
+use crate::runtime::wake_up::WakeUp;
+use crate::state_store::client::{RateLimiter, StateStore};
+use crate::users::queues::{HeartbeatQueue, UserRequestQueues};
 use coralnotch_core::cancellation::{may_lead, may_renew, CancellationLog, CancellationNotices, CancellationView};
 
 /// The leader as seen in the store.
--- a/src/leader/machines.rs
+++ b/src/leader/cloud.rs
@@ -6,13 +6,13 @@
 use coralnotch_core::heartbeat_forwarding::should_forward;
 use serde::{Deserialize, Serialize};
 
-use crate::authority::LeaderLease;
 use crate::cluster::{ListedMachine, RecordAttempt, Rental};
+use crate::controller::Controller;
 use crate::fleet::FleetPlan;
 use crate::http;
+use crate::leadership::lease::LeaderLease;
 use crate::model::*;
-use crate::node::Controller;
-use crate::store::{key, StoreError, Txn, TxnOutcome, Write};
+use crate::state_store::client::{key, StoreError, Txn, TxnOutcome, Write};
 
 #[derive(Deserialize)]
 struct Types {
--- a/src/leader/commits.rs
+++ b/src/leader/commit.rs
@@ -3,12 +3,12 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-use crate::authority::LeaderLease;
 use crate::cluster::Cluster;
+use crate::controller::Controller;
+use crate::leadership::lease::LeaderLease;
 use crate::model::*;
-use crate::node::Controller;
-use crate::store::{key, read_value, KeyValue, StoreError, TxnOutcome};
-use crate::telemetry::{count, TimedOperation};
+use crate::operators::telemetry::{count, TimedOperation};
+use crate::state_store::client::{key, read_value, KeyValue, StoreError, TxnOutcome};
 
 /// Needed jobs that the store is asked about at once.
 const MOST_ASKED: usize = 10_000;
--- a/src/leader.rs
+++ b/src/leader/mod.rs
@@ -1,23 +1,23 @@
 //! What a leader does besides answering reports.  It begins by reading the store, and then places,
 //! commits and deals with the cloud, each in a loop of its own; all of it ends with the term.
 
-mod commits;
-mod machines;
-mod placing;
+mod cloud;
+mod commit;
+mod placement;
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
 use futures_util::stream::StreamExt;
 
-use crate::authority::LeaderLease;
 use crate::cluster::{Cluster, MachineLocation, PlacementShard, Rental};
 use crate::commit::{read_shard, started_jobs};
+use crate::controller::Controller;
 use crate::job_index::{JobStatus, OpenJob};
+use crate::leadership::lease::LeaderLease;
 use crate::model::*;
-use crate::node::Controller;
-use crate::store::{key, read_value, KeyValue, StoreError};
-use crate::wait::timed;
+use crate::runtime::wake_up::timed;
+use crate::state_store::client::{key, read_value, KeyValue, StoreError};
 
 /// What a new leader has read.
 #[derive(Default)]
--- a/src/leader/placing.rs
+++ b/src/leader/placement.rs
@@ -4,11 +4,11 @@
 
 use futures_util::stream::{FuturesUnordered, StreamExt};
 
-use crate::authority::{WorkerContact, NO_WORKERS};
 use crate::cluster::{Machine, MachineState};
+use crate::controller::{Controller, ControllerState};
 use crate::http;
-use crate::node::{Controller, ControllerState};
-use crate::telemetry::{count, TimedOperation};
+use crate::leadership::lease::{WorkerContact, NO_WORKERS};
+use crate::operators::telemetry::{count, TimedOperation};
 use crate::workers::Heartbeat;
 
 impl Controller {
--- a/src/leadership.rs
+++ b/src/leadership/election.rs
@@ -6,9 +6,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::authority::{lease_valid_until, LeaderLease, LeaderRecord, NO_WORKERS};
-use crate::node::Controller;
-use crate::store::{key, read_value, Precondition, StoreError, Txn, TxnOutcome, Write};
+use crate::controller::Controller;
+use crate::leadership::lease::{lease_valid_until, LeaderLease, LeaderRecord, NO_WORKERS};
+use crate::state_store::client::{key, read_value, Precondition, StoreError, Txn, TxnOutcome, Write};
 
 #[derive(Serialize, Deserialize)]
 struct TermRecord {
@@ -90,7 +90,7 @@
                 Some(r) if r.name == self.config.name => i.revision,
                 Some(record) => {
                     let mut inner = self.lock();
-                    inner.leader = Some(crate::node::ObservedLeader { record, revision: i.revision });
+                    inner.leader = Some(crate::controller::ObservedLeader { record, revision: i.revision });
                     return Ok(None);
                 }
                 None => return Ok(None),
@@ -115,7 +115,8 @@
         match self.store.txn(&txn).await? {
             TxnOutcome::Done(stamp) => {
                 tracing::info!("leads from now on, term {}", record.term);
-                self.lock().leader = Some(crate::node::ObservedLeader { record: record.clone(), revision: stamp });
+                self.lock().leader =
+                    Some(crate::controller::ObservedLeader { record: record.clone(), revision: stamp });
                 let until = lease_valid_until(sent, ttl, self.policy.drift);
                 Ok(Some(LeaderLease {
                     term: record.term,
--- a/src/gates.rs
+++ b/src/leadership/feature_gate.rs
@@ -9,10 +9,10 @@
     JOB_DEPENDENCIES, SUPPORTED,
 };
 
-use crate::authority::LeaderLease;
-use crate::node::Controller;
-use crate::siblings::lock;
-use crate::store::{key, read_value, StoreError, Txn, TxnOutcome, Write};
+use crate::controller::Controller;
+use crate::leadership::lease::LeaderLease;
+use crate::peers::links::lock;
+use crate::state_store::client::{key, read_value, StoreError, Txn, TxnOutcome, Write};
 
 /// The state service gives no longer lease.
 const LONGEST_LEASE: Duration = Duration::from_secs(600);
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
 //! The daemon and its command line.
 fn main() -> std::process::ExitCode {
-    coralnotch::cli::main()
+    coralnotch::commands::cli::main()
 }
--- a/src/status.rs
+++ b/src/operators/status.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use crate::cluster::Machine;
-use crate::node::Controller;
-use crate::telemetry::{LeaderStatus, Status, Waiting};
+use crate::controller::Controller;
+use crate::operators::telemetry::{LeaderStatus, Status, Waiting};
 
 /// Most waiting jobs that a status names.
 const MOST_NAMED: usize = 12;
--- a/src/reports.rs
+++ b/src/peers/forwarding.rs
@@ -14,12 +14,12 @@
     assigned_forwarder, ForwardedHeartbeat, Forwarder, HeartbeatForwarding, UnchangedHeartbeat,
 };
 
+use crate::controller::Controller;
 use crate::http::{self, Response};
-use crate::node::Controller;
-use crate::queues::WaitingReport;
-use crate::siblings::{lock, wire};
-use crate::telemetry::count;
-use crate::wait::timed;
+use crate::operators::telemetry::count;
+use crate::peers::links::{lock, wire};
+use crate::runtime::wake_up::timed;
+use crate::users::queues::WaitingReport;
 use crate::workers::{Heartbeat, HeartbeatReply};
 
 /// Most reports in one message, and most messages under way.
@@ -269,7 +269,7 @@
         let siblings = self.config.peers.iter().filter(|s| lately(&s.name));
         let all: Vec<Forwarder<'_>> = siblings.map(|s| Forwarder { name: &s.name, zone: &s.zone }).collect();
         let to = assigned_forwarder(machine, zone, &all)?;
-        Some(crate::intake::redirect(Some(to)))
+        Some(crate::users::requests::redirect(Some(to)))
     }
 }
 
--- a/src/reports/tests.rs
+++ b/src/peers/forwarding/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::authority::{LeaderLease, LeaderRecord};
 use crate::cluster::Cluster;
 use crate::config::Config;
-use crate::node::ObservedLeader;
+use crate::controller::ObservedLeader;
+use crate::leadership::lease::{LeaderLease, LeaderRecord};
 use crate::policy::Policy;
 use coralnotch_policy::example::SETTINGS;
 
--- a/src/siblings.rs
+++ b/src/peers/links.rs
@@ -19,7 +19,7 @@
 
 use crate::cluster::MachineHints;
 use crate::model::Name;
-use crate::wait::timed;
+use crate::runtime::wake_up::timed;
 
 /// What protox made of `proto/peer.proto`.
 #[allow(missing_docs, clippy::all, clippy::too_many_lines)]
--- a/src/peers.rs
+++ b/src/peers/service.rs
@@ -16,12 +16,12 @@
 use coralnotch_core::cancellation::{Cancellation, CancellationBatch};
 
 use crate::cluster::{Machine, MachineHints};
-use crate::gates;
+use crate::controller::Controller;
 use crate::http::{Request, Response};
+use crate::leadership::feature_gate;
 use crate::model::JobOutcome;
-use crate::node::Controller;
-use crate::siblings::wire::peer_server::{Peer, PeerServer};
-use crate::siblings::{from_wire, lock, to_wire, wire, PeerLink, PeerStatus, Work};
+use crate::peers::links::wire::peer_server::{Peer, PeerServer};
+use crate::peers::links::{from_wire, lock, to_wire, wire, PeerLink, PeerStatus, Work};
 
 /// Controllers that keep what the leader learned of machines.
 const MACHINES_KEPT_BY: usize = 3;
@@ -40,7 +40,7 @@
             without_machines: !self.keeps_machines(),
             progress,
             from: self.config.name.clone(),
-            knows: gates::supported_features(),
+            knows: feature_gate::supported_features(),
             withdrawn_since: since,
             withdrawn_life: life,
             withdrawn_had: had,
@@ -143,7 +143,7 @@
             };
             if self.store.is_silent() {
                 // the end of a cut has to be noticed soon
-                let _ = self.store.get(crate::store::key::LEADER).await;
+                let _ = self.store.get(crate::state_store::client::key::LEADER).await;
             }
             let (leader, gated) = {
                 let i = self.lock();
@@ -179,7 +179,7 @@
             let m = wire::RelayRequest { method: r.method.clone(), path: r.path.clone(), body: r.body.clone() };
             let answer = self.peers.call(l, self.policy.peer_limit, |mut c| async move { c.relay(m).await }).await;
             if let Some(a) = answer.filter(|a| a.status != 503 && (200..600).contains(&a.status)) {
-                crate::telemetry::count(&self.telemetry.counters.relayed);
+                crate::operators::telemetry::count(&self.telemetry.counters.relayed);
                 let retry_after = (a.retry_after_s > 0).then_some(a.retry_after_s);
                 return Some(Response { status: a.status as u16, body: a.body, retry_after, seldom: false });
             }
@@ -308,7 +308,7 @@
             (i.leader.as_ref().map_or(0, |l| l.record.term), i.last_heartbeat, i.forwarding_requested)
         };
         let heard_ms = heard.map(|t| t.elapsed().as_millis() as u64);
-        let (knows, version) = (gates::supported_features(), gates::VERSION.to_owned());
+        let (knows, version) = (feature_gate::supported_features(), feature_gate::VERSION.to_owned());
         let spread = spread && leads;
         let s = wire::StatusResponse {
             served,
--- a/src/run.rs
+++ b/src/run.rs
@@ -7,10 +7,10 @@
 use smol::net::TcpListener;
 
 use crate::config::Config;
+use crate::controller::Controller;
 use crate::http::{serve, ServerLimits};
-use crate::node::Controller;
 use crate::policy::Policy;
-use crate::turns::PriorityExecutor;
+use crate::runtime::executor::PriorityExecutor;
 
 /// Runs a controller on this thread.
 pub fn run(config: Config, policy: Policy) -> std::io::Result<()> {
--- a/src/watch.rs
+++ b/src/state_store/watch.rs
@@ -6,11 +6,11 @@
 
 use coralnotch_core::feature_gate::FeatureGates;
 
-use crate::authority::LeaderRecord;
+use crate::controller::{Controller, ObservedLeader};
 use crate::job_index::{InitialScan, ScanEvent};
+use crate::leadership::lease::LeaderRecord;
 use crate::model::*;
-use crate::node::{Controller, ObservedLeader};
-use crate::store::{key, read_value, KeyValue, StoreError, WatchEvent};
+use crate::state_store::client::{key, read_value, KeyValue, StoreError, WatchEvent};
 
 impl Controller {
     fn apply_event(&self, e: WatchEvent) {
--- /dev/null
+++ b/src/users/mod.rs
@@ -0,0 +1,4 @@
+//! Users' requests: submissions, queries and cancellations.
+
+pub mod queues;
+pub mod requests;
--- a/src/queues.rs
+++ b/src/users/queues.rs
@@ -9,7 +9,7 @@
 
 use crate::http::Response;
 use crate::model::*;
-use crate::store::RateLimiter;
+use crate::state_store::client::RateLimiter;
 use crate::workers::Heartbeat;
 
 pub(crate) type ReplySender<T> = smol::channel::Sender<T>;
--- a/src/intake.rs
+++ b/src/users/requests.rs
@@ -11,22 +11,22 @@
 use futures_util::stream::StreamExt;
 use serde::Serialize;
 
-use crate::authority::PartitionSuspicion;
 use crate::cluster::raise_token;
 use crate::http::{self, Request, Response};
+use crate::leadership::lease::PartitionSuspicion;
 use coralnotch_core::lookup::{Lookup, LookupResult};
 use coralnotch_core::user_request::{
     cancellations_txn, submissions_txn, unsatisfiable_reason, NextAction, Reply, RequestKind, StateView, StoreResult,
     UserRequest, Validation,
 };
 
+use crate::controller::{Controller, ControllerState};
 use crate::job_index::{EndedJob, JobStatus, OpenJob};
 use crate::model::*;
-use crate::node::{Controller, ControllerState};
-use crate::siblings::{lock, wire};
-use crate::store::{key, read_value, StoreError, Txn, TxnOutcome, Write};
-use crate::telemetry::{count, TimedOperation};
-use crate::wait::timed;
+use crate::operators::telemetry::{count, TimedOperation};
+use crate::peers::links::{lock, wire};
+use crate::runtime::wake_up::timed;
+use crate::state_store::client::{key, read_value, StoreError, Txn, TxnOutcome, Write};
 use crate::workers::{lease_renewal_reply, Heartbeat, HeartbeatOrigin, HeartbeatReply};
 
 #[derive(Serialize)]
--- a/src/intake/tests.rs
+++ b/src/users/requests/tests.rs
@@ -21,8 +21,8 @@
     let config = Config::parse("test", SETTINGS).expect("settings of the tests");
     let policy = Policy::new(&config).expect("the default policy");
     let node = Controller::new(config, policy, Instant::now());
-    let record = crate::authority::LeaderRecord { name: "another".into(), term: 1 };
-    node.lock().leader = Some(crate::node::ObservedLeader { record, revision: 1 });
+    let record = crate::leadership::lease::LeaderRecord { name: "another".into(), term: 1 };
+    node.lock().leader = Some(crate::controller::ObservedLeader { record, revision: 1 });
     let from = |zone: &str| http::encode(&std::collections::BTreeMap::from([("bay", zone)]));
     let own = node.config.zone.clone();
     assert_eq!(node.sends_on(&from(&own)).map(|r| r.status), Some(421));
--- a/tests/architecture.rs
+++ b/tests/architecture.rs
@@ -4,28 +4,28 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The daemon's modules, from the ground up.
+/// The daemon's modules, from the ground up; what stands in a folder is named with it.
 const DAEMON: &[&str] = &[
-    "wait",
-    "turns",
-    "store",
-    "telemetry",
-    "authority",
-    "queues",
-    "siblings",
-    "node",
-    "gates",
-    "watch",
-    "status",
-    "peers",
-    "intake",
-    "reports",
+    "runtime::wake_up",
+    "runtime::executor",
+    "state_store::client",
+    "operators::telemetry",
+    "leadership::lease",
+    "users::queues",
+    "peers::links",
+    "controller",
+    "leadership::feature_gate",
+    "state_store::watch",
+    "operators::status",
+    "peers::service",
+    "users::requests",
+    "peers::forwarding",
     "leader",
-    "leadership",
+    "leadership::election",
     "run",
-    "client",
-    "submit",
-    "cli",
+    "commands::client",
+    "commands::submit",
+    "commands::cli",
 ];
 
 /// The decisions: state first, then the steps, which share nothing sideways.
@@ -48,16 +48,35 @@
 
 /// The files of a module, without their tests.
 fn text(src: &Path, module: &str) -> String {
-    let dir = fs::read_dir(src.join(module)).into_iter().flatten().flatten().map(|e| e.path());
-    let files = dir.chain([src.join(format!("{module}.rs"))]).filter(|f| f.is_file() && !f.ends_with("tests.rs"));
+    let path = module.replace("::", "/");
+    let dir = fs::read_dir(src.join(&path)).into_iter().flatten().flatten().map(|e| e.path());
+    let files = dir.chain([src.join(format!("{path}.rs"))]).filter(|f| f.is_file() && !f.ends_with("tests.rs"));
     let files: Vec<_> = files.collect();
     assert!(!files.is_empty(), "there is no module {module}");
     files.iter().map(|f| fs::read_to_string(f).expect("a source file")).collect()
 }
 
+/// Whether a text goes on after a name, so that the name is a part of a longer one.
+fn continues_name(rest: &str) -> bool {
+    rest.starts_with(|c: char| c.is_alphanumeric() || c == '_')
+}
+
+/// Whether a text names a module, by its whole path or in a list after its folder.
 fn imports(text: &str, module: &str) -> bool {
-    text.match_indices(&format!("crate::{module}"))
-        .any(|(i, m)| !text[i + m.len()..].starts_with(|c: char| c.is_alphanumeric() || c == '_'))
+    let path = format!("crate::{module}");
+    if text.match_indices(&path).any(|(i, m)| !continues_name(&text[i + m.len()..])) {
+        return true;
+    }
+    let Some((folder, name)) = module.rsplit_once("::") else { return false };
+    let prefix = format!("crate::{folder}::{{");
+    let lists = text.split(&prefix).skip(1).filter_map(|l| l.split(';').next());
+    lists.flat_map(|l| l.split(|c: char| !c.is_alphanumeric() && c != '_')).any(|word| word == name)
+}
+
+/// The modules that a file declares for others.
+fn declared(file: &Path) -> Vec<String> {
+    let text = fs::read_to_string(file).unwrap_or_default();
+    text.lines().filter_map(|l| Some(l.strip_prefix("pub mod ")?.trim_end_matches(';').to_owned())).collect()
 }
 
 fn ordered(src: &Path, order: &[&str]) {
@@ -67,10 +86,17 @@
             assert!(!imports(&text, above), "{module} imports {above}, which stands on it");
         }
     }
-    let root = fs::read_to_string(src.join("lib.rs")).expect("lib.rs");
-    for line in root.lines().filter_map(|l| l.strip_prefix("pub mod ")) {
-        let module = line.trim_end_matches(';');
-        assert!(order.contains(&module), "{module} has no place in the order");
+    for module in declared(&src.join("lib.rs")) {
+        if order.contains(&module.as_str()) {
+            continue;
+        }
+        // a folder whose modules stand in the order one by one holds nothing else
+        let inner = declared(&src.join(&module).join("mod.rs"));
+        assert!(!inner.is_empty(), "{module} has no place in the order");
+        for name in inner {
+            let path = format!("{module}::{name}");
+            assert!(order.contains(&path.as_str()), "{path} has no place in the order");
+        }
     }
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::thread;
 
 use coralnotch::model::{JobSpec, Name};
-use coralnotch::store::key;
+use coralnotch::state_store::client::key;
 use coralnotch_emulator::up::{up, Options, Report, Size};
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_coralnotch");
--- a/tests/exactly_once.rs
+++ b/tests/exactly_once.rs
@@ -15,9 +15,9 @@
 use std::time::{Duration, Instant};
 
 use common::{dir, job, stored, Cluster, PROGRAM};
+use coralnotch::commands::submit::Line;
 use coralnotch::http::{self, Client};
 use coralnotch::model::{JobState, Name};
-use coralnotch::submit::Line;
 use coralnotch_client::{fresh_id, Final};
 use coralnotch_emulator::history::{self, Given};
 
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -10,16 +10,16 @@
 use serde::Serialize;
 use serde_json::Value;
 
-use coralnotch::authority::LeaderRecord;
 use coralnotch::config::Config;
+use coralnotch::controller::Controller;
+use coralnotch::leadership::lease::LeaderRecord;
 use coralnotch::model::{
     JobExplanation, JobOutcome, JobSpec, JobState, MachineType, OutcomeRecord, Priority, Ranges, Shape,
 };
-use coralnotch::node::Controller;
+use coralnotch::operators::telemetry::{Status, TimedOperation};
+use coralnotch::peers::links::wire;
 use coralnotch::policy::Policy;
-use coralnotch::siblings::wire;
-use coralnotch::store::key;
-use coralnotch::telemetry::{Status, TimedOperation};
+use coralnotch::state_store::client::key;
 use coralnotch_core::feature_gate::{FeatureGates, MemberRecord};
 use coralnotch_wire::cloud::{ListedMachine, MachineState, Rental};
 use coralnotch_wire::http;
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -9,7 +9,7 @@
 
 use coralnotch::http::{self, Client};
 use coralnotch::model::{JobSpec, JobState, Name};
-use coralnotch::telemetry::Status;
+use coralnotch::operators::telemetry::Status;
 use coralnotch_emulator::up::Size;
 
 const LIMIT: Duration = Duration::from_secs(2);
