--- a/packages/core/src/cluster/machine.rs
+++ b/packages/core/src/cluster/machine.rs
@@ -132,7 +132,7 @@
     pub fn free_resources(&self) -> Resources {
         let mut free = self.size;
         for p in self.tasks.values().filter(|p| p.occupies_resources()) {
-            free.take(&p.spec.size());
+            free.subtract(&p.spec.size());
         }
         free
     }
--- a/packages/core/src/cluster/mod.rs
+++ b/packages/core/src/cluster/mod.rs
@@ -418,7 +418,7 @@
         let mut used: NameMap<Resources> = NameMap::default();
         for p in self.machines.values().flat_map(|m| m.tasks.values()).filter(|p| p.occupies_resources()) {
             match used.get_mut(&p.spec.team) {
-                Some(u) => u.give(&p.spec.size()),
+                Some(u) => u.add(&p.spec.size()),
                 None => drop(used.insert(p.spec.team.clone(), p.spec.size())),
             }
         }
--- a/packages/core/src/fleet.rs
+++ b/packages/core/src/fleet.rs
@@ -144,12 +144,12 @@
         }
         let mut usage = self.team_usage();
         for j in self.jobs.values().filter(|j| j.outcome.is_none()) {
-            let waits = j.spec.size().times(f64::from(j.waiting_tasks()));
-            usage.entry(j.spec.team.clone()).or_default().give(&waits);
+            let waits = j.spec.size().scaled(f64::from(j.waiting_tasks()));
+            usage.entry(j.spec.team.clone()).or_default().add(&waits);
         }
         for (name, t) in self.teams.iter().filter(|(_, t)| given(t)) {
-            g.all.give(&t.guarantee);
-            g.drawn.give(&usage.get(name).copied().unwrap_or_default());
+            g.all.add(&t.guarantee);
+            g.drawn.add(&usage.get(name).copied().unwrap_or_default());
         }
         g
     }
@@ -166,7 +166,7 @@
     fn free_room(&self, now: Instant) -> Resources {
         let mut free = Resources::default();
         for m in self.machines.values().filter(|m| m.is_schedulable(now, &self.policy)) {
-            free.give(&m.free_resources());
+            free.add(&m.free_resources());
         }
         free
     }
@@ -190,9 +190,9 @@
         }
         let mut room = m.free_resources();
         for p in m.tasks.values().filter(|p| p.occupies_resources() && p.spec.priority > spec.priority) {
-            room.give(&p.spec.size());
+            room.add(&p.spec.size());
         }
-        room.count(&spec.size(), 1000)
+        room.count_fitting(&spec.size(), 1000)
     }
 
     /// How many tasks of a job's class are likely to come while a machine boots, by
@@ -273,12 +273,12 @@
             .values()
             .filter(|m| m.removed_at.is_none() && m.deletion_sent_at.is_none() && m.cordon_reason.is_none())
         {
-            spare.give(&m.size);
+            spare.add(&m.size);
         }
-        spare.take(&self.kept(g));
+        spare.subtract(&self.kept(g));
         // nothing is returned that would have to be rented again at once
         let mut free = self.free_room(now);
-        free.take(&self.headroom_size(g));
+        free.subtract(&self.headroom_size(g));
         let bare = |size: &Resources| Resources { memory: 0.0, ..*size };
         let silences: Vec<Duration> = self.machines.values().map(|m| self.time_since_heartbeat(m, now)).collect();
         let up = |m: &&Machine| {
@@ -355,12 +355,12 @@
                 && m.tasks.is_empty()
                 && m.last_heartbeat.is_some()
                 && now.duration_since(m.rented_at) > idle
-                && spare.holds(&bare(&m.size))
+                && spare.fits(&bare(&m.size))
                 && !needed.contains(&m.name)
-                && bare(&free).holds(&bare(&m.size))
+                && bare(&free).fits(&bare(&m.size))
             {
-                spare.take(&m.size);
-                free.take(&m.size);
+                spare.subtract(&m.size);
+                free.subtract(&m.size);
                 Some("is idle")
             } else if m.tasks.values().any(|p| {
                 // stops of a cancelled job are pursued to the end
@@ -453,10 +453,10 @@
         for t in from.tasks.values() {
             let size = t.spec.size();
             let fits = |o: &&mut (&Machine, Resources)| {
-                o.1.holds(&size) && o.0.has_image(&t.spec.image) && t.spec.allows(&o.0.kind, &o.0.zone, o.0.spot)
+                o.1.fits(&size) && o.0.has_image(&t.spec.image) && t.spec.allows(&o.0.kind, &o.0.zone, o.0.spot)
             };
             let Some(o) = others.iter_mut().find(fits) else { return };
-            o.1.take(&size);
+            o.1.subtract(&size);
         }
         let name = from.name.clone();
         tracing::info!("machine {name} is emptied: its {used} replicas fit on others");
@@ -476,10 +476,10 @@
             .values()
             .filter(|m| m.removed_at.is_none() && m.deletion_sent_at.is_none() && m.cordon_reason.is_none())
         {
-            spare.give(&m.size);
+            spare.add(&m.size);
         }
-        spare.take(&self.kept(g));
-        free.take(&self.headroom_size(g));
+        spare.subtract(&self.kept(g));
+        free.subtract(&self.headroom_size(g));
         let boot = self.types.get(&m.kind).map_or(60.0, |t| t.boot_s);
         let urgent = |spec: std::sync::Arc<JobSpec>| {
             let lately = |j: &&Job| {
@@ -487,10 +487,10 @@
             };
             let came: u32 = self.jobs.values().filter(lately).map(|j| j.spec.tasks).sum();
             let likely = f64::from(came) * 2.0 * boot / self.policy.horizon_s;
-            let room = self.all_ready_room(&spec, now).saturating_sub(m.size.count(&spec.size(), 1000));
+            let room = self.all_ready_room(&spec, now).saturating_sub(m.size.count_fitting(&spec.size(), 1000));
             room as f64 >= likely.max(self.policy.urgent_room as f64)
         };
-        spare.holds(&bare(&m.size)) && bare(&free).holds(&bare(&m.size)) && self.urgent().into_iter().all(urgent)
+        spare.fits(&bare(&m.size)) && bare(&free).fits(&bare(&m.size)) && self.urgent().into_iter().all(urgent)
     }
 
     #[expect(clippy::too_many_lines, reason = "longer than the limit since before it; to be divided")]
@@ -577,25 +577,26 @@
                 if count == 0 {
                     break;
                 }
-                if !free.holds(&size) {
+                if !free.fits(&size) {
                     continue;
                 }
-                let n = free.count(&size, most(p, &zones, count) as usize) as u32;
+                let n = free.count_fitting(&size, most(p, &zones, count) as usize) as u32;
                 if n > 0 {
-                    free.take(&size.times(f64::from(n)));
+                    free.subtract(&size.scaled(f64::from(n)));
                     *zones.entry(p.1.clone()).or_insert(0) += n;
                     count -= n;
                 }
             }
             while count > 0 {
                 // by the share of a machine that the task takes
-                let unit = |t: &MachineType| t.size().holds(&size).then(|| t.size().count(&size, 1000).max(1) as f64);
+                let unit =
+                    |t: &MachineType| t.size().fits(&size).then(|| t.size().count_fitting(&size, 1000).max(1) as f64);
                 let allowed = |p: &MachinePool| {
                     most(p, &zones, 1) > 0 && !(p.2 && spec.shape == Shape::Service) && (p.2 || count > spot_only)
                 };
                 let Some((pool, mut free)) = self.cheapest(&per_zone, now, unit, allowed) else { break };
-                let n = (free.count(&size, most(&pool, &zones, count) as usize) as u32).max(1);
-                free.take(&size.times(f64::from(n)));
+                let n = (free.count_fitting(&size, most(&pool, &zones, count) as usize) as u32).max(1);
+                free.subtract(&size.scaled(f64::from(n)));
                 count = count.saturating_sub(n);
                 *zones.entry(pool.1.clone()).or_insert(0) += n;
                 *per_zone.entry(pool.1.clone()).or_default() += 1;
@@ -641,7 +642,7 @@
         let Resources { cpus, gpus, .. } = self.headroom_size(g);
         let mut free = self.free_room(now);
         for (_, size) in coming.iter() {
-            free.give(size);
+            free.add(size);
         }
         // the cheapest way to what is missing
         while free.cpus + 1e-6 < cpus || free.gpus + 1e-6 < gpus {
@@ -650,7 +651,7 @@
                 false => (t.cpus > 0.0).then_some(t.cpus),
             };
             let Some((pool, size)) = self.cheapest(per_zone, now, unit, |_| true) else { break };
-            free.give(&size);
+            free.add(&size);
             *per_zone.entry(pool.1.clone()).or_default() += 1;
             *new.entry(pool.clone()).or_insert(0) += 1;
             coming.push((pool, size));
--- a/packages/core/src/placement/mod.rs
+++ b/packages/core/src/placement/mod.rs
@@ -155,7 +155,7 @@
             let limit = self.teams.get(&j.spec.team).copied().unwrap_or_default();
             let team = used.entry(j.spec.team.clone()).or_default();
             let left = f64::from(j.spec.tasks - j.completed.len().min(j.spec.tasks));
-            team.give(&j.spec.size().times(left));
+            team.add(&j.spec.size().scaled(left));
             j.guaranteed = within(&limit.guarantee, team);
         }
     }
--- a/packages/core/src/placement/pass.rs
+++ b/packages/core/src/placement/pass.rs
@@ -109,14 +109,14 @@
             let (mut free, mut soon, mut stopping, mut latest) = (m.size, m.size, false, None);
             let mut lasting = m.size;
             for p in m.tasks.values().filter(|p| p.occupies_resources()) {
-                free.take(&p.spec.size());
+                free.subtract(&p.spec.size());
                 if p.spec.shape == Shape::Service {
-                    lasting.take(&p.spec.size());
+                    lasting.subtract(&p.spec.size());
                 }
                 if p.stop_grace_s.is_some() {
                     stopping = true;
                 } else {
-                    soon.take(&p.spec.size());
+                    soon.subtract(&p.spec.size());
                     if let Some(of) = c.jobs.get(&p.spec.id).filter(|_| !p.inherited) {
                         latest = latest.max(Some(of.queue_priority()));
                     }
@@ -143,7 +143,7 @@
             gpus: a.gpus.min(b.gpus),
             memory: a.memory.min(b.memory),
         });
-        let open = (0..slots.len()).filter(|i| slots[*i].free.holds(&least)).collect();
+        let open = (0..slots.len()).filter(|i| slots[*i].free.fits(&least)).collect();
         Pass {
             c,
             now,
@@ -173,7 +173,7 @@
     fn prune(&mut self) {
         if self.looks - self.pruned > self.open.len() * 8 {
             let (slots, least) = (&self.slots, self.least);
-            self.open.retain(|i| slots[*i].room > 0 && slots[*i].free.holds(&least));
+            self.open.retain(|i| slots[*i].room > 0 && slots[*i].free.fits(&least));
             self.pruned = self.looks;
         }
     }
@@ -230,7 +230,7 @@
     pub fn allows(&self, ask: &Ask, n: u32) -> bool {
         let Some(limit) = self.c.teams.get(&ask.job.spec.team) else { return true };
         let used = self.used.get(&ask.job.spec.team).copied().unwrap_or_default();
-        limit.allows(&used, &ask.size.times(f64::from(n)))
+        limit.allows(&used, &ask.size.scaled(f64::from(n)))
     }
 
     /// How many of so many tasks the team's limit lets run.
@@ -244,7 +244,7 @@
             gpus: part(limit.limit.gpus, used.gpus),
             memory: f64::INFINITY,
         };
-        left.count(&ask.size, most as usize) as u32
+        left.count_fitting(&ask.size, most as usize) as u32
     }
 
     /// How long a task would wait for its image on a machine, and whether the
@@ -313,7 +313,7 @@
         self.looks += self.open.len();
         let fits = |i: &usize| {
             let s = &self.slots[*i];
-            s.room > 0 && ask.allowed[s.pool] && s.free.holds(&ask.size)
+            s.room > 0 && ask.allowed[s.pool] && s.free.fits(&ask.size)
         };
         let all: Vec<usize> = self.open.iter().copied().filter(fits).collect();
         let mut all: Vec<(Tier, usize)> = all.into_iter().map(|i| (self.tier(ask, i), i)).collect();
@@ -349,7 +349,7 @@
                 || n >= moved.len() && s.moved
                 || s.room == 0
                 || only.is_some_and(|z| z != s.zone)
-                || !s.free.holds(&ask.size)
+                || !s.free.fits(&ask.size)
                 || !self.zone_ok(ask, zones, i)
             {
                 continue;
@@ -398,17 +398,17 @@
 
     /// Takes room away.
     pub fn take(&mut self, slot: usize, size: &Resources) {
-        self.free_changes(slot, |free| free.take(size));
+        self.free_changes(slot, |free| free.subtract(size));
         let s = &mut self.slots[slot];
-        s.soon.take(size);
+        s.soon.subtract(size);
         s.room = s.room.saturating_sub(1);
     }
 
     /// Undoes [`Pass::take`].
     pub fn give_back(&mut self, slot: usize, size: &Resources) {
-        self.free_changes(slot, |free| free.give(size));
+        self.free_changes(slot, |free| free.add(size));
         let s = &mut self.slots[slot];
-        s.soon.give(size);
+        s.soon.add(size);
         s.room += 1;
     }
 
@@ -416,9 +416,9 @@
     pub fn start(&mut self, ask: &Ask<'a>, slot: usize) {
         self.take(slot, &ask.size);
         if ask.job.spec.shape == Shape::Service {
-            self.slots[slot].lasting.take(&ask.size);
+            self.slots[slot].lasting.subtract(&ask.size);
         }
-        self.used.entry(ask.job.spec.team.clone()).or_default().give(&ask.size);
+        self.used.entry(ask.job.spec.team.clone()).or_default().add(&ask.size);
         let s = &mut self.slots[slot];
         let spec = &ask.job.spec;
         if !s.m.has_image(&spec.image) && !s.fetches.iter().any(|f| f.0 == &spec.image) {
@@ -444,7 +444,7 @@
             h.job.queue_priority() == ask.job.queue_priority()
                 && h.job.guaranteed == ask.job.guaranteed
                 && h.job.spec.team == ask.job.spec.team
-                && ask.size.holds(&h.size)
+                && ask.size.fits(&h.size)
                 && ask.allowed.iter().zip(&h.allowed).all(|(now, then)| *then || !*now)
         };
         self.hopeless.iter().any(like)
@@ -459,14 +459,14 @@
     pub fn may_make_room(&self, ask: &Ask, slot: usize) -> bool {
         let s = &self.slots[slot];
         ask.allowed[s.pool]
-            && (s.stopping || s.soon.holds(&ask.size) || s.latest.is_some_and(|l| l > ask.job.queue_priority()))
-            && s.m.size.holds(&ask.size)
+            && (s.stopping || s.soon.fits(&ask.size) || s.latest.is_some_and(|l| l > ask.job.queue_priority()))
+            && s.m.size.fits(&ask.size)
     }
 
     /// What room for one task costs on a machine, and the tasks that give way;
     /// nothing where stops under way free enough.
     pub fn cost(&mut self, ask: &Ask<'a>, slot: usize, patience: f64) -> Option<(f64, Vec<&'a Task>)> {
-        if self.slots[slot].soon.holds(&ask.size) {
+        if self.slots[slot].soon.fits(&ask.size) {
             return Some((0.0, Vec::new()));
         }
         // an image to fetch delays the start: prefer where it is
@@ -490,14 +490,14 @@
         victims.sort_by(|a, b| b.3.cmp(&a.3).then(a.0.total_cmp(&b.0)));
         let (mut room, mut cost, mut list) = (s.soon, 1e-3 + image * ask.size.cpus, Vec::new());
         for (c, t, p, _) in victims {
-            if room.holds(&ask.size) {
+            if room.fits(&ask.size) {
                 break;
             }
-            room.give(&p.spec.size());
+            room.add(&p.spec.size());
             cost += c;
             list.push(t);
         }
-        room.holds(&ask.size).then_some((cost, list))
+        room.fits(&ask.size).then_some((cost, list))
     }
 
     fn move_victims(&mut self, slot: usize, victims: &[&'a Task], stop: bool) {
@@ -506,12 +506,12 @@
             let Some(p) = m.tasks.get(*t) else { continue };
             let (size, team) = (p.spec.size(), self.used.entry(p.spec.team.clone()).or_default());
             if stop {
-                self.slots[slot].soon.give(&size);
-                team.take(&size);
+                self.slots[slot].soon.add(&size);
+                team.subtract(&size);
                 self.stopped.insert((&m.name, t));
             } else {
-                self.slots[slot].soon.take(&size);
-                team.give(&size);
+                self.slots[slot].soon.subtract(&size);
+                team.add(&size);
                 self.stopped.remove(&(&m.name, *t));
             }
         }
@@ -520,19 +520,19 @@
     /// Plans to stop tasks and to give one of the job their room.
     pub fn promise(&mut self, ask: &Ask, slot: usize, victims: &[&'a Task]) {
         self.move_victims(slot, victims, true);
-        self.slots[slot].soon.take(&ask.size);
+        self.slots[slot].soon.subtract(&ask.size);
     }
 
     /// Undoes [`Pass::promise`].
     pub fn withdraw(&mut self, ask: &Ask, slot: usize, victims: &[&'a Task]) {
-        self.slots[slot].soon.give(&ask.size);
+        self.slots[slot].soon.add(&ask.size);
         self.move_victims(slot, victims, false);
     }
 
     /// Keeps what a promise needs out of the hands of later tasks.  The tasks
     /// that stop still count for their team until they are gone.
     pub fn hold(&mut self, ask: &Ask, slot: usize) {
-        self.free_changes(slot, |free| free.take(&ask.size));
+        self.free_changes(slot, |free| free.subtract(&ask.size));
     }
 
     /// What is planned to stop does stop, gangs whole; until it is gone it
@@ -542,7 +542,7 @@
             let Some(job) = self.c.jobs.get(&t.job) else { continue };
             if let Some(p) = job.assignments.get(&t.index).and_then(|l| self.c.machines.get(l.first()?)?.tasks.get(*t))
             {
-                self.used.entry(p.spec.team.clone()).or_default().give(&p.spec.size());
+                self.used.entry(p.spec.team.clone()).or_default().add(&p.spec.size());
             }
             if job.spec.shape == Shape::Gang {
                 for (index, list) in &job.assignments {
@@ -561,12 +561,12 @@
     pub fn hold_first(&mut self, ask: &Ask, zones: &[u32]) {
         let fits = |i: &usize| {
             let s = &self.slots[*i];
-            ask.allowed[s.pool] && s.m.size.holds(&ask.size) && self.zone_ok(ask, zones, *i)
+            ask.allowed[s.pool] && s.m.size.fits(&ask.size) && self.zone_ok(ask, zones, *i)
         };
         let soon = |i: &usize| self.slots[*i].soon.cpus;
         if let Some(i) = (0..self.slots.len()).filter(fits).max_by(|a, b| soon(a).total_cmp(&soon(b))) {
             self.hold(ask, i);
-            self.slots[i].soon.take(&ask.size);
+            self.slots[i].soon.subtract(&ask.size);
         }
     }
 
--- a/packages/core/src/placement/tai2.rs
+++ b/packages/core/src/placement/tai2.rs
@@ -162,7 +162,7 @@
     for c in all.0.values() {
         if let Some(speed) = c.members.get(&at) {
             let mut free = c.free;
-            free.take(head);
+            free.subtract(head);
             sum += speed * head.cpus;
             changed.push(Candidate { at, free, whole: c.whole, speed: *speed });
         }
@@ -178,12 +178,12 @@
                     best = Some((room, at, fresh, i));
                 }
             };
-            for (i, (c, members)) in rest.iter_mut().enumerate().filter(|(_, r)| r.0.free.holds(task)) {
+            for (i, (c, members)) in rest.iter_mut().enumerate().filter(|(_, r)| r.0.free.fits(task)) {
                 if let Some((at, _)) = members.peek() {
                     show(leftover(&c.free, &c.whole, task), **at, true, i);
                 }
             }
-            for (i, o) in changed.iter().enumerate().filter(|(_, o)| o.free.holds(task)) {
+            for (i, o) in changed.iter().enumerate().filter(|(_, o)| o.free.fits(task)) {
                 show(leftover(&o.free, &o.whole, task), o.at, false, i);
             }
             let Some((_, _, fresh, mut i)) = best else { return sum };
@@ -194,8 +194,8 @@
                 i = changed.len() - 1;
             }
             let o = &mut changed[i];
-            while left > 0 && o.free.holds(task) {
-                o.free.take(task);
+            while left > 0 && o.free.fits(task) {
+                o.free.subtract(task);
                 sum += o.speed * task.cpus;
                 left -= 1;
             }
--- a/packages/core/src/placement/tai2/tests.rs
+++ b/packages/core/src/placement/tai2/tests.rs
@@ -10,25 +10,25 @@
     w: &Weather,
 ) -> Option<(usize, How)> {
     fn best_fit(options: &[Candidate], task: &Resources) -> Option<Candidate> {
-        let fits = options.iter().filter(|o| o.free.holds(task));
+        let fits = options.iter().filter(|o| o.free.fits(task));
         let room = |o: &Candidate| leftover(&o.free, &o.whole, task);
         fits.min_by(|a, b| room(a).total_cmp(&room(b))).copied()
     }
     let run = |at: usize| {
         let mut options = all.to_vec();
         let first = options.iter_mut().find(|o| o.at == at).expect("it is among all");
-        first.free.take(head);
+        first.free.subtract(head);
         let mut sum = first.speed * head.cpus;
         for task in later {
             let Some(at) = best_fit(&options, task).map(|o| o.at) else { break };
             let o = options.iter_mut().find(|o| o.at == at).expect("found just now");
-            o.free.take(task);
+            o.free.subtract(task);
             sum += o.speed * task.cpus;
         }
         sum
     };
     let bf = best_fit(fitting, head)?;
-    let fits = fitting.iter().filter(|o| o.free.holds(head));
+    let fits = fitting.iter().filter(|o| o.free.fits(head));
     let ff = *fits.min_by(|a, b| {
         let room = |o: &Candidate| leftover(&o.free, &o.whole, head);
         b.speed.total_cmp(&a.speed).then(room(a).total_cmp(&room(b)))
@@ -54,7 +54,7 @@
     w: &Weather,
 ) -> Option<(usize, How)> {
     let mut picks = Picks::default();
-    for c in fitting.iter().filter(|c| c.free.holds(head)) {
+    for c in fitting.iter().filter(|c| c.free.fits(head)) {
         picks.show(*c, head);
     }
     let runs: Vec<(Resources, usize)> = later.chunk_by(|a, b| a == b).map(|c| (c[0], c.len())).collect();
--- a/packages/core/src/user_request.rs
+++ b/packages/core/src/user_request.rs
@@ -307,7 +307,7 @@
         return Some("unknown team");
     };
     let allowed = |t: &&MachineType| spec.types.as_ref().is_none_or(|l| l.contains(&t.name));
-    let mut fit = types.iter().filter(allowed).filter(|t| t.size().holds(&spec.size())).peekable();
+    let mut fit = types.iter().filter(allowed).filter(|t| t.size().fits(&spec.size())).peekable();
     if fit.peek().is_none() {
         return Some("a task fits no allowed machine type");
     }
--- a/packages/emulator/src/worker_pool.rs
+++ b/packages/emulator/src/worker_pool.rs
@@ -337,7 +337,7 @@
         let mut used = Resources::default();
         for (t, _) in m.tasks.iter().filter(|(_, h)| !matches!(h.work, Work::Ended { .. })) {
             if let Some(s) = self.specs.get(&t.job) {
-                used.give(&s.size());
+                used.add(&s.size());
             }
         }
         let refuse = |cause| Held { attempt, work: Work::Ended { cause, saved: None } };
@@ -347,8 +347,8 @@
             (None, None) => refuse(ExitCause::UnknownJob),
             (None, Some(s)) => {
                 let mut free = m.kind.size();
-                free.take(&used);
-                if free.holds(&s.size()) {
+                free.subtract(&used);
+                if free.fits(&s.size()) {
                     Held { attempt, work: Work::Pulling }
                 } else {
                     refuse(ExitCause::NoRoom)
--- a/packages/wire/src/model.rs
+++ b/packages/wire/src/model.rs
@@ -67,28 +67,32 @@
 const SLACK: f64 = 1e-6;
 
 impl Resources {
-    /// Whether a task of size `s` fits into this.
-    pub fn holds(&self, s: &Resources) -> bool {
-        s.cpus <= self.cpus + SLACK && s.gpus <= self.gpus + SLACK && s.memory <= self.memory + SLACK
+    /// Whether a task of size `size` fits into these resources.
+    pub fn fits(&self, size: &Resources) -> bool {
+        size.cpus <= self.cpus + SLACK && size.gpus <= self.gpus + SLACK && size.memory <= self.memory + SLACK
     }
-    /// Takes `s` away.
-    pub fn take(&mut self, s: &Resources) {
-        self.cpus -= s.cpus;
-        self.gpus -= s.gpus;
-        self.memory -= s.memory;
+
+    /// Subtracts `size`; a result below zero is kept as it is.
+    pub fn subtract(&mut self, size: &Resources) {
+        self.cpus -= size.cpus;
+        self.gpus -= size.gpus;
+        self.memory -= size.memory;
     }
-    /// Adds `s`.
-    pub fn give(&mut self, s: &Resources) {
-        self.cpus += s.cpus;
-        self.gpus += s.gpus;
-        self.memory += s.memory;
+
+    /// Adds `size`.
+    pub fn add(&mut self, size: &Resources) {
+        self.cpus += size.cpus;
+        self.gpus += size.gpus;
+        self.memory += size.memory;
     }
-    /// `n` of it.
-    pub fn times(&self, n: f64) -> Resources {
-        Resources { cpus: self.cpus * n, gpus: self.gpus * n, memory: self.memory * n }
+
+    /// These resources multiplied by `factor`.
+    pub fn scaled(&self, factor: f64) -> Resources {
+        Resources { cpus: self.cpus * factor, gpus: self.gpus * factor, memory: self.memory * factor }
     }
-    /// How many tasks of size `s` fit, at most `most`.
-    pub fn count(&self, s: &Resources, most: usize) -> usize {
+
+    /// How many tasks of size `size` fit into these resources, at most `most`.
+    pub fn count_fitting(&self, size: &Resources, most: usize) -> usize {
         let part = |have: f64, need: f64| {
             if need <= 0.0 {
                 f64::INFINITY
@@ -96,7 +100,7 @@
                 ((have + SLACK) / need).floor().max(0.0)
             }
         };
-        let n = part(self.cpus, s.cpus).min(part(self.gpus, s.gpus)).min(part(self.memory, s.memory));
+        let n = part(self.cpus, size.cpus).min(part(self.gpus, size.gpus)).min(part(self.memory, size.memory));
         if n.is_finite() {
             (n as usize).min(most)
         } else {
