--- a/packages/core/src/workers/tests.rs
+++ b/packages/core/src/workers/tests.rs
@@ -23,8 +23,12 @@
     assert_eq!(c.apply_heartbeat(&report(3, 4 << 24), true, now), None, "a later term's");
 }
 
+use super::failures::FAILS;
 use super::*;
+use crate::cluster::{Cluster, Machine};
+use crate::model::*;
 use crate::sim::{cluster, spec};
+use std::time::{Duration, Instant};
 
 const RUNNING: Told = (TaskState::Running, None);
 const FAILED: Told = (TaskState::Exited, Some(ExitCause::Failed));
