--- a/packages/core/src/cancellation/tests.rs
+++ b/packages/core/src/cancellation/tests.rs
@@ -1,8 +1,10 @@
 use super::*;
 use crate::config::Config;
+use crate::policy::Policy;
 use coralnotch_policy::example::SETTINGS;
 use proptest::prelude::*;
-use std::collections::HashSet;
+use std::collections::{HashMap, HashSet};
+use std::time::{Duration, Instant};
 
 /// The last lease is over in time, whatever the clocks do within their drift.
 #[test]
--- a/packages/core/src/user_request.rs
+++ b/packages/core/src/user_request.rs
@@ -9,15 +9,16 @@
 //! had come; and whoever says "cancelled" sees to it that nobody can renew a lease for its
 //! tasks unknowing ([`crate::cancellation::Telling`]).
 
-use std::time::Instant;
+mod satisfiability;
+mod transactions;
 
-use coralnotch_policy::config::Team;
+pub use satisfiability::unsatisfiable_reason;
+pub use transactions::{cancellations_txn, submissions_txn};
 
-use coralnotch_wire::state::{Txn, Write};
+use std::time::Instant;
 
 use crate::cancellation::{may_lead, CancellationLog, CancellationNotices};
 use crate::job_index::{CancelledDependency, JobIndex, JobStatus};
-use crate::key;
 use crate::lookup::LookupResult;
 use crate::model::*;
 use crate::policy::Policy;
@@ -275,56 +276,5 @@
     }
 }
 
-/// Submissions as one transaction, each guarded on being new; `needs_cancelled_job` ones with their own
-/// ends.  An id that comes twice is stored once, as it came first.
-pub fn submissions_txn<'a>(all: impl Iterator<Item = (&'a JobSpec, bool)>) -> Txn {
-    let mut txn = Txn::default();
-    for (spec, needs_cancelled_job) in all {
-        let path = format!("{}{}", key::JOB, spec.id);
-        if txn.preconditions.iter().any(|g| g.key == path) {
-            continue;
-        }
-        txn.require(path.clone(), 0);
-        txn.writes.push(Write::set(path, spec));
-        if needs_cancelled_job {
-            key::put_outcome(&mut txn, &spec.id, JobOutcome::Cancelled);
-        }
-    }
-    txn
-}
-
-/// The cancellation of jobs, each guarded on having no end.
-pub fn cancellations_txn(ids: &[Name]) -> Txn {
-    let mut txn = Txn::default();
-    ids.iter().for_each(|id| key::put_outcome(&mut txn, id, JobOutcome::Cancelled));
-    txn
-}
-
-/// Why a job can never run, if it cannot: its team, the machine types, their zones and the
-/// team's limit speak against it.
-pub fn unsatisfiable_reason(spec: &JobSpec, teams: &[Team], types: &[MachineType]) -> Option<&'static str> {
-    let Some(team) = teams.iter().find(|t| *t.name == *spec.team) else {
-        return Some("unknown team");
-    };
-    let allowed = |t: &&MachineType| spec.types.as_ref().is_none_or(|l| l.contains(&t.name));
-    let mut fit = types.iter().filter(allowed).filter(|t| t.size().fits(&spec.size())).peekable();
-    if fit.peek().is_none() {
-        return Some("a task fits no allowed machine type");
-    }
-    if spec.zone.as_ref().is_some_and(|z| !fit.any(|t| t.zones.contains(z))) {
-        return Some("no allowed machine type that a task fits is in its zone");
-    }
-    let together = spec.shape != Shape::Array;
-    if together && (spec.zone.is_some() || spec.one_zone) && spec.tasks > spec.zone_cap() {
-        return Some("its tasks are to be spread and to be in one zone");
-    }
-    let n = if together { f64::from(spec.tasks) } else { 1.0 };
-    let over = |need: f64, most: f64| most > 0.0 && need * n > most + 1e-6;
-    if over(spec.cpus, team.cpus_max) || over(spec.gpus, team.gpus_max) {
-        return Some("needs more than the team's limit");
-    }
-    None
-}
-
 #[cfg(test)]
 mod tests;
--- a/packages/core/src/user_request/tests.rs
+++ b/packages/core/src/user_request/tests.rs
@@ -1,6 +1,8 @@
 use super::*;
+use crate::key;
 use crate::sim::{machine_type, spec, SETTINGS};
-use coralnotch_policy::config::Config;
+use coralnotch_policy::config::{Config, Team};
+use coralnotch_wire::state::Write;
 use proptest::prelude::*;
 use std::sync::Arc;
 use std::time::Duration;
