--- a/packages/core/src/cancellation.rs
+++ b/packages/core/src/cancellation.rs
@@ -1,18 +1,20 @@
-//! What a controller knows of withdrawals, up to when that is whole, and how long
-//! it may renew workers' leases on it.  It reads nothing and asks nobody; it must
-//! not know how the store or a sibling is reached.
+//! What a controller knows of cancelled jobs, as of when that knowledge is complete, and for
+//! how long it may renew workers' leases on it.  Plain state: it does no I/O and must not
+//! know how the store or a peer is reached.
 //!
-//! A task runs on for as long as somebody renews its machine's lease.  Whoever
-//! renews must therefore know of every withdrawal that a user was told of, or stop
-//! early enough that the last lease is over within `cancel` of the first that it
-//! may have missed.  CancellationView has an age: it is whole as of the hour at which the
-//! request that showed it was *sent*, for that is all that its answer proves.
+//! A task keeps running for as long as some controller renews the lease of its machine.  A
+//! controller that renews leases must therefore know every cancellation that was confirmed
+//! to a user, or stop renewing early enough that the last lease has expired within `cancel`
+//! of the first cancellation that it may have missed.  For this, a [`CancellationView`]
+//! records as of when it is complete.  That is the time at which the request that filled it
+//! was *sent*, not the time of the response, because the response proves no more than that.
 //!
-//! Two ways make it whole.  The store's watch, when it answers.  And the word of
-//! the siblings: a withdrawal is told to a user by a controller only, so if every
-//! controller of the settings has accounted for all withdrawals that it knows, none
-//! told before the first of these accounts was asked for is missing.  An account
-//! counts without a gap only: from a revision up to which the asker knows them all.
+//! A view becomes complete in one of two ways.  The first is a response of the store's
+//! watch.  The second is a response of every peer: only controllers confirm cancellations to
+//! users, so once every configured controller has sent all cancellations that it knows, none
+//! that was confirmed before the first of these requests can be missing.  A peer's batches
+//! count only if they leave no gap, that is, if they start at a revision up to which the
+//! requesting controller knows all cancellations.
 
 mod log;
 mod notices;
@@ -20,34 +22,43 @@
 mod view;
 
 pub use log::CancellationLog;
-pub use notices::CancellationNotices;
+pub use notices::{CancellationNotices, PeerNotice};
 pub use renewal::{leadership_window, may_lead, may_renew, renewal_window};
 pub use view::CancellationView;
 
 use crate::model::Name;
 
-/// Most withdrawals in one answer; the rest follows with the next.
-const MOST_TOLD: usize = 512;
+/// Maximum number of cancellations in one message to a peer; the rest follows in the next.
+const MAX_BATCH_LEN: usize = 512;
 
-/// A withdrawal that is stored.
+/// A stored cancellation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Cancellation {
-    /// Revision of its end.
+    /// Revision at which the job's outcome was stored; 0 if it is not known here.
     pub revision: u64,
-    /// Job.
+    /// The cancelled job.
     pub id: Name,
 }
 
-/// What a controller tells a sibling: a part of the withdrawals that it knows.
+/// How far a controller has read the [`CancellationLog`] of a peer.
+#[derive(Debug, Clone, Copy, PartialEq, Default)]
+pub struct BatchCursor {
+    /// Incarnation of the peer whose log was read; 0 before the first batch.
+    pub incarnation: u64,
+    /// Position in that log at which the next batch begins.
+    pub next: u64,
+}
+
+/// Part of the cancellations that a controller knows, as it sends them to a peer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CancellationBatch {
-    /// The life of the controller that tells it.
+    /// Incarnation of the sending controller.
     pub incarnation: u64,
-    /// In the order in which it learned of them.
+    /// Cancellations in the order in which the sender learned of them.
     pub cancellations: Vec<Cancellation>,
-    /// Where the next answer begins.
+    /// Position in the sender's log at which the next batch begins.
     pub next: u64,
-    /// There is no more.
+    /// Whether this batch reaches the end of the sender's log.
     pub complete: bool,
 }
 
--- a/packages/core/src/cancellation/log.rs
+++ b/packages/core/src/cancellation/log.rs
@@ -1,88 +1,115 @@
-//! The cancellations that a controller knows.
+//! The cancellations that a controller knows, in the order in which it learned of them.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use super::{Cancellation, CancellationBatch, MOST_TOLD};
+use super::{BatchCursor, Cancellation, CancellationBatch, MAX_BATCH_LEN};
 use crate::model::Name;
 
-/// The withdrawals that a controller knows: by the watch, by what it stored and by
-/// what it read.  It keeps the last of them; what it let go raises the floor.
+/// When a cancellation was learned here, and the revision at which it was stored.
+#[derive(Debug, Clone, Copy)]
+struct Learned {
+    at: Instant,
+    revision: u64,
+}
+
+/// The cancellations that a controller knows: from the watch, from its own writes and from
+/// what it read.  It keeps a limited number; evicting the oldest entry raises the floor.
 #[derive(Debug)]
 pub struct CancellationLog {
-    life: u64,
-    /// All with a higher stamp that were shown or told here are in the list;
-    /// `None` before this life has begun to watch.
+    incarnation: u64,
+    /// Every cancellation with a higher revision that this controller was shown or has
+    /// confirmed to a user is among the entries; `None` before this incarnation began its
+    /// watch.
     floor: Option<u64>,
-    /// Number of the first in the list.
-    first: u64,
-    list: VecDeque<Cancellation>,
-    /// When each was learned, and its stamp.
-    listed: HashMap<Name, (Instant, u64)>,
-    /// What is not in the list was learned by then: when this life began to watch, or
-    /// when the last one was learned that the list let go.
-    unlisted: Option<Instant>,
-    most: usize,
+    /// Position of the first entry.
+    first_position: u64,
+    entries: VecDeque<Cancellation>,
+    /// The entries by job.
+    learned: HashMap<Name, Learned>,
+    /// A cancellation that is not among the entries was learned by then at the latest: when
+    /// this incarnation began its watch, or when the newest evicted entry was learned.
+    unlisted_learned_by: Option<Instant>,
+    capacity: usize,
 }
 
 impl CancellationLog {
-    /// None, in a new life that keeps so many.
-    pub fn new(life: u64, most: usize) -> CancellationLog {
-        let (list, listed) = Default::default();
-        CancellationLog { life, floor: None, first: 0, list, listed, unlisted: None, most: most.max(1) }
+    /// Creates an empty log of a new incarnation that keeps at most `capacity` entries.
+    pub fn new(incarnation: u64, capacity: usize) -> CancellationLog {
+        CancellationLog {
+            incarnation,
+            floor: None,
+            first_position: 0,
+            entries: VecDeque::new(),
+            learned: HashMap::new(),
+            unlisted_learned_by: None,
+            capacity: capacity.max(1),
+        }
     }
 
-    /// A watch begins at this revision: what came before it and after the last one's
-    /// end was not shown here.
+    /// Notes that a watch begins at this revision: cancellations between the end of the
+    /// previous watch and this revision were not shown here.
     pub fn begin_watch(&mut self, revision: u64, now: Instant) {
-        self.unlisted.get_or_insert(now);
+        self.unlisted_learned_by.get_or_insert(now);
         self.floor = self.floor.max(Some(revision));
     }
 
-    /// One that is stored, however it became known.
-    pub fn record(&mut self, stamp: u64, id: &str, now: Instant) {
-        if self.listed.contains_key(id) {
+    /// Records a stored cancellation, however it became known.
+    pub fn record(&mut self, revision: u64, id: &str, now: Instant) {
+        if self.learned.contains_key(id) {
             return;
         }
-        self.listed.insert(id.into(), (now, stamp));
-        self.list.push_back(Cancellation { revision: stamp, id: id.into() });
-        if self.list.len() > self.most {
-            if let Some(w) = self.list.pop_front() {
-                // an id that left may be one that was learned a moment ago: it must not
-                // look as old as this life
-                let learned = self.listed.remove(&w.id).map(|l| l.0);
-                self.unlisted = self.unlisted.max(learned);
-                self.first += 1;
-                self.floor = self.floor.map(|f| f.max(w.revision));
-            }
+        self.learned.insert(id.into(), Learned { at: now, revision });
+        self.entries.push_back(Cancellation { revision, id: id.into() });
+        if self.entries.len() > self.capacity {
+            self.evict_oldest();
         }
     }
 
-    /// Whether a job is known to be withdrawn.
+    fn evict_oldest(&mut self) {
+        let Some(evicted) = self.entries.pop_front() else { return };
+        // The evicted job may have been cancelled a moment ago.  It must not look as old as
+        // this incarnation, or its user would be told too early.
+        let learned_at = self.learned.remove(&evicted.id).map(|learned| learned.at);
+        self.unlisted_learned_by = self.unlisted_learned_by.max(learned_at);
+        self.first_position += 1;
+        self.floor = self.floor.map(|floor| floor.max(evicted.revision));
+    }
+
+    /// Whether the job's cancellation is among the entries.
     pub fn contains(&self, id: &str) -> bool {
-        self.listed.contains_key(id)
+        self.learned.contains_key(id)
     }
 
-    /// When an end was learned, or by when at the latest if it is not in the list any
-    /// more or came before it; with its stamp.
-    pub(super) fn learned(&self, id: &str) -> Option<(Instant, u64)> {
-        self.listed.get(id).copied().or(self.unlisted.map(|t| (t, 0)))
+    /// Returns the revision at which a job's cancellation was stored, if it is among the
+    /// entries.
+    pub(super) fn revision_of(&self, id: &str) -> Option<u64> {
+        self.learned.get(id).map(|learned| learned.revision)
     }
 
-    /// How long an end has been known, at least.
-    pub(super) fn age(&self, id: &str, now: Instant) -> Option<Duration> {
-        self.learned(id).map(|(t, _)| now.saturating_duration_since(t))
+    /// Returns for how long a job's cancellation has been known, at least; `None` if that
+    /// cannot be told.
+    pub(super) fn min_age(&self, id: &str, now: Instant) -> Option<Duration> {
+        let learned_at = self.learned.get(id).map(|learned| learned.at).or(self.unlisted_learned_by);
+        learned_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// For a sibling that knows all up to a revision and has had the first `next` of
-    /// the list of a life.  `None`: a gap, nothing can be accounted for.
-    pub fn batch_since(&self, since: u64, life: u64, next: u64) -> Option<CancellationBatch> {
-        self.floor.filter(|f| *f <= since)?;
-        let had = if life == self.life { next.saturating_sub(self.first) as usize } else { 0 };
-        let rest = self.list.iter().skip(had);
-        let end = self.list.len().min(had.saturating_add(MOST_TOLD));
-        let known = rest.take(MOST_TOLD).filter(|w| w.revision > since).cloned().collect();
-        let next = self.first + end as u64;
-        Some(CancellationBatch { incarnation: self.life, cancellations: known, next, complete: end == self.list.len() })
+    /// Returns the next batch for a peer that knows all cancellations up to `revision` and has
+    /// read this log up to `cursor`.  `None` if there may be cancellations after `revision`
+    /// that are no longer, or never were, in this log.
+    pub fn batch_since(&self, revision: u64, cursor: BatchCursor) -> Option<CancellationBatch> {
+        self.floor.filter(|floor| *floor <= revision)?;
+        let begin = match cursor.incarnation == self.incarnation {
+            true => cursor.next.saturating_sub(self.first_position) as usize,
+            false => 0,
+        };
+        let end = self.entries.len().min(begin.saturating_add(MAX_BATCH_LEN));
+        let unread = self.entries.iter().skip(begin).take(MAX_BATCH_LEN);
+        Some(CancellationBatch {
+            incarnation: self.incarnation,
+            cancellations: unread.filter(|entry| entry.revision > revision).cloned().collect(),
+            next: self.first_position + end as u64,
+            complete: end == self.entries.len(),
+        })
     }
 }
--- a/packages/core/src/cancellation/renewal.rs
+++ b/packages/core/src/cancellation/renewal.rs
@@ -1,39 +1,53 @@
-//! For how long leases may be renewed on what a controller knows of cancellations.
+//! For how long a controller may renew leases, or lead, after its knowledge of cancellations
+//! was last complete.
 
 use std::time::{Duration, Instant};
 
 use crate::policy::Policy;
 
-/// For how long leases may be renewed on a picture of ends, from when it was whole:
-/// what is withdrawn from then on has to be gone within `cancel` by the users'
-/// clocks, and a lease that is renewed last lasts `lease` by the worker's, which may
-/// run slow; a worker notices the end of its lease within a `renew`.
+/// Returns for how long leases may be renewed after the view of cancellations was complete.
 ///
-/// `told`: every controller keeps to [`CancellationNotices`].  A user is told then no sooner than
-/// `cancel` after the end was stored, if a controller that renews may not know it.
-pub fn renewal_window(p: &Policy, told: bool) -> Duration {
-    let needs = p.lease.mul_f64(1.0 + 2.0 * p.drift) + p.renew;
-    let from_telling = p.cancel.mul_f64(1.0 - 2.0 * p.drift).saturating_sub(needs);
-    match told && !from_telling.is_zero() {
-        true => from_telling + p.cancel.mul_f64(1.0 - 2.0 * p.drift),
-        false => from_telling,
+/// A job that is cancelled after that moment must have stopped within `cancel` by the user's
+/// clock.  A lease that is renewed last lasts `lease` by the worker's clock, which may run
+/// slow, and the worker notices its expiry within one `renew`.
+///
+/// With `notices_required`, every controller confirms cancellations through
+/// [`CancellationNotices`](super::CancellationNotices).  As long as a controller that renews
+/// leases may not know a cancellation, the user is then told of it no sooner than `cancel`
+/// after it was stored, and the window is longer by that time.
+pub fn renewal_window(policy: &Policy, notices_required: bool) -> Duration {
+    let lease_expiry = policy.lease.mul_f64(1.0 + 2.0 * policy.drift) + policy.renew;
+    let cancel_limit = policy.cancel.mul_f64(1.0 - 2.0 * policy.drift);
+    let window = cancel_limit.saturating_sub(lease_expiry);
+    if notices_required && !window.is_zero() {
+        window + cancel_limit
+    } else {
+        window
     }
 }
 
-/// The same for a leader whose lease is served: its stops reach the workers, and the
-/// watch answers it within two `ttl`.  Where a worker's lease outlasts `cancel` no
-/// bound helps, and a leader has to be able to lead.
-pub fn leadership_window(p: &Policy) -> Duration {
-    renewal_window(p, false).max(p.ttl * 3)
+/// Returns for how long a leader with a valid leadership lease may lead after its view of
+/// cancellations was complete.
+///
+/// Its stop commands reach the workers, and the watch responds to it within two `ttl`.  Where
+/// a worker's lease lasts longer than `cancel`, no window is short enough, and yet a leader
+/// has to be able to lead: hence the minimum of three `ttl`.
+pub fn leadership_window(policy: &Policy) -> Duration {
+    renewal_window(policy, false).max(policy.ttl * 3)
+}
+
+/// Whether a controller may renew leases whose view of cancellations was last complete at
+/// `complete_as_of`.
+pub fn may_renew(complete_as_of: Option<Instant>, notices_required: bool, policy: &Policy, now: Instant) -> bool {
+    is_within(complete_as_of, renewal_window(policy, notices_required), now)
 }
 
-/// Whether a picture that is whole since then is young enough to renew leases on,
-/// nobody else's word being had.
-pub fn may_renew(whole: Option<Instant>, told: bool, p: &Policy, now: Instant) -> bool {
-    whole.is_some_and(|t| now.saturating_duration_since(t) < renewal_window(p, told))
+/// Whether a leader with a valid leadership lease may lead whose view of cancellations was
+/// last complete at `complete_as_of`.
+pub fn may_lead(complete_as_of: Option<Instant>, policy: &Policy, now: Instant) -> bool {
+    is_within(complete_as_of, leadership_window(policy), now)
 }
 
-/// Whether it is young enough for a leader whose lease is served.
-pub fn may_lead(whole: Option<Instant>, p: &Policy, now: Instant) -> bool {
-    whole.is_some_and(|t| now.saturating_duration_since(t) < leadership_window(p))
+fn is_within(complete_as_of: Option<Instant>, window: Duration, now: Instant) -> bool {
+    complete_as_of.is_some_and(|at| now.saturating_duration_since(at) < window)
 }
--- a/packages/core/src/cancellation/view.rs
+++ b/packages/core/src/cancellation/view.rs
@@ -1,52 +1,54 @@
-//! As of when a controller knows every cancellation that a user was told of.
+//! As of when a controller knows every cancellation that was confirmed to a user.
 
 use std::collections::HashMap;
 use std::time::Instant;
 
-use super::CancellationBatch;
+use super::{BatchCursor, CancellationBatch};
 
-/// What a sibling has told.
+/// How far a peer's log has been read.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct PeerProgress {
-    life: u64,
-    next: u64,
-    /// The last account to its end was asked for then.
-    pub(super) at: Option<Instant>,
+    cursor: BatchCursor,
+    /// When the request was sent whose response last reached the end of the log.
+    pub(super) complete_as_of: Option<Instant>,
 }
 
-/// Since when a controller's picture of withdrawals is whole.
+/// As of when a controller's knowledge of cancellations is complete.
 #[derive(Debug, Default)]
 pub struct CancellationView {
-    pub(super) shown: Option<Instant>,
-    pub(super) told: HashMap<String, PeerProgress>,
+    /// When the last watch request that was answered had been sent.
+    pub(super) watch_complete_as_of: Option<Instant>,
+    pub(super) peers: HashMap<String, PeerProgress>,
 }
 
 impl CancellationView {
-    /// The watch has answered a request that was sent then.
+    /// Notes that the watch has responded to a request that was sent at `sent`.
     pub fn watch_answered(&mut self, sent: Instant) {
-        self.shown = self.shown.max(Some(sent));
+        self.watch_complete_as_of = self.watch_complete_as_of.max(Some(sent));
     }
 
-    /// What to ask a sibling for: the rest of which life's list.
-    pub fn next_request(&self, sibling: &str) -> (u64, u64) {
-        self.told.get(sibling).map_or((0, 0), |t| (t.life, t.next))
+    /// Returns the cursor at which the next batch of a peer's log begins.
+    pub fn next_request(&self, peer: &str) -> BatchCursor {
+        self.peers.get(peer).map(|progress| progress.cursor).unwrap_or_default()
     }
 
-    /// A sibling has answered a request that was sent then; what it told is known
-    /// here by now.
-    pub fn peer_answered(&mut self, sibling: &str, sent: Instant, a: &CancellationBatch) {
-        let t = self.told.entry(sibling.to_owned()).or_default();
-        (t.life, t.next) = (a.incarnation, a.next);
-        if a.complete {
-            t.at = t.at.max(Some(sent));
+    /// Notes a peer's response to a request that was sent at `sent`.  The caller has recorded
+    /// the cancellations of the batch before.
+    pub fn peer_answered(&mut self, peer: &str, sent: Instant, batch: &CancellationBatch) {
+        let progress = self.peers.entry(peer.to_owned()).or_default();
+        progress.cursor = BatchCursor { incarnation: batch.incarnation, next: batch.next };
+        if batch.complete {
+            progress.complete_as_of = progress.complete_as_of.max(Some(sent));
         }
     }
 
-    /// Since when no withdrawal can be missing that a user was told of before:
-    /// by the watch, or by the word of each of these, which are all siblings.
-    pub fn complete_as_of<'a>(&self, siblings: impl IntoIterator<Item = &'a str>) -> Option<Instant> {
-        let mut of = siblings.into_iter().map(|s| self.told.get(s).and_then(|t| t.at)).peekable();
-        let word = if of.peek().is_some() { of.min().flatten() } else { None };
-        self.shown.max(word)
+    /// Returns the latest time for which this holds: no cancellation that was confirmed to a
+    /// user before it can be missing here.  `None` if there is no such time.
+    ///
+    /// `peers` are the names of all other controllers.  Without any, only the watch counts.
+    pub fn complete_as_of<'a>(&self, peers: impl IntoIterator<Item = &'a str>) -> Option<Instant> {
+        let peers_complete_as_of =
+            peers.into_iter().map(|peer| self.peers.get(peer).and_then(|progress| progress.complete_as_of)).min();
+        self.watch_complete_as_of.max(peers_complete_as_of.flatten())
     }
 }
--- a/packages/core/src/sim/history.rs
+++ b/packages/core/src/sim/history.rs
@@ -404,7 +404,7 @@
         let (now, n) = (self.at(), self.rng.usize(0..2));
         let other = (d + 1 + n) % 3;
         let desk = &mut self.desks[d];
-        let (told, _) = desk.telling.for_peer(n, &desk.withdrawals, &self.policy, now);
+        let told = desk.telling.for_peer(n, &desk.withdrawals, &self.policy, now).cancellations;
         for w in &told {
             self.desks[other].ends(&w.id, JobOutcome::Cancelled, w.revision, now);
         }
--- a/packages/core/src/sim/pictures.rs
+++ b/packages/core/src/sim/pictures.rs
@@ -131,7 +131,7 @@
                 if j != i {
                     // its siblings' numbers as it counts them
                     let p = &mut self.pictures[i];
-                    let (told, _) = p.telling.for_peer(j, &p.list, &self.policy, now);
+                    let told = p.telling.for_peer(j, &p.list, &self.policy, now).cancellations;
                     for w in &told {
                         self.learns(j, &w.id, JobOutcome::Cancelled, w.revision);
                     }
@@ -192,11 +192,11 @@
     fn asks(&mut self, i: usize, j: usize) {
         let name = ["0", "1", "2"][j];
         let Some(since) = self.pictures[i].watch else { return };
-        let (life, had) = self.pictures[i].knowledge.next_request(name);
+        let cursor = self.pictures[i].knowledge.next_request(name);
         if self.pictures[j].watch.is_none() {
             return;
         }
-        let Some(a) = self.pictures[j].list.batch_since(since, life, had) else { return };
+        let Some(a) = self.pictures[j].list.batch_since(since, cursor) else { return };
         for w in &a.cancellations {
             self.learns(i, &w.id, JobOutcome::Cancelled, w.revision);
         }
--- a/src/peers/service.rs
+++ b/src/peers/service.rs
@@ -13,7 +13,7 @@
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 use tonic::body::Body;
 
-use coralnotch_core::cancellation::{Cancellation, CancellationBatch};
+use coralnotch_core::cancellation::{BatchCursor, Cancellation, CancellationBatch, PeerNotice};
 
 use crate::cluster::{Machine, MachineHints};
 use crate::controller::Controller;
@@ -32,7 +32,7 @@
     /// Asks one sibling how it stands.
     async fn poll_peer(&self, l: &PeerLink, progress: bool) {
         let limit = self.policy.peer_limit;
-        let (since, (life, had)) = {
+        let (since, cursor) = {
             let i = self.lock();
             (i.synced.then_some(i.revision), i.cancellation_view.next_request(&l.name))
         };
@@ -42,8 +42,8 @@
             from: self.config.name.clone(),
             knows: feature_gate::supported_features(),
             withdrawn_since: since,
-            withdrawn_life: life,
-            withdrawn_had: had,
+            withdrawn_life: cursor.incarnation,
+            withdrawn_had: cursor.next,
         };
         let sent = Instant::now();
         let answer = self.peers.call(l, limit, |mut c| async move { c.status(ask).await }).await;
@@ -89,7 +89,8 @@
     fn account(&self, r: &wire::StatusRequest) -> Option<wire::Account> {
         let i = self.lock();
         let since = r.withdrawn_since.filter(|_| i.synced)?;
-        let a = i.cancellations.batch_since(since, r.withdrawn_life, r.withdrawn_had)?;
+        let cursor = BatchCursor { incarnation: r.withdrawn_life, next: r.withdrawn_had };
+        let a = i.cancellations.batch_since(since, cursor)?;
         let known = a.cancellations.into_iter().map(|w| wire::Withdrawal { stamp: w.revision, id: w.id.to_string() });
         Some(wire::Account { life: a.incarnation, known: known.collect(), next: a.next, whole: a.complete })
     }
@@ -104,7 +105,7 @@
     async fn tell_one(&self, n: usize, l: &PeerLink) {
         loop {
             let more = self.cancellation_to_notify.listen();
-            let (known, new) = {
+            let PeerNotice { cancellations: known, has_unacknowledged } = {
                 let mut guard = self.lock();
                 let i = &mut *guard;
                 i.cancellation_notices.for_peer(n, &i.cancellations, &self.policy, Instant::now())
@@ -113,7 +114,7 @@
                 more.await;
                 continue;
             }
-            if !new {
+            if !has_unacknowledged {
                 // it knows; what is left of them, the leader may say later
                 smol::Timer::after(self.policy.renew / 2).await;
             }
