--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -1,9 +1,10 @@
 use super::*;
-use crate::cluster::{PlacementShard, StartRecord};
+use crate::cluster::{Machine, PlacementShard, StartRecord, TaskPhase};
 use crate::policy::Policy;
 use crate::sim::{cluster, spec};
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
+use std::time::Duration;
 
 fn on_record(c: &mut Cluster, machines: usize, zone: &str, job: &str, now: Instant) {
     let mut page = PlacementShard::default();
