--- a/packages/core/src/sim/rules.rs
+++ b/packages/core/src/sim/invariants.rs
@@ -4,18 +4,18 @@
 
 impl World {
     /// The rules, at the moment a task gets onto a machine.
-    pub(super) fn started(&mut self, i: usize, task: &Task, spec: &JobSpec) {
-        let on = |w: &Work| !matches!(w, Work::Pulling { .. } | Work::Ended(_));
+    pub(super) fn check_task_start(&mut self, i: usize, task: &Task, spec: &JobSpec) {
+        let on = |w: &TaskProgress| !matches!(w, TaskProgress::Pulling { .. } | TaskProgress::Ended(_));
         let mut used = spec.cpus;
         let mut zones: BTreeMap<Name, u32> = BTreeMap::from([(self.workers[i].zone.clone(), 1)]);
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         for (j, w) in self.workers.iter().enumerate().filter(|(_, w)| w.alive) {
             for (t, (_, work)) in w.tasks.iter().filter(|(_, (_, w))| on(w)) {
                 if (j, t) == (i, task) {
                     continue;
                 }
                 if t == task {
-                    broken.push(format!("ran_twice: {t} on {} and {}", w.name, self.workers[i].name));
+                    violations.push(format!("ran_twice: {t} on {} and {}", w.name, self.workers[i].name));
                 }
                 let (other, _) = &self.jobs[&t.job];
                 if other.team == spec.team {
@@ -28,32 +28,32 @@
             }
         }
         if used > self.quota + 1e-6 {
-            broken.push(format!("quota: {} uses {used}", spec.team));
+            violations.push(format!("quota: {} uses {used}", spec.team));
         }
         let w = &self.workers[i];
         if !spec.allows(&"t".into(), &w.zone, w.spot)
             || spec.one_zone && zones.len() > 1
             || zones[&w.zone] > spec.zone_cap()
         {
-            broken.push(format!("wrong_place: {task} on {}", w.name));
+            violations.push(format!("wrong_place: {task} on {}", w.name));
         }
-        self.slips += u32::from(self.cancelled.contains_key(&task.job));
-        if self.cancelled.get(&task.job).is_some_and(|t| self.now - t > 60_000) {
-            broken.push(format!("ran_cancelled: {task} starts"));
+        self.starts_after_cancellation += u32::from(self.cancellation_confirmed_at.contains_key(&task.job));
+        if self.cancellation_confirmed_at.get(&task.job).is_some_and(|t| self.now - t > 60_000) {
+            violations.push(format!("ran_cancelled: {task} starts"));
         }
-        if let Some(n) = spec.needs.iter().find(|n| self.store.outcome(n) != Some(JobOutcome::Done)) {
-            broken.push(format!("too_early: {task} starts before {n} is done"));
+        if let Some(n) = spec.needs.iter().find(|n| self.state_store.outcome(n) != Some(JobOutcome::Done)) {
+            violations.push(format!("too_early: {task} starts before {n} is done"));
         }
-        self.broken.extend(broken);
+        self.violations.extend(violations);
     }
 
     /// Jobs that a leader still holds back though all they need was done a while
     /// ago (a transaction may stay in doubt for some seconds): nothing else would
     /// show that they never start.
-    pub(super) fn forgotten(&self) -> Vec<String> {
+    pub(super) fn blocked_despite_done_dependencies(&self) -> Vec<String> {
         let over = |n: &Name| {
-            let long = self.ended.get(n).is_some_and(|t| self.now - t > 15_000);
-            long && self.store.outcome(n) == Some(JobOutcome::Done)
+            let long = self.outcome_stored_at.get(n).is_some_and(|t| self.now - t > 15_000);
+            long && self.state_store.outcome(n) == Some(JobOutcome::Done)
         };
         let led = self.controllers.iter().flatten().filter(|c| self.now < c.until);
         let held = led.flat_map(|c| c.cluster.dependency.blocked());
@@ -64,35 +64,36 @@
     /// under its limit: at each second for so long, room that was there for as long before
     /// that, eighty seconds in all.  What fails everywhere is probed seldom, and what waits
     /// for others waits rightly.
-    pub(super) fn nobody_waits(&mut self) {
+    pub(super) fn check_starvation(&mut self) {
         const SECONDS: usize = 40;
         let (mut used, mut left): (HashMap<Name, f64>, Vec<f64>) = Default::default();
         for w in &self.workers {
             let mut free = if w.alive && self.now >= w.hung_until { 8.0 } else { 0.0 };
             for (t, (_, work)) in &w.tasks {
                 let spec = &self.jobs[&t.job].0;
-                if w.alive && !matches!(work, Work::Ended(_)) {
+                if w.alive && !matches!(work, TaskProgress::Ended(_)) {
                     free -= spec.cpus;
                     *used.entry(spec.team.clone()).or_default() += spec.cpus;
                 }
             }
             left.push(free);
         }
-        self.samples.push_back((used, left));
-        if self.samples.len() <= SECONDS {
+        self.capacity_samples.push_back((used, left));
+        if self.capacity_samples.len() <= SECONDS {
             return;
         }
-        self.samples.pop_front();
-        let least = |n: usize| self.samples.iter().map(|s| s.1.get(n).copied().unwrap_or(0.0)).fold(8.0, f64::min);
+        self.capacity_samples.pop_front();
+        let least =
+            |n: usize| self.capacity_samples.iter().map(|s| s.1.get(n).copied().unwrap_or(0.0)).fold(8.0, f64::min);
         let free: Vec<(&Worker, f64)> = self.workers.iter().enumerate().map(|(n, w)| (w, least(n))).collect();
         let started: std::collections::HashSet<&Name> =
             self.workers.iter().flat_map(|w| w.tasks.keys()).map(|t| &t.job).collect();
         let mut waiting = HashMap::new();
         for (id, (spec, _)) in &self.jobs {
-            let ready = spec.needs.iter().all(|n| self.store.outcome(n) == Some(JobOutcome::Done));
-            let done = |index| self.finished.contains_key(&Task { job: id.clone(), index });
+            let ready = spec.needs.iter().all(|n| self.state_store.outcome(n) == Some(JobOutcome::Done));
+            let done = |index| self.task_finished_at.contains_key(&Task { job: id.clone(), index });
             let begun = started.contains(id) || (0..spec.tasks).any(done);
-            if self.store.outcome(id).is_some() || begun || !ready || self.mistaken.contains(id) {
+            if self.state_store.outcome(id).is_some() || begun || !ready || self.faulty_jobs.contains(id) {
                 continue;
             }
             let n = if spec.shape == Shape::Gang { spec.tasks } else { 1 };
@@ -103,33 +104,34 @@
             }
             let most = zones.values().map(|n| *n.min(&spec.zone_cap()));
             let room = if spec.one_zone { most.max().unwrap_or(0) } else { most.sum() };
-            let used = self.samples.iter().filter_map(|s| s.0.get(&spec.team)).fold(0.0, |a: f64, b| a.max(*b));
+            let used =
+                self.capacity_samples.iter().filter_map(|s| s.0.get(&spec.team)).fold(0.0, |a: f64, b| a.max(*b));
             // what has ended and is not reported yet counts for the leader
             let slack = 2.0;
             if room >= n && used + spec.cpus * f64::from(n) + slack <= self.quota {
-                let since = self.waiting.get(id).copied().unwrap_or(self.now);
+                let since = self.unplaced_since.get(id).copied().unwrap_or(self.now);
                 if self.now - since >= SECONDS as u64 * 1000 {
-                    self.broken.push(format!("left_waiting: {id} of {n} tasks, {room} would fit"));
+                    self.violations.push(format!("left_waiting: {id} of {n} tasks, {room} would fit"));
                 }
                 waiting.insert(id.clone(), since);
             }
         }
-        self.waiting = waiting;
+        self.unplaced_since = waiting;
     }
 
-    pub(super) fn always(&mut self) {
+    pub(super) fn check_invariants(&mut self) {
         let acts =
-            |(i, c): (usize, &Option<Controller>)| c.as_ref().is_some_and(|c| self.now < c.until) && self.served(i);
+            |(i, c): (usize, &Option<Controller>)| c.as_ref().is_some_and(|c| self.now < c.until) && self.is_served(i);
         if !self.controllers.iter().enumerate().any(acts) {
-            self.led = self.now;
+            self.led_since = self.now;
         }
         // a machine that hangs beyond its lease executes nothing any more; that
         // its tasks stay listed here is to catch those who start them again
         let lost = |w: &&Worker| self.now < w.hung_until && self.now.saturating_sub(w.renewed) > 30_000;
         for w in self.workers.iter().filter(|w| w.alive && !lost(w)) {
             for (t, (_, work)) in &w.tasks {
-                let on = !matches!(work, Work::Pulling { .. } | Work::Ended(_));
-                if on && self.cancelled.get(&t.job).is_some_and(|c| self.now - c > 60_000) {
+                let on = !matches!(work, TaskProgress::Pulling { .. } | TaskProgress::Ended(_));
+                if on && self.cancellation_confirmed_at.get(&t.job).is_some_and(|c| self.now - c > 60_000) {
                     let known = |c: &Controller| {
                         let m = c.cluster.machines.get(&w.name);
                         m.map(|m| {
@@ -143,33 +145,42 @@
                         })
                     };
                     let known: Vec<_> = self.controllers.iter().flatten().map(known).collect();
-                    let world = (self.cancelled[&t.job], self.outage, self.cut, w.hung_until, w.renewed);
-                    self.broken.push(format!("ran_cancelled: {t} on {}: {world:?}, {known:?}", w.name));
+                    let world = (
+                        self.cancellation_confirmed_at[&t.job],
+                        self.state_store_outage_until,
+                        self.zone_partitioned_until,
+                        w.hung_until,
+                        w.renewed,
+                    );
+                    self.violations.push(format!("ran_cancelled: {t} on {}: {world:?}, {known:?}", w.name));
                 }
             }
         }
         // a job that needs a cancelled one, from when both were known to users
         let mut since: HashMap<&Name, Ms> = HashMap::new();
         for (id, (spec, _)) in &self.jobs {
-            let told = |n: &Name| match self.store.outcome(n) {
-                Some(JobOutcome::Cancelled) => since.get(n).or(self.cancelled.get(n)).copied(),
+            let told = |n: &Name| match self.state_store.outcome(n) {
+                Some(JobOutcome::Cancelled) => since.get(n).or(self.cancellation_confirmed_at.get(n)).copied(),
                 Some(JobOutcome::Done) => None,
                 None => since.get(n).copied(),
             };
-            let Some(t) = spec.needs.iter().filter_map(told).min().map(|t| t.max(self.came[id])) else { continue };
+            let Some(t) = spec.needs.iter().filter_map(told).min().map(|t| t.max(self.submitted_at[id])) else {
+                continue;
+            };
             // called so too late; or left as it is though somebody leads
-            let called = self.now - t > 60_000 && (0..3).any(|i| self.calls_open(i, id));
-            let left = self.store.outcome(id).is_none() && self.now - t.max(self.led) > 40_000;
+            let called = self.now - t > 60_000 && (0..3).any(|i| self.may_report_unfinished(i, id));
+            let left = self.state_store.outcome(id).is_none() && self.now - t.max(self.led_since) > 40_000;
             if called || left {
-                self.broken.push(format!("orphaned: {id}, whose needs {:?} were cancelled at {t}", spec.needs));
+                self.violations.push(format!("orphaned: {id}, whose needs {:?} were cancelled at {t}", spec.needs));
             }
             since.insert(id, t);
         }
         for (id, (spec, _)) in &self.jobs {
-            if self.store.outcome(id) == Some(JobOutcome::Done) {
-                let all = (0..spec.tasks).all(|index| self.finished.contains_key(&Task { job: id.clone(), index }));
+            if self.state_store.outcome(id) == Some(JobOutcome::Done) {
+                let all =
+                    (0..spec.tasks).all(|index| self.task_finished_at.contains_key(&Task { job: id.clone(), index }));
                 if !all {
-                    self.broken.push(format!("not_done: {id}"));
+                    self.violations.push(format!("not_done: {id}"));
                 }
             }
         }
--- a/packages/core/src/sim/service.rs
+++ b/packages/core/src/sim/state_store.rs
@@ -5,33 +5,33 @@
 use super::*;
 
 #[derive(Default)]
-pub(super) struct Store {
+pub(super) struct StateStore {
     pub(super) kv: BTreeMap<String, (rmpv::Value, u64)>,
     pub(super) epoch: u64,
     /// Leases, by when they end.
     pub(super) leases: BTreeMap<u64, Ms>,
     /// Ends in their order, with their revisions.
-    pub(super) ends: Vec<(u64, Name, JobOutcome)>,
+    pub(super) outcomes: Vec<(u64, Name, JobOutcome)>,
     /// Whose lease the leader key hangs on.
     pub(super) leader: Option<(usize, u64)>,
 }
 
-impl Store {
+impl StateStore {
     /// Ends what has run out; the leader key goes with its lease.
     pub(super) fn expire(&mut self, now: Ms) {
         self.leases.retain(|_, until| *until > now);
-        if self.leader.is_some_and(|(_, hold)| !self.leases.contains_key(&hold)) {
+        if self.leader.is_some_and(|(_, lease_id)| !self.leases.contains_key(&lease_id)) {
             self.leader = None;
             self.kv.remove(key::LEADER);
             self.epoch += 1;
         }
     }
-    pub(super) fn stamp(&self, path: &str) -> u64 {
+    pub(super) fn revision(&self, path: &str) -> u64 {
         self.kv.get(path).map_or(0, |v| v.1)
     }
     pub(super) fn apply(&mut self, txn: &Txn) -> Result<u64, Vec<String>> {
         let bad: Vec<String> =
-            txn.preconditions.iter().filter(|g| self.stamp(&g.key) != g.revision).map(|g| g.key.clone()).collect();
+            txn.preconditions.iter().filter(|g| self.revision(&g.key) != g.revision).map(|g| g.key.clone()).collect();
         if !bad.is_empty() {
             return Err(bad);
         }
@@ -40,7 +40,7 @@
             if let Write::Set { set, data, .. } = w {
                 if let Some(id) = set.strip_prefix(key::OUTCOME) {
                     let outcome = read_value::<OutcomeRecord>(set, data.clone()).expect("an end").outcome;
-                    self.ends.push((self.epoch, id.into(), outcome));
+                    self.outcomes.push((self.epoch, id.into(), outcome));
                 }
             }
             match w {
@@ -58,7 +58,7 @@
 
 /// The state service as far as records of rentals need it.
 #[derive(Default)]
-pub struct Records(Store);
+pub struct Records(StateStore);
 
 impl Records {
     /// A leader of this term holds the key.
@@ -69,7 +69,7 @@
     }
 
     pub fn leader(&self) -> u64 {
-        self.0.stamp(key::LEADER)
+        self.0.revision(key::LEADER)
     }
 
     pub fn has(&self, path: &str) -> bool {
