--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,6 +4,8 @@
 
 pub mod commands;
 pub mod controller;
+pub mod heartbeats;
+pub mod http_api;
 pub mod leader;
 pub mod leadership;
 pub mod operators;
--- a/src/peers/forwarding.rs
+++ b/src/peers/forwarding.rs
@@ -269,7 +269,7 @@
         let siblings = self.config.peers.iter().filter(|s| lately(&s.name));
         let all: Vec<Forwarder<'_>> = siblings.map(|s| Forwarder { name: &s.name, zone: &s.zone }).collect();
         let to = assigned_forwarder(machine, zone, &all)?;
-        Some(crate::users::requests::redirect(Some(to)))
+        Some(crate::heartbeats::redirect(Some(to)))
     }
 }
 
