--- a/src/heartbeats.rs
+++ b/src/heartbeats.rs
@@ -26,14 +26,14 @@
 }
 
 impl Controller {
-    pub(crate) async fn hello(&self, body: &[u8]) -> Response {
+    pub(crate) async fn handle_heartbeat(&self, body: &[u8]) -> Response {
         if self.may_forward(Instant::now()) {
             // apart: few connections wait for the leader at once
             if let Some(answer) = Box::pin(self.forward_heartbeat(body)).await {
                 return answer;
             }
         }
-        if let Some(elsewhere) = self.sends_on(body) {
+        if let Some(elsewhere) = self.redirect_to_leader(body) {
             return elsewhere;
         }
         let report: Heartbeat = match http::decode(body) {
@@ -53,7 +53,7 @@
     }
 
     /// A worker of a zone has reported here.
-    pub(crate) fn note_worker_contact(&self, i: &mut ControllerState, zone: &str, now: Instant) {
+    pub(crate) fn record_worker_contact(&self, i: &mut ControllerState, zone: &str, now: Instant) {
         i.last_heartbeat = Some(now);
         if *zone != *self.config.zone {
             i.last_remote_zone_heartbeat = Some(now);
@@ -63,7 +63,7 @@
     /// Sends a worker to the leader without reading all of its report: after a change of
     /// leader all of them come here first.  Where the state service does not
     /// serve this controller it may have to keep leases, and reads.
-    fn sends_on(&self, body: &[u8]) -> Option<Response> {
+    fn redirect_to_leader(&self, body: &[u8]) -> Option<Response> {
         let origin: HeartbeatOrigin = http::decode(body).ok()?;
         let mut i = self.lock();
         let now = Instant::now();
@@ -73,7 +73,7 @@
         let leader = i.leader.as_ref().filter(|l| l.record.name != self.config.name)?;
         let answer = redirect(Some(&leader.record.name));
         self.detect_stall(&mut i, now);
-        self.note_worker_contact(&mut i, &origin.zone, now);
+        self.record_worker_contact(&mut i, &origin.zone, now);
         Some(answer)
     }
 
@@ -114,7 +114,7 @@
         let now = Instant::now();
         self.detect_stall(&mut i, now);
         match direct {
-            true => self.note_worker_contact(&mut i, &report.zone, now),
+            true => self.record_worker_contact(&mut i, &report.zone, now),
             // workers are heard; what reaches this controller itself only those tell
             false => i.last_heartbeat = Some(now),
         }
@@ -134,9 +134,9 @@
             if let Some(c) = i.cluster.as_mut().filter(|_| outage) {
                 if c.apply_heartbeat(report, true, now).is_some() {
                     let token = c.fencing_token_for(&report.machine);
-                    return Err(Response::new(200, &self.keep_alive(&i, report, token)));
+                    return Err(Response::new(200, &self.renew_worker_lease(&i, report, token)));
                 }
-            } else if self.alone(&i, report, now) {
+            } else if self.is_partitioned_with_zone(&i, report, now) {
                 // a start that is held up on its way finds a higher token: a
                 // withdrawal that is known here could not stop it
                 let token = if self.notices_required(&i, now) {
@@ -144,7 +144,7 @@
                 } else {
                     report.fencing_token
                 };
-                return Err(Response::new(200, &self.keep_alive(&i, report, token)));
+                return Err(Response::new(200, &self.renew_worker_lease(&i, report, token)));
             }
             return Err(match &i.leader {
                 Some(l) if l.record.name != self.config.name => redirect(Some(&l.record.name)),
@@ -188,7 +188,7 @@
     /// here: renewals end in time for it.  Users belong to no zone: where one
     /// comes, or a probe for them, it is this controller alone that is cut off,
     /// and its zone's workers can turn to another.
-    fn alone(&self, i: &ControllerState, report: &Heartbeat, now: Instant) -> bool {
+    fn is_partitioned_with_zone(&self, i: &ControllerState, report: &Heartbeat, now: Instant) -> bool {
         let age = |t: Instant| now.saturating_duration_since(t);
         let state = PartitionSuspicion {
             since_store_answer: age(self.store.last_served()),
@@ -203,7 +203,7 @@
     }
 
     /// Renews the worker's lease without leading.
-    fn keep_alive(&self, i: &ControllerState, report: &Heartbeat, token: u64) -> HeartbeatReply {
+    fn renew_worker_lease(&self, i: &ControllerState, report: &Heartbeat, token: u64) -> HeartbeatReply {
         count(&self.telemetry.counters.kept_alive);
         let led = |id: &Name| i.cluster.as_ref().and_then(|c| c.jobs.get(id)).and_then(|j| j.outcome);
         lease_renewal_reply(report, token, |id| {
--- a/src/heartbeats/tests.rs
+++ b/src/heartbeats/tests.rs
@@ -14,11 +14,11 @@
     node.lock().leader = Some(crate::controller::ObservedLeader { record, revision: 1 });
     let from = |zone: &str| http::encode(&std::collections::BTreeMap::from([("bay", zone)]));
     let own = node.config.zone.clone();
-    assert_eq!(node.sends_on(&from(&own)).map(|r| r.status), Some(421));
+    assert_eq!(node.redirect_to_leader(&from(&own)).map(|r| r.status), Some(421));
     assert!(node.lock().last_heartbeat.is_some() && node.lock().last_remote_zone_heartbeat.is_none());
-    assert_eq!(node.sends_on(&from("elsewhere")).map(|r| r.status), Some(421));
+    assert_eq!(node.redirect_to_leader(&from("elsewhere")).map(|r| r.status), Some(421));
     assert!(node.lock().last_remote_zone_heartbeat.is_some());
-    assert!(node.sends_on(&[0x90]).is_none(), "what is no report is refused as before");
+    assert!(node.redirect_to_leader(&[0x90]).is_none(), "what is no report is refused as before");
 }
 
 /// A worker that is sent elsewhere reads this answer.
--- a/src/http_api.rs
+++ b/src/http_api.rs
@@ -18,7 +18,7 @@
             }
             // a worker comes once in a report interval, and there may be more
             // workers than sockets
-            ("POST", "/hello") => Response { seldom: true, ..self.hello(&r.body).await },
+            ("POST", "/hello") => Response { seldom: true, ..self.handle_heartbeat(&r.body).await },
             ("GET", "/v2/status") => Response::new(200, &self.status(Instant::now())),
             (_, "/healthz" | "/hello" | "/v2/status") => Response::refuse(405, "wrong method"),
             _ => {
@@ -58,7 +58,7 @@
         let began = Instant::now();
         match (r.method.as_str(), rest) {
             ("POST", Some("")) => {
-                let a = self.submit(&r.body).await;
+                let a = self.submit_job(&r.body).await;
                 self.telemetry.record(TimedOperation::Submission, began.elapsed());
                 return a;
             }
@@ -74,8 +74,8 @@
             return Response::refuse(404, "no such path");
         }
         let (answer, what) = match (r.method.as_str(), withdraw) {
-            ("POST", true) => (self.withdraw(id).await, TimedOperation::Withdrawal),
-            ("GET", false) => (self.query(id, r.query == "why").await, TimedOperation::Query),
+            ("POST", true) => (self.cancel_job(id).await, TimedOperation::Withdrawal),
+            ("GET", false) => (self.query_job(id, r.query == "why").await, TimedOperation::Query),
             _ => return Response::refuse(405, "wrong method"),
         };
         self.telemetry.record(what, began.elapsed());
--- a/src/peers/forwarding.rs
+++ b/src/peers/forwarding.rs
@@ -19,7 +19,7 @@
 use crate::operators::telemetry::count;
 use crate::peers::links::{lock, wire};
 use crate::runtime::wake_up::timed;
-use crate::users::queues::WaitingReport;
+use crate::users::queues::QueuedHeartbeat;
 use crate::workers::{Heartbeat, HeartbeatReply};
 
 /// Most reports in one message, and most messages under way.
@@ -51,12 +51,12 @@
             let now = Instant::now();
             let mut i = self.lock();
             self.detect_stall(&mut i, now);
-            self.note_worker_contact(&mut i, &report.zone, now);
+            self.record_worker_contact(&mut i, &report.zone, now);
         }
         let (reply, answer) = smol::channel::bounded(1);
         let until = Instant::now() + ANSWER_LIMIT;
-        let waiting = WaitingReport { report, body: body.to_vec(), until, reply };
-        if self.heartbeat_queue.waiting.0.try_send(waiting).is_err() {
+        let waiting = QueuedHeartbeat { heartbeat: report, body: body.to_vec(), deadline: until, reply };
+        if self.heartbeat_queue.queued.0.try_send(waiting).is_err() {
             return Some(Response::refuse(503, "too many reports wait"));
         }
         match timed(ANSWER_LIMIT, answer.recv()).await {
@@ -69,7 +69,7 @@
 
     /// Whether reports go to the leader by way of this controller now.
     pub(crate) fn may_forward(&self, now: Instant) -> bool {
-        let failed = *lock(&self.heartbeat_queue.failed);
+        let failed = *lock(&self.heartbeat_queue.failed_at);
         if failed.is_some_and(|t| now.saturating_duration_since(t) < self.policy.peer_limit) {
             return false;
         }
@@ -90,7 +90,7 @@
         loop {
             let batch = {
                 let _turn = gathers.lock().await;
-                self.gather(&self.heartbeat_queue.waiting.1).await
+                self.gather(&self.heartbeat_queue.queued.1).await
             };
             self.deliver(batch).await;
             let keep = self.policy.lease.mul_f64(TIDY_AFTER_LEASES);
@@ -106,7 +106,7 @@
     }
 
     /// The reports that come within a short time.
-    async fn gather(&self, queue: &smol::channel::Receiver<WaitingReport>) -> Vec<WaitingReport> {
+    async fn gather(&self, queue: &smol::channel::Receiver<QueuedHeartbeat>) -> Vec<QueuedHeartbeat> {
         let Ok(first) = queue.recv().await else { return std::future::pending().await };
         let mut batch = vec![first];
         smol::Timer::after(self.policy.batch_gap).await;
@@ -118,10 +118,10 @@
     }
 
     /// Has the leader answer a batch; while another takes over it waits for that one.
-    async fn deliver(&self, mut batch: Vec<WaitingReport>) {
+    async fn deliver(&self, mut batch: Vec<QueuedHeartbeat>) {
         loop {
             let now = Instant::now();
-            batch.retain(|w| now < w.until && !w.reply.is_closed());
+            batch.retain(|w| now < w.deadline && !w.reply.is_closed());
             if batch.is_empty() {
                 return;
             }
@@ -135,14 +135,14 @@
                 Sent::NotLeading => drop(smol::Timer::after(self.policy.renew / 4).await),
                 Sent::Failed => {
                     // their senders end with the batch: each report is dealt with here
-                    *lock(&self.heartbeat_queue.failed) = Some(Instant::now());
+                    *lock(&self.heartbeat_queue.failed_at) = Some(Instant::now());
                     return;
                 }
             }
         }
     }
 
-    async fn send_batch(&self, batch: &[WaitingReport]) -> Sent {
+    async fn send_batch(&self, batch: &[QueuedHeartbeat]) -> Sent {
         let (leader, term) = {
             let i = self.lock();
             match &i.leader {
@@ -153,7 +153,7 @@
         let Some(link) = self.peers.links.iter().find(|l| l.name == leader) else { return Sent::NotLeading };
         let reports = {
             let forwarding = self.forwarding();
-            batch.iter().map(|w| to_wire(forwarding.message(&w.report, term), &w.body)).collect()
+            batch.iter().map(|w| to_wire(forwarding.message(&w.heartbeat, term), &w.body)).collect()
         };
         let message = wire::ReportBatch { from: self.config.name.clone(), term, reports };
         let limit = CALL_LIMIT + self.policy.commit_wait;
@@ -166,12 +166,17 @@
     }
 
     /// Hands the leader's answers to the workers; the reports that it wants in full are left.
-    fn hand_out(&self, batch: Vec<WaitingReport>, answers: Vec<wire::ReportAnswer>, term: u64) -> Vec<WaitingReport> {
+    fn hand_out(
+        &self,
+        batch: Vec<QueuedHeartbeat>,
+        answers: Vec<wire::ReportAnswer>,
+        term: u64,
+    ) -> Vec<QueuedHeartbeat> {
         let (now, mut again) = (Instant::now(), Vec::new());
         for (w, a) in batch.into_iter().zip(answers) {
             let Ok(status) = u16::try_from(a.status) else { continue };
             if status == 0 {
-                self.forwarding().forget(&w.report.machine);
+                self.forwarding().forget(&w.heartbeat.machine);
                 again.push(w);
                 continue;
             }
@@ -181,9 +186,9 @@
             };
             response.seldom = true;
             if status == 200 {
-                self.forwarding().mark_accepted(w.report, term, now);
+                self.forwarding().mark_accepted(w.heartbeat, term, now);
             } else {
-                self.forwarding().forget(&w.report.machine);
+                self.forwarding().forget(&w.heartbeat.machine);
             }
             let _ = w.reply.try_send(response);
         }
--- a/src/peers/forwarding/tests.rs
+++ b/src/peers/forwarding/tests.rs
@@ -136,7 +136,7 @@
         (i.forwarding_enabled, i.forwarding_requested) = (true, true);
     }
     assert!(n.may_forward(now));
-    *lock(&n.heartbeat_queue.failed) = Some(now);
+    *lock(&n.heartbeat_queue.failed_at) = Some(now);
     assert!(!n.may_forward(now));
     assert!(n.may_forward(now + n.policy.peer_limit));
     n.lock().forwarding_requested = false;
--- a/src/users/cancel.rs
+++ b/src/users/cancel.rs
@@ -4,7 +4,7 @@
 
 use coralnotch_core::user_request::{cancellations_txn, Reply, RequestKind};
 
-use super::request::SUBMIT_LIMIT;
+use super::request::SUBMIT_TIMEOUT;
 use crate::controller::Controller;
 use crate::http::Response;
 use crate::model::*;
@@ -12,17 +12,17 @@
 use crate::state_store::client::{key, StoreError, TxnOutcome};
 
 impl Controller {
-    pub(crate) async fn withdraw(&self, id: &str) -> Response {
+    pub(crate) async fn cancel_job(&self, id: &str) -> Response {
         if !valid_id(id) {
             return Response::refuse(404, "no such job");
         }
         let id: Name = id.into();
-        let word = timed(SUBMIT_LIMIT, self.inquire(&id, RequestKind::Cancel, None)).await;
-        self.say(&id, word.unwrap_or(Reply::RetryLater("the state service does not answer")))
+        let word = timed(SUBMIT_TIMEOUT, self.resolve_request(&id, RequestKind::Cancel, None)).await;
+        self.reply_to_user(&id, word.unwrap_or(Reply::RetryLater("the state service does not answer")))
     }
 
     /// Stores the cancellation of a job; what became of it.
-    pub(super) async fn cancel(&self, id: &str) -> Result<JobOutcome, StoreError> {
+    pub(super) async fn store_cancellation(&self, id: &str) -> Result<JobOutcome, StoreError> {
         // with it as many of those that need it as fit; the leader has the rest
         let mut ends = vec![Name::from(id)];
         ends.extend(self.lock().jobs.dependents(id, self.store.most.writes.saturating_sub(1)));
--- a/src/users/confirmation.rs
+++ b/src/users/confirmation.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::request::QUERY_LIMIT;
+use super::request::QUERY_TIMEOUT;
 use crate::controller::Controller;
 use crate::model::*;
 use crate::runtime::wake_up::timed;
@@ -10,15 +10,15 @@
 
 impl Controller {
     /// The job's end, or none by the store's word; `None` if it can't be told now.
-    pub(super) async fn end_of(&self, id: &Name) -> Option<Option<JobOutcome>> {
+    pub(super) async fn confirm_unfinished(&self, id: &Name) -> Option<Option<JobOutcome>> {
         let (reply, answer) = smol::channel::bounded(1);
-        self.user_requests.checks.0.try_send((id.clone(), reply)).ok()?;
-        timed(QUERY_LIMIT, answer.recv()).await?.ok()?
+        self.user_requests.confirmations.0.try_send((id.clone(), reply)).ok()?;
+        timed(QUERY_TIMEOUT, answer.recv()).await?.ok()?
     }
 
     /// Confirms that jobs have no end, those that wait together at once.
     pub async fn run_confirmations(&self) {
-        let queue = &self.user_requests.checks.1;
+        let queue = &self.user_requests.confirmations.1;
         while let Ok(first) = queue.recv().await {
             smol::Timer::after(self.policy.confirm_gap).await;
             let mut batch = vec![first];
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -5,7 +5,7 @@
 
 use coralnotch_core::lookup::{Lookup, LookupResult};
 
-use super::request::QUERY_LIMIT;
+use super::request::QUERY_TIMEOUT;
 use crate::controller::Controller;
 use crate::job_index::{EndedJob, OpenJob};
 use crate::model::*;
@@ -40,13 +40,13 @@
     }
 
     /// What the store says of an id, asked from now on; `None` if it can't be told now.
-    pub(super) async fn look(&self, id: &Name) -> Option<LookupResult> {
+    pub(super) async fn look_up_job(&self, id: &Name) -> Option<LookupResult> {
         let (reply, answer) = smol::channel::bounded(1);
         if self.user_requests.lookups.0.try_send((id.clone(), reply)).is_err() {
             count(&self.telemetry.counters.lookups_refused);
             return None;
         }
-        timed(QUERY_LIMIT, answer.recv()).await?.ok()?
+        timed(QUERY_TIMEOUT, answer.recv()).await?.ok()?
     }
 
     pub(crate) async fn throttle_lookup(&self, calls: f64) {
@@ -60,7 +60,7 @@
     }
 
     /// Asks the store until all of these is known; false if it can't be told now.
-    pub(super) async fn settle(&self, asked: &mut Lookup) -> bool {
+    pub(super) async fn run_lookup(&self, asked: &mut Lookup) -> bool {
         while let Some(txn) = asked.txn() {
             self.throttle_lookup(1.0).await;
             match self.store.txn(&txn).await {
@@ -90,7 +90,7 @@
                 continue;
             }
             let mut asked = Lookup::new(batch.iter().map(|(id, _)| id));
-            let failed = !self.settle(&mut asked).await;
+            let failed = !self.run_lookup(&mut asked).await;
             for id in asked.ended() {
                 self.throttle_lookup(2.0).await;
                 let read = self.read_job(&id).await;
--- a/src/users/progress.rs
+++ b/src/users/progress.rs
@@ -7,11 +7,11 @@
 use crate::peers::links::{lock, wire};
 
 /// Progress of jobs is told again for so long before it is counted anew.
-const PROGRESS_KEPT: Duration = Duration::from_secs(1);
+const PROGRESS_CACHE_TTL: Duration = Duration::from_secs(1);
 
 impl Controller {
     /// A job's state for display.
-    pub(super) fn state(&self, id: &Name, outcome: Option<JobOutcome>) -> JobState {
+    pub(super) fn job_state(&self, id: &Name, outcome: Option<JobOutcome>) -> JobState {
         let i = self.lock();
         let tasks = i.jobs.task_count(id).unwrap_or(0);
         let (mut done, mut running) = (0, 0);
@@ -46,9 +46,9 @@
     pub fn recent_progress(&self, now: Instant) -> Vec<wire::Progress> {
         let mut told = lock(&self.peers.told_progress);
         match told.as_ref() {
-            Some((at, jobs)) if now.saturating_duration_since(*at) < PROGRESS_KEPT => jobs.clone(),
+            Some((at, jobs)) if now.saturating_duration_since(*at) < PROGRESS_CACHE_TTL => jobs.clone(),
             _ => {
-                let jobs = self.progress();
+                let jobs = self.count_progress();
                 *told = Some((now, jobs.clone()));
                 jobs
             }
@@ -56,7 +56,7 @@
     }
 
     /// Done and running tasks of all jobs that are not over, for siblings.
-    pub fn progress(&self) -> Vec<wire::Progress> {
+    pub fn count_progress(&self) -> Vec<wire::Progress> {
         let i = self.lock();
         let Some(c) = i.cluster.as_ref() else { return Vec::new() };
         let mut running: std::collections::HashMap<&Name, u32> = std::collections::HashMap::new();
--- a/src/users/queues.rs
+++ b/src/users/queues.rs
@@ -19,7 +19,7 @@
 pub struct UserRequestQueues {
     /// Submissions, and whether each ends with a cancelled job that it needs.
     pub(crate) submissions: Queue<(Arc<JobSpec>, bool, ReplySender<StoreResult>)>,
-    pub(crate) checks: Queue<(Name, ReplySender<Option<Option<JobOutcome>>>)>,
+    pub(crate) confirmations: Queue<(Name, ReplySender<Option<Option<JobOutcome>>>)>,
     /// Ids that are not known here.
     pub(crate) lookups: Queue<(Name, ReplySender<Option<LookupResult>>)>,
     /// Requests to the store for these.
@@ -27,16 +27,16 @@
 }
 
 /// Requests that may wait for the store at once; more are refused.
-const MOST_WAITING: usize = 512;
+const MAX_QUEUED_REQUESTS: usize = 512;
 
 impl UserRequestQueues {
     /// Queues of nothing.  Queries for unknown ids may take so many requests a
     /// second; no more of them wait than a second serves, the rest is refused.
     pub fn new(lookup_rate: f64, now: Instant) -> UserRequestQueues {
-        let most = (lookup_rate as usize).clamp(1, MOST_WAITING);
+        let most = (lookup_rate as usize).clamp(1, MAX_QUEUED_REQUESTS);
         UserRequestQueues {
-            submissions: smol::channel::bounded(MOST_WAITING),
-            checks: smol::channel::bounded(MOST_WAITING),
+            submissions: smol::channel::bounded(MAX_QUEUED_REQUESTS),
+            confirmations: smol::channel::bounded(MAX_QUEUED_REQUESTS),
             lookups: smol::channel::bounded(most),
             lookup_calls: Mutex::new(RateLimiter::new(lookup_rate, lookup_rate, now)),
         }
@@ -44,32 +44,32 @@
 }
 
 /// Reports that may wait to be forwarded; there are no more than connections.
-const MOST_REPORTS: usize = 8192;
+const MAX_QUEUED_HEARTBEATS: usize = 8192;
 
 /// A report on its way to the leader.
-pub(crate) struct WaitingReport {
-    pub(crate) report: Heartbeat,
+pub(crate) struct QueuedHeartbeat {
+    pub(crate) heartbeat: Heartbeat,
     /// As the worker sent it.
     pub(crate) body: Vec<u8>,
     /// Its worker waits no longer.
-    pub(crate) until: Instant,
+    pub(crate) deadline: Instant,
     pub(crate) reply: ReplySender<Response>,
 }
 
 /// The reports that wait to be forwarded, and what the leader took of earlier ones.
 pub struct HeartbeatQueue {
-    pub(crate) waiting: Queue<WaitingReport>,
+    pub(crate) queued: Queue<QueuedHeartbeat>,
     pub(crate) forwarding: Mutex<HeartbeatForwarding>,
     /// The leader did not answer then: reports are dealt with here for a while.
-    pub(crate) failed: Mutex<Option<Instant>>,
+    pub(crate) failed_at: Mutex<Option<Instant>>,
 }
 
 impl Default for HeartbeatQueue {
     fn default() -> HeartbeatQueue {
         HeartbeatQueue {
-            waiting: smol::channel::bounded(MOST_REPORTS),
+            queued: smol::channel::bounded(MAX_QUEUED_HEARTBEATS),
             forwarding: Mutex::default(),
-            failed: Mutex::default(),
+            failed_at: Mutex::default(),
         }
     }
 }
--- a/src/users/submit.rs
+++ b/src/users/submit.rs
@@ -5,7 +5,7 @@
 
 use coralnotch_core::user_request::{submissions_txn, RequestKind, StoreResult};
 
-use super::request::SUBMIT_LIMIT;
+use super::request::SUBMIT_TIMEOUT;
 use crate::controller::Controller;
 use crate::http::{self, Response};
 use crate::model::*;
@@ -13,7 +13,7 @@
 use crate::state_store::client::{key, StoreError, TxnOutcome, Write};
 
 impl Controller {
-    pub(crate) async fn submit(&self, body: &[u8]) -> Response {
+    pub(crate) async fn submit_job(&self, body: &[u8]) -> Response {
         let spec: JobSpec = match http::decode(body) {
             Ok(s) => s,
             Err(e) => return Response::refuse(400, &e.to_string()),
@@ -22,17 +22,17 @@
             return Response::refuse(400, why);
         }
         let id = spec.id.clone();
-        let word = self.inquire(&id, RequestKind::Submit, Some(Arc::new(spec))).await;
-        self.say(&id, word)
+        let word = self.resolve_request(&id, RequestKind::Submit, Some(Arc::new(spec))).await;
+        self.reply_to_user(&id, word)
     }
 
     /// Hands a submission over to be stored, with those that wait meanwhile.
-    pub(super) async fn stored(&self, spec: Arc<JobSpec>, needs_cancelled_job: bool) -> StoreResult {
+    pub(super) async fn store_submission(&self, spec: Arc<JobSpec>, needs_cancelled_job: bool) -> StoreResult {
         let (reply, answer) = smol::channel::bounded(1);
         if self.user_requests.submissions.0.try_send((spec, needs_cancelled_job, reply)).is_err() {
             return StoreResult::Unknown;
         }
-        timed(SUBMIT_LIMIT, answer.recv()).await.and_then(Result::ok).unwrap_or(StoreResult::Unknown)
+        timed(SUBMIT_TIMEOUT, answer.recv()).await.and_then(Result::ok).unwrap_or(StoreResult::Unknown)
     }
 
     /// Stores submissions, those that wait together in one transaction.
--- a/src/users/validation.rs
+++ b/src/users/validation.rs
@@ -3,7 +3,7 @@
 use coralnotch_core::lookup::{Lookup, LookupResult};
 use coralnotch_core::user_request::{unsatisfiable_reason, Validation};
 
-use super::request::QUERY_LIMIT;
+use super::request::QUERY_TIMEOUT;
 use crate::controller::Controller;
 use crate::http;
 use crate::job_index::JobStatus;
@@ -20,7 +20,7 @@
 
 impl Controller {
     /// What speaks against a submission that is not known here.
-    pub(super) async fn validate(&self, spec: &JobSpec) -> Validation {
+    pub(super) async fn validate_submission(&self, spec: &JobSpec) -> Validation {
         {
             let i = self.lock();
             if !i.synced || i.machine_types.is_empty() {
@@ -33,13 +33,13 @@
         if stored_bytes(spec) > self.store.most.value_bytes {
             return Validation::Undetermined("larger than the state service takes now");
         }
-        self.validate_needs(spec).await
+        self.validate_dependencies(spec).await
     }
 
     /// Whether a job that needs others can be taken, and whether one of these is
     /// known to be cancelled, so that it ends with it.
     /// "Never accepted" is the store's word alone: what is known here may lag.
-    async fn validate_needs(&self, spec: &JobSpec) -> Validation {
+    async fn validate_dependencies(&self, spec: &JobSpec) -> Validation {
         if spec.needs.is_empty() {
             return Validation::Valid { needs_cancelled_job: false };
         }
@@ -70,7 +70,7 @@
             wrong = Some("needs itself");
         }
         if wrong.is_none() && !unknown.is_empty() {
-            wrong = match timed(QUERY_LIMIT, self.exist(&unknown)).await.flatten() {
+            wrong = match timed(QUERY_TIMEOUT, self.unsatisfiable_dependency(&unknown)).await.flatten() {
                 Some(wrong) => wrong,
                 None => return Validation::Undetermined("the state service does not answer"),
             };
@@ -80,10 +80,10 @@
 
     /// What speaks against needing these jobs, which are not known here; many in
     /// one comparison.  `None` if that cannot be told now.
-    async fn exist(&self, ids: &[Name]) -> Option<Option<&'static str>> {
+    async fn unsatisfiable_dependency(&self, ids: &[Name]) -> Option<Option<&'static str>> {
         for some in ids.chunks((self.store.most.preconditions / 2).max(1)) {
             let mut asked = Lookup::new(some.iter());
-            if !self.settle(&mut asked).await {
+            if !self.run_lookup(&mut asked).await {
                 return None;
             }
             for id in some {
