--- a/src/peers/forwarding.rs
+++ b/src/peers/forwarding.rs
@@ -15,6 +15,7 @@
 };
 
 use crate::controller::Controller;
+use crate::heartbeats::{HeartbeatRoute, ReplyTiming};
 use crate::http::{self, Response};
 use crate::operators::telemetry::count;
 use crate::peers::links::{lock, wire};
@@ -225,8 +226,8 @@
             Ok(report) => report,
             Err(e) => return Taken::Answered(to_answer(&Response::refuse(400, &e.to_string()))),
         };
-        match self.accept_heartbeat(&report, false) {
-            Ok(pending) => Taken::In { report, pending },
+        match self.accept_heartbeat(&report, HeartbeatRoute::Forwarded) {
+            Ok(timing) => Taken::In { report, pending: timing == ReplyTiming::AfterCommit },
             Err(response) => Taken::Answered(to_answer(&response)),
         }
     }
@@ -274,7 +275,7 @@
         let siblings = self.config.peers.iter().filter(|s| lately(&s.name));
         let all: Vec<Forwarder<'_>> = siblings.map(|s| Forwarder { name: &s.name, zone: &s.zone }).collect();
         let to = assigned_forwarder(machine, zone, &all)?;
-        Some(crate::heartbeats::redirect(Some(to)))
+        Some(crate::heartbeats::redirect(to))
     }
 }
 
