--- a/src/http_api.rs
+++ b/src/http_api.rs
@@ -7,91 +7,96 @@
 use crate::http::{Request, Response};
 use crate::model::JobState;
 use crate::operators::telemetry::{count, TimedOperation};
+use crate::users::query::QueryDetail;
 
 impl Controller {
-    /// Answers one request.
-    pub async fn handle_request(self: Arc<Self>, r: Request) -> Response {
-        match (r.method.as_str(), r.path.as_str()) {
+    /// Answers one HTTP request.
+    pub async fn handle_request(self: Arc<Self>, request: Request) -> Response {
+        match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/healthz") => {
                 self.lock().last_user_request = Some(Instant::now());
                 self.health()
             }
-            // a worker comes once in a report interval, and there may be more
-            // workers than sockets
-            ("POST", "/hello") => Response { seldom: true, ..self.handle_heartbeat(&r.body).await },
+            // a worker sends one heartbeat per interval, and there may be more workers than sockets
+            ("POST", "/hello") => Response { seldom: true, ..self.handle_heartbeat(&request.body).await },
             ("GET", "/v2/status") => Response::new(200, &self.status(Instant::now())),
             (_, "/healthz" | "/hello" | "/v2/status") => Response::refuse(405, "wrong method"),
             _ => {
-                let c = &self.telemetry.counters;
-                count(&c.requests);
+                count(&self.telemetry.counters.requests);
                 self.lock().last_user_request = Some(Instant::now());
-                // apart, or every connection, most of them workers', would be as
-                // large as the longest way of a user's request
-                let a = Box::pin(self.route_user_request(&r)).await;
-                if a.status == 503 {
-                    count(&c.refused);
+                // boxed, or every connection, most of which are workers', would be as large as the
+                // largest future of a user's request
+                let response = Box::pin(self.route_user_request(&request)).await;
+                if response.status == 503 {
+                    count(&self.telemetry.counters.refused);
                 }
-                a
+                response
             }
         }
     }
 
-    /// Answers a user's request, here or by a sibling.
-    async fn route_user_request(&self, r: &Request) -> Response {
-        // refused or cut off from the state service: a sibling may not be
-        let cut = self.store.is_failing();
-        if cut {
-            if let Some(a) = self.relay_to_peer(r).await {
-                return a;
+    /// Answers a user's request here, or through a peer while the state service refuses this
+    /// controller or does not answer it: it may serve the peer.
+    async fn route_user_request(&self, request: &Request) -> Response {
+        let was_failing = self.store.is_failing();
+        if was_failing {
+            if let Some(response) = self.relay_to_peer(request).await {
+                return response;
             }
         }
-        let answer = self.handle_user_request(r).await;
-        if !cut && answer.status == 503 && self.store.is_failing() {
-            return self.relay_to_peer(r).await.unwrap_or(answer);
+        let response = self.handle_user_request(request).await;
+        if !was_failing && response.status == 503 && self.store.is_failing() {
+            return self.relay_to_peer(request).await.unwrap_or(response);
         }
-        answer
+        response
     }
 
     /// Answers a user's request here.
-    pub async fn handle_user_request(&self, r: &Request) -> Response {
-        let rest = r.path.strip_prefix("/v2/runs");
-        let began = Instant::now();
-        match (r.method.as_str(), rest) {
+    pub async fn handle_user_request(&self, request: &Request) -> Response {
+        let jobs_path = request.path.strip_prefix("/v2/runs");
+        let started_at = Instant::now();
+        match (request.method.as_str(), jobs_path) {
             ("POST", Some("")) => {
-                let a = self.submit_job(&r.body).await;
-                self.telemetry.record(TimedOperation::Submission, began.elapsed());
-                return a;
+                let response = self.submit_job(&request.body).await;
+                self.telemetry.record(TimedOperation::Submission, started_at.elapsed());
+                return response;
             }
             (_, Some("")) => return Response::refuse(405, "wrong method"),
             _ => {}
         }
-        let Some(rest) = rest.and_then(|r| r.strip_prefix('/')) else { return Response::refuse(404, "no such path") };
-        let (id, withdraw) = match rest.strip_suffix("/withdraw") {
+        let Some(job_path) = jobs_path.and_then(|p| p.strip_prefix('/')) else {
+            return Response::refuse(404, "no such path");
+        };
+        let (id, is_cancellation) = match job_path.strip_suffix("/withdraw") {
             Some(id) => (id, true),
-            None => (rest, false),
+            None => (job_path, false),
         };
         if id.is_empty() || id.contains('/') {
             return Response::refuse(404, "no such path");
         }
-        let (answer, what) = match (r.method.as_str(), withdraw) {
+        let (response, operation) = match (request.method.as_str(), is_cancellation) {
             ("POST", true) => (self.cancel_job(id).await, TimedOperation::Withdrawal),
-            ("GET", false) => (self.query_job(id, r.query == "why").await, TimedOperation::Query),
+            ("GET", false) => {
+                let detail = if request.query == "why" { QueryDetail::Explanation } else { QueryDetail::State };
+                (self.query_job(id, detail).await, TimedOperation::Query)
+            }
             _ => return Response::refuse(405, "wrong method"),
         };
-        self.telemetry.record(what, began.elapsed());
-        answer
+        self.telemetry.record(operation, started_at.elapsed());
+        response
     }
 
+    /// Answers the load balancer's health probe.
     fn health(&self) -> Response {
-        let ready = {
-            let i = self.lock();
-            i.synced && !i.machine_types.is_empty()
+        let is_ready = {
+            let state = self.lock();
+            state.synced && !state.machine_types.is_empty()
         };
-        // without the state service a node can still relay, and in an outage
-        // it refuses at once: only one that reaches nobody is of no use
+        // without the state service a controller can still relay requests, and in an outage it
+        // refuses them at once: only one that reaches nobody is of no use
         let now = Instant::now();
-        let cut = self.store.is_failing() && now.duration_since(self.store.last_served()) > self.policy.ttl;
-        if ready && (!cut || self.peers.any_reachable(self.policy.peer_limit * 3, now)) {
+        let is_cut_off = self.store.is_failing() && now.duration_since(self.store.last_served()) > self.policy.ttl;
+        if is_ready && (!is_cut_off || self.peers.any_reachable(self.policy.peer_limit * 3, now)) {
             Response::new(200, &JobState { id: "ok".into(), stage: "ok".into(), done: 0, running: 0 })
         } else {
             Response::refuse(503, "not ready")
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -62,6 +62,15 @@
     pub(crate) heard: Option<Instant>,
 }
 
+/// How far a job has come.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub struct JobProgress {
+    /// Tasks that are done.
+    pub done: u32,
+    /// Tasks that are running.
+    pub running: u32,
+}
+
 pub(crate) struct PeerLink {
     pub(crate) name: String,
     addr: SocketAddr,
@@ -73,7 +82,7 @@
     pub(crate) links: Vec<PeerLink>,
     pub(crate) seen: Mutex<HashMap<String, PeerStatus>>,
     /// Progress of jobs as the leader last told.
-    pub(crate) progress: Mutex<HashMap<crate::model::Name, (u32, u32)>>,
+    pub(crate) progress: Mutex<HashMap<Name, JobProgress>>,
     /// When each sibling last asked this controller for the progress of jobs.
     pub(crate) asked: Mutex<HashMap<String, Instant>>,
     /// The progress that was told last, for those that ask soon after.
@@ -221,7 +230,7 @@
     }
 
     /// Done and running tasks of a job, as the leader last told.
-    pub fn progress(&self, id: &str) -> (u32, u32) {
+    pub fn progress(&self, id: &str) -> JobProgress {
         lock(&self.progress).get(id).copied().unwrap_or_default()
     }
 
--- a/src/peers/service.rs
+++ b/src/peers/service.rs
@@ -21,7 +21,7 @@
 use crate::leadership::feature_gate;
 use crate::model::JobOutcome;
 use crate::peers::links::wire::peer_server::{Peer, PeerServer};
-use crate::peers::links::{from_wire, lock, to_wire, wire, PeerLink, PeerStatus, Work};
+use crate::peers::links::{from_wire, lock, to_wire, wire, JobProgress, PeerLink, PeerStatus, Work};
 
 /// Controllers that keep what the leader learned of machines.
 const MACHINES_KEPT_BY: usize = 3;
@@ -63,8 +63,11 @@
             if !s.machines.is_empty() {
                 *lock(&self.peers.learned) = from_wire(s.machines, &s.images, now);
             }
-            *lock(&self.peers.progress) =
-                s.jobs.into_iter().map(|j| (j.id.as_str().into(), (j.done, j.running))).collect();
+            *lock(&self.peers.progress) = s
+                .jobs
+                .into_iter()
+                .map(|j| (j.id.as_str().into(), JobProgress { done: j.done, running: j.running }))
+                .collect();
         }
     }
 
--- a/src/users/cancel.rs
+++ b/src/users/cancel.rs
@@ -1,43 +1,47 @@
-//! Cancellations, by users.
+//! Cancellations by users.
 
 use std::time::Instant;
 
 use coralnotch_core::user_request::{cancellations_txn, Reply, RequestKind};
 
-use super::request::SUBMIT_TIMEOUT;
 use crate::controller::Controller;
 use crate::http::Response;
 use crate::model::*;
 use crate::runtime::wake_up::timed;
-use crate::state_store::client::{key, StoreError, TxnOutcome};
+use crate::state_store::client::{StoreError, TxnOutcome};
+use crate::users::lookup::outcome_key;
+use crate::users::request::SUBMIT_TIMEOUT;
 
 impl Controller {
+    /// Answers a cancellation.
     pub(crate) async fn cancel_job(&self, id: &str) -> Response {
         if !valid_id(id) {
             return Response::refuse(404, "no such job");
         }
         let id: Name = id.into();
-        let word = timed(SUBMIT_TIMEOUT, self.resolve_request(&id, RequestKind::Cancel, None)).await;
-        self.reply_to_user(&id, word.unwrap_or(Reply::RetryLater("the state service does not answer")))
+        let reply = timed(SUBMIT_TIMEOUT, self.resolve_request(&id, RequestKind::Cancel, None)).await;
+        self.reply_to_user(&id, reply.unwrap_or(Reply::RetryLater("the state service does not answer")))
     }
 
-    /// Stores the cancellation of a job; what became of it.
+    /// Stores the cancellation of a job, together with those of as many of its dependents as fit
+    /// (the leader stores the rest); the outcome that the job has by then, this one or another.
     pub(super) async fn store_cancellation(&self, id: &str) -> Result<JobOutcome, StoreError> {
-        // with it as many of those that need it as fit; the leader has the rest
-        let mut ends = vec![Name::from(id)];
-        ends.extend(self.lock().jobs.dependents(id, self.store.most.writes.saturating_sub(1)));
-        let path = format!("{}{id}", key::OUTCOME);
+        let mut cancelled = vec![Name::from(id)];
+        cancelled.extend(self.lock().jobs.dependents(id, self.store.most.writes.saturating_sub(1)));
+        let path = outcome_key(id);
         loop {
-            let txn = cancellations_txn(&ends);
+            let txn = cancellations_txn(&cancelled);
             match self.store.txn(&txn).await? {
-                TxnOutcome::Done(stamp) => {
+                TxnOutcome::Done(revision) => {
                     let now = Instant::now();
-                    ends.iter().for_each(|id| self.apply_stored_outcome(id, JobOutcome::Cancelled, stamp, now));
+                    for id in &cancelled {
+                        self.apply_stored_outcome(id, JobOutcome::Cancelled, revision, now);
+                    }
                     return Ok(JobOutcome::Cancelled);
                 }
-                // one of the others has ended by itself: this one alone then
-                TxnOutcome::Conflict(keys) if ends.len() > 1 && !keys.contains(&path) => ends.truncate(1),
-                // whoever loses the race says what the store says
+                // a dependent has ended by itself: only this job then
+                TxnOutcome::Conflict(keys) if cancelled.len() > 1 && !keys.contains(&path) => cancelled.truncate(1),
+                // the job has ended meanwhile: its stored outcome is the reply
                 TxnOutcome::Conflict(_) => return self.read_outcome(&path).await.ok_or(StoreError::Refused(503)),
             }
         }
--- a/src/users/confirmation.rs
+++ b/src/users/confirmation.rs
@@ -1,22 +1,32 @@
-//! Confirmations by the store that jobs have no end.
+//! Confirmations by the state service that jobs have no outcome; those that wait together share one
+//! compare-and-swap.
 
 use std::time::Duration;
 
-use super::request::QUERY_TIMEOUT;
 use crate::controller::Controller;
 use crate::model::*;
 use crate::runtime::wake_up::timed;
 use crate::state_store::client::{key, StoreError, Txn, TxnOutcome};
+use crate::users::lookup::outcome_key;
+use crate::users::queues::{Confirmation, ConfirmationRequest};
+use crate::users::request::QUERY_TIMEOUT;
+
+/// Retries of a batch that the state service's rate limit refuses, and the pause before each.
+const MAX_RETRIES: u32 = 3;
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 impl Controller {
-    /// The job's end, or none by the store's word; `None` if it can't be told now.
-    pub(super) async fn confirm_unfinished(&self, id: &Name) -> Option<Option<JobOutcome>> {
-        let (reply, answer) = smol::channel::bounded(1);
-        self.user_requests.confirmations.0.try_send((id.clone(), reply)).ok()?;
-        timed(QUERY_TIMEOUT, answer.recv()).await?.ok()?
+    /// Has the state service confirm that a job has no outcome, asked from now on.
+    pub(super) async fn confirm_unfinished(&self, id: &Name) -> Confirmation {
+        let (reply, confirmation) = smol::channel::bounded(1);
+        let request = ConfirmationRequest { id: id.clone(), reply };
+        if self.user_requests.confirmations.0.try_send(request).is_err() {
+            return Confirmation::Unavailable;
+        }
+        timed(QUERY_TIMEOUT, confirmation.recv()).await.and_then(Result::ok).unwrap_or(Confirmation::Unavailable)
     }
 
-    /// Confirms that jobs have no end, those that wait together at once.
+    /// Confirms queued jobs in batches, for as long as the controller runs.
     pub async fn run_confirmations(&self) {
         let queue = &self.user_requests.confirmations.1;
         while let Ok(first) = queue.recv().await {
@@ -26,38 +36,47 @@
                 let Ok(next) = queue.try_recv() else { break };
                 batch.push(next);
             }
-            let mut tries = 0;
-            while !batch.is_empty() {
-                let mut txn = Txn::default();
-                for (id, _) in &batch {
-                    txn.require(format!("{}{id}", key::OUTCOME), 0);
+            self.confirm_batch(batch).await;
+        }
+    }
+
+    /// Confirms a batch of jobs, and replies to each.
+    async fn confirm_batch(&self, mut batch: Vec<ConfirmationRequest>) {
+        let mut retries = 0;
+        while !batch.is_empty() {
+            let mut txn = Txn::default();
+            for request in &batch {
+                txn.require(outcome_key(&request.id), 0);
+            }
+            match self.store.txn(&txn).await {
+                Ok(TxnOutcome::Done(_)) => reply_to_all(&mut batch, Confirmation::Unfinished),
+                Ok(TxnOutcome::Conflict(keys)) => self.confirm_conflicts(&mut batch, keys).await,
+                Err(StoreError::Refused(429)) if retries < MAX_RETRIES => {
+                    retries += 1;
+                    smol::Timer::after(RETRY_PAUSE).await;
                 }
-                match self.store.txn(&txn).await {
-                    Ok(TxnOutcome::Done(_)) => {
-                        for (_, reply) in batch.drain(..) {
-                            let _ = reply.try_send(Some(None));
-                        }
-                    }
-                    Ok(TxnOutcome::Conflict(failed)) => {
-                        for k in failed {
-                            let outcome = self.read_outcome(&k).await;
-                            for (_, reply) in batch.extract_if(.., |(id, _)| k == format!("{}{id}", key::OUTCOME)) {
-                                let _ = reply.try_send(outcome.map(Some));
-                            }
-                        }
-                    }
-                    Err(StoreError::Refused(429)) if tries < 3 => {
-                        tries += 1;
-                        smol::Timer::after(Duration::from_millis(100)).await;
-                    }
-                    Err(e) => {
-                        tracing::debug!("query: {e}");
-                        for (_, reply) in batch.drain(..) {
-                            let _ = reply.try_send(None);
-                        }
-                    }
+                Err(e) => {
+                    tracing::debug!(error = %e, "unfinished jobs not confirmed");
+                    reply_to_all(&mut batch, Confirmation::Unavailable);
                 }
             }
         }
     }
+
+    /// Reads the outcomes that a transaction has met, and replies to those that wait for them.
+    async fn confirm_conflicts(&self, batch: &mut Vec<ConfirmationRequest>, conflicting_keys: Vec<String>) {
+        for path in conflicting_keys {
+            let confirmation = self.read_outcome(&path).await.map_or(Confirmation::Unavailable, Confirmation::Ended);
+            let Some(id) = path.strip_prefix(key::OUTCOME) else { continue };
+            for request in batch.extract_if(.., |r| *r.id == *id) {
+                let _ = request.reply.try_send(confirmation);
+            }
+        }
+    }
+}
+
+fn reply_to_all(batch: &mut Vec<ConfirmationRequest>, confirmation: Confirmation) {
+    for request in batch.drain(..) {
+        let _ = request.reply.try_send(confirmation);
+    }
 }
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -1,52 +1,59 @@
-//! Jobs that this controller does not know, looked up in the store.
+//! Jobs that this controller does not know, looked up in the state service.
 
 use std::sync::Arc;
 use std::time::Instant;
 
 use coralnotch_core::lookup::{Lookup, LookupResult};
 
-use super::request::QUERY_TIMEOUT;
 use crate::controller::Controller;
 use crate::job_index::{EndedJob, OpenJob};
 use crate::model::*;
 use crate::operators::telemetry::count;
 use crate::runtime::wake_up::timed;
 use crate::state_store::client::{key, read_value, StoreError, TxnOutcome};
+use crate::users::queues::LookupRequest;
+use crate::users::request::QUERY_TIMEOUT;
+
+/// Key of a job's record.
+pub(super) fn job_key(id: &str) -> String {
+    format!("{}{id}", key::JOB)
+}
+
+/// Key of a job's outcome.
+pub(super) fn outcome_key(id: &str) -> String {
+    format!("{}{id}", key::OUTCOME)
+}
 
 impl Controller {
-    /// A job and its end as stored, or nothing if it was never accepted.  What
-    /// is over is kept for the next question; what is not comes by the watch.
+    /// Reads a job and its outcome; `None` if it was never accepted.  An ended job is kept for the
+    /// next request, and an unfinished one comes by the watch.
     pub(crate) async fn read_job(&self, id: &str) -> Result<Option<(OpenJob, Option<JobOutcome>)>, StoreError> {
-        let (job, end) = (format!("{}{id}", key::JOB), format!("{}{id}", key::OUTCOME));
-        // the end last: it may come in between
-        let Some(item) = self.store.get(&job).await? else { return Ok(None) };
-        let end = self.store.get(&end).await?;
-        let spec = read_value::<JobSpec>(&job, item.value).ok_or(StoreError::Unreadable)?;
-        let open = OpenJob { spec: Arc::new(spec), revision: item.revision };
-        let outcome = match end {
-            None => None,
-            Some(e) => {
-                Some((read_value::<OutcomeRecord>(&e.key, e.value).ok_or(StoreError::Unreadable)?.outcome, e.revision))
-            }
-        };
-        if let Some((outcome, at)) = outcome {
-            let mut i = self.lock();
-            if outcome == JobOutcome::Cancelled {
-                i.cancellations.record(at, id, Instant::now());
-            }
-            i.jobs.insert_ended(EndedJob { spec: open.spec.clone(), revision: open.revision, outcome });
+        let path = job_key(id);
+        // the outcome last: it may be stored in between
+        let Some(job_item) = self.store.get(&path).await? else { return Ok(None) };
+        let outcome_item = self.store.get(&outcome_key(id)).await?;
+        let spec = read_value::<JobSpec>(&path, job_item.value).ok_or(StoreError::Unreadable)?;
+        let job = OpenJob { spec: Arc::new(spec), revision: job_item.revision };
+        let Some(item) = outcome_item else { return Ok(Some((job, None))) };
+        let record = read_value::<OutcomeRecord>(&item.key, item.value).ok_or(StoreError::Unreadable)?;
+        let outcome = record.outcome;
+        let mut state = self.lock();
+        if outcome == JobOutcome::Cancelled {
+            state.cancellations.record(item.revision, id, Instant::now());
         }
-        Ok(Some((open, outcome.map(|f| f.0))))
+        state.jobs.insert_ended(EndedJob { spec: job.spec.clone(), revision: job.revision, outcome });
+        Ok(Some((job, Some(outcome))))
     }
 
-    /// What the store says of an id, asked from now on; `None` if it can't be told now.
+    /// Looks up an id, asked from now on; `None` if the state service cannot say now.
     pub(super) async fn look_up_job(&self, id: &Name) -> Option<LookupResult> {
-        let (reply, answer) = smol::channel::bounded(1);
-        if self.user_requests.lookups.0.try_send((id.clone(), reply)).is_err() {
+        let (reply, result) = smol::channel::bounded(1);
+        let request = LookupRequest { id: id.clone(), reply };
+        if self.user_requests.lookups.0.try_send(request).is_err() {
             count(&self.telemetry.counters.lookups_refused);
             return None;
         }
-        timed(QUERY_TIMEOUT, answer.recv()).await?.ok()?
+        timed(QUERY_TIMEOUT, result.recv()).await?.ok()?
     }
 
     pub(crate) async fn throttle_lookup(&self, calls: f64) {
@@ -59,22 +66,21 @@
         }
     }
 
-    /// Asks the store until all of these is known; false if it can't be told now.
-    pub(super) async fn run_lookup(&self, asked: &mut Lookup) -> bool {
-        while let Some(txn) = asked.txn() {
+    /// Sends a lookup's transactions until it is settled; false if the state service cannot say now.
+    pub(super) async fn run_lookup(&self, lookup: &mut Lookup) -> bool {
+        while let Some(txn) = lookup.txn() {
             self.throttle_lookup(1.0).await;
             match self.store.txn(&txn).await {
-                Ok(TxnOutcome::Done(_)) => asked.mark_settled(),
-                Ok(TxnOutcome::Conflict(keys)) if asked.apply_conflict(&keys) => {}
+                Ok(TxnOutcome::Done(_)) => lookup.mark_settled(),
+                Ok(TxnOutcome::Conflict(keys)) if lookup.apply_conflict(&keys) => {}
                 Ok(TxnOutcome::Conflict(_)) | Err(_) => return false,
             }
         }
         true
     }
 
-    /// Looks up ids that are not known here, those that wait together at once:
-    /// users ask about jobs that are over for long, and about some that nobody
-    /// submitted.
+    /// Looks up queued ids in batches, for as long as the controller runs: users ask about jobs that
+    /// ended long ago, and about ids that nobody submitted.
     pub async fn run_lookups(&self) {
         let queue = &self.user_requests.lookups.1;
         while let Ok(first) = queue.recv().await {
@@ -84,36 +90,41 @@
                 let Ok(next) = queue.try_recv() else { break };
                 batch.push(next);
             }
-            // who has given up gets no answer, and costs nothing
-            batch.retain(|(_, reply)| !reply.is_closed());
-            if batch.is_empty() {
-                continue;
-            }
-            let mut asked = Lookup::new(batch.iter().map(|(id, _)| id));
-            let failed = !self.run_lookup(&mut asked).await;
-            for id in asked.ended() {
-                self.throttle_lookup(2.0).await;
-                let read = self.read_job(&id).await;
-                let found = match read {
-                    Ok(Some((_, Some(outcome)))) => Some(LookupResult::Ended(outcome)),
-                    _ => None,
-                };
-                for (_, reply) in batch.extract_if(.., |(i, _)| *i == id) {
-                    let _ = reply.try_send(found.clone());
-                }
+            // a request whose user has given up costs nothing
+            batch.retain(|request| !request.reply.is_closed());
+            if !batch.is_empty() {
+                self.look_up_batch(batch).await;
             }
-            for (id, reply) in batch {
-                let _ = reply.try_send(if failed { None } else { asked.found(&id) });
+        }
+    }
+
+    /// Looks up a batch of ids, and replies to each.
+    async fn look_up_batch(&self, mut batch: Vec<LookupRequest>) {
+        let mut lookup = Lookup::new(batch.iter().map(|request| &request.id));
+        let is_settled = self.run_lookup(&mut lookup).await;
+        for id in lookup.ended() {
+            self.throttle_lookup(2.0).await;
+            let result = match self.read_job(&id).await {
+                Ok(Some((_, Some(outcome)))) => Some(LookupResult::Ended(outcome)),
+                _ => None,
+            };
+            for request in batch.extract_if(.., |r| r.id == id) {
+                let _ = request.reply.try_send(result.clone());
             }
         }
+        for request in batch {
+            let result = if is_settled { lookup.found(&request.id) } else { None };
+            let _ = request.reply.try_send(result);
+        }
     }
 
+    /// Reads the outcome at a key, and applies it; `None` if there is none or it cannot be read now.
     pub(super) async fn read_outcome(&self, path: &str) -> Option<JobOutcome> {
         let item = self.store.get(path).await.ok()??;
-        let f = read_value::<OutcomeRecord>(path, item.value)?.outcome;
+        let outcome = read_value::<OutcomeRecord>(path, item.value)?.outcome;
         if let Some(id) = path.strip_prefix(key::OUTCOME) {
-            self.apply_stored_outcome(id, f, item.revision, Instant::now());
+            self.apply_stored_outcome(id, outcome, item.revision, Instant::now());
         }
-        Some(f)
+        Some(outcome)
     }
 }
--- a/src/users/mod.rs
+++ b/src/users/mod.rs
@@ -1,4 +1,8 @@
 //! Users' requests: submissions, queries and cancellations.
+//!
+//! "Accepted", "done" and "cancelled" are replied only after the commit.  "Unfinished" is replied
+//! only after the state service has confirmed that no outcome is stored; many queries share one
+//! compare-and-swap.  So no controller ever gives an older answer than another one before it.
 
 pub mod cancel;
 pub mod confirmation;
--- a/src/users/progress.rs
+++ b/src/users/progress.rs
@@ -1,75 +1,79 @@
-//! The progress of jobs: done and running tasks.
+//! The progress of jobs: how many of their tasks are done and running.
 
+use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
+use crate::cluster::{Cluster, Job, TaskPhase};
 use crate::controller::Controller;
 use crate::model::*;
-use crate::peers::links::{lock, wire};
+use crate::peers::links::{lock, wire, JobProgress};
 
-/// Progress of jobs is told again for so long before it is counted anew.
+/// How long counted progress is replied to peers before it is counted again.
 const PROGRESS_CACHE_TTL: Duration = Duration::from_secs(1);
 
 impl Controller {
     /// A job's state for display.
     pub(super) fn job_state(&self, id: &Name, outcome: Option<JobOutcome>) -> JobState {
-        let i = self.lock();
-        let tasks = i.jobs.task_count(id).unwrap_or(0);
-        let (mut done, mut running) = (0, 0);
-        match outcome {
-            Some(JobOutcome::Done) => done = tasks,
-            Some(JobOutcome::Cancelled) => {}
-            None => {
-                if let Some((c, j)) = i.cluster.as_ref().and_then(|c| Some((c, c.jobs.get(id)?))) {
-                    done = j.completed.len();
-                    for (n, list) in &j.assignments {
-                        let task = Task { job: id.clone(), index: *n };
-                        let runs = |m: &Name| {
-                            let p = c.machines.get(m).and_then(|m| m.tasks.get(&task));
-                            p.is_some_and(|p| p.phase == crate::cluster::TaskPhase::Running)
-                        };
-                        running += u32::from(list.iter().any(runs));
-                    }
-                } else {
-                    (done, running) = self.peers.progress(id);
-                }
-            }
-        }
+        let state = self.lock();
+        let JobProgress { done, running } = match outcome {
+            Some(JobOutcome::Done) => JobProgress { done: state.jobs.task_count(id).unwrap_or(0), running: 0 },
+            Some(JobOutcome::Cancelled) => JobProgress::default(),
+            None => match state.cluster.as_ref().and_then(|c| Some((c, c.jobs.get(id)?))) {
+                Some((cluster, job)) => progress_of(cluster, job),
+                None => self.peers.progress(id),
+            },
+        };
         let stage = match outcome {
-            Some(f) => f.as_str(),
+            Some(outcome) => outcome.as_str(),
             None if running > 0 => "running",
             None => "pending",
         };
         JobState { id: id.clone(), stage: stage.into(), done, running }
     }
 
-    /// The progress of jobs, counted lately or now: many siblings ask.
+    /// The progress of all jobs, from the cache if that is recent: many peers ask.
     pub fn recent_progress(&self, now: Instant) -> Vec<wire::Progress> {
-        let mut told = lock(&self.peers.told_progress);
-        match told.as_ref() {
-            Some((at, jobs)) if now.saturating_duration_since(*at) < PROGRESS_CACHE_TTL => jobs.clone(),
+        let mut cache = lock(&self.peers.told_progress);
+        match cache.as_ref() {
+            Some((counted_at, jobs)) if now.saturating_duration_since(*counted_at) < PROGRESS_CACHE_TTL => jobs.clone(),
             _ => {
                 let jobs = self.count_progress();
-                *told = Some((now, jobs.clone()));
+                *cache = Some((now, jobs.clone()));
                 jobs
             }
         }
     }
 
-    /// Done and running tasks of all jobs that are not over, for siblings.
+    /// Counts the done and running tasks of all unfinished jobs; empty unless this controller has
+    /// the leader's state.
     pub fn count_progress(&self) -> Vec<wire::Progress> {
-        let i = self.lock();
-        let Some(c) = i.cluster.as_ref() else { return Vec::new() };
-        let mut running: std::collections::HashMap<&Name, u32> = std::collections::HashMap::new();
-        for (t, p) in c.machines.values().flat_map(|m| &m.tasks) {
-            *running.entry(&t.job).or_default() += u32::from(p.phase == crate::cluster::TaskPhase::Running);
+        let state = self.lock();
+        let Some(cluster) = state.cluster.as_ref() else { return Vec::new() };
+        let mut running: HashMap<&Name, u32> = HashMap::new();
+        for (task, assignment) in cluster.machines.values().flat_map(|m| &m.tasks) {
+            *running.entry(&task.job).or_default() += u32::from(assignment.phase == TaskPhase::Running);
         }
-        let of = |j: &crate::cluster::Job| wire::Progress {
-            id: j.spec.id.to_string(),
-            done: j.completed.len(),
-            running: running.get(&j.spec.id).copied().unwrap_or(0),
+        let progress = |job: &Job| wire::Progress {
+            id: job.spec.id.to_string(),
+            done: job.completed.len(),
+            running: running.get(&job.spec.id).copied().unwrap_or(0),
         };
-        let mut jobs: Vec<_> = c.jobs.values().filter(|j| j.outcome.is_none()).map(of).collect();
+        let mut jobs: Vec<_> = cluster.jobs.values().filter(|j| j.outcome.is_none()).map(progress).collect();
         jobs.retain(|j| j.done + j.running > 0);
         jobs
     }
 }
+
+/// The progress of a job in the leader's state.
+fn progress_of(cluster: &Cluster, job: &Job) -> JobProgress {
+    let mut running = 0;
+    for (index, machines) in &job.assignments {
+        let task = Task { job: job.spec.id.clone(), index: *index };
+        let is_running_on = |name: &Name| {
+            let assignment = cluster.machines.get(name).and_then(|m| m.tasks.get(&task));
+            assignment.is_some_and(|a| a.phase == TaskPhase::Running)
+        };
+        running += u32::from(machines.iter().any(is_running_on));
+    }
+    JobProgress { done: job.completed.len(), running }
+}
--- a/src/users/query.rs
+++ b/src/users/query.rs
@@ -4,55 +4,74 @@
 
 use coralnotch_core::user_request::{Reply, RequestKind};
 
-use super::request::QUERY_TIMEOUT;
 use crate::controller::Controller;
 use crate::http::Response;
 use crate::job_index::JobStatus;
 use crate::model::*;
 use crate::runtime::wake_up::timed;
-use crate::state_store::client::key;
+use crate::users::lookup::outcome_key;
+use crate::users::request::QUERY_TIMEOUT;
 
-/// Needed jobs that one query reads; the rest is the next one's.
+/// Outcomes of dependencies that one query reads; the next query reads the rest.
 const MAX_OUTCOMES_READ: usize = 64;
+/// Reads of outcomes that are under way at once.
+const MAX_CONCURRENT_READS: usize = 8;
+
+/// How much a query replies of a job.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) enum QueryDetail {
+    /// Its state.
+    State,
+    /// Its state, and which of its dependencies it waits for or was cancelled with.
+    Explanation,
+}
 
 impl Controller {
-    pub(crate) async fn query_job(&self, id: &str, why: bool) -> Response {
+    /// Answers a query.
+    pub(crate) async fn query_job(&self, id: &str, detail: QueryDetail) -> Response {
         if !valid_id(id) {
             return Response::refuse(404, "no such job");
         }
         let id: Name = id.into();
-        match self.resolve_request(&id, RequestKind::Query, None).await {
-            Reply::Unfinished if why => Response::new(200, &self.explain(self.job_state(&id, None))),
-            Reply::Ended(outcome) if why => Response::new(200, &self.explain(self.job_state(&id, Some(outcome)))),
-            word => self.reply_to_user(&id, word),
+        let reply = self.resolve_request(&id, RequestKind::Query, None).await;
+        let outcome = match reply {
+            Reply::Unfinished => None,
+            Reply::Ended(outcome) => Some(outcome),
+            _ => return self.reply_to_user(&id, reply),
+        };
+        match detail {
+            QueryDetail::State => self.reply_to_user(&id, reply),
+            QueryDetail::Explanation => Response::new(200, &self.explain(self.job_state(&id, outcome))),
         }
     }
 
-    /// What a job has to do with other jobs, as far as is known here.
-    fn explain(&self, state: JobState) -> JobExplanation {
-        let mut i = self.lock();
-        let spec = match i.jobs.status_of(&state.id) {
-            JobStatus::Open(o) => Some(o.spec),
-            JobStatus::Ended(e) => Some(e.spec),
+    /// Adds to a job's state how it hangs on its dependencies, as far as is known here.
+    fn explain(&self, job: JobState) -> JobExplanation {
+        let mut state = self.lock();
+        let spec = match state.jobs.status_of(&job.id) {
+            JobStatus::Open(open) => Some(open.spec),
+            JobStatus::Ended(ended) => Some(ended.spec),
             JobStatus::Unknown => None,
         };
-        let needs = spec.map(|s| s.needs.clone()).unwrap_or_default();
-        let cancelled = state.stage == JobOutcome::Cancelled.as_str();
-        let of = |n: &&Name| i.jobs.outcome(n) == Some(JobOutcome::Cancelled);
-        let cancelled_with = needs.iter().filter(|_| cancelled).find(of).cloned();
-        let open = |n: &Name| matches!(i.jobs.status_of(n), JobStatus::Open(_));
-        let waits_for = needs.into_iter().filter(open).filter(|_| !cancelled).collect();
-        JobExplanation { state, waits_for, cancelled_with }
+        let needs = spec.map(|spec| spec.needs.clone()).unwrap_or_default();
+        let (mut waits_for, mut cancelled_with) = (Vec::new(), None);
+        if job.stage == JobOutcome::Cancelled.as_str() {
+            cancelled_with = needs.into_iter().find(|n| state.jobs.outcome(n) == Some(JobOutcome::Cancelled));
+        } else {
+            waits_for = needs;
+            waits_for.retain(|n| matches!(state.jobs.status_of(n), JobStatus::Open(_)));
+        }
+        JobExplanation { state: job, waits_for, cancelled_with }
     }
 
-    /// Reads the ends of some of these, which came before this controller began: what is
-    /// read is kept.  Whether all of them have one.
+    /// Reads the outcomes of jobs that ended before this controller started, and keeps them.
+    /// Whether all of those that were read have one.
     pub(super) async fn read_outcomes(&self, ids: Vec<Name>) -> bool {
-        let reads = ids.into_iter().take(MAX_OUTCOMES_READ).map(|n: Name| async move {
-            let path = format!("{}{n}", key::OUTCOME);
-            self.read_outcome(&path).await.is_some()
-        });
-        let read = futures_util::stream::iter(reads).buffer_unordered(8).collect::<Vec<_>>();
-        timed(QUERY_TIMEOUT, read).await.is_some_and(|ends| ends.into_iter().all(|known| known))
+        let reads = ids
+            .into_iter()
+            .take(MAX_OUTCOMES_READ)
+            .map(|id: Name| async move { self.read_outcome(&outcome_key(&id)).await.is_some() });
+        let all = futures_util::stream::iter(reads).buffer_unordered(MAX_CONCURRENT_READS).collect::<Vec<_>>();
+        timed(QUERY_TIMEOUT, all).await.is_some_and(|known| known.into_iter().all(|is_known| is_known))
     }
 }
--- a/src/users/queues.rs
+++ b/src/users/queues.rs
@@ -1,4 +1,5 @@
-//! Requests that wait for another service, bounded: users' for the store, workers' for the leader.
+//! Bounded queues of requests that wait for another service: users' requests for the state
+//! service, workers' heartbeats for the leader.
 
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
@@ -12,55 +13,87 @@
 use crate::state_store::client::RateLimiter;
 use crate::workers::Heartbeat;
 
+/// Sends the one reply to a queued request; dropped without one if the request is given up.
 pub(crate) type ReplySender<T> = smol::channel::Sender<T>;
+/// Both ends of a bounded queue.
 pub(crate) type Queue<T> = (smol::channel::Sender<T>, smol::channel::Receiver<T>);
 
-/// Users' requests on their way to the store, gathered into transactions.
+/// A submission that is to be stored.
+pub(crate) struct SubmissionRequest {
+    pub(crate) spec: Arc<JobSpec>,
+    /// It needs a cancelled job, and is stored together with its own cancellation.
+    pub(crate) needs_cancelled_job: bool,
+    pub(crate) reply: ReplySender<StoreResult>,
+}
+
+/// What the state service says of a job that is unfinished as far as is known here.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) enum Confirmation {
+    /// No outcome is stored.
+    Unfinished,
+    /// This outcome is stored.
+    Ended(JobOutcome),
+    /// It cannot be said now.
+    Unavailable,
+}
+
+/// A job that is to be confirmed as unfinished.
+pub(crate) struct ConfirmationRequest {
+    pub(crate) id: Name,
+    pub(crate) reply: ReplySender<Confirmation>,
+}
+
+/// An id that is not known here.
+pub(crate) struct LookupRequest {
+    pub(crate) id: Name,
+    /// Receives `None` if the state service cannot say now.
+    pub(crate) reply: ReplySender<Option<LookupResult>>,
+}
+
+/// Users' requests that wait for the state service; each queue is drained in batches.
 pub struct UserRequestQueues {
-    /// Submissions, and whether each ends with a cancelled job that it needs.
-    pub(crate) submissions: Queue<(Arc<JobSpec>, bool, ReplySender<StoreResult>)>,
-    pub(crate) confirmations: Queue<(Name, ReplySender<Option<Option<JobOutcome>>>)>,
-    /// Ids that are not known here.
-    pub(crate) lookups: Queue<(Name, ReplySender<Option<LookupResult>>)>,
+    pub(crate) submissions: Queue<SubmissionRequest>,
+    pub(crate) confirmations: Queue<ConfirmationRequest>,
+    pub(crate) lookups: Queue<LookupRequest>,
     /// Requests to the store for these.
     pub(crate) lookup_calls: Mutex<RateLimiter>,
 }
 
-/// Requests that may wait for the store at once; more are refused.
+/// Requests that may wait in one queue; more are refused.
 const MAX_QUEUED_REQUESTS: usize = 512;
 
 impl UserRequestQueues {
-    /// Queues of nothing.  Queries for unknown ids may take so many requests a
-    /// second; no more of them wait than a second serves, the rest is refused.
+    /// Empty queues.  Lookups of unknown ids may take `lookup_rate` requests per second to the state
+    /// service; at most as many lookups wait as a second serves, the rest is refused.
     pub fn new(lookup_rate: f64, now: Instant) -> UserRequestQueues {
-        let most = (lookup_rate as usize).clamp(1, MAX_QUEUED_REQUESTS);
+        let max_lookups = (lookup_rate as usize).clamp(1, MAX_QUEUED_REQUESTS);
         UserRequestQueues {
             submissions: smol::channel::bounded(MAX_QUEUED_REQUESTS),
             confirmations: smol::channel::bounded(MAX_QUEUED_REQUESTS),
-            lookups: smol::channel::bounded(most),
+            lookups: smol::channel::bounded(max_lookups),
             lookup_calls: Mutex::new(RateLimiter::new(lookup_rate, lookup_rate, now)),
         }
     }
 }
 
-/// Reports that may wait to be forwarded; there are no more than connections.
+/// Heartbeats that may wait to be forwarded; there are no more than connections.
 const MAX_QUEUED_HEARTBEATS: usize = 8192;
 
-/// A report on its way to the leader.
+/// A heartbeat that waits to be forwarded to the leader.
 pub(crate) struct QueuedHeartbeat {
     pub(crate) heartbeat: Heartbeat,
-    /// As the worker sent it.
+    /// Its encoding, as the worker sent it.
     pub(crate) body: Vec<u8>,
-    /// Its worker waits no longer.
+    /// The worker waits no longer than this.
     pub(crate) deadline: Instant,
     pub(crate) reply: ReplySender<Response>,
 }
 
-/// The reports that wait to be forwarded, and what the leader took of earlier ones.
+/// The heartbeats that wait to be forwarded, and which ones the leader has accepted.
 pub struct HeartbeatQueue {
     pub(crate) queued: Queue<QueuedHeartbeat>,
     pub(crate) forwarding: Mutex<HeartbeatForwarding>,
-    /// The leader did not answer then: reports are dealt with here for a while.
+    /// When the leader last did not answer: for a while after that, heartbeats are handled here.
     pub(crate) failed_at: Mutex<Option<Instant>>,
 }
 
--- a/src/users/request.rs
+++ b/src/users/request.rs
@@ -1,4 +1,5 @@
-//! Drives a user's request to its answer, as `core::user_request` decides it.
+//! Drives a user's request to its reply: carries out the actions that
+//! [`coralnotch_core::user_request`] decides on.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,67 +10,82 @@
 use crate::http::Response;
 use crate::model::*;
 use crate::runtime::wake_up::timed;
+use crate::users::queues::Confirmation;
 
-/// A user waits 5 s for a submission; an answer after this is none.
+/// A user waits 5 s for a submission or a cancellation; a later reply is lost.
 pub(super) const SUBMIT_TIMEOUT: Duration = Duration::from_millis(4000);
-/// How long an answer waits for the siblings to know of a withdrawal.
-const PEER_NOTICE_TIMEOUT: Duration = Duration::from_millis(1200);
 /// A user waits 2 s for a query.
 pub(super) const QUERY_TIMEOUT: Duration = Duration::from_millis(1700);
+/// How long a reply waits for all peers to know of a cancellation.
+const PEER_NOTICE_TIMEOUT: Duration = Duration::from_millis(1200);
 
 impl Controller {
-    /// Answers a request as `core/answers` has it: asks what that wants asked.
-    pub(super) async fn resolve_request(&self, id: &Name, wish: RequestKind, spec: Option<Arc<JobSpec>>) -> Reply {
-        let (mut q, began, mut told_by) = (UserRequest::new(id.clone(), wish), Instant::now(), None);
+    /// Resolves a request about one job.  `spec` is the submission, for [`RequestKind::Submit`].
+    pub(super) async fn resolve_request(&self, id: &Name, kind: RequestKind, spec: Option<Arc<JobSpec>>) -> Reply {
+        let mut request = UserRequest::new(id.clone(), kind);
+        let started_at = Instant::now();
+        let mut notice_deadline = None;
         loop {
-            let told = self.cancellation_known.listen();
+            // registered before the state is read, so that no notice in between is missed
+            let cancellation_known = self.cancellation_known.listen();
             let now = Instant::now();
-            match (self.next_action(id, &mut q, now), &spec) {
-                (NextAction::Reply(word), _) => return word,
-                (NextAction::LookUp, _) => q.apply_lookup(self.look_up_job(id).await),
-                (NextAction::Confirm, _) => q.apply_confirmation(self.confirm_unfinished(id).await),
-                (NextAction::Cancel, _) => q.apply_cancellation(self.store_cancellation(id).await.ok()),
+            match (self.next_action(id, &mut request, now), &spec) {
+                (NextAction::Reply(reply), _) => return reply,
+                (NextAction::LookUp, _) => request.apply_lookup(self.look_up_job(id).await),
+                (NextAction::Confirm, _) => {
+                    let stored_outcome = match self.confirm_unfinished(id).await {
+                        Confirmation::Unavailable => None,
+                        Confirmation::Unfinished => Some(None),
+                        Confirmation::Ended(outcome) => Some(Some(outcome)),
+                    };
+                    request.apply_confirmation(stored_outcome);
+                }
+                (NextAction::Cancel, _) => request.apply_cancellation(self.store_cancellation(id).await.ok()),
                 (NextAction::ReadOutcomes(ids), _) => {
-                    q.apply_outcomes_read(began.elapsed() < QUERY_TIMEOUT && self.read_outcomes(ids).await)
+                    let all_read = started_at.elapsed() < QUERY_TIMEOUT && self.read_outcomes(ids).await;
+                    request.apply_outcomes_read(all_read);
+                }
+                (NextAction::Validate, Some(spec)) => {
+                    request.apply_validation(self.validate_submission(spec).await);
                 }
-                (NextAction::Validate, Some(spec)) => q.apply_validation(self.validate_submission(spec).await),
                 (NextAction::Store { needs_cancelled_job }, Some(spec)) => {
-                    let outcome = self.store_submission(spec.clone(), needs_cancelled_job).await;
-                    q.apply_store_result(outcome, &mut self.lock().jobs);
+                    let result = self.store_submission(spec.clone(), needs_cancelled_job).await;
+                    request.apply_store_result(result, &mut self.lock().jobs);
                 }
                 (NextAction::Validate | NextAction::Store { .. }, None) => return Reply::NotFound,
                 (NextAction::NotifyPeers, _) => {
                     self.cancellation_to_notify.notify(usize::MAX);
-                    let limit = *told_by.get_or_insert(now + PEER_NOTICE_TIMEOUT);
-                    let Some(left) = limit.checked_duration_since(now) else {
+                    let deadline = *notice_deadline.get_or_insert(now + PEER_NOTICE_TIMEOUT);
+                    let Some(remaining) = deadline.checked_duration_since(now) else {
                         return Reply::RetryLater("not every controller knows of it yet");
                     };
-                    timed(left.min(self.policy.renew / 4), told).await;
+                    timed(remaining.min(self.policy.renew / 4), cancellation_known).await;
                 }
             }
         }
     }
 
-    /// The next step of a request, by what is known now.
-    fn next_action(&self, id: &Name, q: &mut UserRequest, now: Instant) -> NextAction {
+    /// Decides the next action of a request from the state at `now`.
+    fn next_action(&self, id: &Name, request: &mut UserRequest, now: Instant) -> NextAction {
         let mut guard = self.lock();
-        let i = &mut *guard;
-        let (whole, clear) = (self.cancellations_complete_as_of(i), i.has_no_task_of(id, now));
-        q.next_action(&mut StateView {
-            jobs: &mut i.jobs,
-            cancellations: &i.cancellations,
-            notices: &mut i.cancellation_notices,
-            cancellations_complete_as_of: whole,
-            notices_required: i.notices_enabled_at.is_some(),
-            no_task_left: clear,
+        let state = &mut *guard;
+        let cancellations_complete_as_of = self.cancellations_complete_as_of(state);
+        let no_task_left = state.has_no_task_of(id, now);
+        request.next_action(&mut StateView {
+            jobs: &mut state.jobs,
+            cancellations: &state.cancellations,
+            notices: &mut state.cancellation_notices,
+            cancellations_complete_as_of,
+            notices_required: state.notices_enabled_at.is_some(),
+            no_task_left,
             policy: &self.policy,
             now,
         })
     }
 
-    /// The answer to a user.
-    pub(super) fn reply_to_user(&self, id: &Name, word: Reply) -> Response {
-        match word {
+    /// The HTTP response for a reply about a job.
+    pub(super) fn reply_to_user(&self, id: &Name, reply: Reply) -> Response {
+        match reply {
             Reply::Accepted => {
                 Response::new(201, &JobState { id: id.clone(), stage: "pending".into(), done: 0, running: 0 })
             }
--- a/src/users/submit.rs
+++ b/src/users/submit.rs
@@ -1,95 +1,125 @@
-//! Submissions: stored together, many in one transaction.
+//! Submissions, which are idempotent by their ids.  Those that wait together are stored in one
+//! compare-and-swap.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use coralnotch_core::user_request::{submissions_txn, RequestKind, StoreResult};
 
-use super::request::SUBMIT_TIMEOUT;
 use crate::controller::Controller;
 use crate::http::{self, Response};
 use crate::model::*;
 use crate::runtime::wake_up::timed;
-use crate::state_store::client::{key, StoreError, TxnOutcome, Write};
+use crate::state_store::client::{key, StoreError, Txn, TxnOutcome, Write};
+use crate::users::lookup::outcome_key;
+use crate::users::queues::SubmissionRequest;
+use crate::users::request::SUBMIT_TIMEOUT;
+
+/// A batch takes no further submissions once it has this many bytes.
+const MAX_BATCH_BYTES: usize = 20_000;
+/// Retries of a batch that the state service's rate limit refuses, and the pause before each.
+const MAX_RETRIES: u32 = 4;
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 impl Controller {
+    /// Answers a submission.
     pub(crate) async fn submit_job(&self, body: &[u8]) -> Response {
         let spec: JobSpec = match http::decode(body) {
-            Ok(s) => s,
+            Ok(spec) => spec,
             Err(e) => return Response::refuse(400, &e.to_string()),
         };
         if let Some(why) = spec.validation_error() {
             return Response::refuse(400, why);
         }
         let id = spec.id.clone();
-        let word = self.resolve_request(&id, RequestKind::Submit, Some(Arc::new(spec))).await;
-        self.reply_to_user(&id, word)
+        let reply = self.resolve_request(&id, RequestKind::Submit, Some(Arc::new(spec))).await;
+        self.reply_to_user(&id, reply)
     }
 
-    /// Hands a submission over to be stored, with those that wait meanwhile.
+    /// Queues a submission to be stored with the next batch, and waits for the result.
     pub(super) async fn store_submission(&self, spec: Arc<JobSpec>, needs_cancelled_job: bool) -> StoreResult {
-        let (reply, answer) = smol::channel::bounded(1);
-        if self.user_requests.submissions.0.try_send((spec, needs_cancelled_job, reply)).is_err() {
+        let (reply, result) = smol::channel::bounded(1);
+        let request = SubmissionRequest { spec, needs_cancelled_job, reply };
+        if self.user_requests.submissions.0.try_send(request).is_err() {
             return StoreResult::Unknown;
         }
-        timed(SUBMIT_TIMEOUT, answer.recv()).await.and_then(Result::ok).unwrap_or(StoreResult::Unknown)
+        timed(SUBMIT_TIMEOUT, result.recv()).await.and_then(Result::ok).unwrap_or(StoreResult::Unknown)
     }
 
-    /// Stores submissions, those that wait together in one transaction.
+    /// Stores queued submissions in batches, for as long as the controller runs.
     pub async fn run_submissions(&self) {
         let queue = &self.user_requests.submissions.1;
         while let Ok(first) = queue.recv().await {
-            let mut batch = vec![first];
-            let mut bytes = 0;
-            // one that needs a cancelled job is stored with its own end
-            let changes = |l: &[(Arc<JobSpec>, bool, _)]| l.iter().map(|s| 1 + usize::from(s.1)).sum::<usize>();
-            while changes(&batch) + 1 < self.store.most.writes && bytes < 20_000 {
-                let Ok(next) = queue.try_recv() else { break };
-                bytes += http::encode(&*next.0).len();
-                batch.push(next);
-            }
-            let mut tries = 0;
-            while !batch.is_empty() {
-                let txn =
-                    submissions_txn(batch.iter().map(|(spec, needs_cancelled_job, _)| (&**spec, *needs_cancelled_job)));
-                let sent = Instant::now();
-                let outcome = self.store.txn(&txn).await;
-                let now = Instant::now();
-                match outcome {
-                    Ok(TxnOutcome::Done(stamp)) => {
-                        let slow = now.duration_since(sent) > self.policy.renew;
-                        for (spec, _, reply) in batch.drain(..) {
-                            let id = spec.id.clone();
-                            self.apply_own_job(spec, stamp, now);
-                            // by what was stored: the same id may have come twice, and one
-                            // of the two before the end of what it needs was known
-                            let end = format!("{}{id}", key::OUTCOME);
-                            if txn.writes.iter().any(|w| matches!(w, Write::Set { set, .. } if *set == end)) {
-                                self.apply_stored_outcome(&id, JobOutcome::Cancelled, stamp, now);
-                            }
-                            let _ = reply.try_send(StoreResult::New { slow });
-                        }
-                    }
-                    Ok(TxnOutcome::Conflict(failed)) => {
-                        // those exist already, perhaps by a try of ours
-                        for k in &failed {
-                            for (_, _, reply) in batch.extract_if(.., |(s, ..)| *k == format!("{}{}", key::JOB, s.id)) {
-                                let _ = reply.try_send(StoreResult::AlreadyStored);
-                            }
-                        }
-                    }
-                    Err(StoreError::Refused(429)) if tries < 4 => {
-                        tries += 1;
-                        smol::Timer::after(Duration::from_millis(150)).await;
-                    }
-                    Err(e) => {
-                        tracing::debug!("submissions: {e}");
-                        for (_, _, reply) in batch.drain(..) {
-                            let _ = reply.try_send(StoreResult::Unknown);
-                        }
+            self.store_submissions(self.collect_submissions(first)).await;
+        }
+    }
+
+    /// The first submission, and those queued behind it that fit into one transaction.
+    fn collect_submissions(&self, first: SubmissionRequest) -> Vec<SubmissionRequest> {
+        // one that needs a cancelled job is stored together with its own outcome
+        let writes_of = |s: &SubmissionRequest| 1 + usize::from(s.needs_cancelled_job);
+        let mut writes = writes_of(&first);
+        let mut batch = vec![first];
+        let mut bytes = 0;
+        while writes + 1 < self.store.most.writes && bytes < MAX_BATCH_BYTES {
+            let Ok(next) = self.user_requests.submissions.1.try_recv() else { break };
+            bytes += http::encode(&*next.spec).len();
+            writes += writes_of(&next);
+            batch.push(next);
+        }
+        batch
+    }
+
+    /// Stores a batch of submissions, and replies to each.
+    async fn store_submissions(&self, mut batch: Vec<SubmissionRequest>) {
+        let mut retries = 0;
+        while !batch.is_empty() {
+            let txn = submissions_txn(batch.iter().map(|s| (&*s.spec, s.needs_cancelled_job)));
+            let sent_at = Instant::now();
+            match self.store.txn(&txn).await {
+                Ok(TxnOutcome::Done(revision)) => {
+                    self.apply_stored_submissions(std::mem::take(&mut batch), &txn, revision, sent_at);
+                }
+                Ok(TxnOutcome::Conflict(keys)) => reply_already_stored(&mut batch, &keys),
+                Err(StoreError::Refused(429)) if retries < MAX_RETRIES => {
+                    retries += 1;
+                    smol::Timer::after(RETRY_PAUSE).await;
+                }
+                Err(e) => {
+                    tracing::debug!(error = %e, "submissions not stored");
+                    for submission in batch.drain(..) {
+                        let _ = submission.reply.try_send(StoreResult::Unknown);
                     }
                 }
             }
         }
     }
+
+    /// Applies a batch that was stored at `revision`, and replies to each submission.
+    fn apply_stored_submissions(&self, batch: Vec<SubmissionRequest>, txn: &Txn, revision: u64, sent_at: Instant) {
+        let now = Instant::now();
+        let slow = now.duration_since(sent_at) > self.policy.renew;
+        for submission in batch {
+            let id = submission.spec.id.clone();
+            self.apply_own_job(submission.spec, revision, now);
+            // read from what was stored: the same id may have come twice, one of them before the
+            // outcome of the job that it needs was known
+            let outcome_key = outcome_key(&id);
+            if txn.writes.iter().any(|w| matches!(w, Write::Set { set, .. } if *set == outcome_key)) {
+                self.apply_stored_outcome(&id, JobOutcome::Cancelled, revision, now);
+            }
+            let _ = submission.reply.try_send(StoreResult::New { slow });
+        }
+    }
+}
+
+/// Removes the submissions whose records exist already, perhaps from an earlier attempt of this
+/// controller, and replies to them.
+fn reply_already_stored(batch: &mut Vec<SubmissionRequest>, conflicting_keys: &[String]) {
+    for conflicting in conflicting_keys {
+        let Some(id) = conflicting.strip_prefix(key::JOB) else { continue };
+        for submission in batch.extract_if(.., |s| *s.spec.id == *id) {
+            let _ = submission.reply.try_send(StoreResult::AlreadyStored);
+        }
+    }
 }
