--- a/src/controller.rs
+++ b/src/controller.rs
@@ -83,19 +83,19 @@
 #[derive(Debug, Clone, Copy)]
 pub struct StallDetector {
     /// It was moving then.
-    pub last: Instant,
+    pub last_tick: Instant,
     /// It has been moving without a gap since then.
-    pub since: Instant,
+    pub running_since: Instant,
 }
 
 impl StallDetector {
     /// It moves at `now`; how long it stood still before, if it did.
     pub fn tick(pulse: &mut Option<StallDetector>, most: Duration, now: Instant) -> Option<Duration> {
-        let p = pulse.get_or_insert(StallDetector { last: now, since: now });
-        let gap = now.saturating_duration_since(p.last);
-        p.last = p.last.max(now);
+        let p = pulse.get_or_insert(StallDetector { last_tick: now, running_since: now });
+        let gap = now.saturating_duration_since(p.last_tick);
+        p.last_tick = p.last_tick.max(now);
         (gap > most).then(|| {
-            p.since = now;
+            p.running_since = now;
             gap
         })
     }
@@ -263,7 +263,7 @@
     /// keeps to its share of the processor, and when requests wait for their
     /// turn, decisions wait for a multiple of that.  Workers that are not heard
     /// lose what has been placed already.
-    pub fn rest_after(&self, took: Duration, share: f64) -> Duration {
+    pub fn rest_time(&self, took: Duration, share: f64) -> Duration {
         let lag = self.scheduling_delay.now().mul_f64(self.policy.lag_rest).min(self.policy.lag_rest_most);
         took.div_f64(share).max(lag)
     }
@@ -291,7 +291,7 @@
     }
 
     /// The teams' limits.
-    pub fn teams(&self) -> HashMap<Name, TeamLimit> {
+    pub fn team_limits(&self) -> HashMap<Name, TeamLimit> {
         let team = |t: &crate::config::Team| {
             let size = |cpus, gpus| Resources { cpus, gpus, memory: 0.0 };
             (t.name.as_str().into(), TeamLimit { guarantee: size(t.cpus, t.gpus), limit: size(t.cpus_max, t.gpus_max) })
@@ -303,7 +303,7 @@
     pub fn apply_watched_job(&self, spec: Arc<JobSpec>, stamp: u64, now: Instant) {
         let mut i = self.lock();
         if i.jobs.insert_seen(spec.clone(), stamp) {
-            self.job_opened(&mut i, spec, stamp, now);
+            self.add_job_to_cluster(&mut i, spec, stamp, now);
         }
     }
 
@@ -311,11 +311,11 @@
     pub fn apply_own_job(&self, spec: Arc<JobSpec>, stamp: u64, now: Instant) {
         let mut i = self.lock();
         if i.jobs.insert_stored(spec.clone(), stamp) {
-            self.job_opened(&mut i, spec, stamp, now);
+            self.add_job_to_cluster(&mut i, spec, stamp, now);
         }
     }
 
-    pub(crate) fn job_opened(&self, i: &mut ControllerState, spec: Arc<JobSpec>, stamp: u64, now: Instant) {
+    pub(crate) fn add_job_to_cluster(&self, i: &mut ControllerState, spec: Arc<JobSpec>, stamp: u64, now: Instant) {
         let Some(c) = i.cluster.as_mut() else { return };
         c.add_job(spec.clone(), stamp, None, now);
         for n in &spec.needs {
@@ -337,10 +337,16 @@
             i.cancellations.record(stamp, id, now);
         }
         i.jobs.apply_outcome(id, outcome);
-        self.job_closed(&mut i, id, outcome, now);
+        self.apply_outcome_to_cluster(&mut i, id, outcome, now);
     }
 
-    pub(crate) fn job_closed(&self, i: &mut ControllerState, id: &str, outcome: JobOutcome, now: Instant) {
+    pub(crate) fn apply_outcome_to_cluster(
+        &self,
+        i: &mut ControllerState,
+        id: &str,
+        outcome: JobOutcome,
+        now: Instant,
+    ) {
         if let Some(c) = i.cluster.as_mut() {
             c.set_outcome(id, outcome, now);
             self.placement_wake.wake();
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -15,7 +15,7 @@
             if gap.is_some() {
                 since = now;
             }
-            prop_assert_eq!(pulse.map(|p| p.since), Some(since));
+            prop_assert_eq!(pulse.map(|p| p.running_since), Some(since));
         }
     }
 }
--- a/src/heartbeats.rs
+++ b/src/heartbeats.rs
@@ -250,7 +250,7 @@
         let age = |t: Instant| now.saturating_duration_since(t);
         let suspicion = PartitionSuspicion {
             since_store_answer: age(self.store.last_served()),
-            any_answer: !self.store.is_silent() || self.peers.any_reachable(self.policy.peer_limit * 3, now),
+            any_answer: !self.store.is_unresponsive() || self.peers.any_reachable(self.policy.peer_limit * 3, now),
             since_remote_zone_heartbeat: state.last_remote_zone_heartbeat.map(age),
             since_user_request: state.last_user_request.map(age),
         };
--- a/src/leader/cloud.rs
+++ b/src/leader/cloud.rs
@@ -63,7 +63,7 @@
 
     /// Machine types, from the cloud; every controller needs them to judge
     /// submissions.
-    pub async fn learn_types(&self) -> bool {
+    pub async fn fetch_machine_types(&self) -> bool {
         match self.cloud_get::<Types>("/flavors").await {
             Ok(t) if !t.types.is_empty() => {
                 let mut i = self.lock();
@@ -82,11 +82,11 @@
     }
 
     /// Lists machines, and types now and then.
-    pub(super) async fn listing(&self, a: LeaderLease) -> &'static str {
+    pub(super) async fn run_machine_listing(&self, a: LeaderLease) -> &'static str {
         let mut types_at: Option<Instant> = None;
         let mut stored: Option<Vec<MachineType>> = None;
         loop {
-            if types_at.is_none_or(|t| t.elapsed() > self.policy.list_every * 10) && self.learn_types().await {
+            if types_at.is_none_or(|t| t.elapsed() > self.policy.list_every * 10) && self.fetch_machine_types().await {
                 types_at = Some(Instant::now());
                 // kept for a start during an outage of the cloud
                 let mut types = self.lock().machine_types.clone();
@@ -106,7 +106,7 @@
                     }
                 }
             }
-            match self.whole_list().await {
+            match self.list_all_machines().await {
                 Ok(list) => {
                     if let Some(c) = self.lock().cluster.as_mut() {
                         c.apply_machine_list(&list, Instant::now());
@@ -118,7 +118,7 @@
         }
     }
 
-    async fn whole_list(&self) -> Result<Vec<ListedMachine>, String> {
+    async fn list_all_machines(&self) -> Result<Vec<ListedMachine>, String> {
         let (mut all, mut after) = (Vec::new(), String::new());
         loop {
             let target = match after.as_str() {
@@ -136,7 +136,7 @@
     }
 
     /// Rents and returns.
-    pub(super) async fn cloud_work(&self, a: LeaderLease) -> &'static str {
+    pub(super) async fn run_fleet(&self, a: LeaderLease) -> &'static str {
         let mut due = Instant::now();
         loop {
             let now = Instant::now();
@@ -165,17 +165,17 @@
                 plan
             };
             // with thousands of machines a plan takes its time too
-            due = due.max(now + self.rest_after(now.elapsed(), self.policy.plan_share));
-            self.carry_out(plan, a).await;
+            due = due.max(now + self.rest_time(now.elapsed(), self.policy.plan_share));
+            self.apply_fleet_plan(plan, a).await;
             self.placement_wake.wake();
-            self.clear_rentals(a).await;
+            self.delete_expired_records(a).await;
         }
     }
 
     /// Puts rentals on record before they are asked for: should this term end
     /// before the answer, the next leader learns of them.  One key for all that
     /// are new.  Without a record they are planned again.
-    async fn record(&self, rentals: &[Rental], a: LeaderLease) -> bool {
+    async fn record_rentals(&self, rentals: &[Rental], a: LeaderLease) -> bool {
         let new = match self.lock().cluster.as_mut() {
             Some(c) => c.fleet.begin_recording(rentals, a.term),
             None => return false,
@@ -209,7 +209,7 @@
     }
 
     /// Removes records of which nothing is to be learned any more.
-    async fn clear_rentals(&self, a: LeaderLease) {
+    async fn delete_expired_records(&self, a: LeaderLease) {
         let most = self.store.most.writes / 2;
         let gone = {
             let i = self.lock();
@@ -228,16 +228,16 @@
         }
     }
 
-    async fn carry_out(&self, plan: FleetPlan, a: LeaderLease) {
+    async fn apply_fleet_plan(&self, plan: FleetPlan, a: LeaderLease) {
         let rentals = async {
-            if self.record(&plan.rent, a).await {
-                futures_util::future::join_all(plan.rent.iter().map(|r| self.rent(r))).await;
+            if self.record_rentals(&plan.rent, a).await {
+                futures_util::future::join_all(plan.rent.iter().map(|r| self.scale_out(r))).await;
             }
         };
-        futures_util::future::join(self.give_back(&plan.delete), rentals).await;
+        futures_util::future::join(self.scale_in(&plan.delete), rentals).await;
     }
 
-    async fn give_back(&self, names: &[Name]) {
+    async fn scale_in(&self, names: &[Name]) {
         if names.is_empty() {
             return;
         }
@@ -255,7 +255,7 @@
         }
     }
 
-    async fn rent(&self, r: &Rental) {
+    async fn scale_out(&self, r: &Rental) {
         if !self.may_act(Instant::now()) {
             return;
         }
@@ -286,8 +286,8 @@
     }
 
     /// Learns the types at the start, whoever leads.
-    pub async fn types_at_start(self: Arc<Self>) {
-        while self.lock().machine_types.is_empty() && !self.learn_types().await {
+    pub async fn run_initial_type_fetch(self: Arc<Self>) {
+        while self.lock().machine_types.is_empty() && !self.fetch_machine_types().await {
             smol::Timer::after(self.policy.renew).await;
         }
     }
--- a/src/leader/commit.rs
+++ b/src/leader/commit.rs
@@ -96,7 +96,7 @@
                 self.outcome_fetch_wake.wait(self.policy.renew / 2).await;
                 continue;
             }
-            match self.ends_of(ids).await {
+            match self.fetch_outcomes(ids).await {
                 Ok(ends) => ends
                     .into_iter()
                     .for_each(|(id, outcome, at)| self.apply_stored_outcome(&id, outcome, at, Instant::now())),
@@ -110,7 +110,7 @@
 
     /// The ends of these jobs with their stamps, as far as they have one: a few one by one, many
     /// from the pages of all ends.
-    async fn ends_of(&self, mut ids: Vec<Name>) -> Result<Vec<(Name, JobOutcome, u64)>, StoreError> {
+    async fn fetch_outcomes(&self, mut ids: Vec<Name>) -> Result<Vec<(Name, JobOutcome, u64)>, StoreError> {
         let read = |i: KeyValue| {
             let outcome = read_value::<OutcomeRecord>(&i.key, i.value)?.outcome;
             Some((Name::from(i.key.strip_prefix(key::OUTCOME)?), outcome, i.revision))
@@ -128,7 +128,7 @@
         let mut since = String::new();
         while let Some(last) = ids.last().filter(|l| since.as_str() < format!("{}{l}", key::OUTCOME).as_str()) {
             tracing::debug!("ends of {} needed jobs up to {last}, from {since}", ids.len());
-            let page = self.store.page(key::OUTCOME, &since).await?;
+            let page = self.store.list_page(key::OUTCOME, &since).await?;
             let Some(row) = page.items.last() else { break };
             since.clone_from(&row.key);
             ends.extend(page.items.into_iter().filter_map(read).filter(|e| wanted.contains(&e.0)));
--- a/src/leader/mod.rs
+++ b/src/leader/mod.rs
@@ -21,15 +21,15 @@
 
 /// What a new leader has read.
 #[derive(Default)]
-struct Stored {
-    pages: Vec<(u32, PlacementShard, HashMap<Name, MachineLocation>)>,
+struct StoredCluster {
+    shards: Vec<(u32, PlacementShard, HashMap<Name, MachineLocation>)>,
     rentals: Vec<KeyValue>,
     /// Jobs that pages name and that were read one by one; `None` where the
     /// store has no record of them, or none that can be read.
-    over: HashMap<Name, Option<(OpenJob, Option<JobOutcome>)>>,
+    ended_jobs: HashMap<Name, Option<(OpenJob, Option<JobOutcome>)>>,
 }
 
-impl Stored {
+impl StoredCluster {
     /// Takes in what a job that pages name was read as.  A record that is
     /// missing or strange is read once a term: it will not get better, and
     /// nobody would lead for it.
@@ -45,7 +45,7 @@
         if job.is_none() {
             tracing::error!("{id} is on a page and has no record that can be read: its starts are passed over");
         }
-        self.over.insert(id, job);
+        self.ended_jobs.insert(id, job);
         Ok(())
     }
 }
@@ -53,7 +53,7 @@
     /// Leads until the term is over; the caller drops this when it is.
     pub async fn lead(&self, a: LeaderLease) -> &'static str {
         loop {
-            match self.read_all(a).await {
+            match self.load_cluster(a).await {
                 Ok(()) => break,
                 Err(e) => {
                     tracing::info!("cannot read the store for term {}: {e}", a.term);
@@ -62,16 +62,18 @@
             }
         }
         self.placement_wake.wake();
-        let work =
-            futures_lite::future::or(self.run_commits(a), futures_lite::future::or(self.placing(), self.commanding()));
-        let cloud = futures_lite::future::or(self.listing(a), self.cloud_work(a));
+        let work = futures_lite::future::or(
+            self.run_commits(a),
+            futures_lite::future::or(self.run_placement(), self.run_direct_commands()),
+        );
+        let cloud = futures_lite::future::or(self.run_machine_listing(a), self.run_fleet(a));
         let chains = futures_lite::future::or(self.run_feature_gate(a), self.run_outcome_fetches());
         let work = futures_lite::future::or(work, chains);
-        futures_lite::future::or(futures_lite::future::or(work, cloud), self.watch_contact()).await
+        futures_lite::future::or(futures_lite::future::or(work, cloud), self.run_contact_check()).await
     }
 
     /// A new leader's picture: jobs from the watch, the rest from the store.
-    async fn read_all(&self, a: LeaderLease) -> Result<(), StoreError> {
+    async fn load_cluster(&self, a: LeaderLease) -> Result<(), StoreError> {
         // the watch has to be past our own beginning, or a job named in a
         // record might still be unknown
         while self.lock().revision < a.revision {
@@ -81,9 +83,9 @@
         let stored = futures_util::future::join(self.store.list(key::SHARD), self.store.list(key::RENTAL));
         let ((pages, rentals), _) = futures_util::future::join(stored, asked).await;
         let pages: Vec<_> = pages?.into_iter().filter_map(|i| read_shard(&i.key, &i)).collect();
-        let mut stored = Stored { pages, rentals: rentals?, over: HashMap::new() };
+        let mut stored = StoredCluster { shards: pages, rentals: rentals?, ended_jobs: HashMap::new() };
         loop {
-            let missing = match self.take_over(a, stored, Instant::now()) {
+            let missing = match self.try_take_over(a, stored, Instant::now()) {
                 Ok(()) => return Ok(()),
                 Err((back, missing)) => {
                     stored = back;
@@ -107,8 +109,13 @@
     /// still have tasks somewhere.  Jobs that starts on record name and that
     /// are not in memory any more are given back to be read: without them a
     /// new leader would neither count nor stop what may run of them.
-    fn take_over(&self, a: LeaderLease, stored: Stored, now: Instant) -> Result<(), (Stored, Vec<Name>)> {
-        let mut c = Cluster::new(a.term, self.policy.clone(), self.teams(), now);
+    fn try_take_over(
+        &self,
+        a: LeaderLease,
+        stored: StoredCluster,
+        now: Instant,
+    ) -> Result<(), (StoredCluster, Vec<Name>)> {
+        let mut c = Cluster::new(a.term, self.policy.clone(), self.team_limits(), now);
         for o in self.config.deployment.objectives.iter().filter(|o| o.kind == "wait") {
             if let (Some(class), Some(within)) = (&o.class, o.within_s) {
                 let aim = c.start_objectives.entry(class.as_str().into()).or_insert(within);
@@ -119,7 +126,7 @@
         c.set_types(&i.machine_types);
         // what has a start or a completed task on record had all it needs: no
         // start is stored before that.  Held back, its tasks would count nowhere
-        let begun = started_jobs(stored.pages.iter().map(|p| &p.1));
+        let begun = started_jobs(stored.shards.iter().map(|p| &p.1));
         for o in i.jobs.open() {
             if begun.contains(&o.spec.id) {
                 c.add_started_job(o.spec.clone(), o.revision, None, now);
@@ -128,11 +135,11 @@
             }
         }
         let mut missing = HashSet::new();
-        for id in stored.pages.iter().flat_map(|(_, p, _)| &p.starts).map(|s| &s.task.job) {
+        for id in stored.shards.iter().flat_map(|(_, p, _)| &p.starts).map(|s| &s.task.job) {
             if c.jobs.contains_key(id) || missing.contains(id) {
                 continue;
             }
-            match (i.jobs.status_of(id), stored.over.get(id)) {
+            match (i.jobs.status_of(id), stored.ended_jobs.get(id)) {
                 (JobStatus::Ended(e), _) => c.add_job(e.spec, e.revision, Some(e.outcome), now),
                 (_, Some(Some((o, outcome)))) => c.add_job(o.spec.clone(), o.revision, *outcome, now),
                 (_, Some(None)) => {}
@@ -144,7 +151,7 @@
         if !missing.is_empty() {
             return Err((stored, missing.into_iter().collect()));
         }
-        for (id, page, machines) in stored.pages {
+        for (id, page, machines) in stored.shards {
             c.add_shard(id, page, &machines, now);
         }
         for item in stored.rentals {
--- a/src/leader/placement.rs
+++ b/src/leader/placement.rs
@@ -13,7 +13,7 @@
 
 impl Controller {
     /// Passes over the queue: when something changed, and now and then.
-    pub(super) async fn placing(&self) -> &'static str {
+    pub(super) async fn run_placement(&self) -> &'static str {
         loop {
             self.placement_wake.wait(Duration::from_millis(500)).await;
             let next = self.lock().next_pass_at;
@@ -39,13 +39,13 @@
             }
             c.collect_garbage(now);
             let took = now.elapsed();
-            i.next_pass_at = Some(now + self.policy.pass_gap.max(self.rest_after(took, self.policy.pass_share)));
+            i.next_pass_at = Some(now + self.policy.pass_gap.max(self.rest_time(took, self.policy.pass_share)));
             self.telemetry.record(TimedOperation::Pass, took);
         }
     }
 
     /// Sends what should not wait for the next report straight to workers.
-    pub(super) async fn commanding(&self) -> &'static str {
+    pub(super) async fn run_direct_commands(&self) -> &'static str {
         let mut flying = FuturesUnordered::new();
         loop {
             let most = self.policy.direct_calls.saturating_sub(flying.len());
@@ -110,7 +110,7 @@
     /// A leader that no worker reaches hands over to one that they reach: their
     /// leases run while it listens in vain.  That a sibling hears workers, and
     /// they do not come on to here, tells it from a world without workers.
-    pub(super) async fn watch_contact(&self) -> &'static str {
+    pub(super) async fn run_contact_check(&self) -> &'static str {
         let mut contact = WorkerContact::default();
         loop {
             smol::Timer::after(self.policy.deaf / 4).await;
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -17,7 +17,7 @@
     }
     node.apply_stored_outcome("j-000001", JobOutcome::Cancelled, 2, now);
     let a = LeaderLease { term: 2, revision: 1, lease_id: 1, valid_until: now, started_at: now };
-    assert!(node.take_over(a, Stored::default(), now).is_ok());
+    assert!(node.try_take_over(a, StoredCluster::default(), now).is_ok());
     node.apply_stored_outcome("j-000002", JobOutcome::Cancelled, 3, now);
     node.apply_watched_job(spec("j-000004", 1), 2, now);
     let i = node.lock();
@@ -45,14 +45,14 @@
     let page =
         PlacementShard { revision: 3, starts: vec![start("j-000001"), start("j-000002")], completed: Vec::new() };
     let places = HashMap::from([("i-1".into(), ("t".into(), "z0".into(), false))]);
-    let stored = Stored { pages: vec![(0, page, places)], ..Stored::default() };
+    let stored = StoredCluster { shards: vec![(0, page, places)], ..StoredCluster::default() };
     let a = LeaderLease { term: 2, revision: 1, lease_id: 1, valid_until: now, started_at: now };
-    let Err((mut stored, missing)) = node.take_over(a, stored, now) else { panic!("it leads without knowing") };
+    let Err((mut stored, missing)) = node.try_take_over(a, stored, now) else { panic!("it leads without knowing") };
     assert_eq!(missing, ["j-000002".into()]);
     assert!(node.lock().cluster.is_none(), "no half of a picture");
     let open = OpenJob { spec: spec("j-000002", 1), revision: 2 };
     assert!(stored.read("j-000002".into(), Ok(Some((open, Some(JobOutcome::Cancelled))))).is_ok());
-    assert!(node.take_over(a, stored, now).is_ok());
+    assert!(node.try_take_over(a, stored, now).is_ok());
     let i = node.lock();
     let tasks = &i.cluster.as_ref().expect("it leads").machines["i-1"].tasks;
     let halted: Vec<_> = tasks.iter().map(|(t, p)| (&*t.job, p.stop_grace_s.is_some())).collect();
@@ -76,15 +76,15 @@
     });
     let page = PlacementShard { revision: 3, starts: starts.into(), completed: Vec::new() };
     let places = HashMap::from([("i-1".into(), ("t".into(), "z0".into(), false))]);
-    let stored = Stored { pages: vec![(0, page, places)], ..Stored::default() };
+    let stored = StoredCluster { shards: vec![(0, page, places)], ..StoredCluster::default() };
     let a = LeaderLease { term: 2, revision: 1, lease_id: 1, valid_until: now, started_at: now };
-    let Err((mut stored, missing)) = node.take_over(a, stored, now) else { panic!("it leads without asking") };
+    let Err((mut stored, missing)) = node.try_take_over(a, stored, now) else { panic!("it leads without asking") };
     assert_eq!(missing.len(), 2);
     // no answer at all says nothing about the record
     assert!(stored.read("j-000002".into(), Err(StoreError::Refused(503))).is_err());
     assert!(stored.read("j-000002".into(), Err(StoreError::Unreadable)).is_ok());
     assert!(stored.read("j-000003".into(), Ok(None)).is_ok());
-    assert!(node.take_over(a, stored, now).is_ok());
+    assert!(node.try_take_over(a, stored, now).is_ok());
     let i = node.lock();
     let tasks = &i.cluster.as_ref().expect("it leads").machines["i-1"].tasks;
     assert_eq!(tasks.keys().map(|t| &*t.job).collect::<Vec<_>>(), ["j-000001"]);
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -17,16 +17,16 @@
 
 /// Since when a controller that was deaf stands down, and until when at most.
 #[derive(Debug, Clone, Copy)]
-struct StandDown {
-    from: Instant,
-    to: Instant,
+struct StepDownBackoff {
+    started_at: Instant,
+    expires_at: Instant,
 }
 
-impl StandDown {
+impl StepDownBackoff {
     /// Not before a worker is heard here, or two deaf ones would hand the
     /// lease to and fro; but if nobody else will, it is time to try again.
-    fn holds(&self, heard: Option<Instant>, now: Instant) -> bool {
-        now < self.to && heard.is_none_or(|t| t < self.from)
+    fn is_active(&self, heard: Option<Instant>, now: Instant) -> bool {
+        now < self.expires_at && heard.is_none_or(|t| t < self.started_at)
     }
 }
 
@@ -38,12 +38,12 @@
 
     /// Stands for leader whenever there is none, and leads.
     pub async fn run_elections(&self) {
-        let mut stand_down: Option<StandDown> = None;
+        let mut stand_down: Option<StepDownBackoff> = None;
         loop {
             let free = {
                 let i = self.lock();
                 i.synced
-                    && !stand_down.is_some_and(|s| s.holds(i.last_heartbeat, Instant::now()))
+                    && !stand_down.is_some_and(|s| s.is_active(i.last_heartbeat, Instant::now()))
                     && match &i.leader {
                         None => true,
                         // an earlier life of this very controller: it is dead
@@ -68,7 +68,8 @@
                         let _ = self.store.revoke(a.lease_id).await;
                         if why == NO_WORKERS {
                             let now = Instant::now();
-                            stand_down = Some(StandDown { from: now, to: now + self.policy.ttl * 3 });
+                            stand_down =
+                                Some(StepDownBackoff { started_at: now, expires_at: now + self.policy.ttl * 3 });
                         }
                     }
                     Ok(None) => {}
--- a/src/leadership/feature_gate.rs
+++ b/src/leadership/feature_gate.rs
@@ -111,7 +111,7 @@
                     for m in members {
                         let name = m.key.strip_prefix(key::MEMBER).unwrap_or_default().to_owned();
                         if let Some(r) = read_value::<MemberRecord>(&m.key, m.value) {
-                            self.record_found(&name, r, now);
+                            self.record_member(&name, r, now);
                         }
                     }
                 }
@@ -153,7 +153,7 @@
 
     /// A record of a controller was found.  It is no word of its own: one that
     /// has answered as an earlier version since the record was made is one.
-    fn record_found(&self, name: &str, m: MemberRecord, now: Instant) {
+    fn record_member(&self, name: &str, m: MemberRecord, now: Instant) {
         let mut roster = lock(&self.peers.roster);
         let contradicts = |s: &AdvertisedFeatures| {
             s.features.is_empty() && now.saturating_duration_since(s.seen_at) <= self.policy.ttl * 2
--- a/src/leadership/lease.rs
+++ b/src/leadership/lease.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Default)]
 pub struct WorkerContact {
     /// When a sibling first heard a worker after the last one came here.
-    told: Option<Instant>,
+    peer_contact_at: Option<Instant>,
 }
 
 impl WorkerContact {
@@ -65,8 +65,8 @@
             return silence > p.deaf_alone;
         }
         // what was told of an earlier silence says nothing of this one
-        self.told = self.told.filter(|t| *t > last).or(elsewhere.filter(|t| *t > last));
-        self.told.is_some_and(|t| now.saturating_duration_since(t) > p.deaf / 2)
+        self.peer_contact_at = self.peer_contact_at.filter(|t| *t > last).or(elsewhere.filter(|t| *t > last));
+        self.peer_contact_at.is_some_and(|t| now.saturating_duration_since(t) > p.deaf / 2)
     }
 }
 
--- a/src/peers/service.rs
+++ b/src/peers/service.rs
@@ -145,7 +145,7 @@
                 let i = self.lock();
                 i.synced && self.cancellations_complete_as_of(&i).is_some_and(|t| t.elapsed() > self.policy.ttl * 3)
             };
-            if self.store.is_silent() {
+            if self.store.is_unresponsive() {
                 // the end of a cut has to be noticed soon
                 let _ = self.store.get(crate::state_store::client::key::LEADER).await;
             }
--- a/src/run.rs
+++ b/src/run.rs
@@ -57,7 +57,7 @@
         turns.spawn_control(async move { n.run_lookups().await });
         let n = node.clone();
         turns.spawn_control(async move { n.run_heartbeat_forwarding().await });
-        turns.spawn_control(node.clone().types_at_start());
+        turns.spawn_control(node.clone().run_initial_type_fetch());
         let n = node.clone();
         requests.spawn(async move { n.scheduling_delay.measure(n.policy.pass_gap * 2).await }).detach();
         let handler = Rc::new(move |r| node.clone().handle_request(r));
--- a/src/runtime/executor.rs
+++ b/src/runtime/executor.rs
@@ -35,7 +35,7 @@
     }
 
     /// A timer came so late.  What was seen before fades by half.
-    fn told(&self, late: Duration) {
+    fn record(&self, late: Duration) {
         let late = u64::try_from(late.as_micros()).unwrap_or(u64::MAX);
         self.0.store(late.max(self.0.load(Ordering::Relaxed) / 2), Ordering::Relaxed);
     }
@@ -45,7 +45,7 @@
         loop {
             let due = Instant::now() + every;
             smol::Timer::at(due).await;
-            self.told(due.elapsed());
+            self.record(due.elapsed());
         }
     }
 }
@@ -70,14 +70,14 @@
     pub async fn run<T>(&self, main: impl Future<Output = T>) -> T {
         let rounds = async {
             loop {
-                self.settle();
+                self.run_ready_control_tasks();
                 let mut some = false;
                 for _ in 0..REQUESTS_IN_A_ROW {
                     if !self.requests.try_tick() {
                         break;
                     }
                     some = true;
-                    self.settle();
+                    self.run_ready_control_tasks();
                 }
                 if some {
                     yield_now().await;
@@ -90,7 +90,7 @@
     }
 
     /// Runs duties until none is ready.
-    fn settle(&self) {
+    fn run_ready_control_tasks(&self) {
         while self.control.try_tick() {}
     }
 }
--- a/src/runtime/executor/tests.rs
+++ b/src/runtime/executor/tests.rs
@@ -6,12 +6,12 @@
 #[test]
 fn a_wait_is_seen_at_once_and_fades() {
     let (lag, s) = (SchedulingDelay::default(), Duration::from_millis);
-    lag.told(s(800));
+    lag.record(s(800));
     assert_eq!(lag.now(), s(800));
-    lag.told(s(2000));
+    lag.record(s(2000));
     assert_eq!(lag.now(), s(2000));
     for _ in 0..12 {
-        lag.told(Duration::ZERO);
+        lag.record(Duration::ZERO);
     }
     assert!(lag.now() < s(1));
 }
--- a/src/state_store/client.rs
+++ b/src/state_store/client.rs
@@ -37,7 +37,8 @@
 }
 #[derive(Deserialize, Serialize)]
 struct Lease {
-    hold: u64,
+    #[serde(rename = "hold")]
+    lease_id: u64,
 }
 #[derive(Serialize)]
 struct Ttl {
@@ -59,7 +60,7 @@
     NoLease,
     /// The watch is too old.
     #[error("the watch is too old")]
-    Gone,
+    WatchExpired,
     /// The answer came, and a record in it is not what this version writes.
     #[error("a record cannot be read")]
     Unreadable,
@@ -112,7 +113,7 @@
     pub most: TxnLimits,
     last_served: Mutex<Instant>,
     failing: AtomicBool,
-    silent: AtomicBool,
+    unresponsive: AtomicBool,
 }
 
 /// A page is gone through with every change of it, and a few more are looked at:
@@ -148,7 +149,7 @@
             },
             last_served: Mutex::new(now),
             failing: AtomicBool::new(false),
-            silent: AtomicBool::new(false),
+            unresponsive: AtomicBool::new(false),
         }
     }
 
@@ -169,8 +170,8 @@
     }
 
     /// Whether the last request got no answer at all, not even a refusal.
-    pub fn is_silent(&self) -> bool {
-        self.silent.load(Ordering::Relaxed)
+    pub fn is_unresponsive(&self) -> bool {
+        self.unresponsive.load(Ordering::Relaxed)
     }
 
     /// This controller stood still: that nothing was carried out meanwhile says
@@ -178,7 +179,7 @@
     pub fn reset_after_stall(&self, now: Instant) {
         *self.last_served.lock().unwrap_or_else(|e| e.into_inner()) = now;
         self.failing.store(false, Ordering::Relaxed);
-        self.silent.store(false, Ordering::Relaxed);
+        self.unresponsive.store(false, Ordering::Relaxed);
     }
 
     /// When the state service last carried out something for us.
@@ -200,7 +201,7 @@
         if sent.is_ok() || began.elapsed() < limit * 2 {
             // 429 is a matter of pace: the service is there
             self.failing.store(!matches!(sent, Ok((..500, _))), Ordering::Relaxed);
-            self.silent.store(sent.is_err(), Ordering::Relaxed);
+            self.unresponsive.store(sent.is_err(), Ordering::Relaxed);
         }
         let (status, body) = sent?;
         match status {
@@ -248,7 +249,7 @@
 
     /// Some keys with a prefix, after one of them or from the first, within the
     /// rate for reads of many pages.
-    pub async fn page(&self, prefix: &str, since: &str) -> Result<KeyPage, StoreError> {
+    pub async fn list_page(&self, prefix: &str, since: &str) -> Result<KeyPage, StoreError> {
         let wait = self.reads.lock().unwrap_or_else(|e| e.into_inner()).take(1.0, Instant::now());
         if !wait.is_zero() {
             smol::Timer::after(wait).await;
@@ -266,7 +267,7 @@
     pub async fn list(&self, prefix: &str) -> Result<Vec<KeyValue>, StoreError> {
         let (mut all, mut after) = (Vec::new(), String::new());
         loop {
-            let page = self.page(prefix, &after).await?;
+            let page = self.list_page(prefix, &after).await?;
             let last = page.items.last().map(|r| r.key.clone());
             all.extend(page.items);
             match last {
@@ -277,12 +278,7 @@
     }
 
     /// Waits for changes after a revision.
-    pub async fn changes(
-        &self,
-        prefix: &str,
-        since: u64,
-        block: Duration,
-    ) -> Result<(Vec<WatchEvent>, u64), StoreError> {
+    pub async fn watch(&self, prefix: &str, since: u64, block: Duration) -> Result<(Vec<WatchEvent>, u64), StoreError> {
         self.pace(0).await;
         let target = format!("/changes?under={prefix}&since={since}&blockMs={}", block.as_millis());
         // a watch that hangs must not keep a withdrawal from the leader: it is
@@ -292,7 +288,7 @@
                 let c: Changes = http::decode(&body)?;
                 Ok((c.news, c.epoch))
             }
-            (410, _) => Err(StoreError::Gone),
+            (410, _) => Err(StoreError::WatchExpired),
             (s, _) => Err(StoreError::Refused(s)),
         }
     }
@@ -302,7 +298,7 @@
         self.pace(0).await;
         let body = http::encode(&Ttl { ttl_ms: ttl.as_millis() as u64 });
         match self.call("POST", "/leases", Some(&body), LIMIT).await? {
-            (200, body) => Ok(http::decode::<Lease>(&body)?.hold),
+            (200, body) => Ok(http::decode::<Lease>(&body)?.lease_id),
             (s, _) => Err(StoreError::Refused(s)),
         }
     }
--- a/src/state_store/watch.rs
+++ b/src/state_store/watch.rs
@@ -82,7 +82,7 @@
     async fn catch_up(&self) -> Result<u64, StoreError> {
         let first = !self.lock().synced;
         let sent = Instant::now();
-        let page = self.store.page(key::LEADER, "").await?;
+        let page = self.store.list_page(key::LEADER, "").await?;
         let epoch = page.revision;
         let seen = |i: KeyValue| {
             self.apply_event(WatchEvent { set: Some(i.key), delete: None, value: Some(i.value), revision: i.revision })
@@ -109,7 +109,7 @@
         let mut sweep = InitialScan::new(wanted);
         let (mut since, mut looked) = (epoch, Instant::now());
         while let Some(need) = sweep.next_page() {
-            match self.store.page(need.under, &need.since).await {
+            match self.store.list_page(need.under, &need.since).await {
                 Ok(page) => sweep.add_page(need.under, page.items, page.truncated),
                 // only this page is read again: a long read has to come to its
                 // end though the service fails now and then
@@ -118,18 +118,18 @@
                     smol::Timer::after(self.policy.renew / 2).await;
                 }
             }
-            self.enter(&mut sweep);
+            self.apply_scan(&mut sweep);
             // the service keeps a limited number of changes: a read that takes
             // longer than they last would begin again and again
             if looked.elapsed() > self.policy.renew {
                 looked = Instant::now();
-                match self.store.changes(key::WATCHED, since, Duration::ZERO).await {
+                match self.store.watch(key::WATCHED, since, Duration::ZERO).await {
                     Ok((news, epoch)) => {
                         let ended = |e: &WatchEvent| Some(Name::from(e.set.as_ref()?.strip_prefix(key::OUTCOME)?));
                         sweep.mark_ended(news.iter().filter_map(ended));
                         since = self.apply_changes(news, epoch.max(since));
                     }
-                    Err(StoreError::Gone) => return Err(StoreError::Gone),
+                    Err(StoreError::WatchExpired) => return Err(StoreError::WatchExpired),
                     Err(e) => tracing::debug!("watch: {e}"),
                 }
             }
@@ -139,15 +139,15 @@
     }
 
     /// Takes what the sweep has at hand into the ledger and to the leader.
-    fn enter(&self, sweep: &mut InitialScan) {
+    fn apply_scan(&self, sweep: &mut InitialScan) {
         let (mut guard, now) = (self.lock(), Instant::now());
         let i = &mut *guard;
         let mut news = Vec::new();
         sweep.apply_pages(&mut i.jobs, |n| news.push(n));
         for n in news {
             match n {
-                ScanEvent::Open(o) => self.job_opened(i, o.spec, o.revision, now),
-                ScanEvent::Ended(id, outcome) => self.job_closed(i, &id, outcome, now),
+                ScanEvent::Open(o) => self.add_job_to_cluster(i, o.spec, o.revision, now),
+                ScanEvent::Ended(id, outcome) => self.apply_outcome_to_cluster(i, &id, outcome, now),
             }
         }
     }
@@ -166,7 +166,7 @@
     }
 
     /// The watch has shown all up to a revision; how long the next one may wait.
-    fn shown(&self, sent: Instant, epoch: u64) -> Duration {
+    fn record_watch_answer(&self, sent: Instant, epoch: u64) -> Duration {
         let mut i = self.lock();
         i.revision = i.revision.max(epoch);
         i.cancellation_view.watch_answered(sent);
@@ -199,15 +199,15 @@
             self.mark_synced(since);
             loop {
                 let sent = Instant::now();
-                match self.store.changes(key::WATCHED, since, block).await {
+                match self.store.watch(key::WATCHED, since, block).await {
                     Ok((news, epoch)) => {
                         since = self.apply_changes(news, epoch.max(since));
-                        let gap = self.shown(sent, since);
+                        let gap = self.record_watch_answer(sent, since);
                         if !gap.is_zero() {
                             smol::Timer::after(gap).await;
                         }
                     }
-                    Err(StoreError::Gone) => break,
+                    Err(StoreError::WatchExpired) => break,
                     Err(e) => {
                         tracing::debug!("watch: {e}");
                         smol::Timer::after(self.policy.renew / 2).await;
