--- a/src/heartbeats.rs
+++ b/src/heartbeats.rs
@@ -11,7 +11,7 @@
 use crate::cluster::raise_token;
 use crate::controller::{Controller, ControllerState};
 use crate::http::{self, Response};
-use crate::leadership::lease::PartitionSuspicion;
+use crate::leadership::isolation::PartitionSuspicion;
 use crate::model::Name;
 use crate::operators::telemetry::count;
 use crate::runtime::wake_up::timed;
--- a/src/leader/cloud.rs
+++ b/src/leader/cloud.rs
@@ -11,6 +11,7 @@
 use crate::fleet::FleetPlan;
 use crate::http;
 use crate::leadership::lease::LeaderLease;
+use crate::leadership::step_down::StepDownReason;
 use crate::model::*;
 use crate::state_store::client::{key, StoreError, Txn, TxnOutcome, Write};
 
@@ -82,7 +83,7 @@
     }
 
     /// Lists machines, and types now and then.
-    pub(super) async fn run_machine_listing(&self, a: LeaderLease) -> &'static str {
+    pub(super) async fn run_machine_listing(&self, a: LeaderLease) -> StepDownReason {
         let mut types_at: Option<Instant> = None;
         let mut stored: Option<Vec<MachineType>> = None;
         loop {
@@ -136,7 +137,7 @@
     }
 
     /// Rents and returns.
-    pub(super) async fn run_fleet(&self, a: LeaderLease) -> &'static str {
+    pub(super) async fn run_fleet(&self, a: LeaderLease) -> StepDownReason {
         let mut due = Instant::now();
         loop {
             let now = Instant::now();
--- a/src/leader/commit.rs
+++ b/src/leader/commit.rs
@@ -6,6 +6,7 @@
 use crate::cluster::Cluster;
 use crate::controller::Controller;
 use crate::leadership::lease::LeaderLease;
+use crate::leadership::step_down::StepDownReason;
 use crate::model::*;
 use crate::operators::telemetry::{count, TimedOperation};
 use crate::state_store::client::{key, read_value, KeyValue, StoreError, TxnOutcome};
@@ -18,7 +19,7 @@
 
 impl Controller {
     /// Stores what there is to store, one transaction at a time.
-    pub(super) async fn run_commits(&self, a: LeaderLease) -> &'static str {
+    pub(super) async fn run_commits(&self, a: LeaderLease) -> StepDownReason {
         let mut most = self.store.most;
         loop {
             let batch = self.lock().cluster.as_mut().and_then(|c| c.next_commit(a.revision, &most));
@@ -46,7 +47,7 @@
                 }
                 Ok(TxnOutcome::Conflict(keys)) => {
                     if keys.iter().any(|k| k == key::LEADER) {
-                        return "the leader key has changed";
+                        return StepDownReason::LeaderKeyChanged;
                     }
                     tracing::info!("transaction in conflict over {keys:?}");
                     if let Some(c) = self.lock().cluster.as_mut() {
@@ -84,7 +85,7 @@
     /// Asks the store after needed jobs of which nothing is known here: they
     /// ended before this controller began, or too long ago to be kept.  Only what
     /// waits for them waits meanwhile.
-    pub(super) async fn run_outcome_fetches(&self) -> &'static str {
+    pub(super) async fn run_outcome_fetches(&self) -> StepDownReason {
         loop {
             let now = Instant::now();
             let ids = {
--- a/src/leader/mod.rs
+++ b/src/leader/mod.rs
@@ -15,7 +15,9 @@
 use crate::controller::Controller;
 use crate::job_index::{JobStatus, OpenJob};
 use crate::leadership::lease::LeaderLease;
+use crate::leadership::step_down::StepDownReason;
 use crate::model::*;
+use crate::runtime::race::{race, racer};
 use crate::runtime::wake_up::timed;
 use crate::state_store::client::{key, read_value, KeyValue, StoreError};
 
@@ -51,7 +53,7 @@
 }
 impl Controller {
     /// Leads until the term is over; the caller drops this when it is.
-    pub async fn lead(&self, a: LeaderLease) -> &'static str {
+    pub async fn lead(&self, a: LeaderLease) -> StepDownReason {
         loop {
             match self.load_cluster(a).await {
                 Ok(()) => break,
@@ -62,14 +64,17 @@
             }
         }
         self.placement_wake.wake();
-        let work = futures_lite::future::or(
-            self.run_commits(a),
-            futures_lite::future::or(self.run_placement(), self.run_direct_commands()),
-        );
-        let cloud = futures_lite::future::or(self.run_machine_listing(a), self.run_fleet(a));
-        let chains = futures_lite::future::or(self.run_feature_gate(a), self.run_outcome_fetches());
-        let work = futures_lite::future::or(work, chains);
-        futures_lite::future::or(futures_lite::future::or(work, cloud), self.run_contact_check()).await
+        race(vec![
+            racer(self.run_commits(a)),
+            racer(self.run_placement()),
+            racer(self.run_direct_commands()),
+            racer(self.run_feature_gate(a)),
+            racer(self.run_outcome_fetches()),
+            racer(self.run_machine_listing(a)),
+            racer(self.run_fleet(a)),
+            racer(self.run_contact_check()),
+        ])
+        .await
     }
 
     /// A new leader's picture: jobs from the watch, the rest from the store.
--- a/src/leader/placement.rs
+++ b/src/leader/placement.rs
@@ -7,13 +7,14 @@
 use crate::cluster::{Machine, MachineState};
 use crate::controller::{Controller, ControllerState};
 use crate::http;
-use crate::leadership::lease::{WorkerContact, NO_WORKERS};
+use crate::leadership::isolation::WorkerContact;
+use crate::leadership::step_down::StepDownReason;
 use crate::operators::telemetry::{count, TimedOperation};
 use crate::workers::Heartbeat;
 
 impl Controller {
     /// Passes over the queue: when something changed, and now and then.
-    pub(super) async fn run_placement(&self) -> &'static str {
+    pub(super) async fn run_placement(&self) -> StepDownReason {
         loop {
             self.placement_wake.wait(Duration::from_millis(500)).await;
             let next = self.lock().next_pass_at;
@@ -45,7 +46,7 @@
     }
 
     /// Sends what should not wait for the next report straight to workers.
-    pub(super) async fn run_direct_commands(&self) -> &'static str {
+    pub(super) async fn run_direct_commands(&self) -> StepDownReason {
         let mut flying = FuturesUnordered::new();
         loop {
             let most = self.policy.direct_calls.saturating_sub(flying.len());
@@ -110,7 +111,7 @@
     /// A leader that no worker reaches hands over to one that they reach: their
     /// leases run while it listens in vain.  That a sibling hears workers, and
     /// they do not come on to here, tells it from a world without workers.
-    pub(super) async fn run_contact_check(&self) -> &'static str {
+    pub(super) async fn run_contact_check(&self) -> StepDownReason {
         let mut contact = WorkerContact::default();
         loop {
             smol::Timer::after(self.policy.deaf / 4).await;
@@ -135,7 +136,7 @@
             let now = Instant::now();
             let answered = self.peers.any_reachable(self.policy.deaf_alone, now);
             if contact.is_lost(last, self.peers.last_worker_contact(), answered, &self.policy, now) {
-                return NO_WORKERS;
+                return StepDownReason::NoWorkerContact;
             }
         }
     }
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -16,7 +16,7 @@
         node.apply_watched_job(spec(id, 1), 1, now);
     }
     node.apply_stored_outcome("j-000001", JobOutcome::Cancelled, 2, now);
-    let a = LeaderLease { term: 2, revision: 1, lease_id: 1, valid_until: now, started_at: now };
+    let a = LeaderLease { term: 2, revision: 1, lease_id: 1, valid_until: now };
     assert!(node.try_take_over(a, StoredCluster::default(), now).is_ok());
     node.apply_stored_outcome("j-000002", JobOutcome::Cancelled, 3, now);
     node.apply_watched_job(spec("j-000004", 1), 2, now);
@@ -46,7 +46,7 @@
         PlacementShard { revision: 3, starts: vec![start("j-000001"), start("j-000002")], completed: Vec::new() };
     let places = HashMap::from([("i-1".into(), ("t".into(), "z0".into(), false))]);
     let stored = StoredCluster { shards: vec![(0, page, places)], ..StoredCluster::default() };
-    let a = LeaderLease { term: 2, revision: 1, lease_id: 1, valid_until: now, started_at: now };
+    let a = LeaderLease { term: 2, revision: 1, lease_id: 1, valid_until: now };
     let Err((mut stored, missing)) = node.try_take_over(a, stored, now) else { panic!("it leads without knowing") };
     assert_eq!(missing, ["j-000002".into()]);
     assert!(node.lock().cluster.is_none(), "no half of a picture");
@@ -77,7 +77,7 @@
     let page = PlacementShard { revision: 3, starts: starts.into(), completed: Vec::new() };
     let places = HashMap::from([("i-1".into(), ("t".into(), "z0".into(), false))]);
     let stored = StoredCluster { shards: vec![(0, page, places)], ..StoredCluster::default() };
-    let a = LeaderLease { term: 2, revision: 1, lease_id: 1, valid_until: now, started_at: now };
+    let a = LeaderLease { term: 2, revision: 1, lease_id: 1, valid_until: now };
     let Err((mut stored, missing)) = node.try_take_over(a, stored, now) else { panic!("it leads without asking") };
     assert_eq!(missing.len(), 2);
     // no answer at all says nothing about the record
--- a/src/peers/forwarding/tests.rs
+++ b/src/peers/forwarding/tests.rs
@@ -22,7 +22,7 @@
     {
         let mut i = n.lock();
         let until = now + Duration::from_secs(60);
-        i.lease = Some(LeaderLease { term: TERM, revision: 1, lease_id: 1, valid_until: until, started_at: now });
+        i.lease = Some(LeaderLease { term: TERM, revision: 1, lease_id: 1, valid_until: until });
         i.cluster = Some(Cluster::new(TERM, n.policy.clone(), n.team_limits(), now));
         i.cancellation_view.watch_answered(now);
         (i.forwarding_enabled, i.forwarding_requested) = (true, true);
