--- a/src/controller.rs
+++ b/src/controller.rs
@@ -18,8 +18,9 @@
 use crate::peers::links::Peers;
 use crate::policy::Policy;
 use crate::runtime::executor::SchedulingDelay;
+use crate::runtime::rate_limiter::RateLimiter;
 use crate::runtime::wake_up::WakeUp;
-use crate::state_store::client::{RateLimiter, StateStore};
+use crate::state_store::client::StateStore;
 use crate::users::queues::{HeartbeatQueue, UserRequestQueues};
 use coralnotch_core::cancellation::{may_lead, may_renew, CancellationLog, CancellationNotices, CancellationView};
 
@@ -164,7 +165,7 @@
     /// Client for the cloud.
     pub cloud_client: http::Client,
     /// Calls to the cloud.
-    pub cloud_calls: Mutex<RateLimiter>,
+    pub cloud_calls: RateLimiter,
     inner: Mutex<ControllerState>,
     /// Something to place.
     pub placement_wake: WakeUp,
@@ -213,7 +214,7 @@
             policy,
             store,
             cloud_client: http::Client::default(),
-            cloud_calls: Mutex::new(RateLimiter::new(rps * 0.7, rps * 1.4, now)),
+            cloud_calls: RateLimiter::new(rps * 0.7, rps * 1.4, now),
             placement_wake: WakeUp::default(),
             commit_wake: WakeUp::default(),
             outcome_fetch_wake: WakeUp::default(),
--- a/src/leader/cloud.rs
+++ b/src/leader/cloud.rs
@@ -42,10 +42,7 @@
 impl Controller {
     /// One call to the cloud, within its limit; retries are the caller's.
     async fn cloud_call(&self, method: &str, target: &str, body: Option<&[u8]>) -> Result<(u16, Vec<u8>), http::Error> {
-        let wait = self.cloud_calls.lock().unwrap_or_else(|e| e.into_inner()).take(1.0, Instant::now());
-        if !wait.is_zero() {
-            smol::Timer::after(wait).await;
-        }
+        self.cloud_calls.acquire(1.0).await;
         // the lease may have run out while this waited, or stood still: a
         // deletion decided then would hit what the next leader has placed
         if method == "POST" && !self.may_act(Instant::now()) {
@@ -186,7 +183,7 @@
             let tried = match self.store.txn(&new.txn(a.revision)).await {
                 Ok(TxnOutcome::Done(_)) => RecordAttempt::Done,
                 Ok(TxnOutcome::Conflict(keys)) => RecordAttempt::Conflict(keys),
-                Err(StoreError::Doubt(e)) => {
+                Err(StoreError::Indeterminate(e)) => {
                     tracing::debug!("a record of rentals is in doubt: {e}");
                     RecordAttempt::Doubt
                 }
--- a/src/run.rs
+++ b/src/run.rs
@@ -47,6 +47,12 @@
         turns.spawn_control(async move { n.run_stall_detector().await });
         let n = node.clone();
         let watch = turns.control.spawn(async move { n.run_watch().await });
+        let watch = async {
+            match watch.await {
+                Ok(never) => match never {},
+                Err(error) => error.to_string(),
+            }
+        };
         let n = node.clone();
         turns.spawn_control(async move { n.run_elections().await });
         let n = node.clone();
@@ -64,7 +70,7 @@
         let serving = serve(requests.clone(), listener, limits, handler);
         let served = requests.spawn(async move {
             serving.await;
-            "the listener failed"
+            "the listener failed".to_owned()
         });
         let why = futures_lite::future::or(watch, served).await;
         Err(std::io::Error::other(why))
--- a/src/runtime/wake_up.rs
+++ b/src/runtime/wake_up.rs
@@ -1,44 +1,56 @@
-//! Waiting: wake-ups and limits of time.
+//! Waiting: wake-ups, pauses and time limits.
 
 use std::future::Future;
 use std::time::Duration;
 
 use futures_lite::future::or;
+use smol::channel::{Receiver, Sender};
 
-/// A wake-up that is never lost and never queues up.
-pub struct WakeUp(smol::channel::Sender<()>, smol::channel::Receiver<()>);
+/// A wake-up signal that is never lost, and of which at most one is pending.
+pub struct WakeUp {
+    sender: Sender<()>,
+    receiver: Receiver<()>,
+}
 
 impl Default for WakeUp {
     fn default() -> Self {
-        let (s, r) = smol::channel::bounded(1);
-        WakeUp(s, r)
+        let (sender, receiver) = smol::channel::bounded(1);
+        WakeUp { sender, receiver }
     }
 }
 
 impl WakeUp {
-    /// Wakes whoever waits, now or next.
+    /// Wakes the task that waits, or the next one that will wait.
     pub fn wake(&self) {
-        let _ = self.0.try_send(());
+        // a full channel means that a wake-up is pending already
+        let _ = self.sender.try_send(());
+    }
+
+    /// Waits for a wake-up, at most for `limit`.
+    pub async fn wait(&self, limit: Duration) {
+        let woken = async {
+            let _ = self.receiver.recv().await;
+        };
+        let expired = async {
+            smol::Timer::after(limit).await;
+        };
+        or(woken, expired).await;
     }
-    /// Waits for a wake-up, or until the time is over.
-    pub async fn wait(&self, most: Duration) {
-        or(
-            async {
-                let _ = self.1.recv().await;
-            },
-            async {
-                smol::Timer::after(most).await;
-            },
-        )
-        .await;
+}
+
+/// Waits for a time.  If it is zero, returns without yielding to other tasks.
+pub async fn pause(time: Duration) {
+    if !time.is_zero() {
+        smol::Timer::after(time).await;
     }
 }
 
-/// Runs a future for at most so long.
+/// Runs a future for at most `limit`; `None` if it did not end by then.
 pub async fn timed<T>(limit: Duration, work: impl Future<Output = T>) -> Option<T> {
-    or(async { Some(work.await) }, async {
+    let result = async { Some(work.await) };
+    let expired = async {
         smol::Timer::after(limit).await;
         None
-    })
-    .await
+    };
+    or(result, expired).await
 }
--- /dev/null
+++ b/src/state_store/initial_read.rs
@@ -0,0 +1,136 @@
+//! The initial read of the state store, from which the watch continues.
+
+use std::collections::HashSet;
+use std::time::{Duration, Instant};
+
+use crate::controller::Controller;
+use crate::job_index::{InitialScan, ScanEvent};
+use crate::model::Name;
+use crate::state_store::client::{key, KeyValue, StoreError, WatchEvent};
+
+/// The store holds the layout of an earlier version, which this version does not read: two
+/// layouts side by side would run tasks twice.
+#[derive(Debug, Clone, Copy, thiserror::Error)]
+#[error(
+    "the state service holds the layout of an earlier version (keys under c1/): \
+     finish its jobs with that version, or remove the keys, and start again"
+)]
+pub struct UnsupportedLayout;
+
+impl Controller {
+    /// Refuses a store that holds the layout of an earlier version; waits for an answer.
+    pub(super) async fn check_layout(&self) -> Result<(), UnsupportedLayout> {
+        loop {
+            match self.store.has_keys(key::PREVIOUS_LAYOUT).await {
+                Ok(true) => return Err(UnsupportedLayout),
+                Ok(false) => return Ok(()),
+                Err(error) => {
+                    tracing::debug!(%error, "cannot read the state store yet");
+                    smol::Timer::after(self.policy.renew / 2).await;
+                }
+            }
+        }
+    }
+
+    /// Reads everything that is unfinished; returns the revision to watch from.
+    ///
+    /// Memory use is bounded by the unfinished jobs and one page, however long the history.
+    pub(super) async fn catch_up(&self) -> Result<u64, StoreError> {
+        let is_first = !self.lock().synced;
+        let sent = Instant::now();
+        let revision = self.read_single_records(sent).await?;
+        let started_jobs = match is_first {
+            true => self.list_started_jobs().await?,
+            false => HashSet::new(),
+        };
+        let revision = self.scan_jobs(InitialScan::new(started_jobs), revision).await?;
+        self.lock().cancellation_view.watch_answered(sent);
+        Ok(revision)
+    }
+
+    /// Reads the leader, the machine types and the feature gates; returns the revision at which
+    /// the leader was read.
+    async fn read_single_records(&self, sent: Instant) -> Result<u64, StoreError> {
+        let leader = self.store.list_page(key::LEADER, "").await?;
+        let revision = leader.revision;
+        {
+            let mut state = self.lock();
+            state.jobs.raise_floor(revision);
+            state.cancellations.begin_watch(revision, sent);
+            if leader.items.is_empty() {
+                state.leader = None;
+            }
+        }
+        leader.items.into_iter().for_each(|item| self.apply_item(item));
+        self.store.get(key::TYPES).await?.into_iter().for_each(|item| self.apply_item(item));
+        self.store.get(key::GATES).await?.into_iter().for_each(|item| self.apply_item(item));
+        Ok(revision)
+    }
+
+    /// Applies a key as if the watch had shown it.
+    fn apply_item(&self, item: KeyValue) {
+        let (set, value) = (Some(item.key), Some(item.value));
+        self.apply_event(WatchEvent { set, delete: None, value, revision: item.revision });
+    }
+
+    /// The jobs that shards name as started.  Some of them have ended while their tasks may
+    /// still run: a controller that soon leads would have to read them one by one.
+    async fn list_started_jobs(&self) -> Result<HashSet<Name>, StoreError> {
+        let shards = self.store.list(key::SHARD).await?;
+        Ok(shards.iter().flat_map(crate::commit::started_jobs_of_shard).collect())
+    }
+
+    /// Reads all jobs page by page; returns the revision up to which changes were applied.
+    async fn scan_jobs(&self, mut scan: InitialScan, mut revision: u64) -> Result<u64, StoreError> {
+        let mut watched_at = Instant::now();
+        while let Some(request) = scan.next_page() {
+            match self.store.list_page(request.under, &request.since).await {
+                Ok(page) => scan.add_page(request.under, page.items, page.truncated),
+                // only this page is read again: a long read has to finish although the store
+                // fails now and then
+                Err(error) => {
+                    tracing::debug!(prefix = request.under, %error, "cannot read a page of the state store");
+                    smol::Timer::after(self.policy.renew / 2).await;
+                }
+            }
+            self.apply_scan(&mut scan);
+            // the store keeps a limited number of changes: a read that takes longer than they
+            // are kept would start over again and again
+            if watched_at.elapsed() > self.policy.renew {
+                watched_at = Instant::now();
+                revision = self.watch_during_scan(&mut scan, revision).await?;
+            }
+        }
+        Ok(revision)
+    }
+
+    /// Applies the changes since a revision; returns the revision up to which they were applied.
+    async fn watch_during_scan(&self, scan: &mut InitialScan, since: u64) -> Result<u64, StoreError> {
+        match self.store.watch(key::WATCHED, since, Duration::ZERO).await {
+            Ok(answer) => {
+                let ended = |e: &WatchEvent| Some(Name::from(e.set.as_ref()?.strip_prefix(key::OUTCOME)?));
+                scan.mark_ended(answer.events.iter().filter_map(ended));
+                Ok(self.apply_changes(answer.events, answer.revision.max(since)))
+            }
+            Err(StoreError::WatchExpired) => Err(StoreError::WatchExpired),
+            Err(error) => {
+                tracing::debug!(%error, "watch failed");
+                Ok(since)
+            }
+        }
+    }
+
+    /// Moves the jobs that the scan has complete into the job index and the leader's state.
+    fn apply_scan(&self, scan: &mut InitialScan) {
+        let (mut guard, now) = (self.lock(), Instant::now());
+        let state = &mut *guard;
+        let mut events = Vec::new();
+        scan.apply_pages(&mut state.jobs, |event| events.push(event));
+        for event in events {
+            match event {
+                ScanEvent::Open(job) => self.add_job_to_cluster(state, job.spec, job.revision, now),
+                ScanEvent::Ended(id, outcome) => self.apply_outcome_to_cluster(state, &id, outcome, now),
+            }
+        }
+    }
+}
--- a/src/state_store/mod.rs
+++ b/src/state_store/mod.rs
@@ -1,4 +1,6 @@
-//! The state service: its client, and the watch that keeps a controller's view current.
+//! The state store: its client, the initial read, and the watch that keeps a controller's view
+//! current.
 
 pub mod client;
+pub mod initial_read;
 pub mod watch;
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -57,13 +57,7 @@
     }
 
     pub(crate) async fn throttle_lookup(&self, calls: f64) {
-        let wait = {
-            let mut b = self.user_requests.lookup_calls.lock().unwrap_or_else(|e| e.into_inner());
-            b.take(calls, Instant::now())
-        };
-        if !wait.is_zero() {
-            smol::Timer::after(wait).await;
-        }
+        self.user_requests.lookup_calls.acquire(calls).await;
     }
 
     /// Sends a lookup's transactions until it is settled; false if the state service cannot say now.
--- a/src/users/queues.rs
+++ b/src/users/queues.rs
@@ -10,7 +10,7 @@
 
 use crate::http::Response;
 use crate::model::*;
-use crate::state_store::client::RateLimiter;
+use crate::runtime::rate_limiter::RateLimiter;
 use crate::workers::Heartbeat;
 
 /// Sends the one reply to a queued request; dropped without one if the request is given up.
@@ -56,7 +56,7 @@
     pub(crate) confirmations: Queue<ConfirmationRequest>,
     pub(crate) lookups: Queue<LookupRequest>,
     /// Requests to the store for these.
-    pub(crate) lookup_calls: Mutex<RateLimiter>,
+    pub(crate) lookup_calls: RateLimiter,
 }
 
 /// Requests that may wait in one queue; more are refused.
@@ -71,7 +71,7 @@
             submissions: smol::channel::bounded(MAX_QUEUED_REQUESTS),
             confirmations: smol::channel::bounded(MAX_QUEUED_REQUESTS),
             lookups: smol::channel::bounded(max_lookups),
-            lookup_calls: Mutex::new(RateLimiter::new(lookup_rate, lookup_rate, now)),
+            lookup_calls: RateLimiter::new(lookup_rate, lookup_rate, now),
         }
     }
 }
