--- /dev/null
+++ b/src/leader/rental_records.rs
@@ -0,0 +1,73 @@
+//! Records of rentals in the store, which make a rental an idempotent request across failovers.
+
+use std::time::Instant;
+
+use crate::cluster::{RecordAttempt, Rental, RentalRecording};
+use crate::controller::Controller;
+use crate::leadership::lease::LeaderLease;
+use crate::state_store::client::{key, StoreError, Txn, TxnOutcome, Write};
+
+/// How often a record is written whose outcome is unknown.
+const RECORD_ATTEMPTS: usize = 3;
+
+impl Controller {
+    /// Records rentals before they are requested: should the term end before the answer, the
+    /// next leader learns of them.  All new ones are recorded under one key.  Returns whether
+    /// all are recorded; if not, they are planned again.
+    pub(super) async fn record_rentals(&self, rentals: &[Rental], lease: LeaderLease) -> bool {
+        let recording = match self.lock().cluster.as_mut() {
+            Some(cluster) => cluster.fleet.begin_recording(rentals, lease.term),
+            None => return false,
+        };
+        let Some(mut recording) = recording else { return true };
+        for _ in 0..RECORD_ATTEMPTS {
+            let attempt = self.write_rental_record(&recording, lease).await;
+            match recording.apply_attempt(&attempt) {
+                None => {}
+                Some(true) => {
+                    if let Some(cluster) = self.lock().cluster.as_mut() {
+                        cluster.fleet.mark_recorded(recording.key, &recording.rentals);
+                    }
+                    return true;
+                }
+                Some(false) => {
+                    tracing::debug!(?attempt, "rentals not recorded");
+                    return false;
+                }
+            }
+        }
+        false
+    }
+
+    async fn write_rental_record(&self, recording: &RentalRecording, lease: LeaderLease) -> RecordAttempt {
+        match self.store.txn(&recording.txn(lease.revision)).await {
+            Ok(TxnOutcome::Done(_)) => RecordAttempt::Done,
+            Ok(TxnOutcome::Conflict(keys)) => RecordAttempt::Conflict(keys),
+            Err(StoreError::Indeterminate(error)) => {
+                tracing::debug!(%error, "outcome of a rental record unknown");
+                RecordAttempt::Doubt
+            }
+            Err(_) => RecordAttempt::Refused,
+        }
+    }
+
+    /// Deletes records whose rentals were answered long ago.
+    pub(super) async fn delete_expired_records(&self, lease: LeaderLease) {
+        let limit = self.store.most.writes / 2;
+        let expired = {
+            let state = self.lock();
+            let Some(cluster) = state.cluster.as_ref() else { return };
+            cluster.fleet.expired_records(self.policy.rental_kept, limit, Instant::now())
+        };
+        if expired.is_empty() {
+            return;
+        }
+        let mut txn = Txn { preconditions: vec![], writes: expired.iter().map(Write::delete).collect() };
+        txn.require(key::LEADER, lease.revision);
+        if let Ok(TxnOutcome::Done(_)) = self.store.txn(&txn).await {
+            if let Some(cluster) = self.lock().cluster.as_mut() {
+                cluster.fleet.records.retain(|key, _| !expired.contains(key));
+            }
+        }
+    }
+}
