--- a/packages/client/src/journal/tests.rs
+++ b/packages/client/src/journal/tests.rs
@@ -73,3 +73,47 @@
     assert!(of(io::ErrorKind::PermissionDenied).contains("owns"));
     assert!(matches!(Journal::open(Path::new("/no/such/dir/journal")), Err(Fault::Io { .. })));
 }
+
+/// What an earlier version wrote must stay readable, and an earlier version must be able to
+/// read what this one writes: tables, keys and rows are pinned byte by byte.
+#[test]
+fn golden_form_of_the_journal() {
+    let place = Place::new("golden");
+    let j = Journal::open(&place.0).expect("a new journal");
+    j.add(&["j-1", "j-2", "j-3", "j-4", "j-5"].map(|id| spec(id, 2)), Some("a batch")).expect("room");
+    j.change(&["j-2".into()], |r| r.accepted = true).expect("room");
+    j.change(&["j-3".into()], |r| (r.withdrawn, r.answer) = (true, Some(Final::Cancelled))).expect("room");
+    j.change(&["j-4".into()], |r| r.answer = Some(Final::Done)).expect("room");
+    let refused = Final::Refused { status: 422, why: "too large".into() };
+    j.change(&["j-5".into()], |r| r.answer = Some(refused.clone())).expect("room");
+    drop(j);
+    let db = Database::open(&place.0).expect("the file");
+    let txn = db.begin_read().expect("a transaction");
+    let rows = txn.open_table(TableDefinition::<&str, &[u8]>::new("jobs")).expect("the table jobs");
+    for (id, end) in [
+        ("j-1", r#""accepted":false,"withdrawn":false,"answer":null}"#),
+        ("j-2", r#""accepted":true,"withdrawn":false,"answer":null}"#),
+        ("j-3", r#""accepted":false,"withdrawn":true,"answer":"cancelled"}"#),
+        ("j-4", r#""accepted":false,"withdrawn":false,"answer":"done"}"#),
+        ("j-5", r#""accepted":false,"withdrawn":false,"answer":{"refused":{"status":422,"why":"too large"}}}"#),
+    ] {
+        let row = rows.get(id).expect("readable").expect("a row").value().to_vec();
+        let want = format!("{{\"spec\":{},{end}", GOLDEN_SPEC.replace("ID", id));
+        assert_eq!(String::from_utf8(row).expect("text"), want, "{id}");
+    }
+    let meta = txn.open_table(TableDefinition::<&str, &str>::new("meta")).expect("the table meta");
+    assert_eq!(meta.get("layout").expect("readable").expect("a layout").value(), "1");
+    let batches = txn.open_table(TableDefinition::<&str, u64>::new("batches")).expect("the table batches");
+    assert_eq!(batches.get("a batch").expect("readable").expect("a batch").value(), 5);
+    assert_eq!(batches.iter().expect("readable").count(), 1);
+    // the other direction: rows as pinned are read to the same records
+    let row = format!(
+        "{{\"spec\":{},\"accepted\":true,\"withdrawn\":true,\"answer\":null}}",
+        GOLDEN_SPEC.replace("ID", "j-6")
+    );
+    let read: Record = serde_json::from_str(&row).expect("a record");
+    assert_eq!(read, Record { spec: (*spec("j-6", 2)).clone(), accepted: true, withdrawn: true, answer: None });
+}
+
+/// The submission of a golden row; ID stands for the job's id.
+const GOLDEN_SPEC: &str = r#"{"nameId":"ID","lane":"c","crew":"x","shape":"batch","rank":"normal","pieces":2,"cpus":1.0,"accelerators":0.0,"memGb":1.0,"bundle":"img-0","sizeGb":1.0,"hulls":null,"bay":null,"oneZone":false,"spread":false,"driftwood":true,"expectS":10.0,"markEveryS":0.0,"markTakesS":0.0,"dueS":null}"#;
--- a/src/commands/submit/tests.rs
+++ b/src/commands/submit/tests.rs
@@ -57,3 +57,27 @@
     std::fs::remove_file(&path).expect("it is there");
     assert_eq!(text, "{\"id\":\"j-1\",\"answer\":\"done\"}\n{\"id\":\"j-2\",\"answer\":\"done\"}\n");
 }
+
+/// The lines of `submit --out` are read by users' programs: their form is pinned.
+#[test]
+fn golden_lines_of_answers() {
+    let refused = Final::Refused { status: 422, why: "too large".into() };
+    for (answer, want) in [
+        (Final::Done, r#"{"id":"j-1","answer":"done"}"#),
+        (Final::Cancelled, r#"{"id":"j-1","answer":"cancelled"}"#),
+        (refused, r#"{"id":"j-1","answer":{"refused":{"status":422,"why":"too large"}}}"#),
+    ] {
+        let line = Line { id: "j-1".into(), answer };
+        assert_eq!(serde_json::to_string(&line).expect("JSON"), want);
+        assert_eq!(serde_json::from_str::<Line>(want).expect("a line"), line);
+    }
+}
+
+/// What is printed for people is pinned as well.
+#[test]
+fn golden_answers_in_words() {
+    let words = |answer| text(&Line { id: "j-1".into(), answer });
+    assert_eq!(words(Final::Done), "j-1 is done");
+    assert_eq!(words(Final::Cancelled), "j-1 is cancelled");
+    assert_eq!(words(Final::Refused { status: 400, why: "pieces".into() }), "j-1 is refused: 400 pieces");
+}
