--- a/packages/client/examples/nightly.rs
+++ b/packages/client/examples/nightly.rs
@@ -57,7 +57,7 @@
         match &answer {
             Final::Done => println!("{} is done", handle.id()),
             Final::Cancelled => println!("{} is cancelled", handle.id()),
-            Final::Refused { status, why } => println!("{} is refused: {status} {why}", handle.id()),
+            Final::Refused { status, reason } => println!("{} is refused: {status} {reason}", handle.id()),
         }
         // acted on: no later life of this program is given it again
         client.take(handle)?;
--- a/packages/client/src/blocking.rs
+++ b/packages/client/src/blocking.rs
@@ -43,8 +43,8 @@
     }
 
     /// Withdraws a job, see [`JobHandle::withdraw`].
-    pub fn withdraw(&self, job: &JobHandle) -> Result<(), Error> {
-        smol::block_on(job.withdraw())
+    pub fn cancel(&self, job: &JobHandle) -> Result<(), Error> {
+        smol::block_on(job.cancel())
     }
 
     /// Takes a job's final answer, see [`JobHandle::take`].
--- a/packages/client/src/client.rs
+++ b/packages/client/src/client.rs
@@ -16,10 +16,10 @@
 use tracing::{debug, info, warn};
 
 use crate::endpoints::Endpoints;
-use crate::job::{Action, Changed, Final, Job, Pace, Progress};
-use crate::journal::{Fault, Journal, Record};
+use crate::job::{Action, Final, Job, Progress, Timing, Transition};
+use crate::journal::{JobRecord, Journal, JournalError};
 use crate::outcome::{outcome, Outcome};
-use crate::retry::{Backoff, Budget};
+use crate::retry::{Backoff, RetryBudget};
 use crate::Error;
 
 /// How a client works.  The defaults are those of the protocol's users.
@@ -30,26 +30,26 @@
     /// The journal's file; without one, jobs end with the program.
     pub journal: Option<PathBuf>,
     /// Requests under way at once, at most.
-    pub in_flight: usize,
+    pub max_in_flight: usize,
     /// Idle connections kept for the next request.
-    pub idle: usize,
+    pub max_idle_connections: usize,
     /// Unfinished jobs at once; a submission beyond waits for one to end.
-    pub open: usize,
+    pub max_unfinished_jobs: usize,
     /// Changes kept for a reader that is behind; older ones are dropped, and
     /// the reader is told how many.
-    pub changes: usize,
+    pub change_buffer: usize,
     /// How long one try may take.
-    pub limit: Duration,
+    pub request_timeout: Duration,
     /// How quickly jobs are pursued.
-    pub pace: Pace,
+    pub timing: Timing,
     /// Retries as a share of first tries.
     pub retry_ratio: f64,
     /// Retries a second in any case.
-    pub retry_trickle: f64,
+    pub min_retries_per_s: f64,
     /// Without the budget every retry goes out as soon as it is due.
     pub retry_budget: bool,
     /// How long an endpoint that keeps failing is left alone.
-    pub rest: Duration,
+    pub endpoint_cooldown: Duration,
 }
 
 impl Settings {
@@ -58,33 +58,35 @@
         Settings {
             endpoints,
             journal: None,
-            in_flight: 32,
-            idle: 32,
-            open: 10_000,
-            changes: 1024,
-            limit: Duration::from_secs(5),
-            pace: Pace {
-                backoff: Backoff { first: Duration::from_secs(1), most: Duration::from_secs(30) },
-                poll_least: Duration::from_secs(1),
-                poll_most: Duration::from_secs(30),
+            max_in_flight: 32,
+            max_idle_connections: 32,
+            max_unfinished_jobs: 10_000,
+            change_buffer: 1024,
+            request_timeout: Duration::from_secs(5),
+            timing: Timing {
+                backoff: Backoff { initial: Duration::from_secs(1), maximum: Duration::from_secs(30) },
+                min_poll_interval: Duration::from_secs(1),
+                max_poll_interval: Duration::from_secs(30),
             },
             retry_ratio: 0.2,
-            retry_trickle: 0.2,
+            min_retries_per_s: 0.2,
             retry_budget: true,
-            rest: Duration::from_secs(3),
+            endpoint_cooldown: Duration::from_secs(3),
         }
     }
 
-    fn fault(&self) -> Option<&'static str> {
-        let p = &self.pace;
+    fn validation_error(&self) -> Option<&'static str> {
+        let p = &self.timing;
         match () {
             () if self.endpoints.is_empty() => Some("there is no endpoint to submit to"),
-            () if self.in_flight == 0 || self.open == 0 || self.changes == 0 => Some("a bound is 0"),
-            () if self.limit.is_zero() || p.poll_most.is_zero() => Some("a time is 0"),
-            () if p.poll_least > p.poll_most || p.backoff.first > p.backoff.most => {
+            () if self.max_in_flight == 0 || self.max_unfinished_jobs == 0 || self.change_buffer == 0 => {
+                Some("a bound is 0")
+            }
+            () if self.request_timeout.is_zero() || p.max_poll_interval.is_zero() => Some("a time is 0"),
+            () if p.min_poll_interval > p.max_poll_interval || p.backoff.initial > p.backoff.maximum => {
                 Some("a first time is over its most")
             }
-            () if !(self.retry_ratio >= 0.0 && self.retry_trickle > 0.0) => Some("the retry budget is not above 0"),
+            () if !(self.retry_ratio >= 0.0 && self.min_retries_per_s > 0.0) => Some("the retry budget is not above 0"),
             () => None,
         }
     }
@@ -109,11 +111,11 @@
             $($(#[$doc])* pub $name: u64,)*
         }
         #[derive(Default)]
-        struct Counts {
+        struct AtomicCounters {
             $($name: AtomicU64,)*
         }
-        impl Counts {
-            fn read(&self) -> Counters {
+        impl AtomicCounters {
+            fn snapshot(&self) -> Counters {
                 Counters { $($name: self.$name.load(Ordering::Relaxed),)* }
             }
         }
@@ -141,43 +143,43 @@
     journal_failures,
 }
 
-struct Tracked {
+struct TrackedJob {
     job: Job,
     /// A request is under way, or waits for the budget or for a needed job.
-    flying: bool,
+    in_flight: bool,
 }
 
-struct Inner {
-    jobs: HashMap<Name, Tracked>,
+struct ClientState {
+    jobs: HashMap<Name, TrackedJob>,
     /// Jobs that are not over, by when there is something to do.
-    due: BTreeSet<(Instant, Name)>,
+    due_jobs: BTreeSet<(Instant, Name)>,
     /// Jobs whose retries are due and wait for the budget, in their order; no
     /// more than there are unfinished jobs.
-    held: VecDeque<Name>,
+    awaiting_budget: VecDeque<Name>,
     /// Jobs that wait until one that they need is accepted, by that one; each
     /// once.
-    after: HashMap<Name, Vec<Name>>,
+    awaiting_dependency: HashMap<Name, Vec<Name>>,
     endpoints: Endpoints,
-    budget: Budget,
+    budget: RetryBudget,
     rng: fastrand::Rng,
-    closed: bool,
+    is_closed: bool,
 }
 
-impl Inner {
+impl ClientState {
     /// A job that this one needs and that no controller has said to have yet: a
     /// submission that names it would be refused for good.
-    fn unaccepted(&self, id: &Name) -> Option<Name> {
+    fn first_unaccepted_dependency(&self, id: &Name) -> Option<Name> {
         let job = &self.jobs.get(id)?.job;
-        let open = |n: &&Name| self.jobs.get(*n).is_some_and(|t| !t.job.accepted() && !t.job.ended());
-        let waits = !job.accepted() && !job.ended();
+        let open = |n: &&Name| self.jobs.get(*n).is_some_and(|t| !t.job.is_accepted() && !t.job.has_ended());
+        let waits = !job.is_accepted() && !job.has_ended();
         job.spec().needs.iter().filter(|_| waits).find(open).cloned()
     }
 
     /// The job is accepted, or never will be: those that waited for it go on.
-    fn settled(&mut self, id: &Name) {
-        for n in self.after.remove(id).unwrap_or_default() {
+    fn release_dependents(&mut self, id: &Name) {
+        for n in self.awaiting_dependency.remove(id).unwrap_or_default() {
             if let Some(t) = self.jobs.get_mut(&n) {
-                t.flying = false;
+                t.in_flight = false;
             }
             self.schedule(&n, None);
         }
@@ -185,10 +187,10 @@
 
     fn schedule(&mut self, id: &Name, was: Option<Instant>) {
         if let Some(t) = was {
-            self.due.remove(&(t, id.clone()));
+            self.due_jobs.remove(&(t, id.clone()));
         }
-        if let Some(t) = self.jobs.get(id).filter(|t| !t.flying).and_then(|t| t.job.due()) {
-            self.due.insert((t, id.clone()));
+        if let Some(t) = self.jobs.get(id).filter(|t| !t.in_flight).and_then(|t| t.job.due_at()) {
+            self.due_jobs.insert((t, id.clone()));
         }
     }
 }
@@ -197,13 +199,13 @@
     settings: Settings,
     journal: Option<Arc<Journal>>,
     http: http::Client,
-    inner: Mutex<Inner>,
+    state: Mutex<ClientState>,
     /// Something is to be done.
-    wake: Event,
+    work_available: Event,
     /// A job is over, or was let go.
-    over: Event,
-    counts: Counts,
-    changes: async_broadcast::Sender<Change>,
+    job_ended: Event,
+    counters: AtomicCounters,
+    change_sender: async_broadcast::Sender<Change>,
 }
 
 /// A client.  Clones are the same client; jobs are pursued until the last
@@ -212,146 +214,147 @@
 pub struct Client {
     shared: Arc<Shared>,
     driver: Arc<smol::Task<()>>,
-    idle: async_broadcast::InactiveReceiver<Change>,
+    change_receiver: async_broadcast::InactiveReceiver<Change>,
 }
 
 /// What is to be done for a job now.
-struct Errand {
+struct PendingRequest {
     id: Name,
     action: Action,
-    to: Option<SocketAddr>,
+    endpoint: Option<SocketAddr>,
     /// It repeats one that did not go through.
-    again: bool,
+    is_retry: bool,
 }
 
 /// Why the driver goes on.
-enum Woken {
-    Finished(Option<Done>),
-    Noted(Option<bool>),
-    Nothing,
+enum WakeReason {
+    RequestCompleted(Option<CompletedRequest>),
+    JournalWritten(Option<bool>),
+    Signalled,
 }
 
 /// What came of it.
-struct Done {
-    errand: Errand,
+struct CompletedRequest {
+    request: PendingRequest,
     outcome: Result<Outcome, bool>,
 }
 
 /// Least time until the next look.
-const SHORTEST: Duration = Duration::from_millis(1);
+const MIN_RECHECK_DELAY: Duration = Duration::from_millis(1);
 
-fn add(c: &AtomicU64) {
+fn increment(c: &AtomicU64) {
     c.fetch_add(1, Ordering::Relaxed);
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(|e| e.into_inner())
+    fn lock(&self) -> MutexGuard<'_, ClientState> {
+        self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     /// What is due, as far as requests under way, endpoints and the budget of
     /// retries allow; and when to look again.
-    fn errands(&self, flying: usize, now: Instant) -> (Vec<Errand>, Option<Instant>) {
+    fn next_requests(&self, in_flight: usize, now: Instant) -> (Vec<PendingRequest>, Option<Instant>) {
         let mut guard = self.lock();
         let i = &mut *guard;
-        let mut errands = Vec::new();
-        let mut room = self.settings.in_flight.saturating_sub(flying);
+        let mut requests = Vec::new();
+        let mut room = self.settings.max_in_flight.saturating_sub(in_flight);
         let mut look = None;
         // who waited for the budget goes before who comes now
-        while room > 0 && !i.held.is_empty() {
-            let to = match i.endpoints.choose(now).and_then(|to| i.budget.retry(now).map(|()| to)) {
+        while room > 0 && !i.awaiting_budget.is_empty() {
+            let to = match i.endpoints.choose(now).and_then(|to| i.budget.try_spend(now).map(|()| to)) {
                 Ok(to) => to,
                 Err(wait) => {
-                    look = Some(now + wait.max(SHORTEST));
+                    look = Some(now + wait.max(MIN_RECHECK_DELAY));
                     break;
                 }
             };
-            let Some(id) = i.held.pop_front() else { break };
-            let Some(t) = i.jobs.get_mut(&id).filter(|t| t.job.due().is_some()) else { continue };
-            add(&self.counts.retries);
-            errands.push(Errand { action: t.job.action(), id, to: Some(to), again: true });
+            let Some(id) = i.awaiting_budget.pop_front() else { break };
+            let Some(t) = i.jobs.get_mut(&id).filter(|t| t.job.due_at().is_some()) else { continue };
+            increment(&self.counters.retries);
+            requests.push(PendingRequest { action: t.job.action(), id, endpoint: Some(to), is_retry: true });
             room -= 1;
         }
         while room > 0 {
-            let Some((at, id)) = i.due.first().cloned().filter(|d| d.0 <= now) else { break };
-            i.due.remove(&(at, id.clone()));
-            let first = i.unaccepted(&id);
+            let Some((at, id)) = i.due_jobs.first().cloned().filter(|d| d.0 <= now) else { break };
+            i.due_jobs.remove(&(at, id.clone()));
+            let first = i.first_unaccepted_dependency(&id);
             let Some(tracked) = i.jobs.get_mut(&id) else { continue };
             if let Some(first) = first {
-                tracked.flying = true;
-                i.after.entry(first).or_default().push(id);
+                tracked.in_flight = true;
+                i.awaiting_dependency.entry(first).or_default().push(id);
                 continue;
             }
-            let (action, again) = (tracked.job.action(), tracked.job.again());
+            let (action, again) = (tracked.job.action(), tracked.job.is_retry());
             let mut to = None;
-            if action != Action::Record {
+            if action != Action::RecordAnswer {
                 match i.endpoints.choose(now) {
                     Err(rest) => {
-                        tracked.job.put_off(now + rest.max(SHORTEST));
+                        tracked.job.postpone(now + rest.max(MIN_RECHECK_DELAY));
                         i.schedule(&id, None);
                         continue;
                     }
                     Ok(addr) => to = Some(addr),
                 }
                 match again {
-                    false => i.budget.first(now),
+                    false => i.budget.record_first_attempt(now),
                     // in its turn: others may be held already
                     true if self.settings.retry_budget => {
-                        let wait = if i.held.is_empty() { i.budget.retry(now) } else { Err(SHORTEST) };
+                        let wait =
+                            if i.awaiting_budget.is_empty() { i.budget.try_spend(now) } else { Err(MIN_RECHECK_DELAY) };
                         if let Err(wait) = wait {
-                            add(&self.counts.held_back);
-                            tracked.flying = true;
-                            i.held.push_back(id);
-                            let at = now + wait.max(SHORTEST);
+                            increment(&self.counters.held_back);
+                            tracked.in_flight = true;
+                            i.awaiting_budget.push_back(id);
+                            let at = now + wait.max(MIN_RECHECK_DELAY);
                             look = Some(look.map_or(at, |l: Instant| l.min(at)));
                             continue;
                         }
-                        add(&self.counts.retries);
+                        increment(&self.counters.retries);
                     }
-                    true => add(&self.counts.retries),
+                    true => increment(&self.counters.retries),
                 }
             }
-            tracked.flying = true;
-            errands.push(Errand { id, action, to, again });
+            tracked.in_flight = true;
+            requests.push(PendingRequest { id, action, endpoint: to, is_retry: again });
             room -= 1;
         }
-        let next = i.due.first().map(|d| d.0);
-        (errands, [next, look].into_iter().flatten().min())
+        let next = i.due_jobs.first().map(|d| d.0);
+        (requests, [next, look].into_iter().flatten().min())
     }
 
-    async fn run(&self, errand: Errand) -> Done {
-        let Some(to) = errand.to else {
-            let outcome = Err(self.record(&errand.id).await);
-            return Done { errand, outcome };
+    async fn perform(&self, request: PendingRequest) -> CompletedRequest {
+        let Some(to) = request.endpoint else {
+            let outcome = Err(self.record_answer(&request.id).await);
+            return CompletedRequest { request, outcome };
         };
         let (method, target, body) = {
             let i = self.lock();
-            let spec = i.jobs.get(&errand.id).map(|t| t.job.spec().clone());
-            match (errand.action, spec) {
+            let spec = i.jobs.get(&request.id).map(|t| t.job.spec().clone());
+            match (request.action, spec) {
                 (Action::Submit, Some(s)) => ("POST", "/v2/runs".to_owned(), Some(http::encode(&*s))),
-                (Action::Withdraw, _) => ("POST", format!("/v2/runs/{}/withdraw", errand.id), None),
-                _ => ("GET", format!("/v2/runs/{}", errand.id), None),
+                (Action::Cancel, _) => ("POST", format!("/v2/runs/{}/withdraw", request.id), None),
+                _ => ("GET", format!("/v2/runs/{}", request.id), None),
             }
         };
-        add(&self.counts.requests);
-        let got = self.http.exchange(to, method, &target, body.as_deref(), self.settings.limit).await;
+        increment(&self.counters.requests);
+        let got = self.http.exchange(to, method, &target, body.as_deref(), self.settings.request_timeout).await;
         if let Err(e) = &got {
-            debug!(id = %errand.id, action = ?errand.action, %to, error = %e, "no answer");
+            debug!(id = %request.id, action = ?request.action, %to, error = %e, "no answer");
         }
-        let outcome = outcome(errand.action, got, &errand.id, SystemTime::now());
-        Done { errand, outcome: Ok(outcome) }
+        let outcome = outcome(request.action, got, &request.id, SystemTime::now());
+        CompletedRequest { request, outcome: Ok(outcome) }
     }
 
     /// Writes a job's final answer to the journal; whether it is there.
-    async fn record(&self, id: &Name) -> bool {
-        let answer = self.lock().jobs.get(id).and_then(|t| t.job.unrecorded().cloned());
+    async fn record_answer(&self, id: &Name) -> bool {
+        let answer = self.lock().jobs.get(id).and_then(|t| t.job.unrecorded_answer().cloned());
         let Some(answer) = answer else { return false };
         let Some(journal) = self.journal.clone() else { return true };
         let key = id.clone();
-        match smol::unblock(move || journal.change(&[key], |r| r.answer = Some(answer.clone()))).await {
+        match smol::unblock(move || journal.update(&[key], |r| r.answer = Some(answer.clone()))).await {
             Ok(()) => true,
             Err(e) => {
-                add(&self.counts.journal_failures);
+                increment(&self.counters.journal_failures);
                 warn!(%id, error = %e, "the journal can't be written; tried again");
                 false
             }
@@ -360,84 +363,84 @@
 
     /// Takes in what came of an errand; what the journal should know is
     /// written by the caller.
-    fn done(&self, d: Done, now: Instant) -> Changed {
+    fn apply_completion(&self, d: CompletedRequest, now: Instant) -> Transition {
         let mut guard = self.lock();
         let i = &mut *guard;
-        let id = &d.errand.id;
-        if let (Some(to), Ok(o)) = (d.errand.to, &d.outcome) {
+        let id = &d.request.id;
+        if let (Some(to), Ok(o)) = (d.request.endpoint, &d.outcome) {
             match o {
-                Outcome::State(_) | Outcome::Refused { .. } | Outcome::Unknown => {
-                    i.endpoints.worked(to);
-                    if d.errand.again {
-                        i.budget.worked(i.held.len(), now);
+                Outcome::State(_) | Outcome::Refused { .. } | Outcome::UnknownJob => {
+                    i.endpoints.record_success(to);
+                    if d.request.is_retry {
+                        i.budget.record_success(i.awaiting_budget.len(), now);
                     }
                 }
-                Outcome::Later(_) => {
-                    add(&self.counts.refused_for_now);
-                    i.endpoints.failed(to, now);
-                    i.budget.failed(now);
+                Outcome::RetryLater(_) => {
+                    increment(&self.counters.refused_for_now);
+                    i.endpoints.record_failure(to, now);
+                    i.budget.record_failure(now);
                 }
-                Outcome::Doubt => {
-                    add(&self.counts.in_doubt);
-                    i.endpoints.failed(to, now);
-                    i.budget.failed(now);
+                Outcome::Indeterminate => {
+                    increment(&self.counters.in_doubt);
+                    i.endpoints.record_failure(to, now);
+                    i.budget.record_failure(now);
                 }
             }
         }
-        let chance = i.rng.f64();
-        let Some(t) = i.jobs.get_mut(id) else { return Changed::Nothing };
-        t.flying = false;
-        let pace = &self.settings.pace;
+        let jitter = i.rng.f64();
+        let Some(t) = i.jobs.get_mut(id) else { return Transition::Unchanged };
+        t.in_flight = false;
+        let timing = &self.settings.timing;
         let changed = match d.outcome {
-            Ok(o) => t.job.heard(d.errand.action, o, pace, chance, now),
+            Ok(o) => t.job.apply_outcome(d.request.action, o, timing, jitter, now),
             Err(ok) => {
-                t.job.recorded(ok, pace, chance, now);
-                Changed::Nothing
+                t.job.apply_record_result(ok, timing, jitter, now);
+                Transition::Unchanged
             }
         };
-        let change = Change { id: id.clone(), progress: t.job.shown(), answer: t.job.answer().cloned() };
+        let change = Change { id: id.clone(), progress: t.job.progress(), answer: t.job.answer().cloned() };
         i.schedule(id, None);
-        if matches!(changed, Changed::Accepted | Changed::Over) {
-            i.settled(id);
+        if matches!(changed, Transition::Accepted | Transition::Ended) {
+            i.release_dependents(id);
         }
         drop(guard);
         match changed {
-            Changed::Accepted => {
-                add(&self.counts.accepted);
+            Transition::Accepted => {
+                increment(&self.counters.accepted);
                 info!(id = %change.id, "accepted");
             }
-            Changed::Nothing if change.answer.is_none() => return changed,
+            Transition::Unchanged if change.answer.is_none() => return changed,
             _ => {}
         }
         if let Some(a) = &change.answer {
-            add(&self.counts.answers);
+            increment(&self.counters.answers);
             info!(id = %change.id, answer = ?a, "final answer");
-            self.over.notify(usize::MAX);
+            self.job_ended.notify(usize::MAX);
         }
-        if changed != Changed::Over {
+        if changed != Transition::Ended {
             // full: the oldest goes, and its readers are told
-            let _ = self.changes.try_broadcast(change);
+            let _ = self.change_sender.try_broadcast(change);
         }
         changed
     }
 
     async fn drive(self: Arc<Self>) {
-        let mut flying = FuturesUnordered::new();
+        let mut in_flight = FuturesUnordered::new();
         let mut accepted: Vec<Name> = Vec::new();
         let mut writing: Option<smol::Task<bool>> = None;
         loop {
-            let woken = self.wake.listen();
-            if self.lock().closed {
+            let woken = self.work_available.listen();
+            if self.lock().is_closed {
                 return;
             }
             let now = Instant::now();
-            let (errands, next) = self.errands(flying.len(), now);
-            for e in errands {
-                flying.push(self.run(e));
+            let (requests, next) = self.next_requests(in_flight.len(), now);
+            for e in requests {
+                in_flight.push(self.perform(e));
             }
-            let full = flying.len() >= self.settings.in_flight;
+            let full = in_flight.len() >= self.settings.max_in_flight;
             let finished = async {
-                match flying.next().await {
+                match in_flight.next().await {
                     Some(d) => Some(d),
                     None => std::future::pending().await,
                 }
@@ -454,23 +457,25 @@
                     None => std::future::pending().await,
                 }
             };
-            let event = or(async { Woken::Finished(finished.await) }, async { Woken::Noted(noted.await) });
+            let event = or(async { WakeReason::RequestCompleted(finished.await) }, async {
+                WakeReason::JournalWritten(noted.await)
+            });
             match or(event, async {
                 or(timer, woken).await;
-                Woken::Nothing
+                WakeReason::Signalled
             })
             .await
             {
-                Woken::Finished(Some(d)) => {
-                    let id = d.errand.id.clone();
-                    if self.done(d, Instant::now()) == Changed::Accepted && self.journal.is_some() {
+                WakeReason::RequestCompleted(Some(d)) => {
+                    let id = d.request.id.clone();
+                    if self.apply_completion(d, Instant::now()) == Transition::Accepted && self.journal.is_some() {
                         accepted.push(id);
                     }
                 }
-                Woken::Noted(ok) => {
+                WakeReason::JournalWritten(ok) => {
                     writing = None;
                     if ok == Some(false) {
-                        add(&self.counts.journal_failures);
+                        increment(&self.counters.journal_failures);
                     }
                 }
                 _ => {}
@@ -480,7 +485,7 @@
             // written for many at once, and a failure is only counted.
             if let Some(j) = self.journal.clone().filter(|_| writing.is_none() && !accepted.is_empty()) {
                 let ids = std::mem::take(&mut accepted);
-                writing = Some(smol::unblock(move || j.change(&ids, |r| r.accepted = true).is_ok()));
+                writing = Some(smol::unblock(move || j.update(&ids, |r| r.accepted = true).is_ok()));
             }
         }
     }
@@ -490,8 +495,8 @@
     /// Opens a client.  Jobs in its journal are pursued at once; their handles
     /// come from [`Client::resumed`].
     pub async fn open(settings: Settings) -> Result<Client, Error> {
-        if let Some(why) = settings.fault() {
-            return Err(Error::Input(why.into()));
+        if let Some(reason) = settings.validation_error() {
+            return Err(Error::Input(reason.into()));
         }
         let journal = match settings.journal.clone() {
             None => None,
@@ -499,51 +504,51 @@
         };
         let records = match journal.clone() {
             None => Vec::new(),
-            Some(j) => smol::unblock(move || j.all()).await?,
+            Some(j) => smol::unblock(move || j.read_all()).await?,
         };
         let now = Instant::now();
         let mut rng = fastrand::Rng::new();
         let first = rng.usize(0..settings.endpoints.len());
-        let (sender, receiver) = async_broadcast::broadcast(settings.changes);
+        let (sender, receiver) = async_broadcast::broadcast(settings.change_buffer);
         let idle = receiver.deactivate();
         let mut sender = sender;
         sender.set_overflow(true);
-        let mut inner = Inner {
+        let mut inner = ClientState {
             jobs: HashMap::new(),
-            due: BTreeSet::new(),
-            held: VecDeque::new(),
-            after: HashMap::new(),
-            endpoints: Endpoints::new(&settings.endpoints, first, settings.rest),
-            budget: Budget::new(
+            due_jobs: BTreeSet::new(),
+            awaiting_budget: VecDeque::new(),
+            awaiting_dependency: HashMap::new(),
+            endpoints: Endpoints::new(&settings.endpoints, first, settings.endpoint_cooldown),
+            budget: RetryBudget::new(
                 settings.retry_ratio,
-                (settings.in_flight as f64 * settings.retry_ratio).max(1.0),
-                settings.retry_trickle,
-                settings.limit,
+                (settings.max_in_flight as f64 * settings.retry_ratio).max(1.0),
+                settings.min_retries_per_s,
+                settings.request_timeout,
                 now,
             ),
             rng,
-            closed: false,
+            is_closed: false,
         };
-        let counts = Counts::default();
+        let counts = AtomicCounters::default();
         for r in records {
-            add(&counts.jobs);
+            increment(&counts.jobs);
             let id = r.spec.id.clone();
-            let job = Job::resumed(r, now);
-            inner.jobs.insert(id.clone(), Tracked { job, flying: false });
+            let job = Job::from_record(r, now);
+            inner.jobs.insert(id.clone(), TrackedJob { job, in_flight: false });
             inner.schedule(&id, None);
         }
         let shared = Arc::new(Shared {
-            http: http::Client::new(settings.idle),
+            http: http::Client::new(settings.max_idle_connections),
             settings,
             journal,
-            inner: Mutex::new(inner),
-            wake: Event::new(),
-            over: Event::new(),
-            counts,
-            changes: sender,
+            state: Mutex::new(inner),
+            work_available: Event::new(),
+            job_ended: Event::new(),
+            counters: counts,
+            change_sender: sender,
         });
         let driver = Arc::new(smol::spawn(shared.clone().drive()));
-        Ok(Client { shared, driver, idle })
+        Ok(Client { shared, driver, change_receiver: idle })
     }
 
     /// Handles of all jobs whose answers have not been taken yet, those of an
@@ -576,32 +581,36 @@
     /// one write.  A job that needs others is sent once these are accepted, in
     /// whatever order they come.
     pub async fn submit_all(&self, specs: Vec<JobSpec>) -> Result<Vec<JobHandle>, Error> {
-        Ok(self.take_in(specs, None).await?.unwrap_or_default())
+        Ok(self.register_jobs(specs, None).await?.unwrap_or_default())
     }
 
     /// Submits a batch once in the journal's life: `None` if one of this name
     /// was taken in before, with whatever ids it had then.  So a program may
     /// make ids for its input and still start again at any moment.
     pub async fn submit_once(&self, batch: &str, specs: Vec<JobSpec>) -> Result<Option<Vec<JobHandle>>, Error> {
-        self.take_in(specs, Some(batch.to_owned())).await
+        self.register_jobs(specs, Some(batch.to_owned())).await
     }
 
-    async fn take_in(&self, specs: Vec<JobSpec>, batch: Option<String>) -> Result<Option<Vec<JobHandle>>, Error> {
+    async fn register_jobs(&self, specs: Vec<JobSpec>, batch: Option<String>) -> Result<Option<Vec<JobHandle>>, Error> {
         for s in &specs {
-            if let Some(why) = s.validation_error() {
-                return Err(Error::Input(format!("{}: bad value: {why}", s.id)));
+            if let Some(reason) = s.validation_error() {
+                return Err(Error::Input(format!("{}: bad value: {reason}", s.id)));
             }
         }
-        if specs.len() > self.shared.settings.open {
-            let most = self.shared.settings.open;
+        if specs.len() > self.shared.settings.max_unfinished_jobs {
+            let most = self.shared.settings.max_unfinished_jobs;
             return Err(Error::Input(format!("{} jobs in one batch, {most} may be unfinished at once", specs.len())));
         }
         let specs: Vec<Arc<JobSpec>> = specs.into_iter().map(Arc::new).collect();
-        self.room(specs.len()).await?;
+        self.wait_for_capacity(specs.len()).await?;
         let records = match self.shared.journal.clone() {
             None => {
-                let of =
-                    |s: &Arc<JobSpec>| Record { spec: (**s).clone(), accepted: false, withdrawn: false, answer: None };
+                let of = |s: &Arc<JobSpec>| JobRecord {
+                    spec: (**s).clone(),
+                    accepted: false,
+                    cancel_requested: false,
+                    answer: None,
+                };
                 specs.iter().map(of).collect()
             }
             Some(j) => {
@@ -618,32 +627,32 @@
         for r in records {
             let id = r.spec.id.clone();
             match i.jobs.get(&id) {
-                Some(t) if **t.job.spec() != r.spec => return Err(Fault::Taken { id: id.to_string() }.into()),
+                Some(t) if **t.job.spec() != r.spec => return Err(JournalError::IdTaken { id: id.to_string() }.into()),
                 Some(_) => {}
                 None => {
-                    add(&self.shared.counts.jobs);
-                    i.jobs.insert(id.clone(), Tracked { job: Job::resumed(r, now), flying: false });
+                    increment(&self.shared.counters.jobs);
+                    i.jobs.insert(id.clone(), TrackedJob { job: Job::from_record(r, now), in_flight: false });
                     i.schedule(&id, None);
                 }
             }
             handles.push(self.handle(id));
         }
         drop(i);
-        self.shared.wake.notify(1);
+        self.shared.work_available.notify(1);
         Ok(Some(handles))
     }
 
     /// Waits until so many more jobs may be unfinished.
-    async fn room(&self, n: usize) -> Result<(), Error> {
+    async fn wait_for_capacity(&self, n: usize) -> Result<(), Error> {
         loop {
-            let over = self.shared.over.listen();
+            let over = self.shared.job_ended.listen();
             {
                 let i = self.shared.lock();
-                if i.closed {
+                if i.is_closed {
                     return Err(Error::Closed);
                 }
-                let open = i.jobs.values().filter(|t| t.job.due().is_some()).count();
-                if open + n <= self.shared.settings.open {
+                let open = i.jobs.values().filter(|t| t.job.due_at().is_some()).count();
+                if open + n <= self.shared.settings.max_unfinished_jobs {
                     return Ok(());
                 }
             }
@@ -654,20 +663,20 @@
     /// What changes from now on, of all jobs.  A reader that falls behind by
     /// more than [`Settings::changes`] misses the oldest ones, and is told so.
     pub fn changes(&self) -> async_broadcast::Receiver<Change> {
-        self.idle.activate_cloned()
+        self.change_receiver.activate_cloned()
     }
 
     /// What the client has done so far.
     pub fn counters(&self) -> Counters {
-        self.shared.counts.read()
+        self.shared.counters.snapshot()
     }
 
     /// Ends the client: nothing is sent any more.  Jobs in the journal go on
     /// when it is opened again.
     pub fn close(&self) {
-        self.shared.lock().closed = true;
-        self.shared.wake.notify(usize::MAX);
-        self.shared.over.notify(usize::MAX);
+        self.shared.lock().is_closed = true;
+        self.shared.work_available.notify(usize::MAX);
+        self.shared.job_ended.notify(usize::MAX);
     }
 }
 
@@ -695,7 +704,7 @@
 
     /// How it stands, as far as is known: never an older state than before.
     pub fn progress(&self) -> Progress {
-        self.client.shared.lock().jobs.get(&self.id).map(|t| t.job.shown()).unwrap_or_default()
+        self.client.shared.lock().jobs.get(&self.id).map(|t| t.job.progress()).unwrap_or_default()
     }
 
     /// Its final answer, if it is known.
@@ -707,13 +716,13 @@
     /// same answer.
     pub async fn wait(&self) -> Result<Final, Error> {
         loop {
-            let over = self.client.shared.over.listen();
+            let over = self.client.shared.job_ended.listen();
             if let Some(a) = self.answer() {
                 return Ok(a);
             }
             {
                 let i = self.client.shared.lock();
-                if i.closed || !i.jobs.contains_key(&self.id) {
+                if i.is_closed || !i.jobs.contains_key(&self.id) {
                     return Err(Error::Closed);
                 }
             }
@@ -733,20 +742,20 @@
 
     /// Withdraws the job, durably: it is pursued until a controller says that
     /// the job is cancelled, or was done before.
-    pub async fn withdraw(&self) -> Result<(), Error> {
+    pub async fn cancel(&self) -> Result<(), Error> {
         if let Some(j) = self.client.shared.journal.clone() {
             let id = self.id.clone();
-            smol::unblock(move || j.change(&[id], |r| r.withdrawn = true)).await?;
+            smol::unblock(move || j.update(&[id], |r| r.cancel_requested = true)).await?;
         }
         let mut guard = self.client.shared.lock();
         let i = &mut *guard;
         if let Some(t) = i.jobs.get_mut(&self.id) {
-            let was = t.job.due();
-            t.job.withdraw(Instant::now());
+            let was = t.job.due_at();
+            t.job.request_cancellation(Instant::now());
             i.schedule(&self.id, was);
         }
         drop(guard);
-        self.client.shared.wake.notify(1);
+        self.client.shared.work_available.notify(1);
         Ok(())
     }
 
@@ -760,7 +769,7 @@
             smol::unblock(move || j.remove(&id)).await?;
         }
         self.client.shared.lock().jobs.remove(&self.id);
-        self.client.shared.over.notify(usize::MAX);
+        self.client.shared.job_ended.notify(usize::MAX);
         Ok(answer)
     }
 }
--- a/packages/client/src/job.rs
+++ b/packages/client/src/job.rs
@@ -7,7 +7,7 @@
 use coralnotch_wire::model::{JobSpec, Shape};
 use serde::{Deserialize, Serialize};
 
-use crate::journal::Record;
+use crate::journal::JobRecord;
 use crate::outcome::Outcome;
 use crate::retry::Backoff;
 
@@ -24,7 +24,8 @@
         /// 400 or 422.
         status: u16,
         /// The controller's reason.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
 }
 
@@ -36,9 +37,9 @@
     /// Ask how it stands.
     Query,
     /// Withdraw it.
-    Withdraw,
+    Cancel,
     /// Write its final answer to the journal.
-    Record,
+    RecordAnswer,
 }
 
 /// How a job stands, as last shown.
@@ -52,26 +53,26 @@
 
 /// What changed, if anything a caller can see did.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Changed {
+pub enum Transition {
     /// Nothing.
-    Nothing,
+    Unchanged,
     /// It is accepted now.
     Accepted,
     /// Tasks began or completed.
-    Progress,
+    Progressed,
     /// The final answer came; it is not recorded yet.
-    Over,
+    Ended,
 }
 
 /// How quickly jobs are pursued.
 #[derive(Debug, Clone, Copy)]
-pub struct Pace {
+pub struct Timing {
     /// Between tries of what did not go through.
     pub backoff: Backoff,
     /// Least time between two polls.
-    pub poll_least: Duration,
+    pub min_poll_interval: Duration,
     /// Most time between two polls.
-    pub poll_most: Duration,
+    pub max_poll_interval: Duration,
 }
 
 /// Share of a job's expected rest after which it is asked about again.
@@ -84,26 +85,35 @@
 #[derive(Debug, Clone)]
 pub struct Job {
     spec: Arc<JobSpec>,
-    accepted: Option<Instant>,
-    withdrawn: bool,
+    accepted_at: Option<Instant>,
+    cancel_requested: bool,
     answer: Option<Final>,
-    recorded: bool,
-    shown: Progress,
-    tries: u32,
-    due: Instant,
+    is_recorded: bool,
+    progress: Progress,
+    failed_attempts: u32,
+    due_at: Instant,
 }
 
 impl Job {
     /// A job that is on record: as it was when the journal was last written.
-    pub fn new(spec: Arc<JobSpec>, accepted: bool, withdrawn: bool, now: Instant) -> Job {
-        let accepted = accepted.then_some(now);
-        Job { spec, accepted, withdrawn, answer: None, recorded: false, shown: Progress::default(), tries: 0, due: now }
+    pub fn new(spec: Arc<JobSpec>, accepted: bool, cancel_requested: bool, now: Instant) -> Job {
+        let accepted_at = accepted.then_some(now);
+        Job {
+            spec,
+            accepted_at,
+            cancel_requested,
+            answer: None,
+            is_recorded: false,
+            progress: Progress::default(),
+            failed_attempts: 0,
+            due_at: now,
+        }
     }
 
     /// A job as its record has it.  An answer on record is the answer.
-    pub fn resumed(r: Record, now: Instant) -> Job {
-        let recorded = r.answer.is_some();
-        Job { answer: r.answer, recorded, ..Job::new(Arc::new(r.spec), r.accepted, r.withdrawn, now) }
+    pub fn from_record(r: JobRecord, now: Instant) -> Job {
+        let is_recorded = r.answer.is_some();
+        Job { answer: r.answer, is_recorded, ..Job::new(Arc::new(r.spec), r.accepted, r.cancel_requested, now) }
     }
 
     /// The submission.
@@ -112,152 +122,160 @@
     }
 
     /// Whether a controller has it.
-    pub fn accepted(&self) -> bool {
-        self.accepted.is_some()
+    pub fn is_accepted(&self) -> bool {
+        self.accepted_at.is_some()
     }
 
     /// Whether its final answer is known, on record or not.
-    pub fn ended(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         self.answer.is_some()
     }
 
     /// Whether its user wants it no more.
-    pub fn withdrawn(&self) -> bool {
-        self.withdrawn
+    pub fn is_cancel_requested(&self) -> bool {
+        self.cancel_requested
     }
 
     /// The final answer, once it is on record; it never changes.
     pub fn answer(&self) -> Option<&Final> {
-        self.answer.as_ref().filter(|_| self.recorded)
+        self.answer.as_ref().filter(|_| self.is_recorded)
     }
 
     /// The final answer to be recorded.
-    pub fn unrecorded(&self) -> Option<&Final> {
-        self.answer.as_ref().filter(|_| !self.recorded)
+    pub fn unrecorded_answer(&self) -> Option<&Final> {
+        self.answer.as_ref().filter(|_| !self.is_recorded)
     }
 
     /// How it stands, as last shown: never an older state than one before.
-    pub fn shown(&self) -> Progress {
-        self.shown
+    pub fn progress(&self) -> Progress {
+        self.progress
     }
 
     /// Whether the next try repeats one that did not go through.
-    pub fn again(&self) -> bool {
-        self.tries > 0
+    pub fn is_retry(&self) -> bool {
+        self.failed_attempts > 0
     }
 
     /// When there is something to do; `None` once it is over and recorded.
-    pub fn due(&self) -> Option<Instant> {
-        (!self.recorded).then_some(self.due)
+    pub fn due_at(&self) -> Option<Instant> {
+        (!self.is_recorded).then_some(self.due_at)
     }
 
     /// What to do when it is due.
     pub fn action(&self) -> Action {
-        match (&self.answer, self.accepted, self.withdrawn) {
-            (Some(_), ..) => Action::Record,
+        match (&self.answer, self.accepted_at, self.cancel_requested) {
+            (Some(_), ..) => Action::RecordAnswer,
             // a withdrawal waits for the acceptance: where a submission is in
             // doubt, nothing else tells whether there is a job to withdraw
             (None, None, _) => Action::Submit,
-            (None, Some(_), true) => Action::Withdraw,
+            (None, Some(_), true) => Action::Cancel,
             (None, Some(_), false) => Action::Query,
         }
     }
 
     /// Its user wants it no more; true if that is news.
-    pub fn withdraw(&mut self, now: Instant) -> bool {
-        let news = !self.withdrawn && self.answer.is_none();
-        self.withdrawn |= news;
-        if news && self.accepted.is_some() {
-            (self.due, self.tries) = (now, 0);
+    pub fn request_cancellation(&mut self, now: Instant) -> bool {
+        let news = !self.cancel_requested && self.answer.is_none();
+        self.cancel_requested |= news;
+        if news && self.accepted_at.is_some() {
+            (self.due_at, self.failed_attempts) = (now, 0);
         }
         news
     }
 
     /// Puts the next try off, without counting it as one.
-    pub fn put_off(&mut self, until: Instant) {
-        self.due = self.due.max(until);
+    pub fn postpone(&mut self, until: Instant) {
+        self.due_at = self.due_at.max(until);
     }
 
     /// The final answer was written to the journal, or could not be.
-    pub fn recorded(&mut self, ok: bool, pace: &Pace, chance: f64, now: Instant) {
+    pub fn apply_record_result(&mut self, ok: bool, timing: &Timing, jitter: f64, now: Instant) {
         match ok {
-            true => self.recorded = self.answer.is_some(),
-            false => self.fails(None, pace, chance, now),
+            true => self.is_recorded = self.answer.is_some(),
+            false => self.schedule_retry(None, timing, jitter, now),
         }
     }
 
-    /// What came of a try, whenever it comes.  `chance` is a random share.
-    pub fn heard(&mut self, asked: Action, outcome: Outcome, pace: &Pace, chance: f64, now: Instant) -> Changed {
+    /// What came of a try, whenever it comes.  `jitter` is a random share.
+    pub fn apply_outcome(
+        &mut self,
+        asked: Action,
+        outcome: Outcome,
+        timing: &Timing,
+        jitter: f64,
+        now: Instant,
+    ) -> Transition {
         if self.answer.is_some() {
-            return Changed::Nothing;
+            return Transition::Unchanged;
         }
         let state = match outcome {
             Outcome::State(s) => s,
-            Outcome::Refused { status, why } if asked == Action::Submit && self.accepted.is_none() => {
-                return self.ends(Final::Refused { status, why }, now);
+            Outcome::Refused { status, reason } if asked == Action::Submit && self.accepted_at.is_none() => {
+                return self.end_with(Final::Refused { status, reason }, now);
             }
-            Outcome::Later(after) => {
-                self.fails(after, pace, chance, now);
-                return Changed::Nothing;
+            Outcome::RetryLater(after) => {
+                self.schedule_retry(after, timing, jitter, now);
+                return Transition::Unchanged;
             }
             // a controller that knows less than another did before
-            Outcome::Refused { .. } | Outcome::Unknown | Outcome::Doubt => {
-                self.fails(None, pace, chance, now);
-                return Changed::Nothing;
+            Outcome::Refused { .. } | Outcome::UnknownJob | Outcome::Indeterminate => {
+                self.schedule_retry(None, timing, jitter, now);
+                return Transition::Unchanged;
             }
         };
-        let news = self.accepted.is_none();
-        self.accepted.get_or_insert(now);
+        let news = self.accepted_at.is_none();
+        self.accepted_at.get_or_insert(now);
         match state.stage.as_str() {
-            "done" => return self.ends(Final::Done, now),
-            "cancelled" => return self.ends(Final::Cancelled, now),
+            "done" => return self.end_with(Final::Done, now),
+            "cancelled" => return self.end_with(Final::Cancelled, now),
             _ => {}
         }
-        if asked == Action::Withdraw {
+        if asked == Action::Cancel {
             // only "cancelled" and "done" answer that
-            self.fails(None, pace, chance, now);
-            return Changed::Nothing;
+            self.schedule_retry(None, timing, jitter, now);
+            return Transition::Unchanged;
         }
-        self.tries = 0;
-        self.due = match self.withdrawn {
+        self.failed_attempts = 0;
+        self.due_at = match self.cancel_requested {
             true => now,
-            false => now + self.poll_wait(pace, chance, now),
+            false => now + self.poll_delay(timing, jitter, now),
         };
         let shown = Progress { done: state.done, running: state.running };
         // fewer completed tasks than were shown before: an older state
-        let newer = shown.done >= self.shown.done && shown != self.shown && asked == Action::Query;
+        let newer = shown.done >= self.progress.done && shown != self.progress && asked == Action::Query;
         if newer {
-            self.shown = shown;
+            self.progress = shown;
         }
         match (news, newer) {
-            (true, _) => Changed::Accepted,
-            (false, true) => Changed::Progress,
-            (false, false) => Changed::Nothing,
+            (true, _) => Transition::Accepted,
+            (false, true) => Transition::Progressed,
+            (false, false) => Transition::Unchanged,
         }
     }
 
-    fn ends(&mut self, answer: Final, now: Instant) -> Changed {
+    fn end_with(&mut self, answer: Final, now: Instant) -> Transition {
         self.answer = Some(answer);
-        (self.due, self.tries) = (now, 0);
-        Changed::Over
+        (self.due_at, self.failed_attempts) = (now, 0);
+        Transition::Ended
     }
 
-    fn fails(&mut self, after: Option<Duration>, pace: &Pace, chance: f64, now: Instant) {
-        self.tries = self.tries.saturating_add(1);
-        self.due = now + pace.backoff.wait(self.tries, chance).max(after.unwrap_or_default());
+    fn schedule_retry(&mut self, after: Option<Duration>, timing: &Timing, jitter: f64, now: Instant) {
+        self.failed_attempts = self.failed_attempts.saturating_add(1);
+        self.due_at = now + timing.backoff.delay(self.failed_attempts, jitter).max(after.unwrap_or_default());
     }
 
     /// How long until the next poll: less often while the expected end is far,
     /// and ever less often once it has long passed.
-    fn poll_wait(&self, pace: &Pace, chance: f64, now: Instant) -> Duration {
-        let since = self.accepted.map_or(Duration::ZERO, |t| now.saturating_duration_since(t));
+    fn poll_delay(&self, timing: &Timing, jitter: f64, now: Instant) -> Duration {
+        let since = self.accepted_at.map_or(Duration::ZERO, |t| now.saturating_duration_since(t));
         let expected = match self.spec.shape {
             Shape::Service => f64::INFINITY,
             _ => self.spec.estimate_s,
         };
         let rest = (expected - since.as_secs_f64()).abs();
-        let wait = (rest * POLL_SHARE).clamp(pace.poll_least.as_secs_f64(), pace.poll_most.as_secs_f64());
-        Duration::from_secs_f64(wait * (1.0 - POLL_SPREAD + 2.0 * POLL_SPREAD * chance.clamp(0.0, 1.0)))
+        let wait =
+            (rest * POLL_SHARE).clamp(timing.min_poll_interval.as_secs_f64(), timing.max_poll_interval.as_secs_f64());
+        Duration::from_secs_f64(wait * (1.0 - POLL_SPREAD + 2.0 * POLL_SPREAD * jitter.clamp(0.0, 1.0)))
     }
 }
 
--- a/packages/client/src/journal.rs
+++ b/packages/client/src/journal.rs
@@ -14,73 +14,74 @@
 const JOBS: TableDefinition<&str, &[u8]> = TableDefinition::new("jobs");
 const META: TableDefinition<&str, &str> = TableDefinition::new("meta");
 /// Batches that were taken in, with how many jobs they had.
-const BATCHES: TableDefinition<&str, u64> = TableDefinition::new("batches");
+const BATCH_SIZES: TableDefinition<&str, u64> = TableDefinition::new("batches");
 /// Version of the layout; another one is refused, not rewritten.
 const LAYOUT: &str = "1";
 
 /// A job on record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Record {
+pub struct JobRecord {
     /// The submission, with its id.
     pub spec: JobSpec,
     /// A controller has it.
     pub accepted: bool,
     /// Its user wants it no more.
-    pub withdrawn: bool,
+    #[serde(rename = "withdrawn")]
+    pub cancel_requested: bool,
     /// Its final answer.
     pub answer: Option<Final>,
 }
 
 /// Why a journal can't be used, and what to do about it.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum JournalError {
     /// Another process, or another client in this one, has it open.
     #[error("{path} is open elsewhere: close the other client, or give each its own journal")]
-    Open {
+    AlreadyOpen {
         /// The file.
         path: PathBuf,
     },
     /// It is no journal, or a damaged one.  Nothing was written to it.
-    #[error("{path} is damaged or no journal ({why}): keep it for its jobs' ids, and begin with another file")]
+    #[error("{path} is damaged or no journal ({reason}): keep it for its jobs' ids, and begin with another file")]
     Corrupt {
         /// The file.
         path: PathBuf,
         /// What is wrong with it.
-        why: String,
+        reason: String,
     },
     /// It has the layout of another version.
     #[error("{path} has layout {found}, this version writes {LAYOUT}: open it with the version that wrote it")]
-    Layout {
+    UnsupportedLayout {
         /// The file.
         path: PathBuf,
         /// Its layout.
         found: String,
     },
     /// It can be read only.
-    #[error("{path} can't be written ({why}): check who owns it and how its disk is mounted")]
+    #[error("{path} can't be written ({reason}): check who owns it and how its disk is mounted")]
     ReadOnly {
         /// The file.
         path: PathBuf,
         /// The system's reason.
-        why: String,
+        reason: String,
     },
     /// No room.
     #[error("no room for {path}: free some; nothing was sent for what could not be written")]
-    Full {
+    StorageFull {
         /// The file.
         path: PathBuf,
     },
     /// Something else.
-    #[error("{path}: {why}")]
+    #[error("{path}: {reason}")]
     Io {
         /// The file.
         path: PathBuf,
         /// The reason.
-        why: String,
+        reason: String,
     },
     /// The id is in the journal with another submission.
     #[error("{id} is in the journal with another submission: an id is one job's, for good")]
-    Taken {
+    IdTaken {
         /// The id.
         id: String,
     },
@@ -94,64 +95,70 @@
     db: Database,
 }
 
-fn io_fault(path: &Path, e: &io::Error) -> Fault {
+fn from_io_error(path: &Path, e: &io::Error) -> JournalError {
     let path = path.to_owned();
     match e.kind() {
         io::ErrorKind::PermissionDenied | io::ErrorKind::ReadOnlyFilesystem => {
-            Fault::ReadOnly { path, why: e.to_string() }
+            JournalError::ReadOnly { path, reason: e.to_string() }
         }
-        io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded | io::ErrorKind::FileTooLarge => Fault::Full { path },
-        io::ErrorKind::InvalidData | io::ErrorKind::UnexpectedEof => Fault::Corrupt { path, why: e.to_string() },
-        _ => Fault::Io { path, why: e.to_string() },
+        io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded | io::ErrorKind::FileTooLarge => {
+            JournalError::StorageFull { path }
+        }
+        io::ErrorKind::InvalidData | io::ErrorKind::UnexpectedEof => {
+            JournalError::Corrupt { path, reason: e.to_string() }
+        }
+        _ => JournalError::Io { path, reason: e.to_string() },
     }
 }
 
-fn fault(path: &Path, e: redb::Error) -> Fault {
+fn from_redb_error(path: &Path, e: redb::Error) -> JournalError {
     match e {
-        redb::Error::Io(e) => io_fault(path, &e),
-        redb::Error::DatabaseAlreadyOpen => Fault::Open { path: path.to_owned() },
-        redb::Error::Corrupted(why) => Fault::Corrupt { path: path.to_owned(), why },
-        redb::Error::UpgradeRequired(v) => Fault::Layout { path: path.to_owned(), found: format!("of format {v}") },
-        e => Fault::Io { path: path.to_owned(), why: e.to_string() },
+        redb::Error::Io(e) => from_io_error(path, &e),
+        redb::Error::DatabaseAlreadyOpen => JournalError::AlreadyOpen { path: path.to_owned() },
+        redb::Error::Corrupted(reason) => JournalError::Corrupt { path: path.to_owned(), reason },
+        redb::Error::UpgradeRequired(v) => {
+            JournalError::UnsupportedLayout { path: path.to_owned(), found: format!("of format {v}") }
+        }
+        e => JournalError::Io { path: path.to_owned(), reason: e.to_string() },
     }
 }
 
 /// What the store says, small enough to be handed on.
-struct Trouble(Box<redb::Error>);
+struct BoxedRedbError(Box<redb::Error>);
 
-macro_rules! troubles {
+macro_rules! from_redb_errors {
     ($($error:ident)*) => {
-        $(impl From<redb::$error> for Trouble {
-            fn from(e: redb::$error) -> Trouble {
-                Trouble(Box::new(e.into()))
+        $(impl From<redb::$error> for BoxedRedbError {
+            fn from(e: redb::$error) -> BoxedRedbError {
+                BoxedRedbError(Box::new(e.into()))
             }
         })*
     };
 }
-troubles!(TransactionError TableError StorageError CommitError);
+from_redb_errors!(TransactionError TableError StorageError CommitError);
 
 impl Journal {
     /// Opens a journal, or makes one where there is no file.  A file that is
     /// no journal is left as it is.
-    pub fn open(path: &Path) -> Result<Journal, Fault> {
-        let of = |e: redb::Error| fault(path, e);
+    pub fn open(path: &Path) -> Result<Journal, JournalError> {
+        let of = |e: redb::Error| from_redb_error(path, e);
         // an empty file is what a crash leaves of a journal's first moment; it
         // has no job, as none is sent before it is written
         let db = Database::create(path).map_err(|e| match e {
-            DatabaseError::Storage(StorageError::Io(e)) => io_fault(path, &e),
+            DatabaseError::Storage(StorageError::Io(e)) => from_io_error(path, &e),
             e => of(e.into()),
         })?;
         let journal = Journal { path: path.to_owned(), db };
-        let found = journal.layout()?;
+        let found = journal.ensure_layout()?;
         match found.as_deref() {
             None | Some(LAYOUT) => Ok(journal),
-            Some(other) => Err(Fault::Layout { path: path.to_owned(), found: other.to_owned() }),
+            Some(other) => Err(JournalError::UnsupportedLayout { path: path.to_owned(), found: other.to_owned() }),
         }
     }
 
     /// The layout on record; a new journal gets this version's.
-    fn layout(&self) -> Result<Option<String>, Fault> {
-        let run = || -> Result<Option<String>, Trouble> {
+    fn ensure_layout(&self) -> Result<Option<String>, JournalError> {
+        let run = || -> Result<Option<String>, BoxedRedbError> {
             let txn = self.db.begin_write()?;
             let found = {
                 let mut meta = txn.open_table(META)?;
@@ -168,12 +175,12 @@
             }
             Ok(found)
         };
-        run().map_err(|t| fault(&self.path, *t.0))
+        run().map_err(|t| from_redb_error(&self.path, *t.0))
     }
 
     /// All jobs on record, in the order of their ids.
-    pub fn all(&self) -> Result<Vec<Record>, Fault> {
-        let run = || -> Result<Vec<Vec<u8>>, Trouble> {
+    pub fn read_all(&self) -> Result<Vec<JobRecord>, JournalError> {
+        let run = || -> Result<Vec<Vec<u8>>, BoxedRedbError> {
             let txn = self.db.begin_read()?;
             let jobs = txn.open_table(JOBS)?;
             let mut all = Vec::new();
@@ -182,22 +189,23 @@
             }
             Ok(all)
         };
-        let rows = run().map_err(|t| fault(&self.path, *t.0))?;
-        rows.iter().map(|r| self.read(r)).collect()
+        let rows = run().map_err(|t| from_redb_error(&self.path, *t.0))?;
+        rows.iter().map(|r| self.decode_record(r)).collect()
     }
 
-    fn read(&self, row: &[u8]) -> Result<Record, Fault> {
-        serde_json::from_slice(row).map_err(|e| Fault::Corrupt { path: self.path.clone(), why: e.to_string() })
+    fn decode_record(&self, row: &[u8]) -> Result<JobRecord, JournalError> {
+        serde_json::from_slice(row)
+            .map_err(|e| JournalError::Corrupt { path: self.path.clone(), reason: e.to_string() })
     }
 
     /// Puts new jobs on record, all or none, durably.  A job that is there
     /// already with the same submission stays as it is.  Returns the records
     /// as they stand; `None` if a batch of this name was added before.
-    pub fn add(&self, specs: &[Arc<JobSpec>], batch: Option<&str>) -> Result<Option<Vec<Record>>, Fault> {
-        let run = || -> Result<Result<Option<Vec<Record>>, Fault>, Trouble> {
+    pub fn add(&self, specs: &[Arc<JobSpec>], batch: Option<&str>) -> Result<Option<Vec<JobRecord>>, JournalError> {
+        let run = || -> Result<Result<Option<Vec<JobRecord>>, JournalError>, BoxedRedbError> {
             let txn = self.db.begin_write()?;
             if let Some(batch) = batch {
-                let known = txn.open_table(BATCHES)?.insert(batch, specs.len() as u64)?.is_some();
+                let known = txn.open_table(BATCH_SIZES)?.insert(batch, specs.len() as u64)?.is_some();
                 if known {
                     return Ok(Ok(None));
                 }
@@ -206,13 +214,18 @@
             {
                 let mut jobs = txn.open_table(JOBS)?;
                 for spec in specs {
-                    let old = jobs.get(&*spec.id)?.map(|v| self.read(v.value()));
+                    let old = jobs.get(&*spec.id)?.map(|v| self.decode_record(v.value()));
                     let record = match old {
                         Some(Ok(r)) if r.spec == **spec => r,
-                        Some(Ok(_)) => return Ok(Err(Fault::Taken { id: spec.id.to_string() })),
+                        Some(Ok(_)) => return Ok(Err(JournalError::IdTaken { id: spec.id.to_string() })),
                         Some(Err(e)) => return Ok(Err(e)),
                         None => {
-                            let r = Record { spec: (**spec).clone(), accepted: false, withdrawn: false, answer: None };
+                            let r = JobRecord {
+                                spec: (**spec).clone(),
+                                accepted: false,
+                                cancel_requested: false,
+                                answer: None,
+                            };
                             jobs.insert(&*spec.id, &*serde_json::to_vec(&r).unwrap_or_default())?;
                             r
                         }
@@ -223,17 +236,17 @@
             txn.commit()?;
             Ok(Ok(Some(records)))
         };
-        run().map_err(|t| fault(&self.path, *t.0))?
+        run().map_err(|t| from_redb_error(&self.path, *t.0))?
     }
 
     /// Changes records, durably; those that are not there are passed over.
-    pub fn change(&self, ids: &[Name], how: impl Fn(&mut Record)) -> Result<(), Fault> {
-        let run = || -> Result<Result<(), Fault>, Trouble> {
+    pub fn update(&self, ids: &[Name], how: impl Fn(&mut JobRecord)) -> Result<(), JournalError> {
+        let run = || -> Result<Result<(), JournalError>, BoxedRedbError> {
             let txn = self.db.begin_write()?;
             {
                 let mut jobs = txn.open_table(JOBS)?;
                 for id in ids {
-                    let old = jobs.get(&**id)?.map(|v| self.read(v.value()));
+                    let old = jobs.get(&**id)?.map(|v| self.decode_record(v.value()));
                     let mut record = match old {
                         None => continue,
                         Some(Ok(r)) => r,
@@ -246,18 +259,18 @@
             txn.commit()?;
             Ok(Ok(()))
         };
-        run().map_err(|t| fault(&self.path, *t.0))?
+        run().map_err(|t| from_redb_error(&self.path, *t.0))?
     }
 
     /// Removes a record: its answer has been taken.
-    pub fn remove(&self, id: &str) -> Result<(), Fault> {
-        let run = || -> Result<(), Trouble> {
+    pub fn remove(&self, id: &str) -> Result<(), JournalError> {
+        let run = || -> Result<(), BoxedRedbError> {
             let txn = self.db.begin_write()?;
             txn.open_table(JOBS)?.remove(id)?;
             txn.commit()?;
             Ok(())
         };
-        run().map_err(|t| fault(&self.path, *t.0))
+        run().map_err(|t| from_redb_error(&self.path, *t.0))
     }
 }
 
--- a/packages/client/src/journal/tests.rs
+++ b/packages/client/src/journal/tests.rs
@@ -23,22 +23,22 @@
 fn what_is_on_record_is_there_again() {
     let place = Place::new("again");
     let j = Journal::open(&place.0).expect("a new journal");
-    assert!(matches!(Journal::open(&place.0), Err(Fault::Open { .. })));
+    assert!(matches!(Journal::open(&place.0), Err(JournalError::AlreadyOpen { .. })));
     j.add(&[spec("j-1", 1), spec("j-2", 2)], Some("a")).expect("room");
     assert_eq!(j.add(&[spec("j-9", 1)], Some("a")).expect("room"), None, "a batch of that name was there");
-    j.change(&["j-2".into(), "j-3".into()], |r| r.answer = Some(Final::Done)).expect("room");
+    j.update(&["j-2".into(), "j-3".into()], |r| r.answer = Some(Final::Done)).expect("room");
     drop(j);
     let j = Journal::open(&place.0).expect("the journal");
-    let all = j.all().expect("two jobs");
+    let all = j.read_all().expect("two jobs");
     let found: Vec<_> = all.iter().map(|r| (&*r.spec.id, r.answer.clone())).collect();
     assert_eq!(found, [("j-1", None), ("j-2", Some(Final::Done))]);
     // the same again is no news; another one of the same id is refused
     // with all that came beside it
     assert_eq!(j.add(&[spec("j-2", 2)], None).expect("known").expect("no batch")[0].answer, Some(Final::Done));
-    assert!(matches!(j.add(&[spec("j-4", 1), spec("j-2", 9)], None), Err(Fault::Taken { id }) if id == "j-2"));
-    assert_eq!(j.all().expect("readable").len(), 2);
+    assert!(matches!(j.add(&[spec("j-4", 1), spec("j-2", 9)], None), Err(JournalError::IdTaken { id }) if id == "j-2"));
+    assert_eq!(j.read_all().expect("readable").len(), 2);
     j.remove("j-2").expect("room");
-    assert_eq!(j.all().expect("readable").len(), 1);
+    assert_eq!(j.read_all().expect("readable").len(), 1);
 }
 
 /// What is no journal, or none any more, is named and left as it is.
@@ -47,7 +47,7 @@
     let place = Place::new("foreign");
     let text = b"the only copy of something else\n".repeat(200);
     fs::write(&place.0, &text).expect("a file");
-    assert!(matches!(Journal::open(&place.0), Err(Fault::Corrupt { .. })));
+    assert!(matches!(Journal::open(&place.0), Err(JournalError::Corrupt { .. })));
     assert_eq!(fs::read(&place.0).expect("still there"), text);
     let place = Place::new("layout");
     let j = Journal::open(&place.0).expect("a new journal");
@@ -55,23 +55,23 @@
     txn.open_table(META).expect("a table").insert("layout", "7").expect("room");
     txn.commit().expect("room");
     drop(j);
-    assert!(matches!(Journal::open(&place.0), Err(Fault::Layout { found, .. }) if found == "7"));
+    assert!(matches!(Journal::open(&place.0), Err(JournalError::UnsupportedLayout { found, .. }) if found == "7"));
     let place = Place::new("record");
     let j = Journal::open(&place.0).expect("a new journal");
     let txn = j.db.begin_write().expect("a transaction");
     txn.open_table(JOBS).expect("a table").insert("j-1", &b"{\"spec\":"[..]).expect("room");
     txn.commit().expect("room");
-    assert!(matches!(j.all(), Err(Fault::Corrupt { .. })));
-    assert!(matches!(j.add(&[spec("j-1", 1)], None), Err(Fault::Corrupt { .. })), "not overwritten");
+    assert!(matches!(j.read_all(), Err(JournalError::Corrupt { .. })));
+    assert!(matches!(j.add(&[spec("j-1", 1)], None), Err(JournalError::Corrupt { .. })), "not overwritten");
 }
 
 #[test]
 fn what_the_system_says_becomes_what_to_do() {
-    let of = |kind: io::ErrorKind| io_fault(Path::new("x"), &kind.into()).to_string();
+    let of = |kind: io::ErrorKind| from_io_error(Path::new("x"), &kind.into()).to_string();
     assert!(of(io::ErrorKind::StorageFull).contains("free some"));
     assert!(of(io::ErrorKind::ReadOnlyFilesystem).contains("mounted"));
     assert!(of(io::ErrorKind::PermissionDenied).contains("owns"));
-    assert!(matches!(Journal::open(Path::new("/no/such/dir/journal")), Err(Fault::Io { .. })));
+    assert!(matches!(Journal::open(Path::new("/no/such/dir/journal")), Err(JournalError::Io { .. })));
 }
 
 /// What an earlier version wrote must stay readable, and an earlier version must be able to
@@ -81,11 +81,11 @@
     let place = Place::new("golden");
     let j = Journal::open(&place.0).expect("a new journal");
     j.add(&["j-1", "j-2", "j-3", "j-4", "j-5"].map(|id| spec(id, 2)), Some("a batch")).expect("room");
-    j.change(&["j-2".into()], |r| r.accepted = true).expect("room");
-    j.change(&["j-3".into()], |r| (r.withdrawn, r.answer) = (true, Some(Final::Cancelled))).expect("room");
-    j.change(&["j-4".into()], |r| r.answer = Some(Final::Done)).expect("room");
-    let refused = Final::Refused { status: 422, why: "too large".into() };
-    j.change(&["j-5".into()], |r| r.answer = Some(refused.clone())).expect("room");
+    j.update(&["j-2".into()], |r| r.accepted = true).expect("room");
+    j.update(&["j-3".into()], |r| (r.cancel_requested, r.answer) = (true, Some(Final::Cancelled))).expect("room");
+    j.update(&["j-4".into()], |r| r.answer = Some(Final::Done)).expect("room");
+    let refused = Final::Refused { status: 422, reason: "too large".into() };
+    j.update(&["j-5".into()], |r| r.answer = Some(refused.clone())).expect("room");
     drop(j);
     let db = Database::open(&place.0).expect("the file");
     let txn = db.begin_read().expect("a transaction");
@@ -111,8 +111,11 @@
         "{{\"spec\":{},\"accepted\":true,\"withdrawn\":true,\"answer\":null}}",
         GOLDEN_SPEC.replace("ID", "j-6")
     );
-    let read: Record = serde_json::from_str(&row).expect("a record");
-    assert_eq!(read, Record { spec: (*spec("j-6", 2)).clone(), accepted: true, withdrawn: true, answer: None });
+    let read: JobRecord = serde_json::from_str(&row).expect("a record");
+    assert_eq!(
+        read,
+        JobRecord { spec: (*spec("j-6", 2)).clone(), accepted: true, cancel_requested: true, answer: None }
+    );
 }
 
 /// The submission of a golden row; ID stands for the job's id.
--- a/packages/client/src/lib.rs
+++ b/packages/client/src/lib.rs
@@ -19,10 +19,10 @@
 pub use blocking::BlockingClient;
 pub use client::{Change, Client, Counters, JobHandle, Settings};
 pub use ids::{fresh_id, NoRandomness};
-pub use job::{Action, Changed, Final, Job, Pace, Progress};
-pub use journal::{Fault, Journal, Record};
-pub use outcome::{outcome, retry_after, Outcome};
-pub use retry::{Backoff, Budget};
+pub use job::{Action, Final, Job, Progress, Timing, Transition};
+pub use journal::{JobRecord, Journal, JournalError};
+pub use outcome::{outcome, parse_retry_after, Outcome};
+pub use retry::{Backoff, RetryBudget};
 
 /// Why something could not be done.  A job that was taken in is pursued
 /// whatever happens; these are about the call, not the job.
@@ -33,7 +33,7 @@
     Input(String),
     /// The journal can't be used.
     #[error("{0}")]
-    Journal(#[from] Fault),
+    Journal(#[from] JournalError),
     /// The time is over and the answer not known *yet*: the job is pursued
     /// on, and its handle can be waited for again.
     #[error("{id} has no final answer yet; it is pursued on")]
--- a/packages/emulator/src/load.rs
+++ b/packages/emulator/src/load.rs
@@ -292,7 +292,7 @@
             let mut settings = Settings::new(vec![to]);
             settings.retry_budget = s.retry_budget;
             // where there are many clients each has little to keep open
-            settings.idle = if s.clients > 1000 { 0 } else { 8 };
+            settings.max_idle_connections = if s.clients > 1000 { 0 } else { 8 };
             library.push(Client::open(settings).await.map_err(|e| failed(&e))?);
         }
     }
--- a/src/commands/submit.rs
+++ b/src/commands/submit.rs
@@ -60,7 +60,7 @@
     match &l.answer {
         Final::Done => format!("{} is done", l.id),
         Final::Cancelled => format!("{} is cancelled", l.id),
-        Final::Refused { status, why } => format!("{} is refused: {status} {why}", l.id),
+        Final::Refused { status, reason } => format!("{} is refused: {status} {reason}", l.id),
     }
 }
 
@@ -247,8 +247,8 @@
     let mut answers = how.out.as_deref().map(Answers::open).transpose().map_err(bad)?;
     let mut settings = Settings::new(how.node.clone());
     settings.journal = how.journal.clone();
-    settings.open = settings.open.max(specs.len());
-    settings.changes = settings.changes.max(specs.len() * 2);
+    settings.max_unfinished_jobs = settings.max_unfinished_jobs.max(specs.len());
+    settings.change_buffer = settings.change_buffer.max(specs.len() * 2);
     let client = Client::open(settings).await?;
     let deadline = (how.patience > 0).then(|| Instant::now() + Duration::from_secs(how.patience));
     let mut changes = client.changes();
--- a/src/commands/submit/tests.rs
+++ b/src/commands/submit/tests.rs
@@ -61,7 +61,7 @@
 /// The lines of `submit --out` are read by users' programs: their form is pinned.
 #[test]
 fn golden_lines_of_answers() {
-    let refused = Final::Refused { status: 422, why: "too large".into() };
+    let refused = Final::Refused { status: 422, reason: "too large".into() };
     for (answer, want) in [
         (Final::Done, r#"{"id":"j-1","answer":"done"}"#),
         (Final::Cancelled, r#"{"id":"j-1","answer":"cancelled"}"#),
@@ -79,5 +79,5 @@
     let words = |answer| text(&Line { id: "j-1".into(), answer });
     assert_eq!(words(Final::Done), "j-1 is done");
     assert_eq!(words(Final::Cancelled), "j-1 is cancelled");
-    assert_eq!(words(Final::Refused { status: 400, why: "pieces".into() }), "j-1 is refused: 400 pieces");
+    assert_eq!(words(Final::Refused { status: 400, reason: "pieces".into() }), "j-1 is refused: 400 pieces");
 }
--- a/tests/roll.rs
+++ b/tests/roll.rs
@@ -54,7 +54,7 @@
             let mut handles = client.submit_all(jobs).await.expect("taken in");
             handles.reverse();
             if n < withdrawn {
-                handles[0].withdraw().await.expect("noted");
+                handles[0].cancel().await.expect("noted");
             }
             all.push(handles);
         }
