--- a/packages/client/src/blocking.rs
+++ b/packages/client/src/blocking.rs
@@ -4,8 +4,9 @@
 
 use coralnotch_wire::model::JobSpec;
 
-use crate::client::{Client, JobHandle, Settings};
-use crate::job::Final;
+use crate::client::{Client, JobHandle};
+use crate::model::Final;
+use crate::settings::Settings;
 use crate::Error;
 
 /// A client whose calls block.
--- a/packages/client/src/job.rs
+++ b/packages/client/src/job.rs
@@ -5,65 +5,10 @@
 use std::time::{Duration, Instant};
 
 use coralnotch_wire::model::{JobSpec, Shape};
-use serde::{Deserialize, Serialize};
 
-use crate::journal::JobRecord;
-use crate::outcome::Outcome;
+use crate::model::{Action, Final, JobRecord, Outcome, Progress, Transition};
 use crate::retry::Backoff;
 
-/// The one final answer of a job.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Final {
-    /// All its tasks completed.
-    Done,
-    /// It was withdrawn, here or elsewhere.
-    Cancelled,
-    /// It can never run, and never did.
-    Refused {
-        /// 400 or 422.
-        status: u16,
-        /// The controller's reason.
-        #[serde(rename = "why")]
-        reason: String,
-    },
-}
-
-/// What to do for a job.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Action {
-    /// Submit it, maybe again.
-    Submit,
-    /// Ask how it stands.
-    Query,
-    /// Withdraw it.
-    Cancel,
-    /// Write its final answer to the journal.
-    RecordAnswer,
-}
-
-/// How a job stands, as last shown.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Progress {
-    /// Completed tasks.
-    pub done: u32,
-    /// Running tasks.
-    pub running: u32,
-}
-
-/// What changed, if anything a caller can see did.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Transition {
-    /// Nothing.
-    Unchanged,
-    /// It is accepted now.
-    Accepted,
-    /// Tasks began or completed.
-    Progressed,
-    /// The final answer came; it is not recorded yet.
-    Ended,
-}
-
 /// How quickly jobs are pursued.
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
--- a/packages/client/src/journal/tests.rs
+++ b/packages/client/src/journal/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
+use crate::model::Final;
 use coralnotch_wire::example::spec;
-use std::fs;
+use std::{fs, io};
 
 /// A file of its own in the system's directory, gone with this.
 struct Place(PathBuf);
--- a/packages/client/src/lib.rs
+++ b/packages/client/src/lib.rs
@@ -9,42 +9,25 @@
 
 mod blocking;
 mod client;
+mod counters;
 mod endpoints;
+mod error;
 mod ids;
 mod job;
 mod journal;
+mod model;
 mod outcome;
 mod retry;
+mod settings;
 
 pub use blocking::BlockingClient;
-pub use client::{Change, Client, Counters, JobHandle, Settings};
+pub use client::{Client, JobHandle};
+pub use counters::Counters;
+pub use error::Error;
 pub use ids::{fresh_id, NoRandomness};
-pub use job::{Action, Final, Job, Progress, Timing, Transition};
-pub use journal::{JobRecord, Journal, JournalError};
-pub use outcome::{outcome, parse_retry_after, Outcome};
+pub use job::{Job, Timing};
+pub use journal::{Journal, JournalError};
+pub use model::{Action, Change, Final, JobRecord, Outcome, Progress, Transition};
+pub use outcome::{outcome, parse_retry_after};
 pub use retry::{Backoff, RetryBudget};
-
-/// Why something could not be done.  A job that was taken in is pursued
-/// whatever happens; these are about the call, not the job.
-#[derive(Debug, thiserror::Error)]
-pub enum Error {
-    /// What was given can't be sent.
-    #[error("{0}")]
-    Input(String),
-    /// The journal can't be used.
-    #[error("{0}")]
-    Journal(#[from] JournalError),
-    /// The time is over and the answer not known *yet*: the job is pursued
-    /// on, and its handle can be waited for again.
-    #[error("{id} has no final answer yet; it is pursued on")]
-    Deadline {
-        /// The job.
-        id: String,
-    },
-    /// The client was closed; jobs in a journal go on when it is opened again.
-    #[error("the client is closed; open its journal again to go on")]
-    Closed,
-    /// No id could be made.
-    #[error("no randomness for an id: {0}")]
-    Random(#[from] NoRandomness),
-}
+pub use settings::Settings;
--- a/packages/client/src/outcome.rs
+++ b/packages/client/src/outcome.rs
@@ -7,31 +7,11 @@
 use coralnotch_wire::model::JobState;
 use serde::Deserialize;
 
-use crate::job::Action;
+use crate::model::{Action, Outcome};
 
 /// A `Retry-After` is believed up to this, as the protocol has it.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// What one try came to.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Outcome {
-    /// The job is known, and stands so.
-    State(JobState),
-    /// It will never run.
-    Refused {
-        /// 400 or 422.
-        status: u16,
-        /// The controller's reason.
-        reason: String,
-    },
-    /// The controller does not know the job.
-    UnknownJob,
-    /// Not now; with the least wait that the controller asks for.
-    RetryLater(Option<Duration>),
-    /// Nothing is known: it may have been carried out.
-    Indeterminate,
-}
-
 #[derive(Deserialize, Default)]
 struct ErrorBody {
     #[serde(default)]
