--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Real controller processes among the emulator's stand-ins.
+//! The emulated cluster with real controller processes, as the README's first command runs it.
 
 use std::path::PathBuf;
 
@@ -20,18 +20,17 @@
     }
 }
 
-/// The README's first command: three controllers get ready, and a job goes
-/// from submitted to done with no rule broken.
+/// Three controllers get ready, and a job goes from submitted to done with no rule broken.
 #[test]
 fn a_job_runs_on_a_cluster_on_one_machine() {
     let (_stop, stopped) = smol::channel::bounded(1);
     up(&options("demo"), stopped, |_| ()).expect("a cluster that runs a job");
 }
 
-/// What can't be used is said before anything starts.
+/// An unusable option is reported before anything starts.
 #[test]
 fn a_missing_controller_is_said_at_once() {
     let (_stop, stopped) = smol::channel::bounded(1);
-    let o = Options { controller: Some("/no/such/program".into()), ..options("none") };
-    assert!(matches!(up(&o, stopped, |_| ()), Err(Error::Input(why)) if why.contains("/no/such/program")));
+    let options = Options { controller: Some("/no/such/program".into()), ..options("none") };
+    assert!(matches!(up(&options, stopped, |_| ()), Err(Error::Input(why)) if why.contains("/no/such/program")));
 }
--- /dev/null
+++ b/tests/common/stored_jobs.rs
@@ -0,0 +1,12 @@
+//! Support for tests that compare the answers of users with the stored jobs.
+
+use std::collections::HashSet;
+
+use coralnotch::model::Name;
+use coralnotch::state_store::client::key;
+use coralnotch_emulator::up::Report;
+
+/// The jobs whose records the state service held when the cluster stopped.
+pub fn stored_jobs(report: &Report) -> HashSet<Name> {
+    report.keys.iter().filter_map(|path| path.strip_prefix(key::JOB)).map(Name::from).collect()
+}
--- a/tests/exactly_once.rs
+++ b/tests/exactly_once.rs
@@ -1,10 +1,12 @@
-//! Real controllers and real client processes, all of which are killed now and
-//! then: each job gets exactly one final answer.  And the checker that says so
-//! fails for clients that do it wrong.
+//! Exactly-once execution, with real controllers and real client processes that are all killed
+//! now and then: each job gets exactly one final answer.  Two more tests show that the checker
+//! reports clients that do not keep to the protocol.
 //!
 //! The long run: `cargo test --release --test exactly_once -- --ignored --nocapture`
 
 mod common;
+#[path = "common/stored_jobs.rs"]
+mod stored_jobs;
 
 use std::collections::{HashMap, HashSet};
 use std::fs;
@@ -14,92 +16,98 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::{dir, job, stored, Cluster, PROGRAM};
+use common::{small_job, test_dir, Cluster, ClusterConfig, PROGRAM};
 use coralnotch::commands::submit::Line;
 use coralnotch::http::{self, Client};
 use coralnotch::model::{JobState, Name};
 use coralnotch_client::{fresh_id, Final};
 use coralnotch_emulator::history::{self, Given};
+use stored_jobs::stored_jobs;
 
-/// Jobs without ids, a line each.
-fn input(file: &Path, jobs: usize) {
-    let mut v = serde_json::to_value(job("j-1".into())).expect("a job");
-    v.as_object_mut().expect("a map").remove("nameId");
-    let text: String = (0..jobs)
-        .map(|n| {
-            v["lane"] = format!("demo-{n}").into();
-            format!("{v}\n")
-        })
-        .collect();
-    fs::write(file, text).expect("room");
+/// Limit of one request.
+const REQUEST_LIMIT: Duration = Duration::from_secs(5);
+
+/// Writes jobs without ids as JSON lines, the input of `coralnotch submit`.
+fn write_jobs(file: &Path, jobs: usize) {
+    let mut spec = serde_json::to_value(small_job("j-1".into())).expect("a job");
+    spec.as_object_mut().expect("a map").remove("nameId");
+    let mut lines = String::new();
+    for n in 0..jobs {
+        spec["lane"] = format!("demo-{n}").into();
+        lines += &format!("{spec}\n");
+    }
+    fs::write(file, lines).expect("the jobs are written");
 }
 
-/// A client process that submits a file and waits for all answers.
+/// A client process that submits a file of jobs and waits for all answers.
 struct Submitter {
     args: Vec<String>,
-    out: PathBuf,
-    child: Option<Child>,
+    answers_file: PathBuf,
+    process: Option<Child>,
     finished: bool,
 }
 
 impl Submitter {
-    fn new(dir: &Path, k: usize, jobs: usize, to: SocketAddr, journal: bool) -> Submitter {
-        let path = |what: &str| dir.join(format!("{what}-{k}"));
-        input(&path("jobs"), jobs);
-        let text = |p: PathBuf| p.display().to_string();
-        let mut args = vec!["submit".into(), text(path("jobs")), "--node".into(), to.to_string()];
+    /// Starts client `number`; one with a journal resumes after a crash instead of submitting anew.
+    fn start(dir: &Path, number: usize, jobs: usize, balancer: SocketAddr, journal: bool) -> Submitter {
+        let path = |name: &str| dir.join(format!("{name}-{number}"));
+        write_jobs(&path("jobs"), jobs);
+        let text = |path: PathBuf| path.display().to_string();
+        let mut args = vec!["submit".into(), text(path("jobs")), "--node".into(), balancer.to_string()];
         args.extend(["--wait", "--patience", "0", "--out"].map(String::from));
         args.push(text(path("out")));
         if journal {
             args.extend(["--journal".into(), text(path("journal"))]);
         }
-        let mut s = Submitter { args, out: path("out"), child: None, finished: false };
-        s.start();
-        s
+        let mut submitter = Submitter { args, answers_file: path("out"), process: None, finished: false };
+        submitter.spawn();
+        submitter
     }
 
-    fn start(&mut self) {
-        let child = Command::new(PROGRAM).args(&self.args).stdout(Stdio::null()).stderr(Stdio::inherit()).spawn();
-        self.child = Some(child.expect("the program starts"));
+    fn spawn(&mut self) {
+        let process = Command::new(PROGRAM).args(&self.args).stdout(Stdio::null()).stderr(Stdio::inherit()).spawn();
+        self.process = Some(process.expect("the program starts"));
     }
 
-    /// Looks after the process.
+    /// Notes whether the process has ended; panics if it failed.
     fn poll(&mut self) {
-        if let Some(Ok(Some(status))) = self.child.as_mut().map(Child::try_wait) {
+        if let Some(Ok(Some(status))) = self.process.as_mut().map(Child::try_wait) {
             assert!(status.success(), "{:?} ends with {status}", self.args);
             self.finished = true;
         }
     }
 
+    /// Kills the process and starts it again, unless it has finished.
     fn crash(&mut self) {
         if self.finished {
             return;
         }
-        if let Some(mut c) = self.child.take() {
-            let _ = c.kill();
-            let _ = c.wait();
+        self.kill();
+        self.spawn();
+    }
+
+    fn kill(&mut self) {
+        if let Some(mut process) = self.process.take() {
+            let _ = process.kill();
+            let _ = process.wait();
         }
-        self.start();
     }
 
-    /// The answers so far, as they stand in the file.
+    /// The answers that the client has written so far; an incomplete last line is left out.
     fn answers(&self) -> Vec<Line> {
-        let text = fs::read_to_string(&self.out).unwrap_or_default();
-        let whole = text.rfind('\n').map_or("", |n| &text[..n]);
-        whole.lines().map(|l| serde_json::from_str(l).expect("a whole line")).collect()
+        let text = fs::read_to_string(&self.answers_file).unwrap_or_default();
+        let complete = text.rfind('\n').map_or("", |end| &text[..end]);
+        complete.lines().map(|line| serde_json::from_str(line).expect("a whole line")).collect()
     }
 }
 
 impl Drop for Submitter {
     fn drop(&mut self) {
-        if let Some(c) = self.child.as_mut() {
-            let _ = c.kill();
-            let _ = c.wait();
-        }
+        self.kill();
     }
 }
 
-/// What the checker says of a history.
+/// Runs the checker; returns what it finds wrong.
 fn check(
     jobs: usize,
     answers: &[Line],
@@ -107,42 +115,49 @@
     stored: &HashSet<Name>,
     completed: &HashMap<Name, Instant>,
 ) -> Vec<String> {
-    let given = |l: &Line| Given {
-        id: l.id.clone(),
-        answer: if l.answer == Final::Done { "done".into() } else { format!("{:?}", l.answer) },
-        seen: seen.get(&l.id).copied(),
+    let given = |line: &Line| Given {
+        id: line.id.clone(),
+        answer: if line.answer == Final::Done { "done".into() } else { format!("{:?}", line.answer) },
+        seen: seen.get(&line.id).copied(),
     };
     let given: Vec<Given> = answers.iter().map(given).collect();
     history::check(jobs, &given, Some(stored), completed)
 }
 
-/// Runs clients until all have ended, killing one at each of these times;
-/// when each answer was first seen.
-fn play(clients: &mut [Submitter], mut kills: Vec<(f64, usize)>, limit: Duration) -> HashMap<Name, Instant> {
-    let (began, mut seen) = (Instant::now(), HashMap::new());
-    kills.sort_by(|a, b| b.0.total_cmp(&a.0));
+/// A crash of one client.
+struct ClientCrash {
+    /// Seconds after the clients started.
+    at_s: f64,
+    /// Index of the client.
+    client: usize,
+}
+
+/// Runs the clients until all have finished, and crashes them as planned.  Returns when each
+/// answer was first seen.
+fn run_clients(clients: &mut [Submitter], mut crashes: Vec<ClientCrash>, limit: Duration) -> HashMap<Name, Instant> {
+    let began = Instant::now();
+    let mut seen = HashMap::new();
+    // the next crash is the last element
+    crashes.sort_by(|a, b| b.at_s.total_cmp(&a.at_s));
     loop {
         clients.iter_mut().for_each(Submitter::poll);
-        if clients.iter().all(|c| c.finished) {
+        if clients.iter().all(|client| client.finished) {
             return seen;
         }
         assert!(began.elapsed() < limit, "the jobs do not come to their end");
-        while kills.last().is_some_and(|k| began.elapsed().as_secs_f64() >= k.0) {
-            if let Some((_, k)) = kills.pop() {
-                clients[k].crash();
-            }
+        while let Some(crash) = crashes.pop_if(|crash| began.elapsed().as_secs_f64() >= crash.at_s) {
+            clients[crash.client].crash();
         }
-        for c in clients.iter() {
-            for l in c.answers() {
-                seen.entry(l.id).or_insert_with(Instant::now);
-            }
+        for answer in clients.iter().flat_map(Submitter::answers) {
+            seen.entry(answer.id).or_insert_with(Instant::now);
         }
         thread::sleep(Duration::from_millis(50));
     }
 }
 
-/// Crashes, a controller refused, slow answers and an outage at times drawn from a seed.
-fn faults(rng: &mut fastrand::Rng, crashes: usize, within_s: f64) -> String {
+/// A fault plan in TOML: controller crashes, a refused controller, slow answers and an outage of
+/// the state service, at random times within `within_s` seconds.
+fn fault_plan(rng: &mut fastrand::Rng, crashes: usize, within_s: f64) -> String {
     let mut text = String::new();
     for _ in 0..crashes {
         let (at, node) = (rng.f64() * within_s, rng.usize(0..3));
@@ -156,16 +171,38 @@
     text + &format!("[[fault]]\nkind = \"state-outage\"\nat_s = {at:.2}\nfor_s = 2.0\n")
 }
 
-fn exactly_once(name: &str, clients: usize, jobs: usize, seed: u64, within_s: f64, capacity: usize, limit: Duration) {
-    let (dir, mut rng) = (dir(name), fastrand::Rng::with_seed(seed));
-    let cluster = Cluster::start(&dir, &faults(&mut rng, 4, within_s), capacity);
+/// The size of one run.
+struct Run {
+    /// Name of its directory.
+    name: &'static str,
+    clients: usize,
+    jobs_per_client: usize,
+    seed: u64,
+    /// All faults and crashes come within so many seconds.
+    faults_within_s: f64,
+    /// Machines of each type, zone and kind.
+    capacity: usize,
+    /// All jobs must have an answer by then.
+    limit: Duration,
+}
+
+/// Plays a run with four controller crashes and three crashes of each client.
+fn assert_exactly_once(run: &Run) {
+    let dir = test_dir(run.name);
+    let mut rng = fastrand::Rng::with_seed(run.seed);
+    let faults = fault_plan(&mut rng, 4, run.faults_within_s);
+    let config = ClusterConfig { faults: &faults, capacity: run.capacity, ..ClusterConfig::default() };
+    let cluster = Cluster::start(&dir, config);
     let began = Instant::now();
-    let mut all: Vec<Submitter> = (0..clients).map(|k| Submitter::new(&dir, k, jobs, cluster.addr, true)).collect();
-    let kills = (0..clients * 3).map(|k| (0.3 + rng.f64() * within_s, k % clients)).collect();
-    let seen = play(&mut all, kills, limit);
-    let answers: Vec<Line> = all.iter().flat_map(Submitter::answers).collect();
+    let start = |number| Submitter::start(&dir, number, run.jobs_per_client, cluster.addr, true);
+    let mut clients: Vec<Submitter> = (0..run.clients).map(start).collect();
+    let crash = |n| ClientCrash { at_s: 0.3 + rng.f64() * run.faults_within_s, client: n % run.clients };
+    let crashes = (0..run.clients * 3).map(crash).collect();
+    let seen = run_clients(&mut clients, crashes, run.limit);
+    let answers: Vec<Line> = clients.iter().flat_map(Submitter::answers).collect();
     let report = cluster.stop();
-    let wrong = check(clients * jobs, &answers, &seen, &stored(&report), &report.completed);
+    let jobs = run.clients * run.jobs_per_client;
+    let wrong = check(jobs, &answers, &seen, &stored_jobs(&report), &report.completed);
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
     println!("{} jobs, each answered once, in {:.1} s", answers.len(), began.elapsed().as_secs_f64());
     let _ = fs::remove_dir_all(&dir);
@@ -173,55 +210,72 @@
 
 #[test]
 fn each_job_is_answered_once_whatever_is_killed() {
-    exactly_once("once", 3, 100, 11, 8.0, 12, Duration::from_secs(180));
+    assert_exactly_once(&Run {
+        name: "once",
+        clients: 3,
+        jobs_per_client: 100,
+        seed: 11,
+        faults_within_s: 8.0,
+        capacity: 12,
+        limit: Duration::from_secs(180),
+    });
 }
 
-/// 5,000 jobs; some minutes, by name only.
+/// The same with 5,000 jobs; it takes some minutes.
 #[test]
 #[ignore = "the long run"]
 fn five_thousand_jobs_are_answered_once() {
-    exactly_once("once-long", 10, 500, 12, 60.0, 40, Duration::from_secs(1500));
+    assert_exactly_once(&Run {
+        name: "once-long",
+        clients: 10,
+        jobs_per_client: 500,
+        seed: 12,
+        faults_within_s: 60.0,
+        capacity: 40,
+        limit: Duration::from_secs(1500),
+    });
 }
 
-/// Without a journal a client that starts again submits anew: the checker
-/// must see it.
+/// A client without a journal submits its jobs again under new ids after a crash, and the checker
+/// reports the additional jobs.
 #[test]
 fn the_checker_sees_a_bypassed_journal() {
-    let dir = dir("bypassed");
-    let cluster = Cluster::start(&dir, "", 8);
-    let mut all = [Submitter::new(&dir, 0, 20, cluster.addr, false)];
-    let seen = play(&mut all, vec![(1.0, 0)], Duration::from_secs(120));
-    let answers = all[0].answers();
+    let dir = test_dir("bypassed");
+    let cluster = Cluster::start(&dir, ClusterConfig::default());
+    let mut clients = [Submitter::start(&dir, 0, 20, cluster.addr, false)];
+    let crashes = vec![ClientCrash { at_s: 1.0, client: 0 }];
+    let seen = run_clients(&mut clients, crashes, Duration::from_secs(120));
+    let answers = clients[0].answers();
     let report = cluster.stop();
-    let wrong = check(20, &answers, &seen, &stored(&report), &report.completed);
+    let wrong = check(20, &answers, &seen, &stored_jobs(&report), &report.completed);
     assert!(wrong.iter().any(|w| w.contains("jobs are stored, 20 were handed out")), "{wrong:?}");
     let _ = fs::remove_dir_all(&dir);
 }
 
-/// A client that makes a new id for each try stores a job twice whenever an
-/// answer is lost: the checker must see it.
+/// A client that makes a new id for each try stores a job twice whenever an answer is lost, and the
+/// checker reports it.
 #[test]
 fn the_checker_sees_ids_made_anew() {
-    let dir = dir("anew");
-    let cluster = Cluster::start(&dir, "", 8);
-    let to = cluster.addr;
+    let dir = test_dir("anew");
+    let cluster = Cluster::start(&dir, ClusterConfig::default());
+    let balancer = cluster.addr;
     let answers: Vec<Line> = smol::block_on(async {
         let client = Client::default();
         let mut lines = Vec::new();
         for _ in 0..5 {
-            // the answer to the first try is lost on its way
-            let mut lost = false;
+            // the answer to the first accepted try is treated as lost
+            let mut answer_lost = false;
             let id = loop {
                 let id = fresh_id().expect("randomness");
-                let body = http::encode(&job(id.clone()));
-                let got = client.send(to, "POST", "/v2/runs", Some(&body), Duration::from_secs(5)).await;
-                if got.is_ok_and(|(status, _)| status < 300) && std::mem::replace(&mut lost, true) {
+                let body = http::encode(&small_job(id.clone()));
+                let response = client.send(balancer, "POST", "/v2/runs", Some(&body), REQUEST_LIMIT).await;
+                if response.is_ok_and(|(status, _)| status < 300) && std::mem::replace(&mut answer_lost, true) {
                     break id;
                 }
             };
             loop {
-                let got = client.send(to, "GET", &format!("/v2/runs/{id}"), None, Duration::from_secs(5)).await;
-                let state = got.ok().and_then(|(_, b)| http::decode::<JobState>(&b).ok());
+                let response = client.send(balancer, "GET", &format!("/v2/runs/{id}"), None, REQUEST_LIMIT).await;
+                let state = response.ok().and_then(|(_, b)| http::decode::<JobState>(&b).ok());
                 if state.is_some_and(|s| s.stage == "done") {
                     break;
                 }
@@ -232,7 +286,7 @@
         lines
     });
     let report = cluster.stop();
-    let wrong = check(5, &answers, &HashMap::new(), &stored(&report), &report.completed);
+    let wrong = check(5, &answers, &HashMap::new(), &stored_jobs(&report), &report.completed);
     assert!(wrong.iter().any(|w| w.contains("jobs are stored, 5 were handed out")), "{wrong:?}");
     let _ = fs::remove_dir_all(&dir);
 }
