--- /dev/null
+++ b/packages/core/src/sim/fixtures.rs
@@ -0,0 +1,43 @@
+//! Small inputs that tests of single modules share: a leader's state, a heartbeat, a machine type.
+
+use super::*;
+
+/// A new leader's state, for tests of single slices.
+pub fn cluster(term: u64, now: Instant) -> Cluster {
+    let config = Config::parse("sim", SETTINGS).expect("settings of the simulation");
+    let policy = Arc::new(Policy::new(&config).expect("the default policy"));
+    let mut c = Cluster::new(term, policy, HashMap::new(), now);
+    c.set_types(&[machine_type("t")]);
+    c
+}
+
+/// A heartbeat of a machine without tasks.
+pub fn report(machine: &str, zone: &str, incarnation: u64, sequence: u64, token: u64) -> Heartbeat {
+    Heartbeat {
+        machine: machine.into(),
+        address: "127.0.0.1:9".into(),
+        kind: "t".into(),
+        zone: zone.into(),
+        spot: false,
+        incarnation,
+        sequence,
+        fencing_token: token,
+        reclaim_in_s: None,
+        tasks: vec![],
+    }
+}
+
+pub fn machine_type(name: &str) -> MachineType {
+    MachineType {
+        name: name.into(),
+        cpus: 8.0,
+        gpus: 0.0,
+        memory: 64.0,
+        cache_gb: 10.0,
+        fetch_gb_per_s: 1.0,
+        price: 1.0,
+        spot_price: 0.5,
+        boot_s: 10.0,
+        zones: vec![],
+    }
+}
--- a/packages/core/src/sim/machines.rs
+++ b/packages/core/src/sim/workers.rs
@@ -1,4 +1,4 @@
-//! Machines with their workers, as the protocol has them.
+//! Machines with their workers, as the protocol describes them.
 
 use super::*;
 use crate::cluster::raise_token;
@@ -83,14 +83,6 @@
 }
 
 impl World {
-    /// The fleet is kept up; new machines appear through their reports.
-    pub(super) fn scale_out(&mut self) {
-        while self.workers.iter().filter(|w| w.alive).count() < self.scale - 1 {
-            let i = self.workers.len();
-            self.workers.push(Worker::new(i, self.now, self.now + 1000));
-        }
-    }
-
     pub(super) fn execute_commands(&mut self, i: usize, orders: &[Command]) {
         for o in orders {
             match o {
@@ -245,14 +237,3 @@
         }
     }
 }
-
-pub(super) fn list_entry(w: &Worker) -> ListedMachine {
-    ListedMachine {
-        name: w.name.clone(),
-        kind: "t".into(),
-        zone: w.zone.clone(),
-        spot: w.spot,
-        state: MachineState::Running,
-        age_s: 60.0,
-    }
-}
