--- a/packages/core/src/sim/controllers.rs
+++ b/packages/core/src/sim/controllers.rs
@@ -1,150 +1,248 @@
-//! Three controllers, whose decisions are the production code's own.
+//! Three controllers, whose decisions are production code.
 
 use super::*;
+use crate::cluster::{Machine, TaskPhase, UnmetDemand};
 
+/// How long a controller waits for the response to a transaction.
+pub(super) const TXN_TIMEOUT: Ms = 1500;
+/// How long before workers reach it again a controller still hands its lease over.
+const HANDOVER_MARGIN: Ms = 8_000;
+
+/// A transaction without a response so far.
+pub(super) struct CommitInFlight {
+    pub(super) batch: CommitBatch,
+    pub(super) request: u64,
+    sent_at: Ms,
+}
+
+/// A controller that leads, or believes that it does.
 pub(super) struct Controller {
-    pub(super) until: Ms,
-    pub(super) revision: u64,
-    /// Its lease.
+    /// Until when its lease lasts, as far as it knows.
+    pub(super) lease_until: Ms,
+    /// The revision of its leader key.
+    pub(super) leader_revision: u64,
     pub(super) lease_id: u64,
     pub(super) cluster: Cluster,
-    /// The transaction without an answer yet, its number and when it left.
-    pub(super) commit_in_flight: Option<(CommitBatch, u64, Ms)>,
-    /// Life number: messages to a former incarnation are dropped.
+    pub(super) commit_in_flight: Option<CommitInFlight>,
+    /// The incarnation of its process: responses to an earlier one are dropped.
     pub(super) incarnation: u64,
-    pub(super) unmet_demand: Vec<crate::cluster::UnmetDemand>,
+    pub(super) unmet_demand: Vec<UnmetDemand>,
 }
 
-impl World {
-    #[expect(clippy::too_many_lines, reason = "longer than the limit since before it; to be divided")]
-    pub(super) fn step_controllers(&mut self) {
-        if self.now.is_multiple_of(1000) {
-            self.machine_lists.push(self.workers.iter().filter(|w| w.alive).map(list_entry).collect());
-            if self.machine_lists.len() > 10 {
-                self.machine_lists.remove(0);
-            }
+impl Controller {
+    /// Whether it may act as the leader, as far as it knows.
+    pub(super) fn has_lease(&self, now: Ms) -> bool {
+        now < self.lease_until
+    }
+
+    /// Applies a heartbeat and gives the reply; `None` if the heartbeat is outdated.
+    pub(super) fn accept_heartbeat(&mut self, heartbeat: &Heartbeat, now: Instant) -> Option<HeartbeatReply> {
+        self.cluster.apply_heartbeat(heartbeat, true, now)?;
+        if self.cluster.queue_changed {
+            self.unmet_demand = self.cluster.run_placement_pass(now);
         }
-        self.elect_leader();
-        let ttl = self.policy.ttl.as_millis() as Ms;
-        for i in 0..3 {
-            let now = self.at(self.now);
-            if self.now < self.paused_until[i] {
-                continue;
-            }
-            let Some(mut c) = self.controllers[i].take() else { continue };
-            if let Some((_, gap)) = self.next_pause.filter(|f| f.0 == i) {
-                // from here on nothing leaves before it wakes
-                self.next_pause = None;
-                self.paused_until[i] = self.now + gap;
-                if self.defect == InjectedDefect::TrustExpiredLease {
-                    c.until += gap;
+        Some(self.cluster.reply_to_heartbeat(heartbeat, now))
+    }
+
+    /// Breaks the rules that each step keeps, if a defect says so.
+    fn inject_defect(&mut self, defect: InjectedDefect) {
+        match defect {
+            InjectedDefect::UnblockBeforeCommit => {
+                let completing = self.cluster.jobs.values().filter(|job| job.is_completing());
+                let completing: Vec<Name> = completing.map(|job| job.spec.id.clone()).collect();
+                for id in completing {
+                    for blocked in self.cluster.dependency.apply_outcome(&id, JobOutcome::Done) {
+                        self.cluster.release_blocked_job(blocked);
+                    }
                 }
-            } else if self.paused_until[i] > 0 {
-                self.paused_until[i] = 0;
-                c.cluster.resumed_at = now;
             }
-            let believes = self.defect == InjectedDefect::TrustExpiredLease && self.now < c.until;
-            if self.now < self.workers_unreachable_until[i]
-                && self.workers_unreachable_until[i] - self.now < 8_000
-                && self.now >= self.lease_renewal_blocked_until[i]
-            {
-                // it has asked its siblings, and hands over
-                self.state_store.leases.remove(&c.lease_id);
-                continue;
+            InjectedDefect::KeepTokenOfDirectStart => {
+                self.cluster.machines.values_mut().for_each(|machine| machine.last_direct_fence = None);
             }
-            let holds = self.state_store.leader == Some((i, c.lease_id))
-                && self.state_store.revision(key::LEADER) == c.revision;
-            let reaches = self.is_served(i) && self.now >= self.lease_renewal_blocked_until[i];
-            if reaches && !holds && !believes {
-                continue; // its lease is gone, and it hears of it
-            }
-            if reaches && holds && self.now.is_multiple_of(500) {
-                self.state_store.leases.insert(c.lease_id, self.now + ttl);
-                c.until = self.now + ttl;
-            }
-            let acts = self.now < c.until;
-            if reaches {
-                for n in c.cluster.dependency.outcomes_to_fetch(3, Duration::from_secs(1), now) {
-                    if let Some(f) = self.state_store.outcome(&n) {
-                        c.cluster.set_outcome(&n, f, now);
-                    }
+            InjectedDefect::SkipCascadingCancellation => {
+                let dependents: Vec<Name> = self.cluster.dependency.needing_cancelled().cloned().collect();
+                for id in dependents {
+                    self.cluster.dependency.unblock(&id);
                 }
             }
-            if self.defect == InjectedDefect::UnblockBeforeCommit {
-                let early = c.cluster.jobs.values().filter(|j| j.is_completing()).map(|j| j.spec.id.clone());
-                for id in early.collect::<Vec<_>>() {
-                    for h in c.cluster.dependency.apply_outcome(&id, JobOutcome::Done) {
-                        c.cluster.release_blocked_job(h);
-                    }
+            _ => {}
+        }
+    }
+
+    /// Breaks the rules that each pass keeps, if a defect says so.
+    fn inject_pass_defect(&mut self, defect: InjectedDefect, now: Instant) {
+        match defect {
+            InjectedDefect::ReleaseAfterMissedHeartbeats => {
+                let is_quiet =
+                    |machine: &&Machine| machine.last_heartbeat.is_some_and(|at| now.duration_since(at).as_secs() >= 5);
+                let quiet = self.cluster.machines.values().filter(is_quiet);
+                let quiet: Vec<Name> = quiet.map(|machine| machine.name.clone()).collect();
+                for name in quiet {
+                    self.cluster.release_all_assignments(&name, now);
                 }
             }
-            if self.defect == InjectedDefect::KeepTokenOfDirectStart {
-                c.cluster.machines.values_mut().for_each(|m| m.last_direct_fence = None);
+            InjectedDefect::StartBeforeCommit => {
+                let assignments = self.cluster.machines.values_mut().flat_map(|machine| machine.tasks.values_mut());
+                assignments.for_each(|assignment| assignment.stored = true);
             }
-            if self.defect == InjectedDefect::SkipCascadingCancellation {
-                for id in c.cluster.dependency.needing_cancelled().cloned().collect::<Vec<_>>() {
-                    c.cluster.dependency.unblock(&id);
-                }
+            _ => {}
+        }
+    }
+
+    /// Releases what a list of machines lacks, if the defect says so.
+    fn inject_list_defect(&mut self, defect: InjectedDefect, list: &[ListedMachine], now: Instant) {
+        if defect != InjectedDefect::ReleaseUnlistedMachines {
+            return;
+        }
+        let is_listed = |name: &Name| list.iter().any(|listed| listed.name == *name);
+        let unlisted: Vec<Name> = self.cluster.machines.keys().filter(|name| !is_listed(name)).cloned().collect();
+        for name in unlisted {
+            self.cluster.release_all_assignments(&name, now);
+        }
+    }
+
+    /// Forgets that a command without a response may have been carried out.
+    pub(super) fn forget_unanswered_start(&mut self, name: &Name, now: Instant) {
+        let Some(machine) = self.cluster.machines.get_mut(name) else { return };
+        machine.in_doubt_token = None;
+        let assigned = machine.tasks.iter().filter(|(_, assignment)| assignment.phase == TaskPhase::Assigned);
+        let assigned: Vec<Task> = assigned.map(|(task, _)| task.clone()).collect();
+        for task in assigned {
+            self.cluster.release_assignment(name, &task, now);
+        }
+    }
+}
+
+impl World {
+    /// The controller of an index, if its process is still of that incarnation.
+    pub(super) fn controller_mut(&mut self, i: usize, incarnation: u64) -> Option<&mut Controller> {
+        self.controllers[i].as_mut().filter(|controller| controller.incarnation == incarnation)
+    }
+
+    /// Whether a controller believes that it leads.
+    pub(super) fn has_lease(&self, i: usize) -> bool {
+        self.controllers[i].as_ref().is_some_and(|controller| controller.has_lease(self.now))
+    }
+
+    /// Elections, and a step of each controller that leads.
+    pub(super) fn step_controllers(&mut self) {
+        if self.now.is_multiple_of(1000) {
+            self.record_machine_list();
+        }
+        self.elect_leader();
+        for i in 0..3 {
+            if self.now >= self.faults.paused_until[i] {
+                let stepped = self.controllers[i].take().and_then(|controller| self.step_controller(i, controller));
+                self.controllers[i] = stepped;
             }
-            if acts && self.now.is_multiple_of(500) {
-                c.unmet_demand = c.cluster.run_placement_pass(now);
-                c.cluster.collect_garbage(now);
-                if self.now.is_multiple_of(2000) {
-                    let list = self.stale_machine_list();
-                    c.cluster.apply_machine_list(&list, now);
-                    if self.defect == InjectedDefect::ReleaseUnlistedMachines {
-                        let has = |n: &Name| list.iter().any(|l| l.name == *n);
-                        let gone: Vec<Name> = c.cluster.machines.keys().filter(|n| !has(n)).cloned().collect();
-                        for n in gone {
-                            c.cluster.release_all_assignments(&n, now);
-                        }
-                    }
-                    let plan = c.cluster.plan_fleet(&c.unmet_demand, now);
-                    if !plan.delete.is_empty() {
-                        self.send(Message::DeleteMachines { names: plan.delete, from: i, incarnation: c.incarnation });
-                    }
-                }
-                if self.defect == InjectedDefect::ReleaseAfterMissedHeartbeats {
-                    let quiet = |m: &&crate::cluster::Machine| {
-                        m.last_heartbeat.is_some_and(|t| now.duration_since(t).as_secs() >= 5)
-                    };
-                    let quiet: Vec<Name> = c.cluster.machines.values().filter(quiet).map(|m| m.name.clone()).collect();
-                    for n in quiet {
-                        c.cluster.release_all_assignments(&n, now);
-                    }
-                }
-                if self.defect == InjectedDefect::StartBeforeCommit {
-                    for p in c.cluster.machines.values_mut().flat_map(|m| m.tasks.values_mut()) {
-                        p.stored = true;
-                    }
-                }
+        }
+    }
+
+    /// One step of a controller; `None`: it does not lead any more.
+    fn step_controller(&mut self, i: usize, mut controller: Controller) -> Option<Controller> {
+        let now = self.at(self.now);
+        self.pause_or_resume(i, &mut controller, now);
+        let trusts_expired = self.defect == InjectedDefect::TrustExpiredLease && controller.has_lease(self.now);
+        if self.may_hand_over(i) {
+            self.state_store.leases.remove(&controller.lease_id);
+            return None;
+        }
+        let own_key = LeaderKey { controller: i, lease_id: controller.lease_id };
+        let holds_key = self.state_store.leader == Some(own_key)
+            && self.state_store.revision(key::LEADER) == controller.leader_revision;
+        let is_served = self.is_served(i) && self.now >= self.faults.lease_renewal_blocked_until[i];
+        if is_served && !holds_key && !trusts_expired {
+            return None; // the state service tells it that its lease is gone
+        }
+        if is_served && holds_key && self.now.is_multiple_of(500) {
+            controller.lease_until = self.now + self.lease_ttl();
+            self.state_store.leases.insert(controller.lease_id, controller.lease_until);
+        }
+        if is_served {
+            self.fetch_outcomes(&mut controller, now);
+        }
+        controller.inject_defect(self.defect);
+        if controller.has_lease(self.now) {
+            if self.now.is_multiple_of(500) {
+                self.run_pass(i, &mut controller, now);
             }
-            if acts {
-                for call in c.cluster.take_direct_commands(usize::MAX) {
-                    self.send(Message::DirectCommandRequest { from: i, incarnation: c.incarnation, call });
-                }
+            for call in controller.cluster.take_direct_commands(usize::MAX) {
+                self.send(Message::DirectCommandRequest { from: i, incarnation: controller.incarnation, call });
+            }
+        }
+        self.commit(i, &mut controller, trusts_expired);
+        Some(controller)
+    }
+
+    /// The term of a leader's lease.
+    pub(super) fn lease_ttl(&self) -> Ms {
+        self.policy.ttl.as_millis() as Ms
+    }
+
+    /// A pause begins in this step, or ended before it.
+    fn pause_or_resume(&mut self, i: usize, controller: &mut Controller, now: Instant) {
+        if let Some(pause) = self.faults.next_pause.take_if(|pause| pause.controller == i) {
+            // from here on nothing is sent before it resumes
+            self.faults.paused_until[i] = self.now + pause.duration;
+            if self.defect == InjectedDefect::TrustExpiredLease {
+                controller.lease_until += pause.duration;
             }
-            if let Some((batch, ..)) = c.commit_in_flight.take_if(|f| self.now - f.2 > 1500) {
-                // no answer: it may be carried out yet
-                c.cluster.restore_uncommitted(batch);
+        } else if self.faults.paused_until[i] > 0 {
+            self.faults.paused_until[i] = 0;
+            controller.cluster.resumed_at = now;
+        }
+    }
+
+    /// Whether a controller that workers don't reach hands over: it has asked its peers.
+    fn may_hand_over(&self, i: usize) -> bool {
+        let until = self.faults.workers_unreachable_until[i];
+        let is_unreachable = self.now < until && until - self.now < HANDOVER_MARGIN;
+        is_unreachable && self.now >= self.faults.lease_renewal_blocked_until[i]
+    }
+
+    /// Reads outcomes of dependencies that the controller lacks.
+    fn fetch_outcomes(&self, controller: &mut Controller, now: Instant) {
+        for id in controller.cluster.dependency.outcomes_to_fetch(3, Duration::from_secs(1), now) {
+            if let Some(outcome) = self.state_store.outcome(&id) {
+                controller.cluster.set_outcome(&id, outcome, now);
             }
-            if c.commit_in_flight.is_none() {
-                if let Some(mut batch) = c.cluster.next_commit(c.revision, &self.limits) {
-                    if believes {
-                        batch.txn.preconditions.retain(|g| g.key != key::LEADER && !g.key.starts_with(key::SHARD));
-                    }
-                    let (number, at) = (self.last_sequence, self.now);
-                    self.send(Message::TxnRequest {
-                        from: i,
-                        incarnation: c.incarnation,
-                        number,
-                        txn: batch.txn.clone(),
-                        at,
-                    });
-                    c.commit_in_flight = Some((batch, number, at));
-                }
+        }
+    }
+
+    /// What a leader does every half second.
+    fn run_pass(&mut self, i: usize, controller: &mut Controller, now: Instant) {
+        controller.unmet_demand = controller.cluster.run_placement_pass(now);
+        controller.cluster.collect_garbage(now);
+        if self.now.is_multiple_of(2000) {
+            let list = self.stale_machine_list();
+            controller.cluster.apply_machine_list(&list, now);
+            controller.inject_list_defect(self.defect, &list, now);
+            let plan = controller.cluster.plan_fleet(&controller.unmet_demand, now);
+            if !plan.delete.is_empty() {
+                let incarnation = controller.incarnation;
+                self.send(Message::DeleteMachines { names: plan.delete, from: i, incarnation });
             }
-            self.controllers[i] = Some(c);
         }
+        controller.inject_pass_defect(self.defect, now);
+    }
+
+    /// Sends the next transaction, once the last one is answered or has timed out.
+    fn commit(&mut self, i: usize, controller: &mut Controller, trusts_expired: bool) {
+        let sent_at = self.now;
+        let is_late = |commit: &mut CommitInFlight| sent_at - commit.sent_at > TXN_TIMEOUT;
+        if let Some(CommitInFlight { batch, .. }) = controller.commit_in_flight.take_if(is_late) {
+            // no response: it may be carried out yet
+            controller.cluster.restore_uncommitted(batch);
+        }
+        if controller.commit_in_flight.is_some() {
+            return;
+        }
+        let Some(mut batch) = controller.cluster.next_commit(controller.leader_revision, &self.limits) else { return };
+        if trusts_expired {
+            batch.txn.preconditions.retain(|p| p.key != key::LEADER && !p.key.starts_with(key::SHARD));
+        }
+        let (request, txn) = (self.last_sequence, batch.txn.clone());
+        self.send(Message::TxnRequest { from: i, incarnation: controller.incarnation, request, txn, sent_at });
+        controller.commit_in_flight = Some(CommitInFlight { batch, request, sent_at });
     }
 }
--- a/packages/core/src/sim/defect.rs
+++ b/packages/core/src/sim/defect.rs
@@ -1,46 +1,48 @@
 //! Defects that are injected to show that the invariants are checked.
 
-/// An invariant broken on purpose, to see that the checker notices.
+/// An invariant that is broken on purpose.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum InjectedDefect {
+    /// Nothing is wrong.
     None,
-    /// Tasks of a machine silent for 5 s are taken for gone.
+    /// Tasks of a machine without a heartbeat for 5 s are released.
     ReleaseAfterMissedHeartbeats,
-    /// Commands leave before their start is stored.
+    /// Commands are sent before their start is stored.
     StartBeforeCommit,
-    /// A direct start without an answer is forgotten at once.
+    /// A direct start without a response is forgotten at once.
     ForgetUnansweredStart,
-    /// Reports are as new as the hour they are read, however late they are.
+    /// Heartbeats are ordered by the time they are read, however late they are.
     OrderHeartbeatsByArrival,
-    /// A machine that a list lacks is taken for gone.
+    /// Tasks of a machine that a list lacks are released.
     ReleaseUnlistedMachines,
-    /// A job that waits for others starts when it comes.
+    /// A job with dependencies starts when it is submitted.
     IgnoreDependencies,
-    /// An end that is not stored yet releases what needs it.
+    /// An outcome that is not stored yet unblocks the jobs that depend on it.
     UnblockBeforeCommit,
-    /// A new leader holds back what runs already.
+    /// A new leader blocks jobs that have started already.
     BlockStartedJobs,
-    /// What needs a cancelled job is left as it is.
+    /// Jobs that depend on a cancelled one are left as they are.
     SkipCascadingCancellation,
-    /// A reap comes under the token of the direct start that it ends.
+    /// Garbage collection uses the token of the direct start that it ends.
     KeepTokenOfDirectStart,
-    /// Who stands for leader does not look whether another was quicker.
+    /// A candidate does not check whether another one was quicker.
     ElectWithoutPreconditions,
-    /// Leases are renewed in an outage and in a cut zone whatever is known of
+    /// Leases are renewed in an outage and in a partitioned zone whatever is known of
     /// cancellations.
     RenewLeasesUnchecked,
-    /// A user is told of a withdrawal at once, whoever knows of it.
+    /// A cancellation is confirmed to its user at once, whoever knows of it.
     ConfirmCancellationAtOnce,
-    /// A job without an end is called unfinished whatever became of what it needs.
+    /// A job without an outcome is reported as unfinished whatever became of its
+    /// dependencies.
     ReportUnfinishedUnchecked,
-    /// The word of some of the siblings is taken for that of all.
+    /// What some of the peers know is taken for what all know.
     TrustPartialPeerKnowledge,
-    /// Whoever does not know a job says that nothing is left of it, though it does not
-    /// lead, or has not read what is on record.
+    /// A controller that does not know a job reports that no task of it is left, though it
+    /// does not lead, or has not read the records.
     ReportNoTasksUnchecked,
-    /// A heartbeat that repeats an earlier one counts as news, whatever submitted in between.
+    /// A heartbeat that repeats an earlier one counts as new, whatever came in between.
     AcceptAnyUnchangedHeartbeat,
-    /// A controller that stood still trusts the authority it had before, and
-    /// its writes are not guarded on the leader key.
+    /// A controller that was paused trusts the lease it had before, and its writes have no
+    /// precondition on the leader key.
     TrustExpiredLease,
 }
--- a/packages/core/src/sim/election.rs
+++ b/packages/core/src/sim/election.rs
@@ -2,140 +2,157 @@
 
 use super::*;
 
-/// A controller that stands for leader.
+/// How long a candidate waits for the response.
+const ELECTION_TIMEOUT: Ms = 1500;
+
+/// A controller that waits for the response to its election.
 #[derive(Clone, Copy)]
 pub(super) struct Candidate {
-    /// Life that it stands for.
     pub(super) incarnation: u64,
-    pub(super) number: u64,
-    pub(super) sent: Ms,
-    pub(super) lease_id: u64,
-    pub(super) term: u64,
+    pub(super) request: u64,
+    sent_at: Ms,
+    lease_id: u64,
+    term: u64,
 }
 
 impl World {
-    /// Those that find no leader, or their own earlier incarnation as leader, stand for
-    /// it: read the key and the term, take a lease, and write both, guarded on what
-    /// they read.  A process may end between any two of these.
+    /// Controllers that find no leader, or their own earlier incarnation as leader, become
+    /// candidates.  A process may crash between any two steps of an election.
     pub(super) fn elect_leader(&mut self) {
-        self.state_store.expire(self.now);
-        let ttl = self.policy.ttl.as_millis() as Ms;
-        if self.now < self.state_store_outage_until {
+        self.state_store.expire_leases(self.now);
+        if self.now < self.faults.state_store_outage_until {
             // after an outage every lease has its full time again
-            self.state_store.leases.values_mut().for_each(|until| *until = self.state_store_outage_until + ttl);
+            let until = self.faults.state_store_outage_until + self.lease_ttl();
+            self.state_store.leases.values_mut().for_each(|lease| *lease = until);
             return;
         }
-        let all_unreachable = self.workers_unreachable_until.iter().all(|t| *t > self.now);
+        let all_unreachable = self.faults.workers_unreachable_until.iter().all(|until| *until > self.now);
         for i in 0..3 {
-            let reaches = self.lease_renewal_blocked_until[i] <= self.now && self.is_served(i);
-            if self.down_until[i] > self.now || !reaches || self.controllers[i].is_some() {
+            let may_write = self.faults.lease_renewal_blocked_until[i] <= self.now && self.is_served(i);
+            if !may_write || self.controllers[i].is_some() {
                 continue;
             }
-            if let Some(s) = self.candidates[i] {
-                if self.now - s.sent > 1500 {
-                    // no answer: it may be carried out yet
+            if let Some(candidate) = self.candidates[i] {
+                if self.now - candidate.sent_at > ELECTION_TIMEOUT {
+                    // no response: it may be carried out yet
                     self.candidates[i] = None;
                 }
                 continue;
             }
-            let free = self.state_store.leader.is_none_or(|(who, _)| who == i);
-            // one that is unreachable by workers stands down while others can lead
-            if !free || self.workers_unreachable_until[i] > self.now && !all_unreachable || self.rng.u32(0..3) == 0 {
-                continue;
-            }
-            let mut txn = Txn::default();
-            txn.require(key::LEADER, self.state_store.revision(key::LEADER));
-            txn.require(key::TERM, self.state_store.revision(key::TERM));
-            let last = self.state_store.kv.get(key::TERM).and_then(|(d, _)| read_value::<u64>(key::TERM, d.clone()));
-            let term = last.unwrap_or(0) + 1;
-            txn.writes.push(Write::set(key::LEADER, &term));
-            txn.writes.push(Write::set(key::TERM, &term));
-            if self.defect == InjectedDefect::ElectWithoutPreconditions {
-                txn.preconditions.clear();
+            let is_free = self.state_store.leader.is_none_or(|leader| leader.controller == i);
+            // one that workers don't reach leaves it to others that can lead
+            let yields = self.faults.workers_unreachable_until[i] > self.now && !all_unreachable;
+            if is_free && !yields && self.rng.u32(0..3) != 0 {
+                self.start_candidacy(i);
             }
-            self.last_incarnation += 1;
-            self.last_sequence += 1;
-            let (incarnation, number, lease_id) = (self.last_incarnation, self.last_sequence, self.last_incarnation);
-            self.state_store.leases.insert(lease_id, self.now + ttl);
-            self.candidates[i] = Some(Candidate { incarnation, number, sent: self.now, lease_id, term });
-            self.send(Message::ElectionRequest { from: i, incarnation, number, lease_id, term, txn });
         }
     }
 
-    /// The store carries out an election, if its lease still lasts.
-    pub(super) fn apply_election(&mut self, who: usize, lease_id: u64, term: u64, txn: &Txn) -> Option<u64> {
-        if self.now < self.state_store_outage_until || !self.state_store.leases.contains_key(&lease_id) {
+    /// A controller reads the leader key and the term, takes a lease, and sends a
+    /// transaction that writes both, on condition that they are as it has read them.
+    fn start_candidacy(&mut self, i: usize) {
+        let term = self.state_store.read::<u64>(key::TERM).unwrap_or(0) + 1;
+        let mut txn = Txn::default();
+        for path in [key::LEADER, key::TERM] {
+            txn.require(path, self.state_store.revision(path));
+            txn.writes.push(Write::set(path, &term));
+        }
+        if self.defect == InjectedDefect::ElectWithoutPreconditions {
+            txn.preconditions.clear();
+        }
+        self.last_incarnation += 1;
+        self.last_sequence += 1;
+        let (incarnation, request, lease_id) = (self.last_incarnation, self.last_sequence, self.last_incarnation);
+        self.state_store.leases.insert(lease_id, self.now + self.lease_ttl());
+        self.candidates[i] = Some(Candidate { incarnation, request, sent_at: self.now, lease_id, term });
+        self.send(Message::ElectionRequest { from: i, incarnation, request, lease_id, term, txn });
+    }
+
+    /// The state service carries out an election, if its lease still lasts; the response
+    /// is the revision of the leader key.
+    pub(super) fn apply_election(&mut self, from: usize, lease_id: u64, term: u64, txn: &Txn) -> Option<u64> {
+        if self.now < self.faults.state_store_outage_until || !self.state_store.leases.contains_key(&lease_id) {
             return None;
         }
-        let own = self.state_store.leader.is_some_and(|(w, _)| w == who);
+        let is_reelection = self.state_store.leader.is_some_and(|leader| leader.controller == from);
         let revision = self.state_store.apply(txn).ok()?;
         if term <= self.term {
             self.violations.push(format!("term {term} was given before"));
         }
         self.term = self.term.max(term);
-        self.elections.0 += 1;
-        self.elections.1 += u32::from(own);
-        self.state_store.leader = Some((who, lease_id));
+        self.statistics.elections += 1;
+        self.statistics.reelections += u32::from(is_reelection);
+        self.state_store.leader = Some(LeaderKey { controller: from, lease_id });
         Some(revision)
     }
 
-    /// A controller has heard that it leads: it reads all, and begins.
-    pub(super) fn start_leading(&mut self, who: usize, s: Candidate, revision: u64) {
-        // old reports reach every controller just as a new leader begins
+    /// A candidate learns whether it is elected.
+    pub(super) fn receive_election_response(&mut self, i: usize, incarnation: u64, request: u64, elected: Option<u64>) {
+        let is_current =
+            |candidate: &mut Candidate| candidate.incarnation == incarnation && candidate.request == request;
+        let Some(candidate) = self.candidates[i].take_if(is_current) else { return };
+        if let Some(revision) = elected {
+            self.replay_heartbeats();
+            self.start_leading(i, candidate, revision);
+        }
+    }
+
+    /// Old heartbeats reach every controller just as a new leader starts.
+    fn replay_heartbeats(&mut self) {
         for heartbeat in std::mem::take(&mut self.replayed_heartbeats) {
             for to in 0..3 {
-                self.last_sequence += 1;
-                let (at, heartbeat) = (self.now + self.rng.u64(1..4) * STEP, heartbeat.clone());
-                self.in_flight
-                    .insert((at, self.last_sequence), Message::Heartbeat { to, heartbeat, number: NO_RECEIVER });
+                let at = self.now + self.rng.u64(1..4) * STEP;
+                let heartbeat = heartbeat.clone();
+                self.enqueue(at, Message::Heartbeat { to, heartbeat, request: NO_RECEIVER });
             }
         }
-        let ttl = self.policy.ttl.as_millis() as Ms;
-        let at = self.at(self.now);
-        let mut c = Cluster::new(s.term, self.policy.clone(), self.teams.clone(), at);
-        c.set_types(&[machine_type("t")]);
-        c.zones_with_controller =
-            (0..3).filter(|z| self.zone_without_controller != Some(*z)).map(|z| Name::from(format!("z{z}"))).collect();
-        let pages: Vec<_> = self
-            .state_store
-            .kv
-            .iter()
-            .filter(|(p, _)| p.starts_with(key::SHARD))
-            .map(|(path, (data, revision))| {
-                let item = KeyValue { key: path.clone(), value: data.clone(), revision: *revision };
-                read_shard(path, &item).expect("own page")
-            })
-            .collect();
-        let begun = started_jobs(pages.iter().map(|p| &p.1));
-        for (spec, revision) in self.jobs.values() {
-            // what is over is known only where a page names it
-            match (self.state_store.outcome(&spec.id), begun.contains(&spec.id)) {
+    }
+
+    /// A new leader reads all records, and begins.
+    fn start_leading(&mut self, i: usize, candidate: Candidate, leader_revision: u64) {
+        let now = self.at(self.now);
+        let mut cluster = Cluster::new(candidate.term, self.policy.clone(), self.teams.clone(), now);
+        cluster.set_types(&[machine_type("t")]);
+        let has_controller = |zone: &usize| self.zone_without_controller != Some(*zone);
+        cluster.zones_with_controller =
+            (0..3).filter(has_controller).map(|zone| Name::from(format!("z{zone}"))).collect();
+        self.load_records(&mut cluster, now);
+        cluster.apply_machine_list(&self.stale_machine_list(), now);
+        // an earlier leader goes on believing in itself until its lease has expired
+        self.controllers[i] = Some(Controller {
+            lease_until: candidate.sent_at + self.lease_ttl(),
+            leader_revision,
+            lease_id: candidate.lease_id,
+            cluster,
+            commit_in_flight: None,
+            incarnation: candidate.incarnation,
+            unmet_demand: vec![],
+        });
+    }
+
+    /// Loads all jobs and shards into a new leader's state.
+    fn load_records(&self, cluster: &mut Cluster, now: Instant) {
+        let paths = self.state_store.kv.keys().filter(|path| path.starts_with(key::SHARD));
+        let entries = paths.filter_map(|path| self.state_store.entry(path));
+        let shards: Vec<_> = entries.map(|entry| read_shard(&entry.key, &entry).expect("our own shard")).collect();
+        let started = started_jobs(shards.iter().map(|shard| &shard.1));
+        for SubmittedJob { spec, revision } in self.jobs.values() {
+            // outcomes are known only of jobs that a shard names
+            match (self.state_store.outcome(&spec.id), started.contains(&spec.id)) {
                 (None, true) if self.defect != InjectedDefect::BlockStartedJobs => {
-                    c.add_started_job(spec.clone(), *revision, None, at)
+                    cluster.add_started_job(spec.clone(), *revision, None, now);
                 }
-                (None, _) => c.add_job(self.job_under_defect(spec), *revision, None, at),
-                (outcome, true) => c.add_job(spec.clone(), *revision, outcome, at),
+                (None, _) => cluster.add_job(self.job_under_defect(spec), *revision, None, now),
+                (outcome, true) => cluster.add_job(spec.clone(), *revision, outcome, now),
                 _ => {}
             }
         }
-        for (id, page, machines) in pages {
-            c.add_shard(id, page, &machines, at);
+        for (id, shard, machines) in shards {
+            cluster.add_shard(id, shard, &machines, now);
         }
-        c.apply_machine_list(&self.stale_machine_list(), at);
-        // an earlier leader goes on believing in itself until its time is up
-        self.controllers[who] = Some(Controller {
-            until: s.sent + ttl,
-            revision,
-            lease_id: s.lease_id,
-            cluster: c,
-            commit_in_flight: None,
-            incarnation: s.incarnation,
-            unmet_demand: vec![],
-        });
     }
 
-    /// A job as a controller takes it in; without what it needs where that is
-    /// left out on purpose.
+    /// A job as a controller takes it in; without dependencies if the defect says so.
     pub(super) fn job_under_defect(&self, spec: &Arc<JobSpec>) -> Arc<JobSpec> {
         match self.defect {
             InjectedDefect::IgnoreDependencies => Arc::new(JobSpec { needs: Vec::new(), ..(**spec).clone() }),
--- a/packages/core/src/sim/forwarding.rs
+++ b/packages/core/src/sim/forwarding.rs
@@ -3,69 +3,74 @@
 use super::*;
 use crate::cancellation::may_lead;
 
+/// A heartbeat on its way from one controller to the leader.
+#[derive(Clone)]
+pub(super) struct ForwardedRequest {
+    pub(super) by: usize,
+    pub(super) to: usize,
+    /// The leader's term, as the forwarding controller knows it.
+    pub(super) term: u64,
+    /// What is sent: the whole heartbeat, or that it is unchanged.
+    pub(super) message: ForwardedHeartbeat,
+    pub(super) heartbeat: Heartbeat,
+    pub(super) request: u64,
+}
+
 impl World {
-    /// Whether a heartbeat that comes to a controller goes on to the leader.
+    /// Whether a controller forwards heartbeats to the leader.
     pub(super) fn may_forward(&self, i: usize) -> bool {
-        let leads = self.controllers[i].as_ref().is_some_and(|c| self.now < c.until);
-        let up = self.now >= self.down_until[i] && self.now >= self.workers_unreachable_until[i];
-        self.forwards_heartbeats && up && !leads && self.now >= self.peers_unreachable_until[i]
+        let is_up =
+            self.now >= self.faults.controller_down_until[i] && self.now >= self.faults.workers_unreachable_until[i];
+        let reaches_peers = self.now >= self.faults.peers_unreachable_until[i];
+        self.forwards_heartbeats && is_up && !self.has_lease(i) && reaches_peers
     }
 
-    /// Sends a heartbeat on to whoever leads by what is known there, which may be old.
-    pub(super) fn forward_heartbeat(&mut self, by: usize, heartbeat: Heartbeat, number: u64) {
-        let believes = |c: &Option<Controller>| c.as_ref().is_some_and(|c| self.now < c.until);
-        let leaders: Vec<usize> = (0..3).filter(|i| *i != by && believes(&self.controllers[*i])).collect();
+    /// Forwards a heartbeat to a controller that believes that it leads.
+    pub(super) fn forward_heartbeat(&mut self, by: usize, heartbeat: Heartbeat, request: u64) {
+        let leaders: Vec<usize> = (0..3).filter(|i| *i != by && self.has_lease(*i)).collect();
         if leaders.is_empty() {
             return;
         }
         let to = leaders[self.rng.usize(0..leaders.len())];
-        if self.now < self.peers_unreachable_until[to] {
+        if self.now < self.faults.peers_unreachable_until[to] {
             return;
         }
-        let Some(term) = self.controllers[to].as_ref().map(|c| c.cluster.term) else { return };
+        let Some(term) = self.controllers[to].as_ref().map(|leader| leader.cluster.term) else { return };
         let message = self.forwarding[by].message(&heartbeat, term);
-        self.send(Message::ForwardedHeartbeat { by, term, to, message, heartbeat, number });
+        self.send(Message::ForwardedHeartbeat(ForwardedRequest { by, to, term, message, heartbeat, request }));
     }
 
-    /// The leader takes a forwarded heartbeat, in full or as a sign of incarnation.
-    pub(super) fn accept_forwarded_heartbeat(
-        &mut self,
-        by: usize,
-        term: u64,
-        to: usize,
-        message: ForwardedHeartbeat,
-        heartbeat: Heartbeat,
-        number: u64,
-    ) {
+    /// The leader accepts a forwarded heartbeat, or asks for it in full.
+    pub(super) fn accept_forwarded_heartbeat(&mut self, forwarded: ForwardedRequest) {
+        let ForwardedRequest { by, to, term, message, heartbeat, request } = forwarded;
         let now = self.at(self.now);
-        let cancellations_complete_as_of = self.cancellations_complete_as_of(to);
-        let leads = may_lead(cancellations_complete_as_of, &self.policy, now);
-        let careless = self.defect == InjectedDefect::AcceptAnyUnchangedHeartbeat;
-        let acts = |c: &&mut Controller| self.now < c.until && c.cluster.term == term;
-        let Some(c) = self.controllers[to].as_mut().filter(acts).filter(|_| leads) else { return };
+        if !self.has_lease(to) || !may_lead(self.cancellations_complete_as_of(to), &self.policy, now) {
+            return;
+        }
+        let Some(leader) = self.controllers[to].as_mut().filter(|leader| leader.cluster.term == term) else { return };
+        let is_full = message == ForwardedHeartbeat::Full;
         let answer = match &message {
-            ForwardedHeartbeat::Full => {
-                if c.cluster.apply_heartbeat(&heartbeat, true, now).is_none() {
-                    return;
-                }
-                if c.cluster.queue_changed {
-                    c.unmet_demand = c.cluster.run_placement_pass(now);
-                }
-                Some(c.cluster.reply_to_heartbeat(&heartbeat, now))
+            ForwardedHeartbeat::Full => leader.accept_heartbeat(&heartbeat, now),
+            ForwardedHeartbeat::UnchangedHeartbeat(unchanged)
+                if self.defect == InjectedDefect::AcceptAnyUnchangedHeartbeat =>
+            {
+                // it counts as new, however late it comes
+                let cluster = &mut leader.cluster;
+                let last = cluster.machines.get(&unchanged.machine).map_or(0, |machine| machine.sequence);
+                let new = Heartbeat { sequence: last + 1, ..heartbeat.clone() };
+                cluster.apply_heartbeat(&new, true, now).map(|_| cluster.reply_to_heartbeat(&new, now))
             }
-            // taken for news, however late it comes
-            ForwardedHeartbeat::UnchangedHeartbeat(u) if careless => {
-                let last = c.cluster.machines.get(&u.machine).map_or(0, |m| m.sequence);
-                let news = Heartbeat { sequence: last + 1, ..heartbeat.clone() };
-                c.cluster.apply_heartbeat(&news, true, now).map(|_| c.cluster.reply_to_heartbeat(&news, now))
-            }
-            ForwardedHeartbeat::UnchangedHeartbeat(u) => c.cluster.apply_unchanged(u, now),
-        };
-        let Some(answer) = answer else {
-            return self.send(Message::ForwardingResponse { by, term, heartbeat, cancellations_complete_as_of: false });
+            ForwardedHeartbeat::UnchangedHeartbeat(unchanged) => leader.cluster.apply_unchanged(unchanged, now),
         };
-        self.unchanged_forwarded += u32::from(message != ForwardedHeartbeat::Full);
-        self.send_heartbeat_response(&heartbeat, number, answer);
-        self.send(Message::ForwardingResponse { by, term, heartbeat, cancellations_complete_as_of: true });
+        match answer {
+            Some(answer) => {
+                self.statistics.unchanged_forwarded += u32::from(!is_full);
+                self.send_heartbeat_response(&heartbeat, request, answer);
+                self.send(Message::ForwardingResponse { by, term, heartbeat, accepted: true });
+            }
+            // an outdated heartbeat is dropped without a response
+            None if is_full => {}
+            None => self.send(Message::ForwardingResponse { by, term, heartbeat, accepted: false }),
+        }
     }
 }
--- a/packages/core/src/sim/network.rs
+++ b/packages/core/src/sim/network.rs
@@ -1,33 +1,52 @@
-//! The network of the simulation: each message is delivered after a random delay, sometimes twice.
+//! The network of the simulation: each message is delivered after a random delay, and
+//! some requests twice.
 
 use super::*;
 
+/// When a message is delivered; messages of the same time in the order of their sending.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(super) struct DeliveryKey {
+    pub(super) at: Ms,
+    pub(super) sequence: u64,
+}
+
 impl World {
-    pub(super) fn send(&mut self, m: Message) {
-        // mostly at once, now and then late, rarely a minute late
+    /// Sends a message: mostly it arrives in the next step, sometimes late, rarely after
+    /// up to 70 s.  A request may arrive once more, when nobody waits for a response.
+    pub(super) fn send(&mut self, message: Message) {
         let delay = match self.rng.u32(0..100) {
             0..=89 => STEP,
             90..=96 => self.rng.u64(1..30) * STEP,
             _ => self.rng.u64(10..700) * STEP,
         };
-        self.last_sequence += 1;
-        // a sender that stands still has not sent it yet
-        let leaves = m.sender().map_or(self.now, |i| self.paused_until[i].max(self.now));
-        // a request may arrive once more, late, when nobody waits for an answer
-        let again = (self.rng.u32(0..30) == 0).then(|| m.again()).flatten();
-        self.in_flight.insert((leaves + delay, self.last_sequence), m);
-        if let Some(m) = again {
-            self.last_sequence += 1;
-            let late = self.rng.u64(1..600) * STEP;
-            self.in_flight.insert((leaves + delay + late, self.last_sequence), m);
+        // a sender that is paused sends it when it resumes
+        let sent_at = message.sender().map_or(self.now, |i| self.faults.paused_until[i].max(self.now));
+        let duplicate = (self.rng.u32(0..30) == 0).then(|| message.late_duplicate()).flatten();
+        self.enqueue(sent_at + delay, message);
+        if let Some(duplicate) = duplicate {
+            let additional_delay = self.rng.u64(1..600) * STEP;
+            self.enqueue(sent_at + delay + additional_delay, duplicate);
         }
     }
 
-    /// What the watch shows: one that hangs is opened anew within a third of
+    /// Shows a change by the watch: one that hangs is opened anew within a third of
     /// `cancel_s`.
-    pub(super) fn send_watch_event(&mut self, m: Message) {
-        self.last_sequence += 1;
+    pub(super) fn send_watch_event(&mut self, message: Message) {
         let at = self.now + self.rng.u64(1..200) * STEP;
-        self.in_flight.insert((at, self.last_sequence), m);
+        self.enqueue(at, message);
+    }
+
+    /// Has a message delivered at a given time.
+    pub(super) fn enqueue(&mut self, at: Ms, message: Message) {
+        self.last_sequence += 1;
+        self.in_flight.insert(DeliveryKey { at, sequence: self.last_sequence }, message);
+    }
+
+    /// Delivers all messages that are due, in order.
+    pub(super) fn deliver_due_messages(&mut self) {
+        while let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().at <= self.now) {
+            let message = entry.remove();
+            self.deliver(message);
+        }
     }
 }
--- a/packages/core/src/sim/snapshots.rs
+++ b/packages/core/src/sim/snapshots.rs
@@ -1,219 +1,243 @@
-//! What each controller's process knows of ends, by the watch, by what it stores
-//! and by its siblings' accounts; leader or not.
+//! What each controller's process knows of outcomes, whether it leads or not: by its
+//! watch, by what it stores itself, and by the lists of its peers.
+
+use std::collections::HashSet;
 
 use super::*;
 use crate::cancellation::{may_lead, may_renew, CancellationLog, CancellationNotices, CancellationView};
 
+/// Cancellations that a process keeps for its peers.
+const MAX_CANCELLATIONS: usize = 64;
+/// The controllers' names as peers, by index.
+const PEER_NAMES: [&str; 3] = ["0", "1", "2"];
+
+/// One process' knowledge of outcomes.
 pub(super) struct OutcomeSnapshot {
-    list: CancellationLog,
-    /// Withdrawals whose users are still to be told.
+    cancellations: CancellationLog,
+    /// Cancellations that are still to be confirmed to their users.
     notices: CancellationNotices,
-    knowledge: CancellationView,
-    /// Jobs known to be over.
-    pub(super) over: std::collections::HashSet<Name>,
-    /// Up to where the watch has been seen; `None` before the first read.
-    watch: Option<u64>,
-    /// When it looks next, and asks next.
-    next: (Ms, Ms),
+    view: CancellationView,
+    /// Jobs known to have an outcome.
+    pub(super) over: HashSet<Name>,
+    /// The revision up to which the watch was seen; `None` before the first read.
+    watched_revision: Option<u64>,
+    next_watch_at: Ms,
+    next_peer_request_at: Ms,
 }
 
 impl OutcomeSnapshot {
     pub(super) fn new(incarnation: u64) -> OutcomeSnapshot {
-        let list = CancellationLog::new(incarnation, 64);
-        let (knowledge, notices) = (CancellationView::default(), CancellationNotices::new(2, 64));
-        OutcomeSnapshot { list, notices, knowledge, over: Default::default(), watch: None, next: (0, 0) }
+        OutcomeSnapshot {
+            cancellations: CancellationLog::new(incarnation, MAX_CANCELLATIONS),
+            notices: CancellationNotices::new(2, MAX_CANCELLATIONS),
+            view: CancellationView::default(),
+            over: HashSet::new(),
+            watched_revision: None,
+            next_watch_at: 0,
+            next_peer_request_at: 0,
+        }
     }
 }
 
 impl World {
-    /// The controller of a zone that is cut off is cut off with it.
-    fn is_partitioned(&self, i: usize) -> bool {
-        self.now < self.zone_partitioned_until[i] && self.zone_without_controller != Some(i)
+    /// Whether a controller is cut off together with its zone.
+    pub(super) fn is_partitioned(&self, i: usize) -> bool {
+        self.now < self.faults.zone_partitioned_until[i] && self.zone_without_controller != Some(i)
     }
 
     fn is_running(&self, i: usize) -> bool {
-        self.down_until[i] <= self.now && self.paused_until[i] <= self.now
+        self.faults.controller_down_until[i] <= self.now && self.faults.paused_until[i] <= self.now
     }
 
     /// Whether the state service serves a controller now.
     pub(super) fn is_served(&self, i: usize) -> bool {
-        self.is_running(i)
-            && self.now >= self.state_store_outage_until.max(self.state_store_refuses_until[i])
-            && !self.is_partitioned(i)
+        let refused_until = self.faults.state_store_outage_until.max(self.faults.state_store_refuses_until[i]);
+        self.is_running(i) && self.now >= refused_until && !self.is_partitioned(i)
     }
 
-    fn is_reachable(&self, a: usize, b: usize) -> bool {
-        let out =
-            |i: usize| self.now < self.peers_unreachable_until[i] || self.is_partitioned(i) || !self.is_running(i);
-        a != b && !out(a) && !out(b)
+    /// Whether two different controllers reach each other.
+    fn is_reachable(&self, from: usize, to: usize) -> bool {
+        let reaches_peers = |i: usize| {
+            self.now >= self.faults.peers_unreachable_until[i] && !self.is_partitioned(i) && self.is_running(i)
+        };
+        from != to && reaches_peers(from) && reaches_peers(to)
     }
 
-    /// Siblings answer, all of them refused by the state service, and none leads in
-    /// a later term.
+    /// Whether peers answer, the state service refuses all of them, and none leads in a
+    /// later term.
     pub(super) fn is_outage_confirmed(&self, i: usize) -> bool {
-        let term = |j: usize| self.controllers[j].as_ref().map_or(0, |c| c.cluster.term);
-        let mut seen = (0..3).filter(|j| self.is_reachable(i, *j)).peekable();
-        self.is_running(i)
-            && !self.is_served(i)
-            && seen.peek().is_some()
-            && seen.all(|j| !self.is_served(j) && term(j) <= term(i))
+        let term = |j: usize| self.controllers[j].as_ref().map_or(0, |controller| controller.cluster.term);
+        let mut peers = (0..3).filter(|j| self.is_reachable(i, *j)).peekable();
+        let is_refused = self.is_running(i) && !self.is_served(i);
+        is_refused && peers.peek().is_some() && peers.all(|j| !self.is_served(j) && term(j) <= term(i))
     }
 
-    /// Since when the picture is whole.
+    /// The moment up to which a process knows of all cancellations, if there is one.
     pub(super) fn cancellations_complete_as_of(&self, i: usize) -> Option<Instant> {
-        let names = ["0", "1", "2"];
-        let others = (0..3).filter(|j| *j != i);
+        let view = &self.snapshots[i].view;
+        let peers = (0..3).filter(|j| *j != i).map(|j| PEER_NAMES[j]);
         if self.defect == InjectedDefect::TrustPartialPeerKnowledge {
-            return others.filter_map(|j| self.snapshots[i].knowledge.complete_as_of([names[j]])).max();
+            return peers.filter_map(|peer| view.complete_as_of([peer])).max();
         }
-        self.snapshots[i].knowledge.complete_as_of(others.map(|j| names[j]))
+        view.complete_as_of(peers)
     }
 
-    /// A controller in a zone that is cut off renews its workers' leases.
+    /// Whether a controller in a zone that is cut off renews its workers' leases.
     pub(super) fn may_renew_zone(&self, i: usize) -> bool {
-        let blind = self.defect == InjectedDefect::RenewLeasesUnchecked;
-        self.is_running(i)
-            && (blind
-                || may_renew(
-                    self.cancellations_complete_as_of(i),
-                    self.peer_notices_required,
-                    &self.policy,
-                    self.at(self.now),
-                ))
-    }
-
-    /// Whether a controller would call a job unfinished now: the store confirms that
-    /// it has no end, and by a young picture nothing that it needs is cancelled.
+        let unchecked = self.defect == InjectedDefect::RenewLeasesUnchecked;
+        let complete_as_of = self.cancellations_complete_as_of(i);
+        let now = self.at(self.now);
+        self.is_running(i) && (unchecked || may_renew(complete_as_of, self.peer_notices_required, &self.policy, now))
+    }
+
+    /// Whether a controller would report a job as unfinished now: the state service
+    /// confirms that it has no outcome, and by a recent snapshot no dependency is cancelled.
     pub(super) fn may_report_unfinished(&self, i: usize, id: &Name) -> bool {
-        if !self.is_served(i) || self.state_store.outcome(id).is_some() || self.snapshots[i].watch.is_none() {
+        let has_read = self.snapshots[i].watched_revision.is_some();
+        if !self.is_served(i) || self.state_store.outcome(id).is_some() || !has_read {
             return false;
         }
         if self.defect == InjectedDefect::ReportUnfinishedUnchecked {
             return true;
         }
-        let (mut next, mut seen) = (vec![id], std::collections::HashSet::new());
-        while let Some(n) = next.pop().filter(|_| next.len() < 10_000) {
-            let over = self.snapshots[i].over.contains(n);
-            if over && self.state_store.outcome(n) == Some(JobOutcome::Cancelled) {
-                return false;
+        let complete_as_of = self.cancellations_complete_as_of(i);
+        !self.has_cancelled_dependency(i, id) && may_lead(complete_as_of, &self.policy, self.at(self.now))
+    }
+
+    /// Whether by a process' snapshot a job, or one that it depends on, is cancelled.
+    fn has_cancelled_dependency(&self, i: usize, id: &Name) -> bool {
+        let over = &self.snapshots[i].over;
+        let (mut next, mut seen) = (vec![id], HashSet::new());
+        while let Some(id) = next.pop().filter(|_| next.len() < 10_000) {
+            let is_over = over.contains(id);
+            if is_over && self.state_store.outcome(id) == Some(JobOutcome::Cancelled) {
+                return true;
             }
-            if !over && seen.insert(n) {
-                next.extend(&self.jobs[n].0.needs);
+            if !is_over && seen.insert(id) {
+                next.extend(&self.jobs[id].spec.needs);
             }
         }
-        may_lead(self.cancellations_complete_as_of(i), &self.policy, self.at(self.now))
+        false
     }
 
-    /// A controller learns of an end, and if it leads, its picture has it at once.
+    /// A process learns of an outcome; if it leads, its state has it at once.
     pub(super) fn record_outcome(&mut self, i: usize, id: &Name, outcome: JobOutcome, revision: u64) {
         let now = self.at(self.now);
-        let p = &mut self.snapshots[i];
+        let snapshot = &mut self.snapshots[i];
         if outcome == JobOutcome::Cancelled {
-            p.list.record(revision, id, now);
+            snapshot.cancellations.record(revision, id, now);
         }
-        p.over.insert(id.clone());
-        if let Some(c) = self.controllers[i].as_mut() {
-            c.cluster.set_outcome(id, outcome, now);
+        snapshot.over.insert(id.clone());
+        if let Some(controller) = self.controllers[i].as_mut() {
+            controller.cluster.set_outcome(id, outcome, now);
         }
     }
 
-    /// Users who have withdrawn ask again, at any controller, until they are told.
-    fn confirm_cancellations(&mut self) {
-        for id in self.unconfirmed_cancellations.clone() {
-            let (i, now) = (self.rng.usize(0..3), self.at(self.now));
-            let young = may_lead(self.cancellations_complete_as_of(i), &self.policy, now);
-            if !self.is_running(i) || !young || !self.snapshots[i].over.contains(&id) || self.rng.u32(0..5) > 0 {
-                continue;
-            }
-            let p = &mut self.snapshots[i];
-            let told = !self.peer_notices_required
-                || self.defect == InjectedDefect::ConfirmCancellationAtOnce
-                || p.notices.may_confirm(&id, &p.list, &self.policy, now);
-            if told {
-                self.cancellation_confirmed_at.insert(id.clone(), self.now);
-                self.unconfirmed_cancellations.remove(&id);
-                continue;
-            }
-            for j in [i, (i + 1) % 3, (i + 2) % 3] {
-                let leads = self.controllers[j].as_ref().filter(|c| self.now < c.until);
-                let blind = self.defect == InjectedDefect::ReportNoTasksUnchecked;
-                let clear = leads.map_or(blind, |c| c.cluster.has_no_task_of(&id));
-                if j != i && !self.is_reachable(i, j) {
-                    continue;
-                }
-                if j != i {
-                    // its siblings' numbers as it counts them
-                    let p = &mut self.snapshots[i];
-                    let notice = p.notices.for_peer(j, &p.list, &self.policy, now);
-                    for w in &notice.cancellations {
-                        self.record_outcome(j, &w.id, JobOutcome::Cancelled, w.revision);
-                    }
-                    self.snapshots[i].notices.mark_acknowledged(j, &notice.cancellations);
-                }
-                if clear {
-                    self.snapshots[i].notices.settle(&id);
-                }
-            }
-        }
-    }
-
-    /// Watches that answer, and accounts.
+    /// Watches are answered, and processes ask their peers.
     pub(super) fn update_snapshots(&mut self) {
-        for (_, id, _) in &self.state_store.outcomes[self.outcome_stored_at.len()..] {
+        for StoredOutcome { id, .. } in &self.state_store.outcomes[self.outcome_stored_at.len()..] {
             self.outcome_stored_at.insert(id.clone(), self.now);
         }
         self.confirm_cancellations();
         for i in 0..3 {
-            if self.is_served(i) && self.snapshots[i].next.0 <= self.now {
+            if self.is_served(i) && self.snapshots[i].next_watch_at <= self.now {
                 self.poll_watch(i);
             }
-            if self.is_running(i) && self.snapshots[i].next.1 <= self.now {
-                self.snapshots[i].next.1 = self.now + self.rng.u64(5..20) * STEP;
-                for j in (0..3).filter(|j| self.is_reachable(i, *j)).collect::<Vec<_>>() {
-                    self.fetch_cancellations(i, j);
+            if self.is_running(i) && self.snapshots[i].next_peer_request_at <= self.now {
+                self.snapshots[i].next_peer_request_at = self.now + self.rng.u64(5..20) * STEP;
+                for peer in (0..3).filter(|peer| self.is_reachable(i, *peer)).collect::<Vec<_>>() {
+                    self.fetch_cancellations(i, peer);
                 }
             }
         }
     }
 
-    /// What the watch shows was asked for now; now and then one hangs.
+    /// The watch shows what was asked for now; sometimes one hangs.
     fn poll_watch(&mut self, i: usize) {
-        let pause = if self.rng.u32(0..8) == 0 { 100 } else { 20 };
-        self.snapshots[i].next.0 = self.now + self.rng.u64(1..pause) * STEP;
-        let last_revision = self.state_store.last_revision;
-        let since = match self.snapshots[i].watch {
-            Some(e) => e,
-            None => {
-                let now = self.at(self.now);
-                self.snapshots[i].list.begin_watch(last_revision, now);
-                let over: Vec<Name> = self.state_store.outcomes.iter().map(|e| e.1.clone()).collect();
-                self.snapshots[i].over.extend(over);
-                last_revision
-            }
-        };
-        let news = self.state_store.outcomes.iter().rev().take_while(|e| e.0 > since);
-        for (revision, id, outcome) in news.cloned().collect::<Vec<_>>().into_iter().rev() {
+        let max_pause = if self.rng.u32(0..8) == 0 { 100 } else { 20 };
+        self.snapshots[i].next_watch_at = self.now + self.rng.u64(1..max_pause) * STEP;
+        let now = self.at(self.now);
+        let revision = self.state_store.last_revision;
+        let snapshot = &mut self.snapshots[i];
+        if snapshot.watched_revision.is_none() {
+            snapshot.cancellations.begin_watch(revision, now);
+            snapshot.over.extend(self.state_store.outcomes.iter().map(|outcome| outcome.id.clone()));
+        }
+        let since = snapshot.watched_revision.unwrap_or(revision);
+        let first = self.state_store.outcomes.partition_point(|outcome| outcome.revision <= since);
+        let new: Vec<StoredOutcome> = self.state_store.outcomes[first..].to_vec();
+        for StoredOutcome { revision, id, outcome } in new {
             self.record_outcome(i, &id, outcome, revision);
         }
-        let now = self.at(self.now);
-        let p = &mut self.snapshots[i];
-        p.watch = Some(last_revision);
-        p.knowledge.watch_answered(now);
+        self.snapshots[i].watched_revision = Some(revision);
+        self.snapshots[i].view.watch_answered(now);
     }
 
-    /// One asks another for its account.
-    fn fetch_cancellations(&mut self, i: usize, j: usize) {
-        let name = ["0", "1", "2"][j];
-        let Some(since) = self.snapshots[i].watch else { return };
-        let cursor = self.snapshots[i].knowledge.next_request(name);
-        if self.snapshots[j].watch.is_none() {
+    /// A process asks a peer for the cancellations that it has not shown yet.
+    fn fetch_cancellations(&mut self, i: usize, peer: usize) {
+        let Some(since) = self.snapshots[i].watched_revision else { return };
+        let cursor = self.snapshots[i].view.next_request(PEER_NAMES[peer]);
+        if self.snapshots[peer].watched_revision.is_none() {
             return;
         }
-        let Some(a) = self.snapshots[j].list.batch_since(since, cursor) else { return };
-        for w in &a.cancellations {
-            self.record_outcome(i, &w.id, JobOutcome::Cancelled, w.revision);
+        let batch = self.snapshots[peer].cancellations.batch_since(since, cursor);
+        let Some(batch) = batch else { return };
+        for cancellation in &batch.cancellations {
+            self.record_outcome(i, &cancellation.id, JobOutcome::Cancelled, cancellation.revision);
         }
         let now = self.at(self.now);
-        self.snapshots[i].knowledge.peer_answered(name, now, &a);
+        self.snapshots[i].view.peer_answered(PEER_NAMES[peer], now, &batch);
+    }
+
+    /// Users who have cancelled jobs ask again, at any controller, until it is confirmed.
+    fn confirm_cancellations(&mut self) {
+        for id in self.unconfirmed_cancellations.clone() {
+            let i = self.rng.usize(0..3);
+            let now = self.at(self.now);
+            let may_answer = self.is_running(i)
+                && may_lead(self.cancellations_complete_as_of(i), &self.policy, now)
+                && self.snapshots[i].over.contains(&id);
+            if !may_answer || self.rng.u32(0..5) > 0 {
+                continue;
+            }
+            if self.may_confirm(i, &id, now) {
+                self.cancellation_confirmed_at.insert(id.clone(), self.now);
+                self.unconfirmed_cancellations.remove(&id);
+                continue;
+            }
+            for peer in [i, (i + 1) % 3, (i + 2) % 3] {
+                self.notify_of_cancellation(i, peer, &id, now);
+            }
+        }
+    }
+
+    /// Whether a controller confirms a cancellation to its user.
+    fn may_confirm(&mut self, i: usize, id: &Name, now: Instant) -> bool {
+        let snapshot = &mut self.snapshots[i];
+        !self.peer_notices_required
+            || self.defect == InjectedDefect::ConfirmCancellationAtOnce
+            || snapshot.notices.may_confirm(id, &snapshot.cancellations, &self.policy, now)
+    }
+
+    /// A controller notifies a peer of a cancellation, and learns whether a leader has no
+    /// task of the job left; that may be the controller itself.
+    fn notify_of_cancellation(&mut self, i: usize, peer: usize, id: &Name, now: Instant) {
+        let leader = self.controllers[peer].as_ref().filter(|controller| controller.has_lease(self.now));
+        let unchecked = self.defect == InjectedDefect::ReportNoTasksUnchecked;
+        let no_task_left = leader.map_or(unchecked, |leader| leader.cluster.has_no_task_of(id));
+        if peer != i {
+            if !self.is_reachable(i, peer) {
+                return;
+            }
+            let snapshot = &mut self.snapshots[i];
+            let sent = snapshot.notices.for_peer(peer, &snapshot.cancellations, &self.policy, now).cancellations;
+            for notice in &sent {
+                self.record_outcome(peer, &notice.id, JobOutcome::Cancelled, notice.revision);
+            }
+            self.snapshots[i].notices.mark_acknowledged(peer, &sent);
+        }
+        if no_task_left {
+            self.snapshots[i].notices.settle(id);
+        }
     }
 }
--- a/packages/core/src/sim/workers.rs
+++ b/packages/core/src/sim/workers.rs
@@ -1,8 +1,22 @@
 //! Machines with their workers, as the protocol describes them.
 
 use super::*;
-use crate::cluster::raise_token;
 
+/// How long a worker runs without a renewal of its lease.
+pub(super) const WORKER_LEASE: Ms = 30_000;
+/// The time between two heartbeats of a worker.
+const HEARTBEAT_INTERVAL: Ms = 3000;
+/// How long a worker waits for the response to a heartbeat.
+const HEARTBEAT_TIMEOUT: Ms = 4000;
+/// How soon a worker sends a heartbeat after a task has changed.
+const CHANGED_TASK_DELAY: Ms = 500;
+
+/// The zone of a worker, by the worker's index.
+pub(super) fn zone_of(i: usize) -> usize {
+    i % 3
+}
+
+/// How far a task has come on its machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum TaskProgress {
     Pulling { until: Ms },
@@ -11,62 +25,88 @@
     Ended(ExitCause),
 }
 
+impl TaskProgress {
+    /// Whether the task is on its machine: its image is pulled, and it has not ended.
+    pub(super) fn is_active(self) -> bool {
+        matches!(self, TaskProgress::WaitingForGang { .. } | TaskProgress::Running { .. })
+    }
+
+    pub(super) fn has_ended(self) -> bool {
+        matches!(self, TaskProgress::Ended(_))
+    }
+}
+
+/// An attempt of a task.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct WorkerTask {
+    pub(super) attempt: u64,
+    pub(super) progress: TaskProgress,
+}
+
+/// A heartbeat without a response so far.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct PendingHeartbeat {
+    sequence: u64,
+    sent_at: Ms,
+}
+
+/// A machine with its worker.
 pub(super) struct Worker {
     pub(super) name: Name,
     pub(super) zone: Name,
     pub(super) spot: bool,
+    /// Whether the machine exists.
     pub(super) alive: bool,
+    /// Until when nothing runs on the machine.
     pub(super) hung_until: Ms,
-    /// Until when what is sent to it is lost, though its reports arrive.
+    /// Until when what is sent to it is lost, though its heartbeats arrive.
     pub(super) inbound_lost_until: Ms,
-    /// Until when its reports are lost, though what is sent to it arrives.
+    /// Until when its heartbeats are lost, though what is sent to it arrives.
     pub(super) outbound_lost_until: Ms,
+    /// Whether all tasks fail here.
     pub(super) tasks_fail: bool,
+    /// Incremented when its lease has expired.
     pub(super) incarnation: u64,
+    /// The sequence number of its last heartbeat.
     pub(super) sequence: u64,
+    /// The greatest fencing token it has seen.
     pub(super) fencing_token: u64,
-    pub(super) renewed: Ms,
-    pub(super) next: Ms,
-    /// Report in flight: number of it and when it was sent.
-    pub(super) pending_heartbeat: Option<(u64, Ms)>,
-    pub(super) tasks: BTreeMap<Task, (u64, TaskProgress)>,
+    /// When its lease was renewed: the time at which it sent the heartbeat.
+    pub(super) renewed_at: Ms,
+    pub(super) next_heartbeat_at: Ms,
+    pending_heartbeat: Option<PendingHeartbeat>,
+    pub(super) tasks: BTreeMap<Task, WorkerTask>,
 }
 
 impl Worker {
-    pub(super) fn new(i: usize, renewed: Ms, next: Ms) -> Worker {
+    pub(super) fn new(i: usize, renewed_at: Ms, next_heartbeat_at: Ms) -> Worker {
         Worker {
             name: format!("i-{i:06}").into(),
-            zone: format!("z{}", i % 3).into(),
+            zone: format!("z{}", zone_of(i)).into(),
             spot: i % 4 == 3,
             alive: true,
             hung_until: 0,
+            inbound_lost_until: 0,
+            outbound_lost_until: 0,
             tasks_fail: false,
             incarnation: 1,
             sequence: 0,
             fencing_token: 0,
-            renewed,
-            next,
+            renewed_at,
+            next_heartbeat_at,
             pending_heartbeat: None,
-            inbound_lost_until: 0,
-            outbound_lost_until: 0,
             tasks: BTreeMap::new(),
         }
     }
 
+    /// Whether its lease has expired.
+    pub(super) fn has_lost_lease(&self, now: Ms) -> bool {
+        now.saturating_sub(self.renewed_at) > WORKER_LEASE
+    }
+
+    /// The next heartbeat, with the status of all tasks.
     pub(super) fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
-        let one = |(task, (attempt, work)): (&Task, &(u64, TaskProgress))| TaskStatus {
-            task: task.clone(),
-            attempt: *attempt,
-            state: match work {
-                TaskProgress::Pulling { .. } => TaskState::Pulling,
-                TaskProgress::WaitingForGang { .. } => TaskState::WaitingForGang,
-                TaskProgress::Running { .. } => TaskState::Running,
-                TaskProgress::Ended(_) => TaskState::Exited,
-            },
-            cause: if let TaskProgress::Ended(c) = work { Some(*c) } else { None },
-            saved: None,
-        };
         Heartbeat {
             machine: self.name.clone(),
             address: "127.0.0.1:9".into(),
@@ -77,163 +117,152 @@
             sequence: self.sequence,
             fencing_token: self.fencing_token,
             reclaim_in_s: None,
-            tasks: self.tasks.iter().map(one).collect(),
+            tasks: self.tasks.iter().map(|(task, current)| task_status(task, current)).collect(),
+        }
+    }
+
+    /// Sends the next heartbeat soon, as a task has changed.
+    pub(super) fn hasten_heartbeat(&mut self, now: Ms) {
+        self.next_heartbeat_at = self.next_heartbeat_at.min(now + CHANGED_TASK_DELAY);
+    }
+
+    fn stop_task(&mut self, task: &Task, attempt: u64, now: Ms) {
+        let Some(current) = self.tasks.get_mut(task) else { return };
+        if current.attempt == attempt && !current.progress.has_ended() {
+            current.progress = TaskProgress::Ended(ExitCause::StoppedByCommand);
+            self.hasten_heartbeat(now);
+        }
+    }
+
+    fn acknowledge_task(&mut self, task: &Task, attempt: u64) {
+        let is_due = |current: &WorkerTask| current.attempt == attempt && current.progress.has_ended();
+        if self.tasks.get(task).is_some_and(is_due) {
+            self.tasks.remove(task);
         }
     }
 }
 
+fn task_status(task: &Task, current: &WorkerTask) -> TaskStatus {
+    let (state, cause) = match current.progress {
+        TaskProgress::Pulling { .. } => (TaskState::Pulling, None),
+        TaskProgress::WaitingForGang { .. } => (TaskState::WaitingForGang, None),
+        TaskProgress::Running { .. } => (TaskState::Running, None),
+        TaskProgress::Ended(cause) => (TaskState::Exited, Some(cause)),
+    };
+    TaskStatus { task: task.clone(), attempt: current.attempt, state, cause, saved: None }
+}
+
 impl World {
-    pub(super) fn execute_commands(&mut self, i: usize, orders: &[Command]) {
-        for o in orders {
-            match o {
+    /// A worker carries out the commands of its leader.
+    pub(super) fn execute_commands(&mut self, i: usize, commands: &[Command]) {
+        for command in commands {
+            match command {
                 Command::Start { task, attempt } => {
-                    let known = self.workers[i].tasks.get(task);
-                    if known.is_some_and(|(a, _)| a == attempt) {
-                        continue;
-                    }
-                    if known.is_some() {
-                        continue; // busy: the listing shows the other attempt
-                    }
-                    let until = self.now + self.rng.u64(0..30) * STEP;
-                    self.workers[i].tasks.insert(task.clone(), (*attempt, TaskProgress::Pulling { until }));
-                }
-                Command::Stop { task, attempt, .. } => {
-                    let w = &mut self.workers[i];
-                    if let Some((_, work)) =
-                        w.tasks.get_mut(task).filter(|(a, w)| a == attempt && !matches!(w, TaskProgress::Ended(_)))
-                    {
-                        *work = TaskProgress::Ended(ExitCause::StoppedByCommand);
-                        w.next = w.next.min(self.now + 500);
-                    }
-                }
-                Command::Acknowledge { task, attempt } => {
-                    let w = &mut self.workers[i];
-                    if w.tasks.get(task).is_some_and(|(a, w)| a == attempt && matches!(w, TaskProgress::Ended(_))) {
-                        w.tasks.remove(task);
+                    // of a task that is there already, the heartbeat shows the attempt
+                    if !self.workers[i].tasks.contains_key(task) {
+                        let progress = TaskProgress::Pulling { until: self.now + self.rng.u64(0..30) * STEP };
+                        self.workers[i].tasks.insert(task.clone(), WorkerTask { attempt: *attempt, progress });
                     }
                 }
+                Command::Stop { task, attempt, .. } => self.workers[i].stop_task(task, *attempt, self.now),
+                Command::Acknowledge { task, attempt } => self.workers[i].acknowledge_task(task, *attempt),
             }
         }
     }
 
-    #[expect(clippy::too_many_lines, reason = "longer than the limit since before it; to be divided")]
+    /// A step of each machine that is up.
     pub(super) fn step_workers(&mut self) {
         for i in 0..self.workers.len() {
-            if !self.workers[i].alive || self.now < self.workers[i].hung_until {
-                continue;
-            }
-            let cut = self.now < self.zone_partitioned_until[i % 3];
-            if cut && self.zone_without_controller != Some(i % 3) && self.may_renew_zone(i % 3) {
-                let w = &mut self.workers[i];
-                (w.renewed, w.pending_heartbeat) = (self.now, None);
-                if self.peer_notices_required && self.now.is_multiple_of(3000) {
-                    w.fencing_token = raise_token(w.fencing_token);
-                }
-                let over = |t: &Task| self.snapshots[i % 3].over.contains(&t.job);
-                for (_, work) in w.tasks.iter_mut().filter(|(t, _)| over(t)).map(|(_, v)| v) {
-                    if !matches!(work, TaskProgress::Ended(_)) {
-                        *work = TaskProgress::Ended(ExitCause::StoppedByCommand);
-                    }
-                }
-            }
-            let lease = 30_000;
-            if self.now.saturating_sub(self.workers[i].renewed) > lease {
-                let w = &mut self.workers[i];
-                w.tasks.clear();
-                w.incarnation += 1;
-                w.renewed = self.now;
-                w.pending_heartbeat = None;
+            if self.workers[i].alive && self.now >= self.workers[i].hung_until {
+                self.step_worker(i);
             }
-            let tasks: Vec<Task> = self.workers[i].tasks.keys().cloned().collect();
-            for task in tasks {
-                let Some((attempt, work)) = self.workers[i].tasks.get(&task).copied() else { continue };
-                let Some((spec, _)) = self.jobs.get(&task.job).cloned() else { continue };
-                let next = match work {
-                    TaskProgress::Pulling { until } if until <= self.now => {
-                        self.check_task_start(i, &task, &spec);
-                        if self.workers[i].tasks_fail || self.faulty_jobs.contains(&task.job) {
-                            TaskProgress::Ended(ExitCause::Failed)
-                        } else if self.task_finished_at.contains_key(&task) {
-                            TaskProgress::Ended(ExitCause::Completed)
-                        } else if spec.shape == Shape::Gang {
-                            TaskProgress::WaitingForGang { since: self.now }
-                        } else {
-                            TaskProgress::Running { until: self.now + self.running_time(&spec) }
-                        }
-                    }
-                    TaskProgress::WaitingForGang { since } => {
-                        let mates = self
-                            .workers
-                            .iter()
-                            .flat_map(|w| &w.tasks)
-                            .filter(|(t, (a, w))| {
-                                t.job == task.job
-                                    && *a == attempt
-                                    && matches!(w, TaskProgress::WaitingForGang { .. } | TaskProgress::Running { .. })
-                            })
-                            .count();
-                        if mates as u32 >= spec.tasks {
-                            TaskProgress::Running { until: since / 10_000 * 10_000 + 40_000 }
-                        } else if self.now - since > 20_000 {
-                            TaskProgress::Ended(ExitCause::GangTimeout)
-                        } else {
-                            work
-                        }
-                    }
-                    TaskProgress::Running { until } if until <= self.now && spec.shape != Shape::Service => {
-                        self.task_finished_at.insert(task.clone(), self.now);
-                        if spec.shape == Shape::Gang {
-                            for index in 0..spec.tasks {
-                                self.task_finished_at.entry(Task { job: task.job.clone(), index }).or_insert(self.now);
-                            }
-                        }
-                        let done = |index| self.task_finished_at.contains_key(&Task { job: task.job.clone(), index });
-                        if (0..spec.tasks).all(done) {
-                            self.completing_jobs.push(task.job.clone());
-                        }
-                        TaskProgress::Ended(ExitCause::Completed)
-                    }
-                    w => w,
-                };
-                if next != work {
-                    let w = &mut self.workers[i];
-                    w.next = w.next.min(self.now + 500);
-                    w.tasks.insert(task, (attempt, next));
-                }
-            }
-            let given_up = self.workers[i].pending_heartbeat.is_some_and(|(_, sent)| self.now - sent > 4000);
-            if given_up {
-                self.workers[i].pending_heartbeat = None;
-            }
-            if self.workers[i].pending_heartbeat.is_none() && self.workers[i].next <= self.now && !cut {
-                let leads = |c: &Option<Controller>| c.as_ref().is_some_and(|c| self.now < c.until);
-                // where nobody leads it goes from one to the next
-                let to = self.controllers.iter().position(leads).or(Some(self.rng.usize(0..3)));
-                let w = &mut self.workers[i];
-                w.next = self.now + 3000;
-                let heartbeat = w.heartbeat();
-                w.pending_heartbeat = Some((heartbeat.sequence, self.now));
-                if self.now < w.outbound_lost_until {
-                    continue; // it is lost, and given up
-                }
-                // several may believe that they lead: any of them may be asked
-                // ... and where reports are forwarded a worker mostly stays with one of them
-                let stays = self.forwards_heartbeats && self.rng.u32(0..8) > 0;
-                let to = match self.rng.u32(0..8) {
-                    _ if stays => i / 3 % 3,
-                    0 => self.rng.usize(0..3),
-                    _ => to.unwrap_or(0),
-                };
-                self.send(Message::Heartbeat { to, number: heartbeat.sequence, heartbeat });
+        }
+    }
+
+    fn step_worker(&mut self, i: usize) {
+        let zone = zone_of(i);
+        if self.is_partitioned(zone) && self.may_renew_zone(zone) {
+            self.renew_in_partition(i);
+        }
+        if self.workers[i].has_lost_lease(self.now) {
+            self.expire_worker_lease(i);
+        }
+        self.advance_tasks(i);
+        let now = self.now;
+        let worker = &mut self.workers[i];
+        worker.pending_heartbeat.take_if(|heartbeat| now - heartbeat.sent_at > HEARTBEAT_TIMEOUT);
+        let is_due = worker.pending_heartbeat.is_none() && worker.next_heartbeat_at <= now;
+        if is_due && now >= self.faults.zone_partitioned_until[zone] {
+            self.send_heartbeat(i);
+        }
+    }
+
+    /// The controller in a zone that is cut off renews a worker's lease, and stops tasks of
+    /// jobs that it knows to be over.
+    fn renew_in_partition(&mut self, i: usize) {
+        let over = &self.snapshots[zone_of(i)].over;
+        let worker = &mut self.workers[i];
+        worker.renewed_at = self.now;
+        worker.pending_heartbeat = None;
+        if self.peer_notices_required && self.now.is_multiple_of(3000) {
+            worker.fencing_token = crate::cluster::raise_token(worker.fencing_token);
+        }
+        for (_, current) in worker.tasks.iter_mut().filter(|(task, _)| over.contains(&task.job)) {
+            if !current.progress.has_ended() {
+                current.progress = TaskProgress::Ended(ExitCause::StoppedByCommand);
             }
         }
     }
 
-    pub(super) fn running_time(&mut self, spec: &JobSpec) -> Ms {
-        if spec.shape == Shape::Service {
-            Ms::MAX / 2
-        } else {
-            self.rng.u64(20..250) * STEP
+    /// A worker whose lease has expired ends all tasks, and begins anew.
+    fn expire_worker_lease(&mut self, i: usize) {
+        let worker = &mut self.workers[i];
+        worker.tasks.clear();
+        worker.incarnation += 1;
+        worker.renewed_at = self.now;
+        worker.pending_heartbeat = None;
+    }
+
+    /// Sends a heartbeat to a controller that believes that it leads, or to any.
+    fn send_heartbeat(&mut self, i: usize) {
+        let any = self.rng.usize(0..3);
+        let leader = (0..3).find(|controller| self.has_lease(*controller)).unwrap_or(any);
+        let worker = &mut self.workers[i];
+        worker.next_heartbeat_at = self.now + HEARTBEAT_INTERVAL;
+        let heartbeat = worker.heartbeat();
+        worker.pending_heartbeat = Some(PendingHeartbeat { sequence: heartbeat.sequence, sent_at: self.now });
+        if self.now < worker.outbound_lost_until {
+            return;
+        }
+        // where heartbeats are forwarded a worker mostly keeps to one controller; elsewhere
+        // several may believe that they lead, and any of them may be asked
+        let keeps_to_one = self.forwards_heartbeats && self.rng.u32(0..8) > 0;
+        let to = match self.rng.u32(0..8) {
+            _ if keeps_to_one => i / 3 % 3,
+            0 => self.rng.usize(0..3),
+            _ => leader,
+        };
+        self.send(Message::Heartbeat { to, request: heartbeat.sequence, heartbeat });
+    }
+
+    /// A worker gets the response to a heartbeat, unless it is late or fenced off.
+    pub(super) fn receive_heartbeat_response(
+        &mut self,
+        i: usize,
+        request: u64,
+        incarnation: u64,
+        answer: &HeartbeatReply,
+    ) {
+        let worker = &mut self.workers[i];
+        let Some(pending) = worker.pending_heartbeat.filter(|heartbeat| heartbeat.sequence == request) else { return };
+        let is_up = worker.alive && self.now >= worker.hung_until.max(worker.inbound_lost_until);
+        let is_current = worker.incarnation == incarnation && answer.fencing_token >= worker.fencing_token;
+        if !is_up || !is_current || self.now - pending.sent_at > HEARTBEAT_TIMEOUT {
+            return;
         }
+        worker.pending_heartbeat = None;
+        worker.fencing_token = answer.fencing_token;
+        worker.renewed_at = worker.renewed_at.max(pending.sent_at);
+        self.execute_commands(i, &answer.commands);
     }
 }
--- a/packages/core/src/sim/world.rs
+++ b/packages/core/src/sim/world.rs
@@ -1,99 +1,95 @@
 //! The state of the simulated world.
 
+use std::collections::{BTreeSet, HashSet, VecDeque};
+
 use super::*;
 
+/// What each team used and what was free on each worker, at one moment.
+pub(super) struct CapacitySample {
+    pub(super) used_by_team: HashMap<Name, f64>,
+    /// Cores, by index of the worker.
+    pub(super) free_on_worker: Vec<f64>,
+}
+
+/// Counters which show that a run had something to check.
+#[derive(Debug, Clone, Copy, Default)]
+pub(super) struct Statistics {
+    pub(super) elections: u32,
+    /// Elections that a controller won while the key of its earlier incarnation was stored.
+    pub(super) reelections: u32,
+    /// Forwarded heartbeats that were accepted without their content.
+    pub(super) unchanged_forwarded: u32,
+    /// Tasks that started after the cancellation of their job was confirmed.
+    pub(super) starts_after_cancellation: u32,
+}
+
+/// A run of the simulation.  Arrays are by index of the controller.
 pub(super) struct World {
     pub(super) rng: fastrand::Rng,
-    pub(super) t0: Instant,
+    pub(super) started_at: Instant,
+    /// Time since the start.
     pub(super) now: Ms,
+    pub(super) defect: InjectedDefect,
     pub(super) policy: Arc<Policy>,
     pub(super) teams: HashMap<Name, TeamLimit>,
+    /// Machines that are kept up.
+    pub(super) scale: usize,
+    /// Cores that each team may use.
+    pub(super) quota: f64,
+    pub(super) limits: TxnLimits,
+    /// What a value may hold by the state service's limit.
+    pub(super) max_value_bytes: usize,
+    /// When controllers began to keep to lower limits.
+    pub(super) limits_lowered_at: Ms,
+    /// Whether heartbeats reach the leader by way of the other controllers.
+    pub(super) forwards_heartbeats: bool,
+    /// Whether cancellations are confirmed to users only when all controllers know of
+    /// them; see `feature_gate`.
+    pub(super) peer_notices_required: bool,
+    /// A zone without a controller inside: when it is cut off, leases of its workers expire.
+    pub(super) zone_without_controller: Option<usize>,
+
     pub(super) state_store: StateStore,
     pub(super) workers: Vec<Worker>,
-    pub(super) controllers: Vec<Option<Controller>>,
-    /// Who stands for leader, and waits for an answer.
+    /// Machine lists of the last seconds: the cloud may answer with any of them.
+    pub(super) machine_lists: Vec<Vec<ListedMachine>>,
+    pub(super) controllers: [Option<Controller>; 3],
+    /// Candidates for leader that wait for a response.
     pub(super) candidates: [Option<Candidate>; 3],
-    /// Elections that were carried out, and takings-over of an earlier incarnation's key.
-    pub(super) elections: (u32, u32),
-    pub(super) down_until: Vec<Ms>,
-    /// When controllers end once more; `CURRENT_LEADER`: whoever leads then.
-    pub(super) scheduled_crashes: Vec<(Ms, usize)>,
-    /// Copies of reports that are kept for the next leader.
+    /// What each process knows of outcomes, whether it leads or not.
+    pub(super) snapshots: [OutcomeSnapshot; 3],
+    /// What each controller has had the leader accept.
+    pub(super) forwarding: [HeartbeatForwarding; 3],
+    /// Copies of heartbeats that are delivered again to the next leader.
     pub(super) replayed_heartbeats: Vec<Heartbeat>,
-    /// Until when one-task jobs come five a second, a little faster than the users', and until when jobs are cancelled as
-    /// their last tasks end.
-    pub(super) submission_burst_until: Ms,
-    pub(super) cancel_on_completion_until: Ms,
+    pub(super) faults: FaultSchedule,
+    pub(super) in_flight: BTreeMap<DeliveryKey, Message>,
+    pub(super) last_sequence: u64,
+    pub(super) last_incarnation: u64,
+
+    pub(super) jobs: BTreeMap<Name, SubmittedJob>,
+    /// Jobs submitted with a mistake: their tasks fail.
+    pub(super) faulty_jobs: HashSet<Name>,
     /// Jobs whose last task has ended just now.
     pub(super) completing_jobs: Vec<Name>,
-    /// Since when each job has waited though there is room for it.
-    pub(super) unplaced_since: HashMap<Name, Ms>,
-    /// What the teams used and what was free on each machine, second by second.
-    pub(super) capacity_samples: std::collections::VecDeque<(HashMap<Name, f64>, Vec<f64>)>,
-    /// Starts after a confirmed cancellation.
-    pub(super) starts_after_cancellation: u32,
-    pub(super) lease_renewal_blocked_until: Vec<Ms>,
-    pub(super) state_store_outage_until: Ms,
-    /// Until when the state service refuses each controller alone.
-    pub(super) state_store_refuses_until: [Ms; 3],
-    /// Until when the cloud's interface is down.
-    pub(super) cloud_outage_until: Ms,
-    /// Until when each controller does not reach the others.
-    pub(super) peers_unreachable_until: [Ms; 3],
-    /// What each process knows of ends, leader or not.
-    pub(super) snapshots: [OutcomeSnapshot; 3],
-    /// Reports reach the leader by way of the others.
-    pub(super) forwards_heartbeats: bool,
-    /// What each controller has had the leader take, and how many reports were short.
-    pub(super) forwarding: [HeartbeatForwarding; 3],
-    pub(super) unchanged_forwarded: u32,
-    /// Until when each controller stands still while its clocks run on: what
-    /// is sent to it waits, and what it was about to send leaves as it wakes.
-    pub(super) paused_until: [Ms; 3],
-    /// Who stands still at its next step, between its check and its sends, and
-    /// for how long.
-    pub(super) next_pause: Option<(usize, Ms)>,
-    /// Until when each controller and the workers do not reach one another.
-    pub(super) workers_unreachable_until: [Ms; 3],
-    /// Lists of the last seconds: what the cloud tells may be any of them.
-    pub(super) machine_lists: Vec<Vec<ListedMachine>>,
-    /// Jobs submitted with a mistake.
-    pub(super) faulty_jobs: std::collections::HashSet<Name>,
-    /// Until when each zone is cut off.  A controller inside renews the
-    /// leases of its workers.
-    pub(super) zone_partitioned_until: [Ms; 3],
-    /// A zone without a controller inside: cut off, its leases run out.
-    pub(super) zone_without_controller: Option<usize>,
-    pub(super) jobs: BTreeMap<Name, (Arc<JobSpec>, u64)>,
-    /// Since when a leader has acted and was served without a break.
-    pub(super) led_since: Ms,
-    /// When each job's end was stored.
-    pub(super) outcome_stored_at: HashMap<Name, Ms>,
-    /// When each was submitted.
     pub(super) submitted_at: HashMap<Name, Ms>,
-    /// All tell users of cancellations only when all know; see `gate::TOLD`.
-    pub(super) peer_notices_required: bool,
-    /// Jobs that users have withdrawn and were not told of yet.
-    pub(super) unconfirmed_cancellations: std::collections::BTreeSet<Name>,
-    /// When users were told of cancellations.
-    pub(super) cancellation_confirmed_at: HashMap<Name, Ms>,
     pub(super) task_finished_at: HashMap<Task, Ms>,
-    pub(super) in_flight: BTreeMap<(Ms, u64), Message>,
-    pub(super) last_sequence: u64,
-    pub(super) last_incarnation: u64,
-    pub(super) term: u64,
-    pub(super) defect: InjectedDefect,
-    /// Machines that are kept up, and cores that a team may use.
-    pub(super) scale: usize,
-    pub(super) quota: f64,
-    /// Steps between two troubles, on average.
-    pub(super) steps_between_faults: u32,
-    pub(super) limits: TxnLimits,
-    /// What a value may lease from some moment on, and since when controllers
-    /// keep to it.
-    pub(super) max_value_bytes: usize,
-    pub(super) limits_lowered_at: Ms,
+    /// When each job's outcome was stored.
+    pub(super) outcome_stored_at: HashMap<Name, Ms>,
+    /// Cancellations that are stored and not confirmed to their users yet.
+    pub(super) unconfirmed_cancellations: BTreeSet<Name>,
+    pub(super) cancellation_confirmed_at: HashMap<Name, Ms>,
+
     pub(super) violations: Vec<String>,
+    pub(super) statistics: Statistics,
+    /// The greatest term so far.
+    pub(super) term: u64,
+    /// Since when a leader has acted and was served without a break.
+    pub(super) led_since: Ms,
+    /// Since when each job has waited though there is room for it.
+    pub(super) unplaced_since: HashMap<Name, Ms>,
+    /// One sample a second, in a calm.
+    pub(super) capacity_samples: VecDeque<CapacitySample>,
 }
 
 impl World {
@@ -102,6 +98,7 @@
         World::with_scale(9, seed, defect)
     }
 
+    /// A world of a given number of machines.
     pub(super) fn with_scale(scale: usize, seed: u64, defect: InjectedDefect) -> World {
         let config = Config::parse("sim", SETTINGS).expect("settings of the simulation");
         let quota = 20.0 * (scale as f64 / 9.0).round();
@@ -111,69 +108,60 @@
         let workers = (0..scale).map(|i| Worker::new(i, 0, rng.u64(0..3000))).collect();
         World {
             rng,
-            t0: Instant::now(),
+            started_at: Instant::now(),
             now: 0,
+            defect,
             policy: Arc::new(Policy::new(&config).expect("the default policy")),
             teams: HashMap::from([("x".into(), limit), ("y".into(), limit)]),
+            scale,
+            quota,
+            limits: limits(scale),
+            max_value_bytes: usize::MAX,
+            limits_lowered_at: Ms::MAX,
+            forwards_heartbeats: seed % 3 == 2,
+            peer_notices_required: !seed.is_multiple_of(4),
+            zone_without_controller: seed.is_multiple_of(2).then_some(2),
             state_store: StateStore::default(),
             workers,
-            controllers: vec![None, None, None],
+            machine_lists: Vec::new(),
+            controllers: [None, None, None],
             candidates: [None; 3],
-            elections: (0, 0),
-            down_until: vec![0; 3],
-            scheduled_crashes: Vec::new(),
-            replayed_heartbeats: Vec::new(),
-            submission_burst_until: 0,
-            cancel_on_completion_until: 0,
-            completing_jobs: Vec::new(),
-            unplaced_since: HashMap::new(),
-            capacity_samples: Default::default(),
-            starts_after_cancellation: 0,
-            lease_renewal_blocked_until: vec![0; 3],
-            state_store_outage_until: 0,
-            state_store_refuses_until: [0; 3],
-            cloud_outage_until: 0,
-            peers_unreachable_until: [0; 3],
-            snapshots: [OutcomeSnapshot::new(1), OutcomeSnapshot::new(2), OutcomeSnapshot::new(3)],
-            forwards_heartbeats: seed % 3 == 2,
+            snapshots: [1, 2, 3].map(OutcomeSnapshot::new),
             forwarding: Default::default(),
-            unchanged_forwarded: 0,
-            paused_until: [0; 3],
-            next_pause: None,
-            workers_unreachable_until: [0; 3],
-            machine_lists: Vec::new(),
-            faulty_jobs: std::collections::HashSet::new(),
-            zone_partitioned_until: [0; 3],
-            zone_without_controller: seed.is_multiple_of(2).then_some(2),
-            jobs: BTreeMap::new(),
-            led_since: 0,
-            outcome_stored_at: HashMap::new(),
-            submitted_at: HashMap::new(),
-            peer_notices_required: !seed.is_multiple_of(4),
-            unconfirmed_cancellations: Default::default(),
-            cancellation_confirmed_at: HashMap::new(),
-            task_finished_at: HashMap::new(),
+            replayed_heartbeats: Vec::new(),
+            faults: FaultSchedule::new(if scale > 100 { 30 } else { 100 }),
             in_flight: BTreeMap::new(),
             last_sequence: 0,
             last_incarnation: 3,
-            term: 0,
-            defect,
-            scale,
-            quota,
-            steps_between_faults: if scale > 100 { 30 } else { 100 },
-            limits: TxnLimits {
-                writes: 8.max(scale / 40),
-                preconditions: 32.max(scale / 10),
-                shard_bytes: 4096.max(scale * 15),
-                value_bytes: 4096.max(scale * 15),
-            },
-            max_value_bytes: usize::MAX,
-            limits_lowered_at: Ms::MAX,
+            jobs: BTreeMap::new(),
+            faulty_jobs: HashSet::new(),
+            completing_jobs: Vec::new(),
+            submitted_at: HashMap::new(),
+            task_finished_at: HashMap::new(),
+            outcome_stored_at: HashMap::new(),
+            unconfirmed_cancellations: BTreeSet::new(),
+            cancellation_confirmed_at: HashMap::new(),
             violations: Vec::new(),
+            statistics: Statistics::default(),
+            term: 0,
+            led_since: 0,
+            unplaced_since: HashMap::new(),
+            capacity_samples: VecDeque::new(),
         }
     }
 
-    pub(super) fn at(&self, t: Ms) -> Instant {
-        self.t0 + Duration::from_millis(t)
+    /// The moment of a simulated time.
+    pub(super) fn at(&self, time: Ms) -> Instant {
+        self.started_at + Duration::from_millis(time)
+    }
+}
+
+/// Limits of a transaction that are reached in a world of a given scale.
+fn limits(scale: usize) -> TxnLimits {
+    TxnLimits {
+        writes: 8.max(scale / 40),
+        preconditions: 32.max(scale / 10),
+        shard_bytes: 4096.max(scale * 15),
+        value_bytes: 4096.max(scale * 15),
     }
 }
