--- a/src/run.rs
+++ b/src/run.rs
@@ -1,78 +1,124 @@
-//! A controller from its start: the one place that drives all slices.
+//! Starts a controller and runs all of its parts.
 
+use std::convert::Infallible;
+use std::future::Future;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use futures_lite::future::or;
 use smol::net::TcpListener;
+use smol::Task;
 
 use crate::config::Config;
 use crate::controller::Controller;
 use crate::http::{serve, ServerLimits};
 use crate::policy::Policy;
 use crate::runtime::executor::PriorityExecutor;
+use crate::state_store::initial_read::UnsupportedLayout;
 
-/// Runs a controller on this thread.
+/// File descriptors kept free for the state store, the cloud, peers and files.
+const RESERVED_FILE_DESCRIPTORS: usize = 64;
+
+/// The server accepts at least so many connections, whatever the limit of file descriptors.
+const MIN_CONNECTIONS: usize = 16;
+
+/// Why a controller ends.
+#[derive(Debug, thiserror::Error)]
+enum RunError {
+    #[error(transparent)]
+    UnsupportedLayout(#[from] UnsupportedLayout),
+    #[error("the listener failed")]
+    ListenerFailed,
+}
+
+/// Runs a controller on this thread; returns only with an error.
 pub fn run(config: Config, policy: Policy) -> std::io::Result<()> {
-    let turns = PriorityExecutor::default();
-    // sockets are left for the state service, the cloud and siblings, and for
-    // direct commands to workers
-    let most = config.deployment.quota.fd_limit;
-    let connections = most.saturating_sub(64 + policy.direct_calls).max(16);
-    let limits = ServerLimits {
+    let executor = PriorityExecutor::default();
+    let limits = server_limits(&config, &policy);
+    let (bind, peer_bind) = (config.bind, config.peer_bind);
+    let controller = Arc::new(Controller::new(config, policy, Instant::now()));
+    let main = run_controller(executor.clone(), controller, limits, bind, peer_bind);
+    smol::block_on(executor.run(main))
+}
+
+/// The limits of the server for users and workers.
+fn server_limits(config: &Config, policy: &Policy) -> ServerLimits {
+    let reserved = RESERVED_FILE_DESCRIPTORS + policy.direct_calls;
+    let connections = config.deployment.quota.fd_limit.saturating_sub(reserved).max(MIN_CONNECTIONS);
+    ServerLimits {
         connections,
         scarce: (connections as f64 * policy.scarce_share) as usize,
         idle: policy.connection_idle,
         arrive: Duration::from_secs(10),
-        // the most patient are users that submit
+        // users that submit wait longest
         answer: Duration::from_secs(5),
+    }
+}
+
+/// Runs a controller until the watch or the server ends.
+async fn run_controller(
+    executor: PriorityExecutor,
+    controller: Arc<Controller>,
+    limits: ServerLimits,
+    bind: SocketAddr,
+    peer_bind: SocketAddr,
+) -> std::io::Result<()> {
+    let listener = TcpListener::bind(bind).await?;
+    tracing::info!(controller = controller.config.name, address = %bind, "listening");
+    let peer_listener = TcpListener::bind(peer_bind).await?;
+    let watch = spawn_control_loops(&executor, &controller, peer_listener);
+    let requests = executor.requests.clone();
+    let measured = controller.clone();
+    let measurement = async move { measured.scheduling_delay.measure(measured.policy.pass_gap * 2).await };
+    requests.spawn(measurement).detach();
+    let handler = Rc::new(move |request| controller.clone().handle_request(request));
+    let serving = serve(requests.clone(), listener, limits, handler);
+    let server = requests.spawn(async move {
+        serving.await;
+        RunError::ListenerFailed
+    });
+    let watch_error = async {
+        match watch.await {
+            Ok(never) => match never {},
+            Err(error) => RunError::from(error),
+        }
     };
-    let (bind, peer_bind) = (config.bind, config.peer_bind);
-    let node = Arc::new(Controller::new(config, policy, Instant::now()));
-    let requests = turns.requests.clone();
-    smol::block_on(turns.clone().run(async {
-        let listener = TcpListener::bind(bind).await?;
-        tracing::info!("{} listens on {bind}", node.config.name);
-        let peers = TcpListener::bind(peer_bind).await?;
-        turns.spawn_control(node.clone().serve_peers(peers));
-        let (n, e) = (node.clone(), turns.control.clone());
-        turns.spawn_control(async move { n.run_peer_connections(|w| e.spawn(w).detach()).await });
-        let n = node.clone();
-        turns.spawn_control(async move { n.run_peer_polling().await });
-        let n = node.clone();
-        turns.spawn_control(async move { n.run_cancellation_notices().await });
-        let n = node.clone();
-        turns.spawn_control(async move { n.publish_features().await });
-        let n = node.clone();
-        turns.spawn_control(async move { n.run_stall_detector().await });
-        let n = node.clone();
-        let watch = turns.control.spawn(async move { n.run_watch().await });
-        let watch = async {
-            match watch.await {
-                Ok(never) => match never {},
-                Err(error) => error.to_string(),
-            }
-        };
-        let n = node.clone();
-        turns.spawn_control(async move { n.run_elections().await });
-        let n = node.clone();
-        turns.spawn_control(async move { n.run_submissions().await });
-        let n = node.clone();
-        turns.spawn_control(async move { n.run_confirmations().await });
-        let n = node.clone();
-        turns.spawn_control(async move { n.run_lookups().await });
-        let n = node.clone();
-        turns.spawn_control(async move { n.run_heartbeat_forwarding().await });
-        turns.spawn_control(node.clone().run_initial_type_fetch());
-        let n = node.clone();
-        requests.spawn(async move { n.scheduling_delay.measure(n.policy.pass_gap * 2).await }).detach();
-        let handler = Rc::new(move |r| node.clone().handle_request(r));
-        let serving = serve(requests.clone(), listener, limits, handler);
-        let served = requests.spawn(async move {
-            serving.await;
-            "the listener failed".to_owned()
-        });
-        let why = futures_lite::future::or(watch, served).await;
-        Err(std::io::Error::other(why))
-    }))
+    Err(std::io::Error::other(or(watch_error, server).await))
+}
+
+/// Spawns the loops of the controller with control priority; returns the watch, which ends if
+/// the store cannot be used.  The others run until the executor is dropped.
+fn spawn_control_loops(
+    executor: &PriorityExecutor,
+    controller: &Arc<Controller>,
+    peer_listener: TcpListener,
+) -> Task<Result<Infallible, UnsupportedLayout>> {
+    executor.spawn_control(controller.clone().serve_peers(peer_listener));
+    let connections = executor.control.clone();
+    spawn_loop(executor, controller, |c| async move {
+        c.run_peer_connections(|connection| connections.spawn(connection).detach()).await;
+    });
+    spawn_loop(executor, controller, |c| async move { c.run_peer_polling().await });
+    spawn_loop(executor, controller, |c| async move { c.run_cancellation_notices().await });
+    spawn_loop(executor, controller, |c| async move { c.publish_features().await });
+    spawn_loop(executor, controller, |c| async move { c.run_stall_detector().await });
+    let watching = controller.clone();
+    let watch = executor.control.spawn(async move { watching.run_watch().await });
+    spawn_loop(executor, controller, |c| async move { c.run_elections().await });
+    spawn_loop(executor, controller, |c| async move { c.run_submissions().await });
+    spawn_loop(executor, controller, |c| async move { c.run_confirmations().await });
+    spawn_loop(executor, controller, |c| async move { c.run_lookups().await });
+    spawn_loop(executor, controller, |c| async move { c.run_heartbeat_forwarding().await });
+    spawn_loop(executor, controller, Controller::run_initial_type_fetch);
+    watch
+}
+
+/// Spawns one loop of the controller with control priority.
+fn spawn_loop<F>(executor: &PriorityExecutor, controller: &Arc<Controller>, run: impl FnOnce(Arc<Controller>) -> F)
+where
+    F: Future<Output = ()> + 'static,
+{
+    executor.spawn_control(run(controller.clone()));
 }
--- a/src/runtime/executor.rs
+++ b/src/runtime/executor.rs
@@ -1,95 +1,68 @@
-//! Whose turn it is on the controller's one thread: duties before requests.
+//! The executor of the controller's one thread: control tasks before requests.
 //!
-//! All tasks in one queue mean that each step of a renewal waits for a round of
-//! every connection.  Seen with four thousand workers after a restart: rounds of
-//! a second or more, a lease lost that no fault explains, and the next leader
-//! begins with the same flood.  So a leader's duties have a queue of their own,
-//! which is empty before a request gets its turn.  Duties are few, and bound
-//! themselves (`pass_share`, `plan_share`, the store's budget); requests are as
-//! many as come.
+//! With all tasks in one queue, each step of a lease renewal waits for a round of every
+//! connection.  Seen with four thousand workers after a restart: rounds of a second or more, a
+//! lease lost without any fault, and the next leader begins with the same flood.  So control
+//! tasks have a queue of their own, which is emptied before a request is run.  Control tasks are
+//! few and limit themselves (`pass_share`, `plan_share`, the store's rate limits); the number of
+//! requests is not limited.
 //!
-//! Must not know what is run.
+//! The executor must not depend on what it runs.
 
 use std::future::Future;
 use std::rc::Rc;
-use std::sync::atomic::{AtomicU64, Ordering};
-use std::time::{Duration, Instant};
 
 use futures_lite::future::{or, yield_now};
 use smol::LocalExecutor;
 
-/// Requests in a row before the reactor is asked what else has come: an event
-/// for a duty waits no longer than these take.
-const REQUESTS_IN_A_ROW: usize = 48;
+/// Requests that run before the reactor is polled: an event for a control task waits no longer
+/// than these take.
+const REQUESTS_PER_POLL: usize = 48;
 
-/// How long a request waits for its turn: what a timer among them comes late.
-/// It tells of too much work from any cause, and needs no estimate of costs; what
-/// can wait goes by it.
-#[derive(Debug, Default)]
-pub struct SchedulingDelay(AtomicU64);
-
-impl SchedulingDelay {
-    /// How long requests have lately waited.
-    pub fn now(&self) -> Duration {
-        Duration::from_micros(self.0.load(Ordering::Relaxed))
-    }
-
-    /// A timer came so late.  What was seen before fades by half.
-    fn record(&self, late: Duration) {
-        let late = u64::try_from(late.as_micros()).unwrap_or(u64::MAX);
-        self.0.store(late.max(self.0.load(Ordering::Relaxed) / 2), Ordering::Relaxed);
-    }
-
-    /// Measures, as one of the requests, for as long as it is run.
-    pub async fn measure(&self, every: Duration) {
-        loop {
-            let due = Instant::now() + every;
-            smol::Timer::at(due).await;
-            self.record(due.elapsed());
-        }
-    }
-}
-
-/// The two queues.
+/// A single-threaded executor with two priorities.
 #[derive(Clone, Default)]
 pub struct PriorityExecutor {
-    /// Leadership, the store, the queue, the fleet, siblings: what all requests
-    /// hang on.
+    /// Leadership, the state store, placement, the fleet and peers: what all requests depend on.
     pub control: Rc<LocalExecutor<'static>>,
     /// Connections of users and workers.
     pub requests: Rc<LocalExecutor<'static>>,
 }
 
 impl PriorityExecutor {
-    /// Runs a duty of its own.
+    /// Spawns a control task; it runs until it ends or the executor is dropped.
     pub fn spawn_control(&self, work: impl Future<Output = ()> + 'static) {
         self.control.spawn(work).detach();
     }
 
-    /// Runs everything until `main` comes to its end.
+    /// Runs all tasks until `main` ends.
     pub async fn run<T>(&self, main: impl Future<Output = T>) -> T {
-        let rounds = async {
+        let tasks = async {
             loop {
                 self.run_ready_control_tasks();
-                let mut some = false;
-                for _ in 0..REQUESTS_IN_A_ROW {
-                    if !self.requests.try_tick() {
-                        break;
-                    }
-                    some = true;
-                    self.run_ready_control_tasks();
-                }
-                if some {
+                if self.run_ready_requests() {
                     yield_now().await;
                 } else {
                     or(self.control.tick(), self.requests.tick()).await;
                 }
             }
         };
-        or(main, rounds).await
+        or(main, tasks).await
+    }
+
+    /// Runs some ready requests, with the control tasks that become ready in between; whether
+    /// there were any.
+    fn run_ready_requests(&self) -> bool {
+        let mut has_run = false;
+        for _ in 0..REQUESTS_PER_POLL {
+            if !self.requests.try_tick() {
+                break;
+            }
+            has_run = true;
+            self.run_ready_control_tasks();
+        }
+        has_run
     }
 
-    /// Runs duties until none is ready.
     fn run_ready_control_tasks(&self) {
         while self.control.try_tick() {}
     }
--- a/tests/architecture.rs
+++ b/tests/architecture.rs
@@ -10,6 +10,7 @@
     "runtime::executor",
     "runtime::race",
     "runtime::rate_limiter",
+    "runtime::scheduling_delay",
     "state_store::client",
     "operators::telemetry",
     "leadership::lease",
