--- a/src/controller/stall_detector/tests.rs
+++ b/src/controller/stall_detector/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Stalls are told from ordinary gaps, and the time without a stall counts from the end of
+    /// Stalls are distinguished from ordinary gaps, and the time without a stall counts from the end of
     /// the last one.
     #[test]
     fn detects_stalls_from_gaps(gaps_ms in prop::collection::vec(0u64..9000, 1..40)) {
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -48,11 +48,11 @@
         self.lock().is_leader(now)
     }
 
-    /// Stands for election whenever there is no leader, and leads when elected.
+    /// Campaigns for leadership whenever there is no leader, and leads when elected.
     pub async fn run_elections(&self) {
         let mut backoff: Option<StepDownBackoff> = None;
         loop {
-            if !self.may_stand_for_election(backoff) {
+            if !self.may_campaign(backoff) {
                 self.election_wake.wait(self.policy.renew).await;
                 continue;
             }
@@ -69,7 +69,8 @@
         }
     }
 
-    fn may_stand_for_election(&self, backoff: Option<StepDownBackoff>) -> bool {
+    /// Whether the view is current, no other controller leads, and no backoff is active.
+    fn may_campaign(&self, backoff: Option<StepDownBackoff>) -> bool {
         let state = self.lock();
         let backs_off = || backoff.is_some_and(|b| b.is_active(state.last_heartbeat, Instant::now()));
         state.synced
--- a/src/leadership/isolation/tests.rs
+++ b/src/leadership/isolation/tests.rs
@@ -14,7 +14,7 @@
     let (policy, t0) = (policy(), Instant::now());
     let at = |seconds: f64| t0 + Duration::from_secs_f64(seconds);
     let interval = policy.deaf.as_secs_f64() * 2.0;
-    // workers turn to a peer, and do not arrive here
+    // workers contact a peer, and do not arrive here
     let mut contact = WorkerContact::default();
     let lost_at =
         (0..200).map(|n| f64::from(n) * 0.1).find(|s| contact.is_lost(t0, Some(at(*s)), true, &policy, at(*s)));
@@ -36,7 +36,7 @@
         let (policy, mut now) = (policy(), Instant::now());
         let (mut contact, mut last) = (WorkerContact::default(), now);
         for gap in gaps {
-            // a new worker turns to a peer, and arrives here half a second later
+            // a new worker contacts a peer, and arrives here half a second later
             now += Duration::from_secs_f64(gap);
             prop_assert!(!contact.is_lost(last, Some(now), true, &policy, now));
             now += Duration::from_millis(500);
@@ -47,7 +47,7 @@
 }
 
 /// Cut off from the state store and its peers, but reached by workers and users: another
-/// controller leads, and the zone's workers can turn to it.  Once the other zones' workers had
+/// controller leads, and the zone's workers can contact it.  Once the other zones' workers had
 /// gone, such a controller took its whole zone for partitioned.
 #[test]
 fn a_controller_that_users_reach_is_cut_off_alone() {
--- a/src/leadership/step_down.rs
+++ b/src/leadership/step_down.rs
@@ -1,4 +1,4 @@
-//! Why a leader steps down, and when a controller may stand for election again.
+//! Why a leader steps down, and when a controller may campaign for leadership again.
 
 use std::time::{Duration, Instant};
 
@@ -22,8 +22,8 @@
     NoWorkerContact,
 }
 
-/// The time in which a controller that stepped down without worker contact does not stand for
-/// election.
+/// The time in which a controller that stepped down without worker contact does not campaign for
+/// leadership.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct StepDownBackoff {
     started_at: Instant,
@@ -36,7 +36,7 @@
         StepDownBackoff { started_at: now, expires_at: now + limit }
     }
 
-    /// Whether the controller must not stand for election yet.
+    /// Whether the controller must not campaign for leadership yet.
     ///
     /// It waits for a heartbeat received here, or two isolated controllers would pass the lease
     /// to and fro; if no other controller is elected before the limit, it tries again anyway.
