--- /dev/null
+++ b/src/peers/forwarding/inbound.rs
@@ -0,0 +1,99 @@
+//! Batches of workers' heartbeats from other controllers, answered by the leader.
+
+use std::time::Instant;
+
+use coralnotch_core::heartbeat_forwarding::UnchangedHeartbeat;
+
+use crate::controller::Controller;
+use crate::heartbeats::{HeartbeatRoute, ReplyTiming};
+use crate::http::{self, Response};
+use crate::operators::telemetry::count;
+use crate::peers::links::wire;
+use crate::workers::Heartbeat;
+
+impl Controller {
+    /// Takes a batch of reports in, and answers each; none if this controller does not lead.
+    pub(crate) async fn accept_batch(&self, batch: wire::ReportBatch) -> wire::ReportAnswers {
+        let term = {
+            let i = self.lock();
+            // one that still reads the store is waited for
+            match (i.lease, &i.cluster) {
+                (Some(a), Some(_)) if a.term == batch.term => a.term,
+                _ => return wire::ReportAnswers::default(),
+            }
+        };
+        let taken: Vec<Taken> = batch.reports.into_iter().map(|r| self.take_one(r)).collect();
+        let pending = taken.iter().filter_map(|t| match t {
+            Taken::In { report, pending: true } => Some(report),
+            _ => None,
+        });
+        self.wait_for_commit(&pending.collect::<Vec<_>>()).await;
+        let answers = taken.into_iter().map(|t| self.answer_one(t)).collect();
+        wire::ReportAnswers { term, answers }
+    }
+
+    fn take_one(&self, r: wire::Report) -> Taken {
+        count(&self.telemetry.counters.reports);
+        count(&self.telemetry.counters.forwarded);
+        if r.full.is_empty() {
+            return Taken::Answered(self.take_unchanged(r));
+        }
+        let report: Heartbeat = match http::decode(&r.full) {
+            Ok(report) => report,
+            Err(e) => return Taken::Answered(to_answer(&Response::refuse(400, &e.to_string()))),
+        };
+        match self.accept_heartbeat(&report, HeartbeatRoute::Forwarded) {
+            Ok(timing) => Taken::In { report, pending: timing == ReplyTiming::AfterCommit },
+            Err(response) => Taken::Answered(to_answer(&response)),
+        }
+    }
+
+    /// A report without news.
+    fn take_unchanged(&self, r: wire::Report) -> wire::ReportAnswer {
+        let unchanged = UnchangedHeartbeat {
+            machine: r.machine.into(),
+            incarnation: r.session,
+            sequence: r.tally,
+            repeats_sequence: r.after,
+        };
+        let now = Instant::now();
+        let mut i = self.lock();
+        self.detect_stall(&mut i, now);
+        i.last_heartbeat = Some(now);
+        let answer = match self.may_lead(&i, now) {
+            true => i.cluster.as_mut().and_then(|c| c.apply_unchanged(&unchanged, now)),
+            // the whole report is judged as any other
+            false => None,
+        };
+        match answer {
+            Some(a) => wire::ReportAnswer { status: 200, token: a.fencing_token, body: Vec::new() },
+            None => wire::ReportAnswer::default(),
+        }
+    }
+
+    /// The answer to a report that was taken in, by what is known at this moment.
+    fn answer_one(&self, taken: Taken) -> wire::ReportAnswer {
+        match taken {
+            Taken::Answered(a) => a,
+            Taken::In { report, .. } => to_answer(&self.reply_to_heartbeat(&report)),
+        }
+    }
+}
+
+/// A report of a batch, after it was taken in.
+enum Taken {
+    /// Its answer does not wait for anything.
+    Answered(wire::ReportAnswer),
+    /// It is answered once all of the batch is in; `pending`: after the commit.
+    In {
+        /// The report.
+        report: Heartbeat,
+        /// Something on its machine is on its way into the store.
+        pending: bool,
+    },
+}
+
+/// An answer as it goes to the controller that forwarded the report.
+fn to_answer(r: &Response) -> wire::ReportAnswer {
+    wire::ReportAnswer { status: r.status.into(), token: 0, body: r.body.clone() }
+}
--- a/src/peers/forwarding/tests.rs
+++ b/src/peers/forwarding/tests.rs
@@ -1,9 +1,13 @@
-use super::*;
+use std::time::{Duration, Instant};
+
 use crate::cluster::Cluster;
 use crate::config::Config;
-use crate::controller::ObservedLeader;
+use crate::controller::{Controller, ObservedLeader};
+use crate::http;
 use crate::leadership::lease::{LeaderLease, LeaderRecord};
+use crate::peers::links::{lock, wire};
 use crate::policy::Policy;
+use crate::workers::{Heartbeat, HeartbeatReply};
 use coralnotch_policy::example::SETTINGS;
 
 const TERM: u64 = 3;
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,5 +1,10 @@
-//! The other controllers: connections to them, the service for them, and forwarded heartbeats.
+//! Controllers among themselves: connections, status, cancellation notices, relayed requests and
+//! forwarded heartbeats.
 
+pub mod cancellation_notices;
 pub mod forwarding;
 pub mod links;
+pub mod machine_hints;
+pub mod polling;
+pub mod relay;
 pub mod service;
