--- a/src/commands/client.rs
+++ b/src/commands/client.rs
@@ -149,27 +149,28 @@
     }
     lines.push(format!("  knows {} jobs", s.known_jobs));
     let versions: Vec<String> = s.versions.iter().map(|(n, v)| format!("{n} {v}")).collect();
-    lines.push(match (s.chains, versions.is_empty()) {
+    lines.push(match (s.dependencies_enabled, versions.is_empty()) {
         (true, _) => "  jobs may wait for others".into(),
         (false, true) => "  jobs may not wait for others yet: no sibling has told what it has".into(),
         (false, false) => format!("  jobs may not wait for others yet: {}", versions.join(", ")),
     });
     if let Some(f) = &s.leading {
-        if f.held > 0 {
-            lines.push(format!("  {} jobs wait for others", f.held));
+        if f.dependent_jobs > 0 {
+            lines.push(format!("  {} jobs wait for others", f.dependent_jobs));
         }
-        lines.push(format!("  {} jobs open, {} tasks wait, {} placed", f.jobs, f.waiting, f.placed));
-        let busy = [(f.in_doubt, "machines in doubt"), (f.unstored, "starts to store"), (f.rentals, "rentals open")];
+        lines.push(format!("  {} jobs open, {} tasks wait, {} placed", f.jobs, f.waiting_tasks, f.assigned_tasks));
+        let busy =
+            [(f.in_doubt, "machines in doubt"), (f.unstored_starts, "starts to store"), (f.rentals, "rentals open")];
         let busy: Vec<String> = busy.iter().filter(|b| b.0 > 0).map(|b| format!("{} {}", b.0, b.1)).collect();
         if !busy.is_empty() {
             lines.push(format!("  {}", busy.join(", ")));
         }
         for (zone, states) in &f.machines {
-            let cut = if f.cut.iter().any(|c| **c == **zone) { ", seems cut off" } else { "" };
+            let cut = if f.partitioned_zones.iter().any(|c| **c == **zone) { ", seems cut off" } else { "" };
             let states: Vec<String> = states.iter().map(|(s, n)| format!("{n} {s}")).collect();
             lines.push(format!("  {zone}: {}{cut}", states.join(", ")));
         }
-        for w in &f.longest {
+        for w in &f.longest_waiting {
             let why = if w.why.is_empty() { "its turn has not come" } else { &w.why };
             lines.push(format!("  {} ({}) waits {:.0} s with {} tasks: {why}", w.id, w.class, w.since_s, w.tasks));
         }
--- a/src/heartbeats.rs
+++ b/src/heartbeats.rs
@@ -66,7 +66,7 @@
         if let Some(reply) = self.redirect_to_forwarder(&heartbeat.machine, &heartbeat.zone, Instant::now()) {
             return reply;
         }
-        count(&self.telemetry.counters.reports);
+        count(&self.telemetry.counters.heartbeats);
         match self.accept_heartbeat(&heartbeat, HeartbeatRoute::Direct) {
             Ok(ReplyTiming::Immediate) => {}
             Ok(ReplyTiming::AfterCommit) => self.wait_for_commit(&[&heartbeat]).await,
@@ -262,7 +262,7 @@
 
     /// A reply that renews the worker's lease without leading, and stops tasks of ended jobs.
     fn renew_worker_lease(&self, state: &ControllerState, heartbeat: &Heartbeat, token: u64) -> HeartbeatReply {
-        count(&self.telemetry.counters.kept_alive);
+        count(&self.telemetry.counters.leases_renewed);
         let outcome_in_cluster =
             |id: &Name| state.cluster.as_ref().and_then(|c| c.jobs.get(id)).and_then(|j| j.outcome);
         lease_renewal_reply(heartbeat, token, |id| {
--- a/src/http_api.rs
+++ b/src/http_api.rs
@@ -75,7 +75,7 @@
             return Response::refuse(404, "no such path");
         }
         let (response, operation) = match (request.method.as_str(), is_cancellation) {
-            ("POST", true) => (self.cancel_job(id).await, TimedOperation::Withdrawal),
+            ("POST", true) => (self.cancel_job(id).await, TimedOperation::Cancellation),
             ("GET", false) => {
                 let detail = if request.query == "why" { QueryDetail::Explanation } else { QueryDetail::State };
                 (self.query_job(id, detail).await, TimedOperation::Query)
--- a/src/operators/status.rs
+++ b/src/operators/status.rs
@@ -5,12 +5,12 @@
 
 use crate::cluster::Machine;
 use crate::controller::Controller;
-use crate::operators::telemetry::{LeaderStatus, Status, Waiting};
+use crate::operators::telemetry::{LeaderStatus, Status, WaitingJob};
 
 /// Most waiting jobs that a status names.
-const MOST_NAMED: usize = 12;
+const MAX_WAITING_JOBS: usize = 12;
 
-fn state_of(m: &Machine, fresh: Duration, now: Instant) -> &'static str {
+fn machine_state(m: &Machine, fresh: Duration, now: Instant) -> &'static str {
     match m.last_heartbeat {
         _ if m.deletion_sent_at.is_some() => "being returned",
         None => "not up",
@@ -31,32 +31,32 @@
             let mut f = LeaderStatus {
                 term: c.term,
                 since_s: since(c.term_started_at),
-                cut: c.fleet.partitioned_zones.iter().cloned().collect(),
-                unstored: c.unstored_starts.len(),
-                pages: c.shards.len(),
-                held: c.dependency.len(),
+                partitioned_zones: c.fleet.partitioned_zones.iter().cloned().collect(),
+                unstored_starts: c.unstored_starts.len(),
+                shards: c.shards.len(),
+                dependent_jobs: c.dependency.len(),
                 rentals: c.fleet.open_rentals.len(),
                 ..LeaderStatus::default()
             };
             for m in c.machines.values().filter(|m| m.removed_at.is_none()) {
-                let state = state_of(m, self.policy.fresh, now);
+                let state = machine_state(m, self.policy.fresh, now);
                 *f.machines.entry(m.zone.to_string()).or_default().entry(state.into()).or_default() += 1;
-                f.placed += m.tasks.len();
+                f.assigned_tasks += m.tasks.len();
                 f.in_doubt += usize::from(m.in_doubt_token.is_some());
             }
             let open: Vec<_> = c.jobs.values().filter(|j| j.outcome.is_none()).collect();
             f.jobs = open.len();
-            f.waiting = open.iter().map(|j| u64::from(j.pending.len())).sum();
+            f.waiting_tasks = open.iter().map(|j| u64::from(j.pending.len())).sum();
             let mut waiting: Vec<_> = open.into_iter().filter(|j| !j.pending.is_empty()).collect();
             waiting.sort_by_key(|j| j.first_seen);
-            let told = |j: &crate::cluster::Job| Waiting {
+            let told = |j: &crate::cluster::Job| WaitingJob {
                 id: j.spec.id.clone(),
                 class: j.spec.class.clone(),
                 tasks: j.pending.len(),
                 since_s: since(j.first_seen),
                 why: j.pending_reason.to_owned(),
             };
-            f.longest = waiting.into_iter().take(MOST_NAMED).map(told).collect();
+            f.longest_waiting = waiting.into_iter().take(MAX_WAITING_JOBS).map(told).collect();
             f
         });
         let c = &self.telemetry.counters;
@@ -65,9 +65,9 @@
             ("refused", &c.refused),
             ("relayed", &c.relayed),
             ("lookups refused", &c.lookups_refused),
-            ("reports", &c.reports),
-            ("reports forwarded", &c.forwarded),
-            ("kept alive", &c.kept_alive),
+            ("reports", &c.heartbeats),
+            ("reports forwarded", &c.heartbeats_forwarded),
+            ("kept alive", &c.leases_renewed),
             ("direct calls", &c.direct),
             ("direct calls lost", &c.direct_lost),
             ("commits failed", &c.commits_failed),
@@ -80,7 +80,7 @@
             known_jobs: i.jobs.len(),
             ended_jobs: i.jobs.ended(),
             leading,
-            chains: i.dependencies_enabled,
+            dependencies_enabled: i.dependencies_enabled,
             versions: self.peer_versions(),
             counters: counters.iter().map(|(n, c)| ((*n).to_owned(), c.load(Ordering::Relaxed))).collect(),
             latencies: self.telemetry.latencies(),
--- a/src/operators/telemetry.rs
+++ b/src/operators/telemetry.rs
@@ -19,7 +19,7 @@
     /// A query.
     Query,
     /// A withdrawal.
-    Withdrawal,
+    Cancellation,
     /// A transaction of the leader's.
     Commit,
     /// A pass over the queue.
@@ -32,7 +32,7 @@
     const ALL: [(TimedOperation, &'static str); 6] = [
         (TimedOperation::Submission, "submission"),
         (TimedOperation::Query, "query"),
-        (TimedOperation::Withdrawal, "withdrawal"),
+        (TimedOperation::Cancellation, "withdrawal"),
         (TimedOperation::Commit, "commit"),
         (TimedOperation::Pass, "pass"),
         (TimedOperation::Placement, "placement"),
@@ -51,11 +51,11 @@
     /// Queries for ids not known here that were refused: too many at once.
     pub lookups_refused: AtomicU64,
     /// Reports taken in.
-    pub reports: AtomicU64,
+    pub heartbeats: AtomicU64,
     /// ... that came by way of another controller.
-    pub forwarded: AtomicU64,
+    pub heartbeats_forwarded: AtomicU64,
     /// Reports answered only to renew a lease.
-    pub kept_alive: AtomicU64,
+    pub leases_renewed: AtomicU64,
     /// Calls straight to workers, and how many got no answer.
     pub direct: AtomicU64,
     /// … of which without an answer.
@@ -78,12 +78,12 @@
 }
 
 /// Longest latency that is told apart.
-const LONGEST_US: u64 = 3_600_000_000;
+const MAX_LATENCY_US: u64 = 3_600_000_000;
 
 impl Default for Telemetry {
     fn default() -> Self {
         // two digits are enough for people, and keep a histogram at some KiB
-        let histogram = || Histogram::new_with_bounds(1, LONGEST_US, 2).ok();
+        let histogram = || Histogram::new_with_bounds(1, MAX_LATENCY_US, 2).ok();
         let latencies = TimedOperation::ALL.iter().filter_map(|_| histogram()).collect();
         Telemetry { counters: Counters::default(), latencies: Mutex::new(latencies) }
     }
@@ -105,7 +105,7 @@
 impl Telemetry {
     /// Something took so long.
     pub fn record(&self, what: TimedOperation, time: Duration) {
-        let us = u64::try_from(time.as_micros()).unwrap_or(LONGEST_US);
+        let us = u64::try_from(time.as_micros()).unwrap_or(MAX_LATENCY_US);
         let mut all = self.latencies.lock().unwrap_or_else(|e| e.into_inner());
         if let Some(h) = all.get_mut(what as usize) {
             h.saturating_record(us.max(1));
@@ -128,7 +128,7 @@
 
 /// A job that waits, for people.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Waiting {
+pub struct WaitingJob {
     /// Job.
     pub id: Name,
     /// Class.
@@ -151,26 +151,33 @@
     /// Jobs that are not over.
     pub jobs: usize,
     /// Tasks that wait.
-    pub waiting: u64,
+    #[serde(rename = "waiting")]
+    pub waiting_tasks: u64,
     /// Tasks that are, or may be, on machines.
-    pub placed: usize,
+    #[serde(rename = "placed")]
+    pub assigned_tasks: usize,
     /// Machines by zone and state.
     pub machines: BTreeMap<String, BTreeMap<String, usize>>,
     /// Zones that seem to be cut off.
-    pub cut: Vec<Name>,
+    #[serde(rename = "cut")]
+    pub partitioned_zones: Vec<Name>,
     /// Machines where a start is in doubt.
     pub in_doubt: usize,
     /// Starts that the store lacks.
-    pub unstored: usize,
+    #[serde(rename = "unstored")]
+    pub unstored_starts: usize,
     /// Pages in the store.
-    pub pages: usize,
+    #[serde(rename = "pages")]
+    pub shards: usize,
     /// Jobs that wait for others.
     #[serde(default)]
-    pub held: usize,
+    #[serde(rename = "held")]
+    pub dependent_jobs: usize,
     /// Rentals under way or in doubt.
     pub rentals: usize,
     /// The jobs that wait longest.
-    pub longest: Vec<Waiting>,
+    #[serde(rename = "longest")]
+    pub longest_waiting: Vec<WaitingJob>,
 }
 
 /// A controller's status.
@@ -193,7 +200,8 @@
     pub leading: Option<LeaderStatus>,
     /// Whether jobs that wait for others are taken: every controller has them.
     #[serde(default)]
-    pub chains: bool,
+    #[serde(rename = "chains")]
+    pub dependencies_enabled: bool,
     /// Versions of the siblings, as far as they have told; `earlier` of one that
     /// knows of no gates.
     #[serde(default)]
--- a/src/peers/cancellation_notices.rs
+++ b/src/peers/cancellation_notices.rs
@@ -10,7 +10,7 @@
 
 impl Controller {
     /// A sibling has accounted for the withdrawals that it knows.
-    pub(super) fn accounts(&self, name: &str, a: wire::Account, sent: Instant, now: Instant) {
+    pub(super) fn apply_cancellation_batch(&self, name: &str, a: wire::Account, sent: Instant, now: Instant) {
         let known = a.known.into_iter().map(|w| Cancellation { revision: w.stamp, id: w.id.into() });
         let a =
             CancellationBatch { incarnation: a.life, cancellations: known.collect(), next: a.next, complete: a.whole };
@@ -21,7 +21,7 @@
     }
 
     /// The account that a sibling asks for, if there is no gap in it.
-    pub(super) fn account(&self, r: &wire::StatusRequest) -> Option<wire::Account> {
+    pub(super) fn cancellation_batch(&self, r: &wire::StatusRequest) -> Option<wire::Account> {
         let i = self.lock();
         let since = r.withdrawn_since.filter(|_| i.synced)?;
         let a =
@@ -33,11 +33,11 @@
     /// Tells the siblings of withdrawals whose users wait, each as soon as it can be
     /// reached, and asks the leader among them what is left of these.
     pub async fn run_cancellation_notices(&self) {
-        let each = self.peers.links.iter().enumerate().map(|(n, l)| self.tell_one(n, l));
+        let each = self.peers.links.iter().enumerate().map(|(n, l)| self.notify_peer(n, l));
         futures_util::future::join_all(each).await;
     }
 
-    async fn tell_one(&self, n: usize, l: &PeerLink) {
+    async fn notify_peer(&self, n: usize, l: &PeerLink) {
         loop {
             let more = self.cancellation_to_notify.listen();
             let PeerNotice { cancellations: known, has_unacknowledged: new } = {
--- a/src/peers/forwarding/inbound.rs
+++ b/src/peers/forwarding/inbound.rs
@@ -22,34 +22,34 @@
                 _ => return wire::ReportAnswers::default(),
             }
         };
-        let taken: Vec<Taken> = batch.reports.into_iter().map(|r| self.take_one(r)).collect();
+        let taken: Vec<ForwardedReply> = batch.reports.into_iter().map(|r| self.accept_forwarded(r)).collect();
         let pending = taken.iter().filter_map(|t| match t {
-            Taken::In { report, pending: true } => Some(report),
+            ForwardedReply::In { report, pending: true } => Some(report),
             _ => None,
         });
         self.wait_for_commit(&pending.collect::<Vec<_>>()).await;
-        let answers = taken.into_iter().map(|t| self.answer_one(t)).collect();
+        let answers = taken.into_iter().map(|t| self.reply_to_forwarded(t)).collect();
         wire::ReportAnswers { term, answers }
     }
 
-    fn take_one(&self, r: wire::Report) -> Taken {
-        count(&self.telemetry.counters.reports);
-        count(&self.telemetry.counters.forwarded);
+    fn accept_forwarded(&self, r: wire::Report) -> ForwardedReply {
+        count(&self.telemetry.counters.heartbeats);
+        count(&self.telemetry.counters.heartbeats_forwarded);
         if r.full.is_empty() {
-            return Taken::Answered(self.take_unchanged(r));
+            return ForwardedReply::Answered(self.accept_unchanged(r));
         }
         let report: Heartbeat = match http::decode(&r.full) {
             Ok(report) => report,
-            Err(e) => return Taken::Answered(to_answer(&Response::refuse(400, &e.to_string()))),
+            Err(e) => return ForwardedReply::Answered(encode_reply(&Response::refuse(400, &e.to_string()))),
         };
         match self.accept_heartbeat(&report, HeartbeatRoute::Forwarded) {
-            Ok(timing) => Taken::In { report, pending: timing == ReplyTiming::AfterCommit },
-            Err(response) => Taken::Answered(to_answer(&response)),
+            Ok(timing) => ForwardedReply::In { report, pending: timing == ReplyTiming::AfterCommit },
+            Err(response) => ForwardedReply::Answered(encode_reply(&response)),
         }
     }
 
     /// A report without news.
-    fn take_unchanged(&self, r: wire::Report) -> wire::ReportAnswer {
+    fn accept_unchanged(&self, r: wire::Report) -> wire::ReportAnswer {
         let unchanged = UnchangedHeartbeat {
             machine: r.machine.into(),
             incarnation: r.session,
@@ -72,16 +72,16 @@
     }
 
     /// The answer to a report that was taken in, by what is known at this moment.
-    fn answer_one(&self, taken: Taken) -> wire::ReportAnswer {
+    fn reply_to_forwarded(&self, taken: ForwardedReply) -> wire::ReportAnswer {
         match taken {
-            Taken::Answered(a) => a,
-            Taken::In { report, .. } => to_answer(&self.reply_to_heartbeat(&report)),
+            ForwardedReply::Answered(a) => a,
+            ForwardedReply::In { report, .. } => encode_reply(&self.reply_to_heartbeat(&report)),
         }
     }
 }
 
 /// A report of a batch, after it was taken in.
-enum Taken {
+enum ForwardedReply {
     /// Its answer does not wait for anything.
     Answered(wire::ReportAnswer),
     /// It is answered once all of the batch is in; `pending`: after the commit.
@@ -94,6 +94,6 @@
 }
 
 /// An answer as it goes to the controller that forwarded the report.
-fn to_answer(r: &Response) -> wire::ReportAnswer {
+fn encode_reply(r: &Response) -> wire::ReportAnswer {
     wire::ReportAnswer { status: r.status.into(), token: 0, body: r.body.clone() }
 }
--- a/src/peers/forwarding/outbound.rs
+++ b/src/peers/forwarding/outbound.rs
@@ -13,17 +13,17 @@
 use crate::workers::{Heartbeat, HeartbeatReply};
 
 /// Most reports in one message, and most messages under way.
-const BATCH_MOST: usize = 256;
-const CALLS_MOST: usize = 4;
+const MAX_BATCH: usize = 256;
+const MAX_CONCURRENT_CALLS: usize = 4;
 /// A worker waits 4 s for an answer; what is not answered by then goes elsewhere.
-const ANSWER_LIMIT: Duration = Duration::from_millis(3400);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(3400);
 /// What a message may take besides the wait for the leader's commit.
-const CALL_LIMIT: Duration = Duration::from_millis(2000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(2000);
 /// Kept reports are looked through so often, in leases.
-const TIDY_AFTER_LEASES: f64 = 2.0;
+const EVICTION_PERIOD_LEASES: f64 = 2.0;
 
 /// What came of a message to the leader.
-enum Sent {
+enum BatchResult {
     /// Its answers, in the order of the reports.
     Answers { term: u64, answers: Vec<wire::ReportAnswer> },
     /// It does not lead, or not yet.
@@ -44,12 +44,12 @@
             self.record_worker_contact(&mut i, &report.zone, now);
         }
         let (reply, answer) = smol::channel::bounded(1);
-        let until = Instant::now() + ANSWER_LIMIT;
+        let until = Instant::now() + REPLY_TIMEOUT;
         let waiting = QueuedHeartbeat { heartbeat: report, body: body.to_vec(), deadline: until, reply };
         if self.heartbeat_queue.queued.0.try_send(waiting).is_err() {
             return Some(Response::refuse(503, "too many reports wait"));
         }
-        match timed(ANSWER_LIMIT, answer.recv()).await {
+        match timed(REPLY_TIMEOUT, answer.recv()).await {
             Some(Ok(response)) => Some(response),
             // given back: the leader cannot be reached from here
             Some(Err(_)) => None,
@@ -71,7 +71,7 @@
     /// Forwards what waits, for as long as the controller runs.
     pub async fn run_heartbeat_forwarding(&self) {
         let gathers = smol::lock::Mutex::new(());
-        futures_util::future::join_all((0..CALLS_MOST).map(|_| self.forward_batches(&gathers))).await;
+        futures_util::future::join_all((0..MAX_CONCURRENT_CALLS).map(|_| self.forward_batches(&gathers))).await;
     }
 
     /// Forwards one batch after another; one of those that do gathers at a time.
@@ -80,10 +80,10 @@
         loop {
             let batch = {
                 let _turn = gathers.lock().await;
-                self.gather(&self.heartbeat_queue.queued.1).await
+                self.collect_batch(&self.heartbeat_queue.queued.1).await
             };
-            self.deliver(batch).await;
-            let keep = self.policy.lease.mul_f64(TIDY_AFTER_LEASES);
+            self.deliver_batch(batch).await;
+            let keep = self.policy.lease.mul_f64(EVICTION_PERIOD_LEASES);
             if tidied.elapsed() > keep {
                 tidied = Instant::now();
                 self.forwarding().evict_idle(keep, tidied);
@@ -96,11 +96,11 @@
     }
 
     /// The reports that come within a short time.
-    async fn gather(&self, queue: &smol::channel::Receiver<QueuedHeartbeat>) -> Vec<QueuedHeartbeat> {
+    async fn collect_batch(&self, queue: &smol::channel::Receiver<QueuedHeartbeat>) -> Vec<QueuedHeartbeat> {
         let Ok(first) = queue.recv().await else { return std::future::pending().await };
         let mut batch = vec![first];
         smol::Timer::after(self.policy.batch_gap).await;
-        while batch.len() < BATCH_MOST {
+        while batch.len() < MAX_BATCH {
             let Ok(next) = queue.try_recv() else { break };
             batch.push(next);
         }
@@ -108,7 +108,7 @@
     }
 
     /// Has the leader answer a batch; while another takes over it waits for that one.
-    async fn deliver(&self, mut batch: Vec<QueuedHeartbeat>) {
+    async fn deliver_batch(&self, mut batch: Vec<QueuedHeartbeat>) {
         loop {
             let now = Instant::now();
             batch.retain(|w| now < w.deadline && !w.reply.is_closed());
@@ -116,14 +116,14 @@
                 return;
             }
             match self.send_batch(&batch).await {
-                Sent::Answers { term, answers } => {
-                    batch = self.hand_out(batch, answers, term);
+                BatchResult::Answers { term, answers } => {
+                    batch = self.reply_to_workers(batch, answers, term);
                     if batch.is_empty() {
                         return;
                     }
                 }
-                Sent::NotLeading => drop(smol::Timer::after(self.policy.renew / 4).await),
-                Sent::Failed => {
+                BatchResult::NotLeading => drop(smol::Timer::after(self.policy.renew / 4).await),
+                BatchResult::Failed => {
                     // their senders end with the batch: each report is dealt with here
                     *lock(&self.heartbeat_queue.failed_at) = Some(Instant::now());
                     return;
@@ -132,31 +132,31 @@
         }
     }
 
-    async fn send_batch(&self, batch: &[QueuedHeartbeat]) -> Sent {
+    async fn send_batch(&self, batch: &[QueuedHeartbeat]) -> BatchResult {
         let (leader, term) = {
             let i = self.lock();
             match &i.leader {
                 Some(l) => (l.record.name.clone(), l.record.term),
-                None => return Sent::NotLeading,
+                None => return BatchResult::NotLeading,
             }
         };
-        let Some(link) = self.peers.links.iter().find(|l| l.name == leader) else { return Sent::NotLeading };
+        let Some(link) = self.peers.links.iter().find(|l| l.name == leader) else { return BatchResult::NotLeading };
         let reports = {
             let forwarding = self.forwarding();
-            batch.iter().map(|w| to_wire(forwarding.message(&w.heartbeat, term), &w.body)).collect()
+            batch.iter().map(|w| encode_heartbeat(forwarding.message(&w.heartbeat, term), &w.body)).collect()
         };
         let message = wire::ReportBatch { from: self.config.name.clone(), term, reports };
-        let limit = CALL_LIMIT + self.policy.commit_wait;
+        let limit = CALL_TIMEOUT + self.policy.commit_wait;
         let answer = self.peers.call(link, limit, |mut c| async move { c.report(message).await }).await;
         match answer {
-            Some(a) if a.answers.len() == batch.len() => Sent::Answers { term: a.term, answers: a.answers },
-            Some(_) => Sent::NotLeading,
-            None => Sent::Failed,
+            Some(a) if a.answers.len() == batch.len() => BatchResult::Answers { term: a.term, answers: a.answers },
+            Some(_) => BatchResult::NotLeading,
+            None => BatchResult::Failed,
         }
     }
 
     /// Hands the leader's answers to the workers; the reports that it wants in full are left.
-    fn hand_out(
+    fn reply_to_workers(
         &self,
         batch: Vec<QueuedHeartbeat>,
         answers: Vec<wire::ReportAnswer>,
@@ -192,7 +192,7 @@
             return None;
         }
         let fresh = self.policy.peer_limit * 4;
-        let asked = lock(&self.peers.asked);
+        let asked = lock(&self.peers.progress_requested_at);
         let lately = |name: &str| asked.get(name).is_some_and(|t| now.saturating_duration_since(*t) < fresh);
         let siblings = self.config.peers.iter().filter(|s| lately(&s.name));
         let all: Vec<Forwarder<'_>> = siblings.map(|s| Forwarder { name: &s.name, zone: &s.zone }).collect();
@@ -201,7 +201,7 @@
     }
 }
 
-fn to_wire(message: ForwardedHeartbeat, body: &[u8]) -> wire::Report {
+fn encode_heartbeat(message: ForwardedHeartbeat, body: &[u8]) -> wire::Report {
     match message {
         ForwardedHeartbeat::Full => wire::Report { full: body.to_vec(), ..wire::Report::default() },
         ForwardedHeartbeat::UnchangedHeartbeat(u) => wire::Report {
--- a/src/peers/forwarding/tests.rs
+++ b/src/peers/forwarding/tests.rs
@@ -116,7 +116,7 @@
     let to = |n: &Controller, at: Instant| n.redirect_to_forwarder("i-000001", "a", at).map(|r| (r.status, r.body));
     assert!(to(&n, now).is_none(), "nobody has asked");
     let name = n.config.peers[0].name.clone();
-    lock(&n.peers.asked).insert(name.clone(), now);
+    lock(&n.peers.progress_requested_at).insert(name.clone(), now);
     let (status, body) = to(&n, now).expect("one has");
     assert_eq!(status, 421);
     assert!(body.windows(name.len()).any(|w| w == name.as_bytes()));
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -29,18 +29,18 @@
 
 use wire::peer_client::PeerClient;
 
-pub(crate) type Work = Pin<Box<dyn Future<Output = ()> + Send>>;
+pub(crate) type ConnectionTask = Pin<Box<dyn Future<Output = ()> + Send>>;
 
 /// Hands futures to the controller's executor.
 #[derive(Clone)]
-pub struct Spawner(pub(crate) smol::channel::Sender<Work>);
+pub struct Spawner(pub(crate) smol::channel::Sender<ConnectionTask>);
 
 impl<F> hyper::rt::Executor<F> for Spawner
 where
     F: Future + Send + 'static,
 {
     fn execute(&self, work: F) {
-        let work: Work = Box::pin(async move {
+        let work: ConnectionTask = Box::pin(async move {
             work.await;
         });
         if self.0.try_send(work).is_err() {
@@ -50,16 +50,16 @@
 }
 
 /// Tasks that may wait to be started.
-const MOST_WORK: usize = 1024;
+const MAX_PENDING_TASKS: usize = 1024;
 
 /// How a sibling stood when it last answered.
 #[derive(Debug, Clone, Copy)]
 pub struct PeerStatus {
-    pub(crate) at: Instant,
+    pub(crate) answered_at: Instant,
     pub(crate) served: bool,
     pub(crate) term: u64,
     /// When a worker last reported there.
-    pub(crate) heard: Option<Instant>,
+    pub(crate) last_heartbeat: Option<Instant>,
 }
 
 /// How far a job has come.
@@ -74,25 +74,25 @@
 pub(crate) struct PeerLink {
     pub(crate) name: String,
     addr: SocketAddr,
-    open: Mutex<Option<SendRequest<Body>>>,
+    connection: Mutex<Option<SendRequest<Body>>>,
 }
 
 /// The siblings.
 pub struct Peers {
     pub(crate) links: Vec<PeerLink>,
-    pub(crate) seen: Mutex<HashMap<String, PeerStatus>>,
+    pub(crate) statuses: Mutex<HashMap<String, PeerStatus>>,
     /// Progress of jobs as the leader last told.
     pub(crate) progress: Mutex<HashMap<Name, JobProgress>>,
     /// When each sibling last asked this controller for the progress of jobs.
-    pub(crate) asked: Mutex<HashMap<String, Instant>>,
+    pub(crate) progress_requested_at: Mutex<HashMap<String, Instant>>,
     /// The progress that was told last, for those that ask soon after.
-    pub(crate) told_progress: Mutex<Option<(Instant, Vec<wire::Progress>)>>,
+    pub(crate) progress_cache: Mutex<Option<(Instant, Vec<wire::Progress>)>>,
     /// What the leader had learned of machines, as it last told.
-    pub(crate) learned: Mutex<HashMap<Name, MachineHints>>,
+    pub(crate) machine_hints: Mutex<HashMap<Name, MachineHints>>,
     /// What each has shown that it has.
     pub(crate) roster: Mutex<MemberFeatures>,
-    pub(crate) spawn: Spawner,
-    pub(crate) work: smol::channel::Receiver<Work>,
+    pub(crate) spawner: Spawner,
+    pub(crate) connection_tasks: smol::channel::Receiver<ConnectionTask>,
 }
 
 /// One HTTP/2 connection as tonic's transport.
@@ -119,37 +119,38 @@
 impl Peers {
     /// The siblings of the settings.
     pub fn new(siblings: &[crate::config::Peer]) -> Peers {
-        let (s, work) = smol::channel::bounded(MOST_WORK);
-        let link = |s: &crate::config::Peer| PeerLink { name: s.name.clone(), addr: s.addr, open: Mutex::default() };
+        let (s, work) = smol::channel::bounded(MAX_PENDING_TASKS);
+        let link =
+            |s: &crate::config::Peer| PeerLink { name: s.name.clone(), addr: s.addr, connection: Mutex::default() };
         Peers {
             links: siblings.iter().map(link).collect(),
-            seen: Mutex::default(),
+            statuses: Mutex::default(),
             progress: Mutex::default(),
-            asked: Mutex::default(),
-            told_progress: Mutex::default(),
-            learned: Mutex::default(),
+            progress_requested_at: Mutex::default(),
+            progress_cache: Mutex::default(),
+            machine_hints: Mutex::default(),
             roster: Mutex::default(),
-            spawn: Spawner(s),
-            work,
+            spawner: Spawner(s),
+            connection_tasks: work,
         }
     }
 
-    async fn client(&self, l: &PeerLink) -> Option<PeerClient<Channel>> {
-        let open = lock(&l.open).clone().filter(|s| !s.is_closed());
+    async fn connect(&self, l: &PeerLink) -> Option<PeerClient<Channel>> {
+        let open = lock(&l.connection).clone().filter(|s| !s.is_closed());
         let send = match open {
             Some(s) => s,
             None => {
                 let stream = TcpStream::connect(l.addr).await.ok()?;
                 let _ = stream.set_nodelay(true);
-                let (send, conn) = hyper::client::conn::http2::Builder::new(self.spawn.clone())
+                let (send, conn) = hyper::client::conn::http2::Builder::new(self.spawner.clone())
                     .timer(SmolTimer::new())
                     .handshake(FuturesIo::new(stream))
                     .await
                     .ok()?;
-                hyper::rt::Executor::execute(&self.spawn, async move {
+                hyper::rt::Executor::execute(&self.spawner, async move {
                     let _ = conn.await;
                 });
-                *lock(&l.open) = Some(send.clone());
+                *lock(&l.connection) = Some(send.clone());
                 send
             }
         };
@@ -169,13 +170,13 @@
         F: Future<Output = Result<tonic::Response<T>, tonic::Status>>,
     {
         let answer = timed(limit, async {
-            let client = self.client(l).await?;
+            let client = self.connect(l).await?;
             work(client).await.ok()
         })
         .await
         .flatten();
         if answer.is_none() {
-            *lock(&l.open) = None;
+            *lock(&l.connection) = None;
         }
         answer.map(tonic::Response::into_inner)
     }
@@ -187,29 +188,29 @@
 
     /// What the leader had learned of machines, as it last told.
     pub fn machine_hints(&self) -> HashMap<Name, MachineHints> {
-        lock(&self.learned).clone()
+        lock(&self.machine_hints).clone()
     }
 
     /// Whether siblings answered lately, all of them refused by the state
     /// service and none of a later term: an outage, not our own trouble.
     pub fn confirm_outage(&self, term: u64, fresh: Duration, now: Instant) -> bool {
-        let seen = lock(&self.seen);
-        let mut lately = seen.values().filter(|s| now.duration_since(s.at) < fresh).peekable();
+        let seen = lock(&self.statuses);
+        let mut lately = seen.values().filter(|s| now.duration_since(s.answered_at) < fresh).peekable();
         lately.peek().is_some() && lately.all(|s| !s.served && s.term <= term)
     }
 
     /// This controller stood still: what it knew of the siblings is old.
     pub fn reset_after_stall(&self) {
-        lock(&self.seen).clear();
+        lock(&self.statuses).clear();
     }
 
     /// When a worker last reported to any sibling, as far as they told.
     pub fn last_worker_contact(&self) -> Option<Instant> {
-        lock(&self.seen).values().filter_map(|s| s.heard).max()
+        lock(&self.statuses).values().filter_map(|s| s.last_heartbeat).max()
     }
 
     /// Whether there are siblings, and some answered lately.
     pub fn any_reachable(&self, fresh: Duration, now: Instant) -> bool {
-        lock(&self.seen).values().any(|s| now.duration_since(s.at) < fresh)
+        lock(&self.statuses).values().any(|s| now.duration_since(s.answered_at) < fresh)
     }
 }
--- a/src/peers/machine_hints.rs
+++ b/src/peers/machine_hints.rs
@@ -8,7 +8,7 @@
 use crate::peers::links::wire;
 
 /// What was learned of machines, for the wire: each image once.
-pub(crate) fn to_wire<'a>(
+pub(crate) fn encode_machine_hints<'a>(
     all: impl Iterator<Item = (&'a Name, MachineHints)>,
     now: Instant,
 ) -> (Vec<wire::Learned>, Vec<wire::Image>) {
@@ -34,7 +34,7 @@
     (machines, images)
 }
 
-pub(crate) fn from_wire(
+pub(crate) fn decode_machine_hints(
     machines: Vec<wire::Learned>,
     images: &[wire::Image],
     now: Instant,
--- a/src/peers/machine_hints/tests.rs
+++ b/src/peers/machine_hints/tests.rs
@@ -20,8 +20,8 @@
                 (n.as_str().into(), MachineHints { speed, speed_samples: samples, images: held.iter().map(image).collect(), last_heartbeat: heard })
             })
             .collect();
-        let (machines, images) = to_wire(all.iter().map(|(n, l)| (n, l.clone())), now);
+        let (machines, images) = encode_machine_hints(all.iter().map(|(n, l)| (n, l.clone())), now);
         prop_assert!(images.len() <= 5);
-        prop_assert_eq!(from_wire(machines, &images, now), all);
+        prop_assert_eq!(decode_machine_hints(machines, &images, now), all);
     }
 }
--- a/src/peers/polling.rs
+++ b/src/peers/polling.rs
@@ -5,10 +5,10 @@
 use crate::controller::Controller;
 use crate::leadership::feature_gate;
 use crate::peers::links::{lock, wire, JobProgress, PeerLink, PeerStatus};
-use crate::peers::machine_hints::from_wire;
+use crate::peers::machine_hints::decode_machine_hints;
 
 /// Controllers that keep what the leader learned of machines.
-const MACHINES_KEPT_BY: usize = 3;
+const MACHINE_HINT_KEEPERS: usize = 3;
 
 impl Controller {
     /// Asks one sibling how it stands.
@@ -19,7 +19,7 @@
             (i.synced.then_some(i.revision), i.cancellation_view.next_request(&l.name))
         };
         let ask = wire::StatusRequest {
-            without_machines: !self.keeps_machines(),
+            without_machines: !self.keeps_machine_hints(),
             progress,
             from: self.config.name.clone(),
             knows: feature_gate::supported_features(),
@@ -32,18 +32,18 @@
         let Some(s) = answer else { return };
         let now = Instant::now();
         if let Some(account) = s.account {
-            self.accounts(&l.name, account, sent, now);
+            self.apply_cancellation_batch(&l.name, account, sent, now);
         }
         self.record_peer_features(&l.name, s.knows, s.version, now);
         let heard = s.heard_ms.and_then(|ms| now.checked_sub(Duration::from_millis(ms)));
-        let seen = PeerStatus { at: now, served: s.served, term: s.term, heard };
-        lock(&self.peers.seen).insert(l.name.clone(), seen);
+        let seen = PeerStatus { answered_at: now, served: s.served, term: s.term, last_heartbeat: heard };
+        lock(&self.peers.statuses).insert(l.name.clone(), seen);
         if progress {
             if s.leads {
                 self.lock().forwarding_requested = s.spread;
             }
             if !s.machines.is_empty() {
-                *lock(&self.peers.learned) = from_wire(s.machines, &s.images, now);
+                *lock(&self.peers.machine_hints) = decode_machine_hints(s.machines, &s.images, now);
             }
             *lock(&self.peers.progress) = s
                 .jobs
@@ -55,8 +55,8 @@
 
     /// Whether this controller is one of the few that keep what the leader learned of machines
     /// for the next one: of many controllers the first by name.
-    fn keeps_machines(&self) -> bool {
-        self.config.peers.iter().filter(|s| s.name < self.config.name).count() < MACHINES_KEPT_BY
+    fn keeps_machine_hints(&self) -> bool {
+        self.config.peers.iter().filter(|s| s.name < self.config.name).count() < MACHINE_HINT_KEEPERS
     }
 
     /// Follows the leader's progress, and in trouble all siblings' state.
--- a/src/peers/relay.rs
+++ b/src/peers/relay.rs
@@ -13,8 +13,10 @@
         let fresh = self.policy.peer_limit * 3;
         // those that said they are served first, those that are not never
         let mut order: Vec<(bool, &PeerLink)> = {
-            let seen = lock(&self.peers.seen);
-            let state = |l: &PeerLink| seen.get(&l.name).filter(|s| now.duration_since(s.at) < fresh).map(|s| s.served);
+            let seen = lock(&self.peers.statuses);
+            let state = |l: &PeerLink| {
+                seen.get(&l.name).filter(|s| now.duration_since(s.answered_at) < fresh).map(|s| s.served)
+            };
             self.peers.links.iter().filter(|l| state(l) != Some(false)).map(|l| (state(l).is_none(), l)).collect()
         };
         order.sort_by_key(|o| o.0);
--- a/src/peers/service.rs
+++ b/src/peers/service.rs
@@ -14,16 +14,16 @@
 use crate::leadership::feature_gate;
 use crate::model::JobOutcome;
 use crate::peers::links::wire::peer_server::{Peer, PeerServer};
-use crate::peers::links::{lock, wire, Work};
-use crate::peers::machine_hints::to_wire;
+use crate::peers::links::{lock, wire, ConnectionTask};
+use crate::peers::machine_hints::encode_machine_hints;
 
 /// Requests of one sibling at once.
-const MOST_STREAMS: u32 = 64;
+const MAX_CONCURRENT_STREAMS: u32 = 64;
 
 impl Controller {
     /// Runs what the links need, for as long as the controller runs.
-    pub async fn run_peer_connections(self: Arc<Self>, spawn: impl Fn(Work)) {
-        while let Ok(work) = self.peers.work.recv().await {
+    pub async fn run_peer_connections(self: Arc<Self>, spawn: impl Fn(ConnectionTask)) {
+        while let Ok(work) = self.peers.connection_tasks.recv().await {
             spawn(work);
         }
     }
@@ -46,11 +46,11 @@
                 let mut service = service.clone();
                 async move { tower_service::Service::call(&mut service, r.map(Body::new)).await }
             });
-            let conn = hyper::server::conn::http2::Builder::new(self.peers.spawn.clone())
+            let conn = hyper::server::conn::http2::Builder::new(self.peers.spawner.clone())
                 .timer(SmolTimer::new())
-                .max_concurrent_streams(MOST_STREAMS)
+                .max_concurrent_streams(MAX_CONCURRENT_STREAMS)
                 .serve_connection(FuturesIo::new(stream), handler);
-            hyper::rt::Executor::execute(&self.peers.spawn, async move {
+            hyper::rt::Executor::execute(&self.peers.spawner, async move {
                 let _ = conn.await;
             });
         }
@@ -105,12 +105,12 @@
     ) -> Result<tonic::Response<wire::StatusResponse>, tonic::Status> {
         let r = r.into_inner();
         let (progress, now) = (r.progress, Instant::now());
-        let account = self.0.account(&r);
+        let account = self.0.cancellation_batch(&r);
         if !r.from.is_empty() {
             self.0.record_peer_features(&r.from, r.knows.clone(), String::new(), now);
         }
         if progress && !r.from.is_empty() {
-            lock(&self.0.peers.asked).insert(r.from.clone(), now);
+            lock(&self.0.peers.progress_requested_at).insert(r.from.clone(), now);
         }
         let jobs = if progress { self.0.recent_progress(now) } else { Vec::new() };
         let (machines, images) = match progress && !r.without_machines {
@@ -127,11 +127,11 @@
                             last_heartbeat: heard,
                         }
                     };
-                    to_wire(up.map(|m| (&m.name, learned(m))), now)
+                    encode_machine_hints(up.map(|m| (&m.name, learned(m))), now)
                 }
                 None => {
-                    let known = lock(&self.0.peers.learned);
-                    to_wire(known.iter().map(|(n, l)| (n, l.clone())), now)
+                    let known = lock(&self.0.peers.machine_hints);
+                    encode_machine_hints(known.iter().map(|(n, l)| (n, l.clone())), now)
                 }
             },
         };
--- a/src/users/progress.rs
+++ b/src/users/progress.rs
@@ -33,7 +33,7 @@
 
     /// The progress of all jobs, from the cache if that is recent: many peers ask.
     pub fn recent_progress(&self, now: Instant) -> Vec<wire::Progress> {
-        let mut cache = lock(&self.peers.told_progress);
+        let mut cache = lock(&self.peers.progress_cache);
         match cache.as_ref() {
             Some((counted_at, jobs)) if now.saturating_duration_since(*counted_at) < PROGRESS_CACHE_TTL => jobs.clone(),
             _ => {
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -182,12 +182,12 @@
 fn the_status_answer_keeps_its_form() {
     let golden: Value = serde_json::from_str(include_str!("golden/status.json")).expect("golden values");
     let status: Status = keeps(&golden);
-    assert_eq!((status.known_jobs, status.leading.map(|f| f.held)), (3, Some(1)));
+    assert_eq!((status.known_jobs, status.leading.map(|f| f.dependent_jobs)), (3, Some(1)));
     let node = node();
     for (what, name) in [
         (TimedOperation::Submission, "submission"),
         (TimedOperation::Query, "query"),
-        (TimedOperation::Withdrawal, "withdrawal"),
+        (TimedOperation::Cancellation, "withdrawal"),
         (TimedOperation::Commit, "commit"),
         (TimedOperation::Pass, "pass"),
         (TimedOperation::Placement, "placement"),
