--- a/src/peers/cancellation_notices.rs
+++ b/src/peers/cancellation_notices.rs
@@ -1,4 +1,5 @@
-//! Cancellations between controllers: batches on request, and notices while users wait.
+//! Cancellations between controllers: batches with a cursor on request, and notices to all peers
+//! while users wait for the reply to their cancellations.
 
 use std::time::Instant;
 
@@ -8,64 +9,86 @@
 use crate::model::JobOutcome;
 use crate::peers::links::{wire, PeerLink};
 
+fn encode_cancellation(cancellation: &Cancellation) -> wire::Withdrawal {
+    wire::Withdrawal { stamp: cancellation.revision, id: cancellation.id.to_string() }
+}
+
 impl Controller {
-    /// A sibling has accounted for the withdrawals that it knows.
-    pub(super) fn apply_cancellation_batch(&self, name: &str, a: wire::Account, sent: Instant, now: Instant) {
-        let known = a.known.into_iter().map(|w| Cancellation { revision: w.stamp, id: w.id.into() });
-        let a =
-            CancellationBatch { incarnation: a.life, cancellations: known.collect(), next: a.next, complete: a.whole };
-        for w in &a.cancellations {
-            self.apply_stored_outcome(&w.id, JobOutcome::Cancelled, w.revision, now);
+    /// Applies a batch of cancellations from a peer, which was requested at `sent_at`.
+    pub(super) fn apply_cancellation_batch(&self, peer: &str, batch: wire::Account, sent_at: Instant, now: Instant) {
+        let known = batch.known.into_iter().map(|c| Cancellation { revision: c.stamp, id: c.id.into() });
+        let batch = CancellationBatch {
+            incarnation: batch.life,
+            cancellations: known.collect(),
+            next: batch.next,
+            complete: batch.whole,
+        };
+        for cancellation in &batch.cancellations {
+            self.apply_stored_outcome(&cancellation.id, JobOutcome::Cancelled, cancellation.revision, now);
         }
-        self.lock().cancellation_view.peer_answered(name, sent, &a);
+        self.lock().cancellation_view.peer_answered(peer, sent_at, &batch);
     }
 
-    /// The account that a sibling asks for, if there is no gap in it.
-    pub(super) fn cancellation_batch(&self, r: &wire::StatusRequest) -> Option<wire::Account> {
-        let i = self.lock();
-        let since = r.withdrawn_since.filter(|_| i.synced)?;
-        let a =
-            i.cancellations.batch_since(since, BatchCursor { incarnation: r.withdrawn_life, next: r.withdrawn_had })?;
-        let known = a.cancellations.into_iter().map(|w| wire::Withdrawal { stamp: w.revision, id: w.id.to_string() });
-        Some(wire::Account { life: a.incarnation, known: known.collect(), next: a.next, whole: a.complete })
+    /// The batch of cancellations that a peer requests; `None` if one may be missing from it.
+    pub(super) fn cancellation_batch(&self, request: &wire::StatusRequest) -> Option<wire::Account> {
+        let state = self.lock();
+        let since = request.withdrawn_since.filter(|_| state.synced)?;
+        let batch = state
+            .cancellations
+            .batch_since(since, BatchCursor { incarnation: request.withdrawn_life, next: request.withdrawn_had })?;
+        Some(wire::Account {
+            life: batch.incarnation,
+            known: batch.cancellations.iter().map(encode_cancellation).collect(),
+            next: batch.next,
+            whole: batch.complete,
+        })
     }
 
-    /// Tells the siblings of withdrawals whose users wait, each as soon as it can be
-    /// reached, and asks the leader among them what is left of these.
+    /// Notifies the peers of cancellations whose users wait, each peer as soon as it can be reached,
+    /// and learns from the leader among them which jobs have no task left.
     pub async fn run_cancellation_notices(&self) {
-        let each = self.peers.links.iter().enumerate().map(|(n, l)| self.notify_peer(n, l));
-        futures_util::future::join_all(each).await;
+        let notices = self.peers.links.iter().enumerate().map(|(index, link)| self.notify_peer(index, link));
+        futures_util::future::join_all(notices).await;
     }
 
-    async fn notify_peer(&self, n: usize, l: &PeerLink) {
+    /// Notifies one peer, by its index in the settings, for as long as the controller runs.
+    async fn notify_peer(&self, index: usize, link: &PeerLink) {
         loop {
+            // registered before the state is read, so that no cancellation in between is missed
             let more = self.cancellation_to_notify.listen();
-            let PeerNotice { cancellations: known, has_unacknowledged: new } = {
+            let PeerNotice { cancellations: cancellations, has_unacknowledged: has_new } = {
                 let mut guard = self.lock();
-                let i = &mut *guard;
-                i.cancellation_notices.for_peer(n, &i.cancellations, &self.policy, Instant::now())
+                let state = &mut *guard;
+                state.cancellation_notices.for_peer(index, &state.cancellations, &self.policy, Instant::now())
             };
-            if known.is_empty() {
+            if cancellations.is_empty() {
                 more.await;
                 continue;
             }
-            if !new {
-                // it knows; what is left of them, the leader may say later
+            if !has_new {
+                // acknowledged already; the leader may say later that no task is left
                 smol::Timer::after(self.policy.renew / 2).await;
             }
-            let told = known.iter().map(|w| wire::Withdrawal { stamp: w.revision, id: w.id.to_string() });
-            let ask = wire::TellRequest { known: told.collect() };
-            let answer = self.peers.call(l, self.policy.peer_limit, |mut c| async move { c.tell(ask).await }).await;
-            let Some(answer) = answer else {
+            if !self.send_notice(index, link, &cancellations).await {
                 smol::Timer::after(self.policy.renew / 2).await;
-                continue;
-            };
-            {
-                let mut i = self.lock();
-                i.cancellation_notices.mark_acknowledged(n, &known);
-                answer.clear.iter().for_each(|id| i.cancellation_notices.settle(&id.as_str().into()));
             }
-            self.cancellation_known.notify(usize::MAX);
         }
     }
+
+    /// Sends cancellations to one peer; false without an acknowledgement.
+    async fn send_notice(&self, index: usize, link: &PeerLink, cancellations: &[Cancellation]) -> bool {
+        let request = wire::TellRequest { known: cancellations.iter().map(encode_cancellation).collect() };
+        let answer =
+            self.peers.call(link, self.policy.peer_limit, |mut client| async move { client.tell(request).await });
+        let Some(acknowledgement) = answer.await else { return false };
+        {
+            let mut state = self.lock();
+            state.cancellation_notices.mark_acknowledged(index, cancellations);
+            for id in &acknowledgement.clear {
+                state.cancellation_notices.settle(&id.as_str().into());
+            }
+        }
+        self.cancellation_known.notify(usize::MAX);
+        true
+    }
 }
--- a/src/peers/forwarding.rs
+++ b/src/peers/forwarding.rs
@@ -1,11 +1,11 @@
-//! Workers' reports between controllers: one that does not lead forwards them to the leader in
-//! batches and hands the leader's answers to the workers; the leader takes batches in.
+//! Workers' heartbeats between controllers: a controller that does not lead forwards them to the
+//! leader in batches and passes the leader's replies on to the workers; the leader accepts batches.
 //!
-//! On once all controllers have it and there are more machines than the leader hears by itself.
-//! The leader answers each report as if it had come to it, and checks its right to at that
-//! moment; an answer that comes later than a worker waits is dropped by the worker.
+//! Enabled once all controllers have the feature and there are more machines than one leader serves
+//! directly.  The leader replies to each heartbeat as if it had come directly, and checks its lease
+//! at that moment; a worker drops a reply that comes later than it waits.
 //!
-//! Must not know what a report means: that is decided in core.
+//! Must not know what a heartbeat means: that is decided in core.
 
 mod inbound;
 mod outbound;
--- a/src/peers/forwarding/inbound.rs
+++ b/src/peers/forwarding/inbound.rs
@@ -11,89 +11,84 @@
 use crate::peers::links::wire;
 use crate::workers::Heartbeat;
 
+/// A heartbeat of a batch, after the leader has looked at it.
+enum ForwardedReply {
+    /// The reply is known, and waits for nothing.
+    Ready(wire::ReportAnswer),
+    /// Accepted: the reply is made once the whole batch is in.
+    Accepted { heartbeat: Heartbeat, timing: ReplyTiming },
+}
+
 impl Controller {
-    /// Takes a batch of reports in, and answers each; none if this controller does not lead.
+    /// Accepts a batch of heartbeats, and answers each; no answers if this controller does not lead
+    /// in the batch's term, or has not read the leader's state yet.
     pub(crate) async fn accept_batch(&self, batch: wire::ReportBatch) -> wire::ReportAnswers {
         let term = {
-            let i = self.lock();
-            // one that still reads the store is waited for
-            match (i.lease, &i.cluster) {
-                (Some(a), Some(_)) if a.term == batch.term => a.term,
+            let state = self.lock();
+            match (state.lease, &state.cluster) {
+                (Some(lease), Some(_)) if lease.term == batch.term => lease.term,
                 _ => return wire::ReportAnswers::default(),
             }
         };
-        let taken: Vec<ForwardedReply> = batch.reports.into_iter().map(|r| self.accept_forwarded(r)).collect();
-        let pending = taken.iter().filter_map(|t| match t {
-            ForwardedReply::In { report, pending: true } => Some(report),
+        let replies: Vec<ForwardedReply> = batch.reports.into_iter().map(|r| self.accept_forwarded(r)).collect();
+        let uncommitted = replies.iter().filter_map(|reply| match reply {
+            ForwardedReply::Accepted { heartbeat, timing: ReplyTiming::AfterCommit } => Some(heartbeat),
             _ => None,
         });
-        self.wait_for_commit(&pending.collect::<Vec<_>>()).await;
-        let answers = taken.into_iter().map(|t| self.reply_to_forwarded(t)).collect();
+        self.wait_for_commit(&uncommitted.collect::<Vec<_>>()).await;
+        let answers = replies.into_iter().map(|reply| self.reply_to_forwarded(reply)).collect();
         wire::ReportAnswers { term, answers }
     }
 
-    fn accept_forwarded(&self, r: wire::Report) -> ForwardedReply {
+    /// Accepts one heartbeat of a batch.
+    fn accept_forwarded(&self, forwarded: wire::Report) -> ForwardedReply {
         count(&self.telemetry.counters.heartbeats);
         count(&self.telemetry.counters.heartbeats_forwarded);
-        if r.full.is_empty() {
-            return ForwardedReply::Answered(self.accept_unchanged(r));
+        if forwarded.full.is_empty() {
+            return ForwardedReply::Ready(self.accept_unchanged(forwarded));
         }
-        let report: Heartbeat = match http::decode(&r.full) {
-            Ok(report) => report,
-            Err(e) => return ForwardedReply::Answered(encode_reply(&Response::refuse(400, &e.to_string()))),
+        let heartbeat: Heartbeat = match http::decode(&forwarded.full) {
+            Ok(heartbeat) => heartbeat,
+            Err(e) => return ForwardedReply::Ready(encode_reply(&Response::refuse(400, &e.to_string()))),
         };
-        match self.accept_heartbeat(&report, HeartbeatRoute::Forwarded) {
-            Ok(timing) => ForwardedReply::In { report, pending: timing == ReplyTiming::AfterCommit },
-            Err(response) => ForwardedReply::Answered(encode_reply(&response)),
+        match self.accept_heartbeat(&heartbeat, HeartbeatRoute::Forwarded) {
+            Ok(timing) => ForwardedReply::Accepted { heartbeat, timing },
+            Err(reply) => ForwardedReply::Ready(encode_reply(&reply)),
         }
     }
 
-    /// A report without news.
-    fn accept_unchanged(&self, r: wire::Report) -> wire::ReportAnswer {
+    /// Accepts a heartbeat that repeats an earlier one; the default answer wants it in full.
+    fn accept_unchanged(&self, forwarded: wire::Report) -> wire::ReportAnswer {
         let unchanged = UnchangedHeartbeat {
-            machine: r.machine.into(),
-            incarnation: r.session,
-            sequence: r.tally,
-            repeats_sequence: r.after,
+            machine: forwarded.machine.into(),
+            incarnation: forwarded.session,
+            sequence: forwarded.tally,
+            repeats_sequence: forwarded.after,
         };
         let now = Instant::now();
-        let mut i = self.lock();
-        self.detect_stall(&mut i, now);
-        i.last_heartbeat = Some(now);
-        let answer = match self.may_lead(&i, now) {
-            true => i.cluster.as_mut().and_then(|c| c.apply_unchanged(&unchanged, now)),
-            // the whole report is judged as any other
-            false => None,
-        };
-        match answer {
-            Some(a) => wire::ReportAnswer { status: 200, token: a.fencing_token, body: Vec::new() },
+        let mut state = self.lock();
+        self.detect_stall(&mut state, now);
+        state.last_heartbeat = Some(now);
+        if !self.may_lead(&state, now) {
+            // the full heartbeat is handled as any other
+            return wire::ReportAnswer::default();
+        }
+        match state.cluster.as_mut().and_then(|c| c.apply_unchanged(&unchanged, now)) {
+            Some(reply) => wire::ReportAnswer { status: 200, token: reply.fencing_token, body: Vec::new() },
             None => wire::ReportAnswer::default(),
         }
     }
 
-    /// The answer to a report that was taken in, by what is known at this moment.
-    fn reply_to_forwarded(&self, taken: ForwardedReply) -> wire::ReportAnswer {
-        match taken {
-            ForwardedReply::Answered(a) => a,
-            ForwardedReply::In { report, .. } => encode_reply(&self.reply_to_heartbeat(&report)),
+    /// The answer to a heartbeat of a batch, by the leader's state at this moment.
+    fn reply_to_forwarded(&self, reply: ForwardedReply) -> wire::ReportAnswer {
+        match reply {
+            ForwardedReply::Ready(answer) => answer,
+            ForwardedReply::Accepted { heartbeat, .. } => encode_reply(&self.reply_to_heartbeat(&heartbeat)),
         }
     }
 }
 
-/// A report of a batch, after it was taken in.
-enum ForwardedReply {
-    /// Its answer does not wait for anything.
-    Answered(wire::ReportAnswer),
-    /// It is answered once all of the batch is in; `pending`: after the commit.
-    In {
-        /// The report.
-        report: Heartbeat,
-        /// Something on its machine is on its way into the store.
-        pending: bool,
-    },
-}
-
-/// An answer as it goes to the controller that forwarded the report.
-fn encode_reply(r: &Response) -> wire::ReportAnswer {
-    wire::ReportAnswer { status: r.status.into(), token: 0, body: r.body.clone() }
+/// A worker's reply as it goes to the controller that forwarded the heartbeat.
+fn encode_reply(reply: &Response) -> wire::ReportAnswer {
+    wire::ReportAnswer { status: reply.status.into(), token: 0, body: reply.body.clone() }
 }
--- a/src/peers/forwarding/tests.rs
+++ b/src/peers/forwarding/tests.rs
@@ -12,29 +12,29 @@
 
 const TERM: u64 = 3;
 
-fn node() -> Controller {
-    let sibling = "[[siblings]]\nhost_name = \"b\"\ndomain = \"z1\"\naddr = \"127.0.0.1:5\"\n[services]";
-    let settings = SETTINGS.replace("[services]", sibling);
+fn follower() -> Controller {
+    let peer = "[[siblings]]\nhost_name = \"b\"\ndomain = \"z1\"\naddr = \"127.0.0.1:5\"\n[services]";
+    let settings = SETTINGS.replace("[services]", peer);
     let config = Config::parse("test", &settings).expect("settings of the tests");
     let policy = Policy::new(&config).expect("the default policy");
     Controller::new(config, policy, Instant::now())
 }
 
-/// A controller that leads, and has all others forward reports.
+/// A controller that leads, and has all others forward heartbeats.
 fn leader() -> Controller {
-    let (n, now) = (node(), Instant::now());
+    let (controller, now) = (follower(), Instant::now());
     {
-        let mut i = n.lock();
+        let mut state = controller.lock();
         let until = now + Duration::from_secs(60);
-        i.lease = Some(LeaderLease { term: TERM, revision: 1, lease_id: 1, valid_until: until });
-        i.cluster = Some(Cluster::new(TERM, n.policy.clone(), n.team_limits(), now));
-        i.cancellation_view.watch_answered(now);
-        (i.forwarding_enabled, i.forwarding_requested) = (true, true);
+        state.lease = Some(LeaderLease { term: TERM, revision: 1, lease_id: 1, valid_until: until });
+        state.cluster = Some(Cluster::new(TERM, controller.policy.clone(), controller.team_limits(), now));
+        state.cancellation_view.watch_answered(now);
+        (state.forwarding_enabled, state.forwarding_requested) = (true, true);
     }
-    n
+    controller
 }
 
-fn report(tally: u64, token: u64) -> Heartbeat {
+fn heartbeat(sequence: u64, token: u64) -> Heartbeat {
     Heartbeat {
         machine: "i-000001".into(),
         address: "127.0.0.1:9".into(),
@@ -42,108 +42,117 @@
         zone: "a".into(),
         spot: false,
         incarnation: 1,
-        sequence: tally,
+        sequence,
         fencing_token: token,
         reclaim_in_s: None,
         tasks: vec![],
     }
 }
 
-fn full(r: &Heartbeat) -> wire::Report {
-    wire::Report { full: http::encode(r), ..wire::Report::default() }
+fn full(heartbeat: &Heartbeat) -> wire::Report {
+    wire::Report { full: http::encode(heartbeat), ..wire::Report::default() }
 }
 
-fn repeats(r: &Heartbeat, after: u64) -> wire::Report {
-    let (machine, session, tally) = (r.machine.to_string(), r.incarnation, r.sequence);
-    wire::Report { full: Vec::new(), machine, session, tally, after }
+fn repeats(heartbeat: &Heartbeat, after: u64) -> wire::Report {
+    wire::Report {
+        full: Vec::new(),
+        machine: heartbeat.machine.to_string(),
+        session: heartbeat.incarnation,
+        tally: heartbeat.sequence,
+        after,
+    }
 }
 
 fn batch(term: u64, reports: Vec<wire::Report>) -> wire::ReportBatch {
     wire::ReportBatch { from: "another".into(), term, reports }
 }
 
-/// The leader answers each report of a batch as its own, and wants in full what repeats a
-/// report that it has not had.
+/// The leader answers each heartbeat of a batch as a direct one, and wants in full what repeats a
+/// heartbeat that it has not accepted.
 #[test]
-fn each_report_of_a_batch_is_answered() {
-    let n = leader();
+fn each_heartbeat_of_a_batch_is_answered() {
+    let controller = leader();
     let token = TERM << 24;
-    let other = Heartbeat { machine: "i-000002".into(), ..report(5, 0) };
+    let other = Heartbeat { machine: "i-000002".into(), ..heartbeat(5, 0) };
     let reports =
-        vec![full(&report(1, 0)), repeats(&other, 4), wire::Report { full: vec![0x90], ..Default::default() }];
-    let a = smol::block_on(n.accept_batch(batch(TERM, reports)));
-    assert_eq!((a.term, a.answers.iter().map(|a| a.status).collect::<Vec<_>>()), (TERM, vec![200, 0, 400]));
-    let first: HeartbeatReply = http::decode(&a.answers[0].body).expect("an answer to a worker");
+        vec![full(&heartbeat(1, 0)), repeats(&other, 4), wire::Report { full: vec![0x90], ..Default::default() }];
+    let answer = smol::block_on(controller.accept_batch(batch(TERM, reports)));
+    assert_eq!((answer.term, answer.answers.iter().map(|a| a.status).collect::<Vec<_>>()), (TERM, vec![200, 0, 400]));
+    let first: HeartbeatReply = http::decode(&answer.answers[0].body).expect("an answer to a worker");
     assert_eq!((first.fencing_token, first.commands.len()), (token, 0));
-    let a = smol::block_on(n.accept_batch(batch(TERM, vec![repeats(&report(2, 0), 1), repeats(&report(2, 0), 1)])));
+    let answer = smol::block_on(
+        controller.accept_batch(batch(TERM, vec![repeats(&heartbeat(2, 0), 1), repeats(&heartbeat(2, 0), 1)])),
+    );
     let short = wire::ReportAnswer { status: 200, body: vec![], token };
-    assert_eq!(a.answers, [short, wire::ReportAnswer::default()], "the second comes too late");
+    assert_eq!(answer.answers, [short, wire::ReportAnswer::default()], "a duplicate is wanted in full");
     assert!(
-        n.lock().last_heartbeat.is_some() && n.lock().last_remote_zone_heartbeat.is_none(),
-        "its own sockets were not reached"
+        controller.lock().last_heartbeat.is_some() && controller.lock().last_remote_zone_heartbeat.is_none(),
+        "no worker has reached this controller directly"
     );
 }
 
-/// A batch for another term, and one that finds the lease over, gets no answer that renews.
+/// A batch for another term, or after the lease has expired, gets no answer that renews a lease.
 #[test]
 fn only_the_leader_of_the_term_answers() {
-    let n = leader();
+    let controller = leader();
     for term in [TERM - 1, TERM + 1] {
-        let a = smol::block_on(n.accept_batch(batch(term, vec![full(&report(1, 0))])));
-        assert!(a.answers.is_empty(), "term {term}");
+        let answer = smol::block_on(controller.accept_batch(batch(term, vec![full(&heartbeat(1, 0))])));
+        assert!(answer.answers.is_empty(), "term {term}");
     }
-    let a = smol::block_on(n.accept_batch(batch(TERM, vec![full(&report(1, 0))])));
-    assert_eq!(a.answers[0].status, 200);
-    if let Some(a) = n.lock().lease.as_mut() {
-        a.valid_until = Instant::now();
+    let answer = smol::block_on(controller.accept_batch(batch(TERM, vec![full(&heartbeat(1, 0))])));
+    assert_eq!(answer.answers[0].status, 200);
+    if let Some(lease) = controller.lock().lease.as_mut() {
+        lease.valid_until = Instant::now();
     }
-    let reports = vec![full(&report(2, 0)), repeats(&report(3, 0), 1)];
-    let a = smol::block_on(n.accept_batch(batch(TERM, reports)));
-    assert!(a.answers.iter().all(|a| a.status != 200), "{:?}", a.answers);
-    let a = smol::block_on(node().accept_batch(batch(TERM, vec![full(&report(1, 0))])));
-    assert!(a.answers.is_empty(), "it never led");
+    let reports = vec![full(&heartbeat(2, 0)), repeats(&heartbeat(3, 0), 1)];
+    let answer = smol::block_on(controller.accept_batch(batch(TERM, reports)));
+    assert!(answer.answers.iter().all(|a| a.status != 200), "{:?}", answer.answers);
+    let answer = smol::block_on(follower().accept_batch(batch(TERM, vec![full(&heartbeat(1, 0))])));
+    assert!(answer.answers.is_empty(), "it does not lead");
     let reading = leader();
     reading.lock().cluster = None;
-    let a = smol::block_on(reading.accept_batch(batch(TERM, vec![full(&report(1, 0))])));
-    assert!(a.answers.is_empty(), "it has not read the store yet, and is asked again");
+    let answer = smol::block_on(reading.accept_batch(batch(TERM, vec![full(&heartbeat(1, 0))])));
+    assert!(answer.answers.is_empty(), "it has not read the leader's state yet, and the batch is retried");
 }
 
-/// Workers are sent only to controllers that have lately reached the leader, and to none where
-/// one controller is enough.
+/// Workers are redirected only to controllers that have lately reached the leader, and to none
+/// where one controller is enough.
 #[test]
-fn workers_are_sent_to_whoever_reaches_the_leader() {
-    let (n, now) = (leader(), Instant::now());
-    let to = |n: &Controller, at: Instant| n.redirect_to_forwarder("i-000001", "a", at).map(|r| (r.status, r.body));
-    assert!(to(&n, now).is_none(), "nobody has asked");
-    let name = n.config.peers[0].name.clone();
-    lock(&n.peers.progress_requested_at).insert(name.clone(), now);
-    let (status, body) = to(&n, now).expect("one has");
+fn workers_are_redirected_to_peers_that_reach_the_leader() {
+    let (controller, now) = (leader(), Instant::now());
+    let to = |controller: &Controller, at: Instant| {
+        controller.redirect_to_forwarder("i-000001", "a", at).map(|r| (r.status, r.body))
+    };
+    assert!(to(&controller, now).is_none(), "no peer has reached the leader");
+    let name = controller.config.peers[0].name.clone();
+    lock(&controller.peers.progress_requested_at).insert(name.clone(), now);
+    let (status, body) = to(&controller, now).expect("one peer has");
     assert_eq!(status, 421);
     assert!(body.windows(name.len()).any(|w| w == name.as_bytes()));
-    assert!(to(&n, now + n.policy.peer_limit * 5).is_none(), "too long ago");
-    n.lock().forwarding_requested = false;
-    assert!(to(&n, now).is_none(), "few machines");
-    n.lock().forwarding_requested = true;
-    n.lock().forwarding_enabled = false;
-    assert!(to(&n, now).is_none(), "an earlier version is among them");
+    assert!(to(&controller, now + controller.policy.peer_limit * 5).is_none(), "too long ago");
+    controller.lock().forwarding_requested = false;
+    assert!(to(&controller, now).is_none(), "few machines");
+    controller.lock().forwarding_requested = true;
+    controller.lock().forwarding_enabled = false;
+    assert!(to(&controller, now).is_none(), "an earlier version is among them");
 }
 
-/// A controller forwards while another leads, and deals with reports itself for a while after
+/// A controller forwards while another one leads, and handles heartbeats itself for a while after
 /// the leader did not answer.
 #[test]
 fn a_controller_that_does_not_reach_the_leader_forwards_nothing() {
-    let (n, now) = (node(), Instant::now());
+    let (controller, now) = (follower(), Instant::now());
     let record = LeaderRecord { name: "another".into(), term: TERM };
     {
-        let mut i = n.lock();
-        i.leader = Some(ObservedLeader { record, revision: 1 });
-        (i.forwarding_enabled, i.forwarding_requested) = (true, true);
+        let mut state = controller.lock();
+        state.leader = Some(ObservedLeader { record, revision: 1 });
+        (state.forwarding_enabled, state.forwarding_requested) = (true, true);
     }
-    assert!(n.may_forward(now));
-    *lock(&n.heartbeat_queue.failed_at) = Some(now);
-    assert!(!n.may_forward(now));
-    assert!(n.may_forward(now + n.policy.peer_limit));
-    n.lock().forwarding_requested = false;
-    assert!(!n.may_forward(now + n.policy.peer_limit));
+    assert!(controller.may_forward(now));
+    *lock(&controller.heartbeat_queue.failed_at) = Some(now);
+    assert!(!controller.may_forward(now));
+    assert!(controller.may_forward(now + controller.policy.peer_limit));
+    controller.lock().forwarding_requested = false;
+    assert!(!controller.may_forward(now + controller.policy.peer_limit));
     assert!(!leader().may_forward(now), "it leads itself");
 }
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -1,5 +1,5 @@
-//! The siblings as this controller knows them, and gRPC calls to them: tonic
-//! over hyper's HTTP/2 on smol.
+//! Connections to the peers and calls over them: gRPC with tonic, over hyper's HTTP/2 on smol; and
+//! what this controller knows of the peers.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -21,7 +21,7 @@
 use crate::model::Name;
 use crate::runtime::wake_up::timed;
 
-/// What protox made of `proto/peer.proto`.
+/// Messages, client and server generated from `proto/peer.proto`.
 #[allow(missing_docs, clippy::all, clippy::too_many_lines)]
 pub mod wire {
     tonic::include_proto!("coralnotch.peer");
@@ -29,9 +29,10 @@
 
 use wire::peer_client::PeerClient;
 
+/// A future that drives a connection, or a call on one.
 pub(crate) type ConnectionTask = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// Hands futures to the controller's executor.
+/// Hyper's executor: queues futures for the controller's own executor.
 #[derive(Clone)]
 pub struct Spawner(pub(crate) smol::channel::Sender<ConnectionTask>);
 
@@ -39,26 +40,29 @@
 where
     F: Future + Send + 'static,
 {
-    fn execute(&self, work: F) {
-        let work: ConnectionTask = Box::pin(async move {
-            work.await;
+    fn execute(&self, future: F) {
+        let task: ConnectionTask = Box::pin(async move {
+            future.await;
         });
-        if self.0.try_send(work).is_err() {
-            tracing::error!("no room for another task between controllers");
+        if self.0.try_send(task).is_err() {
+            tracing::error!("too many pending tasks for peer connections");
         }
     }
 }
 
-/// Tasks that may wait to be started.
+/// Tasks that may wait to be spawned; more are dropped.
 const MAX_PENDING_TASKS: usize = 1024;
 
-/// How a sibling stood when it last answered.
+/// A peer's status, as it last replied.
 #[derive(Debug, Clone, Copy)]
 pub struct PeerStatus {
+    /// When the reply came.
     pub(crate) answered_at: Instant,
+    /// The state service serves the peer.
     pub(crate) served: bool,
+    /// Highest term that the peer knew.
     pub(crate) term: u64,
-    /// When a worker last reported there.
+    /// When a worker's heartbeat last reached the peer.
     pub(crate) last_heartbeat: Option<Instant>,
 }
 
@@ -71,25 +75,31 @@
     pub running: u32,
 }
 
+/// A peer and the connection to it.
 pub(crate) struct PeerLink {
     pub(crate) name: String,
-    addr: SocketAddr,
+    address: SocketAddr,
+    /// The open connection; `None` before the first call and after a failed one.
     connection: Mutex<Option<SendRequest<Body>>>,
 }
 
-/// The siblings.
+/// Progress that was counted for peers, and when.
+pub(crate) type ProgressCache = Option<(Instant, Vec<wire::Progress>)>;
+
+/// The other controllers of the deployment.
 pub struct Peers {
     pub(crate) links: Vec<PeerLink>,
+    /// The peers' last statuses by name.
     pub(crate) statuses: Mutex<HashMap<String, PeerStatus>>,
-    /// Progress of jobs as the leader last told.
+    /// Progress of jobs, as the leader last replied.
     pub(crate) progress: Mutex<HashMap<Name, JobProgress>>,
-    /// When each sibling last asked this controller for the progress of jobs.
+    /// When each peer last asked this controller for the progress of jobs.
     pub(crate) progress_requested_at: Mutex<HashMap<String, Instant>>,
-    /// The progress that was told last, for those that ask soon after.
-    pub(crate) progress_cache: Mutex<Option<(Instant, Vec<wire::Progress>)>>,
-    /// What the leader had learned of machines, as it last told.
+    /// The progress that this controller last replied, for peers that ask soon after.
+    pub(crate) progress_cache: Mutex<ProgressCache>,
+    /// What the leader has learned of machines, as it last replied.
     pub(crate) machine_hints: Mutex<HashMap<Name, MachineHints>>,
-    /// What each has shown that it has.
+    /// The features that each peer has advertised.
     pub(crate) roster: Mutex<MemberFeatures>,
     pub(crate) spawner: Spawner,
     pub(crate) connection_tasks: smol::channel::Receiver<ConnectionTask>,
@@ -112,104 +122,113 @@
     }
 }
 
-pub(crate) fn lock<T>(m: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    m.lock().unwrap_or_else(|e| e.into_inner())
+/// Locks a mutex, also one that a panic has poisoned.
+pub(crate) fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
 impl Peers {
-    /// The siblings of the settings.
-    pub fn new(siblings: &[crate::config::Peer]) -> Peers {
-        let (s, work) = smol::channel::bounded(MAX_PENDING_TASKS);
-        let link =
-            |s: &crate::config::Peer| PeerLink { name: s.name.clone(), addr: s.addr, connection: Mutex::default() };
+    /// The peers of the settings, not connected yet.
+    pub fn new(peers: &[crate::config::Peer]) -> Peers {
+        let (task_sender, connection_tasks) = smol::channel::bounded(MAX_PENDING_TASKS);
+        let link = |peer: &crate::config::Peer| PeerLink {
+            name: peer.name.clone(),
+            address: peer.addr,
+            connection: Mutex::default(),
+        };
         Peers {
-            links: siblings.iter().map(link).collect(),
+            links: peers.iter().map(link).collect(),
             statuses: Mutex::default(),
             progress: Mutex::default(),
             progress_requested_at: Mutex::default(),
             progress_cache: Mutex::default(),
             machine_hints: Mutex::default(),
             roster: Mutex::default(),
-            spawner: Spawner(s),
-            connection_tasks: work,
+            spawner: Spawner(task_sender),
+            connection_tasks,
         }
     }
 
-    async fn connect(&self, l: &PeerLink) -> Option<PeerClient<Channel>> {
-        let open = lock(&l.connection).clone().filter(|s| !s.is_closed());
-        let send = match open {
-            Some(s) => s,
-            None => {
-                let stream = TcpStream::connect(l.addr).await.ok()?;
-                let _ = stream.set_nodelay(true);
-                let (send, conn) = hyper::client::conn::http2::Builder::new(self.spawner.clone())
-                    .timer(SmolTimer::new())
-                    .handshake(FuturesIo::new(stream))
-                    .await
-                    .ok()?;
-                hyper::rt::Executor::execute(&self.spawner, async move {
-                    let _ = conn.await;
-                });
-                *lock(&l.connection) = Some(send.clone());
-                send
-            }
+    /// A client on the link's open connection, or on a new one.
+    async fn connect(&self, link: &PeerLink) -> Option<PeerClient<Channel>> {
+        let open = lock(&link.connection).clone().filter(|c| !c.is_closed());
+        let connection = match open {
+            Some(connection) => connection,
+            None => self.open_connection(link).await?,
         };
         let origin =
-            http::Uri::builder().scheme("http").authority(l.addr.to_string()).path_and_query("/").build().ok()?;
-        Some(PeerClient::with_origin(Channel(send), origin))
+            http::Uri::builder().scheme("http").authority(link.address.to_string()).path_and_query("/").build().ok()?;
+        Some(PeerClient::with_origin(Channel(connection), origin))
+    }
+
+    /// Opens a connection to a peer, and keeps it for the next calls.
+    async fn open_connection(&self, link: &PeerLink) -> Option<SendRequest<Body>> {
+        let stream = TcpStream::connect(link.address).await.ok()?;
+        let _ = stream.set_nodelay(true);
+        let (connection, driver) = hyper::client::conn::http2::Builder::new(self.spawner.clone())
+            .timer(SmolTimer::new())
+            .handshake(FuturesIo::new(stream))
+            .await
+            .ok()?;
+        hyper::rt::Executor::execute(&self.spawner, async move {
+            let _ = driver.await;
+        });
+        *lock(&link.connection) = Some(connection.clone());
+        Some(connection)
     }
 
-    /// One call; a link that fails is opened anew the next time.
+    /// Makes one call, for at most `limit`; `None` without an answer.  After that the link is opened
+    /// anew for the next call.
     pub(crate) async fn call<T, F>(
         &self,
-        l: &PeerLink,
+        link: &PeerLink,
         limit: Duration,
-        work: impl FnOnce(PeerClient<Channel>) -> F,
+        request: impl FnOnce(PeerClient<Channel>) -> F,
     ) -> Option<T>
     where
         F: Future<Output = Result<tonic::Response<T>, tonic::Status>>,
     {
         let answer = timed(limit, async {
-            let client = self.connect(l).await?;
-            work(client).await.ok()
+            let client = self.connect(link).await?;
+            request(client).await.ok()
         })
         .await
         .flatten();
         if answer.is_none() {
-            *lock(&l.connection) = None;
+            *lock(&link.connection) = None;
         }
         answer.map(tonic::Response::into_inner)
     }
 
-    /// Done and running tasks of a job, as the leader last told.
+    /// The progress of a job, as the leader last replied.
     pub fn progress(&self, id: &str) -> JobProgress {
         lock(&self.progress).get(id).copied().unwrap_or_default()
     }
 
-    /// What the leader had learned of machines, as it last told.
+    /// What the leader has learned of machines, as it last replied.
     pub fn machine_hints(&self) -> HashMap<Name, MachineHints> {
         lock(&self.machine_hints).clone()
     }
 
-    /// Whether siblings answered lately, all of them refused by the state
-    /// service and none of a later term: an outage, not our own trouble.
+    /// Whether peers answered within `fresh`, all of them refused by the state service and none of
+    /// them with a later term than `term`: an outage, not a failure of this controller alone.
     pub fn confirm_outage(&self, term: u64, fresh: Duration, now: Instant) -> bool {
-        let seen = lock(&self.statuses);
-        let mut lately = seen.values().filter(|s| now.duration_since(s.answered_at) < fresh).peekable();
-        lately.peek().is_some() && lately.all(|s| !s.served && s.term <= term)
+        let statuses = lock(&self.statuses);
+        let mut recent = statuses.values().filter(|s| now.duration_since(s.answered_at) < fresh).peekable();
+        recent.peek().is_some() && recent.all(|s| !s.served && s.term <= term)
     }
 
-    /// This controller stood still: what it knew of the siblings is old.
+    /// Forgets the peers' statuses, which are old after a stall of this controller.
     pub fn reset_after_stall(&self) {
         lock(&self.statuses).clear();
     }
 
-    /// When a worker last reported to any sibling, as far as they told.
+    /// When a worker's heartbeat last reached any peer, as far as the peers have replied.
     pub fn last_worker_contact(&self) -> Option<Instant> {
         lock(&self.statuses).values().filter_map(|s| s.last_heartbeat).max()
     }
 
-    /// Whether there are siblings, and some answered lately.
+    /// Whether some peer answered within `fresh`.
     pub fn any_reachable(&self, fresh: Duration, now: Instant) -> bool {
         lock(&self.statuses).values().any(|s| now.duration_since(s.answered_at) < fresh)
     }
--- a/src/peers/polling.rs
+++ b/src/peers/polling.rs
@@ -1,4 +1,5 @@
-//! Polls the peers for their status: the leader for its progress, in trouble all of them.
+//! Polls the peers' statuses: the leader's for the progress of jobs; in trouble, and until all
+//! features are enabled, every peer's.
 
 use std::time::{Duration, Instant};
 
@@ -6,87 +7,111 @@
 use crate::leadership::feature_gate;
 use crate::peers::links::{lock, wire, JobProgress, PeerLink, PeerStatus};
 use crate::peers::machine_hints::decode_machine_hints;
+use crate::state_store::client::key;
 
-/// Controllers that keep what the leader learned of machines.
+/// Controllers that keep what the leader has learned of machines.
 const MACHINE_HINT_KEEPERS: usize = 3;
 
 impl Controller {
-    /// Asks one sibling how it stands.
-    async fn poll_peer(&self, l: &PeerLink, progress: bool) {
-        let limit = self.policy.peer_limit;
-        let (since, cursor) = {
-            let i = self.lock();
-            (i.synced.then_some(i.revision), i.cancellation_view.next_request(&l.name))
-        };
-        let ask = wire::StatusRequest {
+    /// Polls peers for as long as the controller runs.
+    pub async fn run_peer_polling(&self) {
+        loop {
+            let in_trouble = self.is_cut_off_from_changes();
+            if self.store.is_unresponsive() {
+                // a probe, so that the end of a partition is noticed soon
+                let _ = self.store.get(key::LEADER).await;
+            }
+            let (leader, features_pending) = {
+                let state = self.lock();
+                (state.leader.as_ref().map(|l| l.record.name.clone()), !state.all_features_enabled())
+            };
+            let is_leader = |link: &PeerLink| leader.as_deref() == Some(&link.name);
+            // while features are pending, a poll also advertises those of this controller
+            let polled = self.peers.links.iter().filter(|l| in_trouble || features_pending || is_leader(l));
+            futures_util::future::join_all(polled.map(|l| self.poll_peer(l, is_leader(l)))).await;
+            smol::Timer::after(self.poll_interval(in_trouble, features_pending)).await;
+        }
+    }
+
+    /// Polls all peers once; `with_progress` also for the progress of jobs and for what a previous
+    /// leader had learned of machines.
+    pub async fn poll_all_peers(&self, with_progress: bool) {
+        futures_util::future::join_all(self.peers.links.iter().map(|l| self.poll_peer(l, with_progress))).await;
+    }
+
+    /// Whether the state service does not serve this controller, or serves it while the watch shows
+    /// nothing: then peers may know more.
+    fn is_cut_off_from_changes(&self) -> bool {
+        if self.store.is_failing() {
+            return true;
+        }
+        let state = self.lock();
+        state.synced && self.cancellations_complete_as_of(&state).is_some_and(|t| t.elapsed() > self.policy.ttl * 3)
+    }
+
+    /// The pause until the next round of polls.
+    fn poll_interval(&self, in_trouble: bool, features_pending: bool) -> Duration {
+        let interval = if in_trouble { self.policy.peer_limit / 2 } else { self.policy.peer_limit * 3 };
+        if features_pending {
+            interval.min(self.policy.renew / 2)
+        } else {
+            interval
+        }
+    }
+
+    /// Polls one peer, and applies its status.
+    async fn poll_peer(&self, link: &PeerLink, with_progress: bool) {
+        let request = self.status_request(link, with_progress);
+        let sent_at = Instant::now();
+        let answer =
+            self.peers.call(link, self.policy.peer_limit, |mut client| async move { client.status(request).await });
+        if let Some(status) = answer.await {
+            self.apply_peer_status(&link.name, status, sent_at, with_progress);
+        }
+    }
+
+    /// The request for a peer's status: asks for the cancellations that are not known here.
+    fn status_request(&self, link: &PeerLink, with_progress: bool) -> wire::StatusRequest {
+        let state = self.lock();
+        let cursor = state.cancellation_view.next_request(&link.name);
+        wire::StatusRequest {
             without_machines: !self.keeps_machine_hints(),
-            progress,
+            progress: with_progress,
             from: self.config.name.clone(),
             knows: feature_gate::supported_features(),
-            withdrawn_since: since,
+            withdrawn_since: state.synced.then_some(state.revision),
             withdrawn_life: cursor.incarnation,
             withdrawn_had: cursor.next,
-        };
-        let sent = Instant::now();
-        let answer = self.peers.call(l, limit, |mut c| async move { c.status(ask).await }).await;
-        let Some(s) = answer else { return };
-        let now = Instant::now();
-        if let Some(account) = s.account {
-            self.apply_cancellation_batch(&l.name, account, sent, now);
-        }
-        self.record_peer_features(&l.name, s.knows, s.version, now);
-        let heard = s.heard_ms.and_then(|ms| now.checked_sub(Duration::from_millis(ms)));
-        let seen = PeerStatus { answered_at: now, served: s.served, term: s.term, last_heartbeat: heard };
-        lock(&self.peers.statuses).insert(l.name.clone(), seen);
-        if progress {
-            if s.leads {
-                self.lock().forwarding_requested = s.spread;
-            }
-            if !s.machines.is_empty() {
-                *lock(&self.peers.machine_hints) = decode_machine_hints(s.machines, &s.images, now);
-            }
-            *lock(&self.peers.progress) = s
-                .jobs
-                .into_iter()
-                .map(|j| (j.id.as_str().into(), JobProgress { done: j.done, running: j.running }))
-                .collect();
         }
     }
 
-    /// Whether this controller is one of the few that keep what the leader learned of machines
-    /// for the next one: of many controllers the first by name.
-    fn keeps_machine_hints(&self) -> bool {
-        self.config.peers.iter().filter(|s| s.name < self.config.name).count() < MACHINE_HINT_KEEPERS
-    }
-
-    /// Follows the leader's progress, and in trouble all siblings' state.
-    pub async fn run_peer_polling(&self) {
-        loop {
-            let trouble = self.store.is_failing() || {
-                // served, and yet the watch shows nothing: siblings know more
-                let i = self.lock();
-                i.synced && self.cancellations_complete_as_of(&i).is_some_and(|t| t.elapsed() > self.policy.ttl * 3)
-            };
-            if self.store.is_unresponsive() {
-                // the end of a cut has to be noticed soon
-                let _ = self.store.get(crate::state_store::client::key::LEADER).await;
-            }
-            let (leader, gated) = {
-                let i = self.lock();
-                (i.leader.as_ref().map(|l| l.record.name.clone()), !i.all_features_enabled())
-            };
-            // until all is on everybody is asked, and so told what is here
-            let asked = self.peers.links.iter().filter(|l| trouble || gated || leader.as_deref() == Some(&l.name));
-            futures_util::future::join_all(asked.map(|l| self.poll_peer(l, leader.as_deref() == Some(&l.name)))).await;
-            let pause = if trouble { self.policy.peer_limit / 2 } else { self.policy.peer_limit * 3 };
-            let pause = if gated { pause.min(self.policy.renew / 2) } else { pause };
-            smol::Timer::after(pause).await;
+    /// Applies a peer's status, which was requested at `sent_at`.
+    fn apply_peer_status(&self, name: &str, status: wire::StatusResponse, sent_at: Instant, with_progress: bool) {
+        let now = Instant::now();
+        if let Some(batch) = status.account {
+            self.apply_cancellation_batch(name, batch, sent_at, now);
         }
+        self.record_peer_features(name, status.knows, status.version, now);
+        let last_heartbeat = status.heard_ms.and_then(|ms| now.checked_sub(Duration::from_millis(ms)));
+        let seen = PeerStatus { answered_at: now, served: status.served, term: status.term, last_heartbeat };
+        lock(&self.peers.statuses).insert(name.to_owned(), seen);
+        if !with_progress {
+            return;
+        }
+        if status.leads {
+            self.lock().forwarding_requested = status.spread;
+        }
+        if !status.machines.is_empty() {
+            *lock(&self.peers.machine_hints) = decode_machine_hints(status.machines, &status.images, now);
+        }
+        let progress_of =
+            |job: wire::Progress| (job.id.as_str().into(), JobProgress { done: job.done, running: job.running });
+        *lock(&self.peers.progress) = status.jobs.into_iter().map(progress_of).collect();
     }
 
-    /// Asks all siblings how they stand, or also what a previous leader had learned
-    /// of machines.
-    pub async fn poll_all_peers(&self, learned: bool) {
-        futures_util::future::join_all(self.peers.links.iter().map(|l| self.poll_peer(l, learned))).await;
+    /// Whether this controller is one of the few that keep what the leader has learned of machines
+    /// for the next leader: the first ones by name.
+    fn keeps_machine_hints(&self) -> bool {
+        self.config.peers.iter().filter(|p| p.name < self.config.name).count() < MACHINE_HINT_KEEPERS
     }
 }
--- a/src/peers/relay.rs
+++ b/src/peers/relay.rs
@@ -4,31 +4,46 @@
 
 use crate::controller::Controller;
 use crate::http::{Request, Response};
+use crate::operators::telemetry::count;
 use crate::peers::links::{lock, wire, PeerLink};
 
 impl Controller {
-    /// Has a sibling answer a user's request.
-    pub async fn relay_to_peer(&self, r: &Request) -> Option<Response> {
-        let now = Instant::now();
-        let fresh = self.policy.peer_limit * 3;
-        // those that said they are served first, those that are not never
-        let mut order: Vec<(bool, &PeerLink)> = {
-            let seen = lock(&self.peers.statuses);
-            let state = |l: &PeerLink| {
-                seen.get(&l.name).filter(|s| now.duration_since(s.answered_at) < fresh).map(|s| s.served)
+    /// Has a peer answer a user's request; `None` if none can.
+    pub async fn relay_to_peer(&self, request: &Request) -> Option<Response> {
+        for link in self.relay_candidates(Instant::now()) {
+            let message = wire::RelayRequest {
+                method: request.method.clone(),
+                path: request.path.clone(),
+                body: request.body.clone(),
             };
-            self.peers.links.iter().filter(|l| state(l) != Some(false)).map(|l| (state(l).is_none(), l)).collect()
-        };
-        order.sort_by_key(|o| o.0);
-        for (_, l) in order {
-            let m = wire::RelayRequest { method: r.method.clone(), path: r.path.clone(), body: r.body.clone() };
-            let answer = self.peers.call(l, self.policy.peer_limit, |mut c| async move { c.relay(m).await }).await;
-            if let Some(a) = answer.filter(|a| a.status != 503 && (200..600).contains(&a.status)) {
-                crate::operators::telemetry::count(&self.telemetry.counters.relayed);
-                let retry_after = (a.retry_after_s > 0).then_some(a.retry_after_s);
-                return Some(Response { status: a.status as u16, body: a.body, retry_after, seldom: false });
+            let answer =
+                self.peers.call(link, self.policy.peer_limit, |mut client| async move { client.relay(message).await });
+            if let Some(relayed) = answer.await.filter(|a| a.status != 503 && (200..600).contains(&a.status)) {
+                count(&self.telemetry.counters.relayed);
+                let retry_after = (relayed.retry_after_s > 0).then_some(relayed.retry_after_s);
+                return Some(Response {
+                    status: relayed.status as u16,
+                    body: relayed.body,
+                    retry_after,
+                    seldom: false,
+                });
             }
         }
         None
     }
+
+    /// The peers that may answer: first those that said lately that they are served, then those of
+    /// which nothing is known, and never those that said that they are not.
+    fn relay_candidates(&self, now: Instant) -> Vec<&PeerLink> {
+        let fresh = self.policy.peer_limit * 3;
+        let statuses = lock(&self.peers.statuses);
+        let is_served = |link: &PeerLink| {
+            let status = statuses.get(&link.name).filter(|s| now.duration_since(s.answered_at) < fresh);
+            status.map(|s| s.served)
+        };
+        let candidates = self.peers.links.iter().filter(|l| is_served(l) != Some(false));
+        let (mut served, unknown): (Vec<_>, Vec<_>) = candidates.partition(|l| is_served(l).is_some());
+        served.extend(unknown);
+        served
+    }
 }
--- a/src/peers/service.rs
+++ b/src/peers/service.rs
@@ -1,4 +1,8 @@
-//! Serves the peers: gRPC with tonic, over hyper's HTTP/2 on smol.
+//! The gRPC service for the peers: tonic over hyper's HTTP/2 on smol.
+//!
+//! A controller that the state service refuses relays its users' requests to a peer that is served.
+//! A leader in that state asks its peers whether they are refused too: then it is an outage, nobody
+//! can succeed the leader, and it may keep renewing the workers' leases, without commands.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,7 +12,7 @@
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 use tonic::body::Body;
 
-use crate::cluster::{Machine, MachineHints};
+use crate::cluster::{Cluster, Machine, MachineHints};
 use crate::controller::Controller;
 use crate::http::Request;
 use crate::leadership::feature_gate;
@@ -17,146 +21,161 @@
 use crate::peers::links::{lock, wire, ConnectionTask};
 use crate::peers::machine_hints::encode_machine_hints;
 
-/// Requests of one sibling at once.
+/// Requests of one peer at once.
 const MAX_CONCURRENT_STREAMS: u32 = 64;
+/// Pause after a connection could not be accepted.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 impl Controller {
-    /// Runs what the links need, for as long as the controller runs.
+    /// Spawns the tasks that drive the connections, for as long as the controller runs.
     pub async fn run_peer_connections(self: Arc<Self>, spawn: impl Fn(ConnectionTask)) {
-        while let Ok(work) = self.peers.connection_tasks.recv().await {
-            spawn(work);
+        while let Ok(task) = self.peers.connection_tasks.recv().await {
+            spawn(task);
         }
     }
 
-    /// Serves the siblings.
+    /// Serves the peers, for as long as the controller runs.
     pub async fn serve_peers(self: Arc<Self>, listener: TcpListener) {
-        let service = PeerServer::new(PeerService(self.clone()));
+        let service = PeerServer::new(PeerService { controller: self.clone() });
         loop {
             let stream = match listener.accept().await {
-                Ok((s, _)) => s,
+                Ok((stream, _)) => stream,
                 Err(e) => {
-                    tracing::error!("accept from controllers: {e}");
-                    smol::Timer::after(Duration::from_millis(100)).await;
+                    tracing::error!(error = %e, "peer connection not accepted");
+                    smol::Timer::after(ACCEPT_RETRY_PAUSE).await;
                     continue;
                 }
             };
             let _ = stream.set_nodelay(true);
             let service = service.clone();
-            let handler = hyper::service::service_fn(move |r: http::Request<Incoming>| {
+            let handler = hyper::service::service_fn(move |request: http::Request<Incoming>| {
                 let mut service = service.clone();
-                async move { tower_service::Service::call(&mut service, r.map(Body::new)).await }
+                async move { tower_service::Service::call(&mut service, request.map(Body::new)).await }
             });
-            let conn = hyper::server::conn::http2::Builder::new(self.peers.spawner.clone())
+            let connection = hyper::server::conn::http2::Builder::new(self.peers.spawner.clone())
                 .timer(SmolTimer::new())
                 .max_concurrent_streams(MAX_CONCURRENT_STREAMS)
                 .serve_connection(FuturesIo::new(stream), handler);
             hyper::rt::Executor::execute(&self.peers.spawner, async move {
-                let _ = conn.await;
+                let _ = connection.await;
             });
         }
     }
+
+    /// Applies a peer's notice of cancellations; the ids of those jobs that have no task left, if
+    /// this controller leads.
+    fn accept_notice(&self, notice: wire::TellRequest) -> wire::TellResponse {
+        let now = Instant::now();
+        for cancellation in &notice.known {
+            self.apply_stored_outcome(&cancellation.id, JobOutcome::Cancelled, cancellation.stamp, now);
+        }
+        let state = self.lock();
+        let ids = notice.known.into_iter().map(|cancellation| cancellation.id);
+        wire::TellResponse { clear: ids.filter(|id| state.has_no_task_of(&id.as_str().into(), now)).collect() }
+    }
+
+    /// Answers a peer's request for this controller's status.
+    fn reply_to_status(&self, request: wire::StatusRequest) -> wire::StatusResponse {
+        let now = Instant::now();
+        let account = self.cancellation_batch(&request);
+        if !request.from.is_empty() {
+            // a request has no version: the peer's replies have it
+            self.record_peer_features(&request.from, request.knows, String::new(), now);
+            if request.progress {
+                lock(&self.peers.progress_requested_at).insert(request.from, now);
+            }
+        }
+        let jobs = if request.progress { self.recent_progress(now) } else { Vec::new() };
+        let (machines, images) = if request.progress && !request.without_machines {
+            self.encode_known_machine_hints(now)
+        } else {
+            Default::default()
+        };
+        let leads = self.may_act(Instant::now());
+        let served = !self.store.is_failing();
+        let state = self.lock();
+        wire::StatusResponse {
+            served,
+            term: state.leader.as_ref().map_or(0, |l| l.record.term),
+            leads,
+            jobs,
+            machines,
+            images,
+            heard_ms: state.last_heartbeat.map(|t| t.elapsed().as_millis() as u64),
+            knows: feature_gate::supported_features(),
+            version: feature_gate::VERSION.to_owned(),
+            account,
+            spread: state.forwarding_requested && leads,
+        }
+    }
+
+    /// What has been learned of machines: from the leader's state, or as the leader last replied.
+    fn encode_known_machine_hints(&self, now: Instant) -> (Vec<wire::Learned>, Vec<wire::Image>) {
+        let state = self.lock();
+        match state.cluster.as_ref() {
+            Some(cluster) => {
+                let existing = cluster.machines.values().filter(|m| m.removed_at.is_none());
+                encode_machine_hints(existing.map(|m| (&m.name, hints_of(cluster, m))), now)
+            }
+            None => {
+                let known = lock(&self.peers.machine_hints);
+                encode_machine_hints(known.iter().map(|(name, hints)| (name, hints.clone())), now)
+            }
+        }
+    }
 }
 
-/// The serving side.
-struct PeerService(Arc<Controller>);
+/// What the leader has learned of a machine.
+fn hints_of(cluster: &Cluster, machine: &Machine) -> MachineHints {
+    let last_heartbeat = machine.last_heartbeat.or_else(|| cluster.machine_hints.get(&machine.name)?.last_heartbeat);
+    MachineHints {
+        speed: machine.speed,
+        speed_samples: machine.speed_samples,
+        images: machine.images.clone(),
+        last_heartbeat,
+    }
+}
+
+/// The gRPC service of one controller.
+struct PeerService {
+    controller: Arc<Controller>,
+}
 
 #[tonic::async_trait]
 impl Peer for PeerService {
     async fn relay(
         &self,
-        r: tonic::Request<wire::RelayRequest>,
+        request: tonic::Request<wire::RelayRequest>,
     ) -> Result<tonic::Response<wire::RelayResponse>, tonic::Status> {
-        let r = r.into_inner();
+        let relayed = request.into_inner();
+        let request = Request { method: relayed.method, path: relayed.path, query: String::new(), body: relayed.body };
         // answered here or not at all: a relayed request is not relayed again
-        let a = self
-            .0
-            .handle_user_request(&Request { method: r.method, path: r.path, query: String::new(), body: r.body })
-            .await;
+        let response = self.controller.handle_user_request(&request).await;
         Ok(tonic::Response::new(wire::RelayResponse {
-            status: a.status.into(),
-            body: a.body,
-            retry_after_s: a.retry_after.unwrap_or(0),
+            status: response.status.into(),
+            body: response.body,
+            retry_after_s: response.retry_after.unwrap_or(0),
         }))
     }
 
     async fn report(
         &self,
-        r: tonic::Request<wire::ReportBatch>,
+        request: tonic::Request<wire::ReportBatch>,
     ) -> Result<tonic::Response<wire::ReportAnswers>, tonic::Status> {
-        Ok(tonic::Response::new(self.0.accept_batch(r.into_inner()).await))
+        Ok(tonic::Response::new(self.controller.accept_batch(request.into_inner()).await))
     }
 
     async fn tell(
         &self,
-        r: tonic::Request<wire::TellRequest>,
+        request: tonic::Request<wire::TellRequest>,
     ) -> Result<tonic::Response<wire::TellResponse>, tonic::Status> {
-        let (known, now) = (r.into_inner().known, Instant::now());
-        for w in &known {
-            self.0.apply_stored_outcome(&w.id, JobOutcome::Cancelled, w.stamp, now);
-        }
-        let i = self.0.lock();
-        let clear = known.into_iter().map(|w| w.id).filter(|id| i.has_no_task_of(&id.as_str().into(), now)).collect();
-        Ok(tonic::Response::new(wire::TellResponse { clear }))
+        Ok(tonic::Response::new(self.controller.accept_notice(request.into_inner())))
     }
 
     async fn status(
         &self,
-        r: tonic::Request<wire::StatusRequest>,
+        request: tonic::Request<wire::StatusRequest>,
     ) -> Result<tonic::Response<wire::StatusResponse>, tonic::Status> {
-        let r = r.into_inner();
-        let (progress, now) = (r.progress, Instant::now());
-        let account = self.0.cancellation_batch(&r);
-        if !r.from.is_empty() {
-            self.0.record_peer_features(&r.from, r.knows.clone(), String::new(), now);
-        }
-        if progress && !r.from.is_empty() {
-            lock(&self.0.peers.progress_requested_at).insert(r.from.clone(), now);
-        }
-        let jobs = if progress { self.0.recent_progress(now) } else { Vec::new() };
-        let (machines, images) = match progress && !r.without_machines {
-            false => Default::default(),
-            true => match self.0.lock().cluster.as_ref() {
-                Some(c) => {
-                    let up = c.machines.values().filter(|m| m.removed_at.is_none());
-                    let learned = |m: &Machine| {
-                        let heard = m.last_heartbeat.or_else(|| c.machine_hints.get(&m.name)?.last_heartbeat);
-                        MachineHints {
-                            speed: m.speed,
-                            speed_samples: m.speed_samples,
-                            images: m.images.clone(),
-                            last_heartbeat: heard,
-                        }
-                    };
-                    encode_machine_hints(up.map(|m| (&m.name, learned(m))), now)
-                }
-                None => {
-                    let known = lock(&self.0.peers.machine_hints);
-                    encode_machine_hints(known.iter().map(|(n, l)| (n, l.clone())), now)
-                }
-            },
-        };
-        let leads = self.0.may_act(Instant::now());
-        let served = !self.0.store.is_failing();
-        let (term, heard, spread) = {
-            let i = self.0.lock();
-            (i.leader.as_ref().map_or(0, |l| l.record.term), i.last_heartbeat, i.forwarding_requested)
-        };
-        let heard_ms = heard.map(|t| t.elapsed().as_millis() as u64);
-        let (knows, version) = (feature_gate::supported_features(), feature_gate::VERSION.to_owned());
-        let spread = spread && leads;
-        let s = wire::StatusResponse {
-            served,
-            term,
-            leads,
-            jobs,
-            machines,
-            images,
-            heard_ms,
-            knows,
-            version,
-            account,
-            spread,
-        };
-        Ok(tonic::Response::new(s))
+        Ok(tonic::Response::new(self.controller.reply_to_status(request.into_inner())))
     }
 }
