--- a/benches/history/main.rs
+++ b/benches/history/main.rs
@@ -17,7 +17,7 @@
 use clap::Parser;
 use coralnotch::http::{self, Client};
 use coralnotch::model::{JobOutcome, JobSpec, OutcomeRecord, Priority, Shape};
-use coralnotch::operators::telemetry::Status;
+use coralnotch::operators::status::Status;
 use coralnotch::state_store::client::key;
 use rmpv::Value;
 
--- a/src/commands/client.rs
+++ b/src/commands/client.rs
@@ -8,7 +8,7 @@
 
 use crate::http::{self, Client};
 use crate::model::{valid_id, JobExplanation, JobState};
-use crate::operators::telemetry::Status;
+use crate::operators::status::Status;
 
 /// Why a command came to nothing.
 #[derive(Debug, thiserror::Error)]
--- a/src/operators/mod.rs
+++ b/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! What operators see: counters, latencies and the status answer.
+//! Observability for operators: counters, latencies and the status.
 
 pub mod status;
 pub mod telemetry;
--- a/src/operators/telemetry.rs
+++ b/src/operators/telemetry.rs
@@ -1,5 +1,4 @@
-//! Counters and latencies of one controller, and the status that operators
-//! read: who leads and since when, what waits and why, what is in doubt.
+//! Counters and latencies of one controller.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,26 +8,25 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::model::Name;
-
-/// What is timed.
+/// An operation whose latency is recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TimedOperation {
-    /// A submission, from its arrival to its answer.
+    /// A submission, from its arrival to its reply.
     Submission,
-    /// A query.
+    /// A query, from its arrival to its reply.
     Query,
-    /// A withdrawal.
+    /// A cancellation by a user, from its arrival to its reply.
     Cancellation,
-    /// A transaction of the leader's.
+    /// A compare-and-swap of the leader.
     Commit,
-    /// A pass over the queue.
+    /// A scheduling pass over the queue.
     Pass,
-    /// A task, from its job's arrival here to its placement.
+    /// A task, from its job's arrival at the leader to its placement.
     Placement,
 }
 
 impl TimedOperation {
+    /// All operations in the order of their values, with their keys in `/v2/status`.
     const ALL: [(TimedOperation, &'static str); 6] = [
         (TimedOperation::Submission, "submission"),
         (TimedOperation::Query, "query"),
@@ -39,178 +37,92 @@
     ];
 }
 
-/// What is counted.
+/// Counters since the start of the controller.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Requests of users.
+    /// Users' requests.
     pub requests: AtomicU64,
-    /// … that were refused for now.
+    /// Users' requests that were refused with 503.
     pub refused: AtomicU64,
-    /// … that a sibling answered.
+    /// Users' requests that a peer answered.
     pub relayed: AtomicU64,
-    /// Queries for ids not known here that were refused: too many at once.
+    /// Lookups of unknown ids that were refused, as too many waited.
     pub lookups_refused: AtomicU64,
-    /// Reports taken in.
+    /// Heartbeats that were handled here.
     pub heartbeats: AtomicU64,
-    /// ... that came by way of another controller.
+    /// Heartbeats that another controller forwarded.
     pub heartbeats_forwarded: AtomicU64,
-    /// Reports answered only to renew a lease.
+    /// Heartbeats whose reply only renewed a lease.
     pub leases_renewed: AtomicU64,
-    /// Calls straight to workers, and how many got no answer.
+    /// Direct calls to workers.
     pub direct: AtomicU64,
-    /// … of which without an answer.
+    /// Direct calls to workers without an answer.
     pub direct_lost: AtomicU64,
-    /// Transactions in conflict or without an answer.
+    /// The leader's transactions in conflict or without an answer.
     pub commits_failed: AtomicU64,
 }
 
-/// Adds one.
-pub fn count(c: &AtomicU64) {
-    c.fetch_add(1, Ordering::Relaxed);
+/// Adds one to a counter.
+pub fn count(counter: &AtomicU64) {
+    counter.fetch_add(1, Ordering::Relaxed);
 }
 
-/// Counters and latencies.
+/// Counters and latencies of one controller.
 pub struct Telemetry {
     /// Counters.
     pub counters: Counters,
-    /// In microseconds.
+    /// One histogram per operation, in microseconds.
     latencies: Mutex<Vec<Histogram<u32>>>,
 }
 
-/// Longest latency that is told apart.
+/// Longer latencies are recorded as this one.
 const MAX_LATENCY_US: u64 = 3_600_000_000;
 
 impl Default for Telemetry {
     fn default() -> Self {
-        // two digits are enough for people, and keep a histogram at some KiB
+        // two significant digits are enough to read, and keep a histogram at some KiB
         let histogram = || Histogram::new_with_bounds(1, MAX_LATENCY_US, 2).ok();
         let latencies = TimedOperation::ALL.iter().filter_map(|_| histogram()).collect();
         Telemetry { counters: Counters::default(), latencies: Mutex::new(latencies) }
     }
 }
 
-/// A latency in short, in milliseconds.
+/// Summary of a latency, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Latency {
-    /// How often.
+    /// Number of operations.
     pub count: u64,
-    /// Half of them took no longer.
+    /// Median.
     pub p50_ms: f64,
-    /// 99 of 100 took no longer.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
 impl Telemetry {
-    /// Something took so long.
-    pub fn record(&self, what: TimedOperation, time: Duration) {
-        let us = u64::try_from(time.as_micros()).unwrap_or(MAX_LATENCY_US);
-        let mut all = self.latencies.lock().unwrap_or_else(|e| e.into_inner());
-        if let Some(h) = all.get_mut(what as usize) {
-            h.saturating_record(us.max(1));
+    /// Records the duration of an operation.
+    pub fn record(&self, operation: TimedOperation, duration: Duration) {
+        let us = u64::try_from(duration.as_micros()).unwrap_or(MAX_LATENCY_US);
+        let mut histograms = self.latencies.lock().unwrap_or_else(|e| e.into_inner());
+        if let Some(histogram) = histograms.get_mut(operation as usize) {
+            histogram.saturating_record(us.max(1));
         }
     }
 
-    /// The latencies in short.
+    /// The latencies of those operations that have been recorded, by their keys.
     pub fn latencies(&self) -> BTreeMap<String, Latency> {
-        let all = self.latencies.lock().unwrap_or_else(|e| e.into_inner());
-        let short = |h: &Histogram<u32>| Latency {
+        let histograms = self.latencies.lock().unwrap_or_else(|e| e.into_inner());
+        let summary = |h: &Histogram<u32>| Latency {
             count: h.len(),
             p50_ms: h.value_at_quantile(0.5) as f64 / 1e3,
             p99_ms: h.value_at_quantile(0.99) as f64 / 1e3,
             max_ms: h.max() as f64 / 1e3,
         };
-        let some = TimedOperation::ALL.iter().zip(all.iter()).filter(|(_, h)| !h.is_empty());
-        some.map(|((_, name), h)| ((*name).to_owned(), short(h))).collect()
+        let recorded = TimedOperation::ALL.iter().zip(histograms.iter()).filter(|(_, h)| !h.is_empty());
+        recorded.map(|((_, key), h)| ((*key).to_owned(), summary(h))).collect()
     }
 }
 
-/// A job that waits, for people.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct WaitingJob {
-    /// Job.
-    pub id: Name,
-    /// Class.
-    pub class: Name,
-    /// Tasks that wait.
-    pub tasks: u32,
-    /// For how long.
-    pub since_s: f64,
-    /// Why.
-    pub why: String,
-}
-
-/// What the leader knows, in figures.
-#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct LeaderStatus {
-    /// Term.
-    pub term: u64,
-    /// For how long it has led.
-    pub since_s: f64,
-    /// Jobs that are not over.
-    pub jobs: usize,
-    /// Tasks that wait.
-    #[serde(rename = "waiting")]
-    pub waiting_tasks: u64,
-    /// Tasks that are, or may be, on machines.
-    #[serde(rename = "placed")]
-    pub assigned_tasks: usize,
-    /// Machines by zone and state.
-    pub machines: BTreeMap<String, BTreeMap<String, usize>>,
-    /// Zones that seem to be cut off.
-    #[serde(rename = "cut")]
-    pub partitioned_zones: Vec<Name>,
-    /// Machines where a start is in doubt.
-    pub in_doubt: usize,
-    /// Starts that the store lacks.
-    #[serde(rename = "unstored")]
-    pub unstored_starts: usize,
-    /// Pages in the store.
-    #[serde(rename = "pages")]
-    pub shards: usize,
-    /// Jobs that wait for others.
-    #[serde(default)]
-    #[serde(rename = "held")]
-    pub dependent_jobs: usize,
-    /// Rentals under way or in doubt.
-    pub rentals: usize,
-    /// The jobs that wait longest.
-    #[serde(rename = "longest")]
-    pub longest_waiting: Vec<WaitingJob>,
-}
-
-/// A controller's status.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Status {
-    /// Controller.
-    pub name: String,
-    /// Program.
-    pub version: String,
-    /// Who leads, as far as known here.
-    pub leader: Option<String>,
-    /// The state service carries out this controller's requests.
-    pub served: bool,
-    /// Unfinished jobs known here.
-    pub known_jobs: usize,
-    /// Ended jobs kept in memory; the others are read when asked for.
-    #[serde(default)]
-    pub ended_jobs: usize,
-    /// Set on the leader.
-    pub leading: Option<LeaderStatus>,
-    /// Whether jobs that wait for others are taken: every controller has them.
-    #[serde(default)]
-    #[serde(rename = "chains")]
-    pub dependencies_enabled: bool,
-    /// Versions of the siblings, as far as they have told; `earlier` of one that
-    /// knows of no gates.
-    #[serde(default)]
-    pub versions: BTreeMap<String, String>,
-    /// Counters.
-    pub counters: BTreeMap<String, u64>,
-    /// Latencies.
-    pub latencies: BTreeMap<String, Latency>,
-}
-
 #[cfg(test)]
 mod tests;
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -16,7 +16,8 @@
 use coralnotch::model::{
     JobExplanation, JobOutcome, JobSpec, JobState, MachineType, OutcomeRecord, Priority, Ranges, Shape,
 };
-use coralnotch::operators::telemetry::{Status, TimedOperation};
+use coralnotch::operators::status::Status;
+use coralnotch::operators::telemetry::TimedOperation;
 use coralnotch::peers::links::wire;
 use coralnotch::policy::Policy;
 use coralnotch::state_store::client::key;
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -11,7 +11,7 @@
 use common::{small_job, test_dir, Cluster, ClusterConfig};
 use coralnotch::http::{self, Client};
 use coralnotch::model::{JobSpec, JobState, Name};
-use coralnotch::operators::telemetry::Status;
+use coralnotch::operators::status::Status;
 use coralnotch_emulator::up::Size;
 
 /// Limit of one request.
