--- a/src/heartbeats.rs
+++ b/src/heartbeats.rs
@@ -245,7 +245,7 @@
     /// renewed.  The leader outside starts none of these tasks again, as it never takes a missing
     /// answer as proof.  Cancellations made outside are not known in here: renewals end in time for
     /// them.  Users belong to no zone: where a user, or a health probe of the load balancer, comes
-    /// here, this controller alone is cut off, and its zone's workers can turn to another one.
+    /// here, this controller alone is cut off, and its zone's workers can reach another one.
     fn is_partitioned_with_zone(&self, state: &ControllerState, heartbeat: &Heartbeat, now: Instant) -> bool {
         let age = |t: Instant| now.saturating_duration_since(t);
         let suspicion = PartitionSuspicion {
--- a/src/peers/forwarding/outbound.rs
+++ b/src/peers/forwarding/outbound.rs
@@ -16,7 +16,7 @@
 /// Heartbeats in one batch, and batches that are under way at once.
 const MAX_BATCH: usize = 256;
 const MAX_CONCURRENT_CALLS: usize = 4;
-/// A worker waits 4 s for a reply, and then turns to another controller.
+/// A worker waits 4 s for a reply, and then tries another controller.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(3400);
 /// What a call may take besides the wait for the leader's commit.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2000);
@@ -47,7 +47,7 @@
         let (reply, leader_reply) = smol::channel::bounded(1);
         let deadline = Instant::now() + REPLY_TIMEOUT;
         let queued = QueuedHeartbeat { heartbeat, body: body.to_vec(), deadline, reply };
-        if self.heartbeat_queue.queued.0.try_send(queued).is_err() {
+        if self.heartbeat_queue.queued.sender.try_send(queued).is_err() {
             return Some(Response::refuse(503, "too many reports wait"));
         }
         match timed(REPLY_TIMEOUT, leader_reply.recv()).await {
@@ -83,7 +83,7 @@
         loop {
             let batch = {
                 let _guard = collecting.lock().await;
-                self.collect_batch(&self.heartbeat_queue.queued.1).await
+                self.collect_batch(&self.heartbeat_queue.queued.receiver).await
             };
             self.deliver_batch(batch).await;
             let idle_limit = self.policy.lease.mul_f64(EVICTION_PERIOD_LEASES);
--- a/src/users/confirmation.rs
+++ b/src/users/confirmation.rs
@@ -20,7 +20,7 @@
     pub(super) async fn confirm_unfinished(&self, id: &Name) -> Confirmation {
         let (reply, confirmation) = smol::channel::bounded(1);
         let request = ConfirmationRequest { id: id.clone(), reply };
-        if self.user_requests.confirmations.0.try_send(request).is_err() {
+        if self.user_requests.confirmations.sender.try_send(request).is_err() {
             return Confirmation::Unavailable;
         }
         timed(QUERY_TIMEOUT, confirmation.recv()).await.and_then(Result::ok).unwrap_or(Confirmation::Unavailable)
@@ -28,7 +28,7 @@
 
     /// Confirms queued jobs in batches, for as long as the controller runs.
     pub async fn run_confirmations(&self) {
-        let queue = &self.user_requests.confirmations.1;
+        let queue = &self.user_requests.confirmations.receiver;
         while let Ok(first) = queue.recv().await {
             smol::Timer::after(self.policy.confirm_gap).await;
             let mut batch = vec![first];
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -49,7 +49,7 @@
     pub(super) async fn look_up_job(&self, id: &Name) -> Option<LookupResult> {
         let (reply, result) = smol::channel::bounded(1);
         let request = LookupRequest { id: id.clone(), reply };
-        if self.user_requests.lookups.0.try_send(request).is_err() {
+        if self.user_requests.lookups.sender.try_send(request).is_err() {
             count(&self.telemetry.counters.lookups_refused);
             return None;
         }
@@ -76,7 +76,7 @@
     /// Looks up queued ids in batches, for as long as the controller runs: users ask about jobs that
     /// ended long ago, and about ids that nobody submitted.
     pub async fn run_lookups(&self) {
-        let queue = &self.user_requests.lookups.1;
+        let queue = &self.user_requests.lookups.receiver;
         while let Ok(first) = queue.recv().await {
             smol::Timer::after(self.policy.confirm_gap).await;
             let mut batch = vec![first];
--- a/src/users/queues.rs
+++ b/src/users/queues.rs
@@ -15,8 +15,19 @@
 
 /// Sends the one reply to a queued request; dropped without one if the request is given up.
 pub(crate) type ReplySender<T> = smol::channel::Sender<T>;
-/// Both ends of a bounded queue.
-pub(crate) type Queue<T> = (smol::channel::Sender<T>, smol::channel::Receiver<T>);
+
+/// A bounded queue: senders are refused while it is full.
+pub(crate) struct Queue<T> {
+    pub(crate) sender: smol::channel::Sender<T>,
+    pub(crate) receiver: smol::channel::Receiver<T>,
+}
+
+impl<T> Queue<T> {
+    fn bounded(capacity: usize) -> Queue<T> {
+        let (sender, receiver) = smol::channel::bounded(capacity);
+        Queue { sender, receiver }
+    }
+}
 
 /// A submission that is to be stored.
 pub(crate) struct SubmissionRequest {
@@ -68,9 +79,9 @@
     pub fn new(lookup_rate: f64, now: Instant) -> UserRequestQueues {
         let max_lookups = (lookup_rate as usize).clamp(1, MAX_QUEUED_REQUESTS);
         UserRequestQueues {
-            submissions: smol::channel::bounded(MAX_QUEUED_REQUESTS),
-            confirmations: smol::channel::bounded(MAX_QUEUED_REQUESTS),
-            lookups: smol::channel::bounded(max_lookups),
+            submissions: Queue::bounded(MAX_QUEUED_REQUESTS),
+            confirmations: Queue::bounded(MAX_QUEUED_REQUESTS),
+            lookups: Queue::bounded(max_lookups),
             lookup_calls: RateLimiter::new(lookup_rate, lookup_rate, now),
         }
     }
@@ -100,7 +111,7 @@
 impl Default for HeartbeatQueue {
     fn default() -> HeartbeatQueue {
         HeartbeatQueue {
-            queued: smol::channel::bounded(MAX_QUEUED_HEARTBEATS),
+            queued: Queue::bounded(MAX_QUEUED_HEARTBEATS),
             forwarding: Mutex::default(),
             failed_at: Mutex::default(),
         }
--- a/src/users/submit.rs
+++ b/src/users/submit.rs
@@ -40,7 +40,7 @@
     pub(super) async fn store_submission(&self, spec: Arc<JobSpec>, needs_cancelled_job: bool) -> StoreResult {
         let (reply, result) = smol::channel::bounded(1);
         let request = SubmissionRequest { spec, needs_cancelled_job, reply };
-        if self.user_requests.submissions.0.try_send(request).is_err() {
+        if self.user_requests.submissions.sender.try_send(request).is_err() {
             return StoreResult::Unknown;
         }
         timed(SUBMIT_TIMEOUT, result.recv()).await.and_then(Result::ok).unwrap_or(StoreResult::Unknown)
@@ -48,7 +48,7 @@
 
     /// Stores queued submissions in batches, for as long as the controller runs.
     pub async fn run_submissions(&self) {
-        let queue = &self.user_requests.submissions.1;
+        let queue = &self.user_requests.submissions.receiver;
         while let Ok(first) = queue.recv().await {
             self.store_submissions(self.collect_submissions(first)).await;
         }
@@ -62,7 +62,7 @@
         let mut batch = vec![first];
         let mut bytes = 0;
         while writes + 1 < self.store.most.writes && bytes < MAX_BATCH_BYTES {
-            let Ok(next) = self.user_requests.submissions.1.try_recv() else { break };
+            let Ok(next) = self.user_requests.submissions.receiver.try_recv() else { break };
             bytes += http::encode(&*next.spec).len();
             writes += writes_of(&next);
             batch.push(next);
