--- a/packages/client/src/blocking.rs
+++ b/packages/client/src/blocking.rs
@@ -5,9 +5,9 @@
 use coralnotch_wire::model::JobSpec;
 
 use crate::client::{Client, JobHandle};
+use crate::error::Error;
 use crate::model::Final;
 use crate::settings::Settings;
-use crate::Error;
 
 /// A client whose calls block.
 #[derive(Clone)]
@@ -24,26 +24,26 @@
         smol::block_on(self.0.submit(spec))
     }
 
-    /// Submits jobs, all or none, see [`Client::submit_all`].
+    /// Submits all jobs or none, see [`Client::submit_all`].
     pub fn submit_all(&self, specs: Vec<JobSpec>) -> Result<Vec<JobHandle>, Error> {
         smol::block_on(self.0.submit_all(specs))
     }
 
-    /// Submits a batch once in the journal's life, see [`Client::submit_once`].
+    /// Submits a named batch once in the journal's life, see [`Client::submit_once`].
     pub fn submit_once(&self, batch: &str, specs: Vec<JobSpec>) -> Result<Option<Vec<JobHandle>>, Error> {
         smol::block_on(self.0.submit_once(batch, specs))
     }
 
-    /// Waits for a job's final answer for at most so long;
+    /// Waits for a job's final answer, at most for `timeout`;
     /// [`Error::Deadline`] says that it is not known yet.
-    pub fn wait(&self, job: &JobHandle, most: Duration) -> Result<Final, Error> {
-        match Instant::now().checked_add(most) {
-            Some(t) => smol::block_on(job.wait_until(t)),
+    pub fn wait(&self, job: &JobHandle, timeout: Duration) -> Result<Final, Error> {
+        match Instant::now().checked_add(timeout) {
+            Some(deadline) => smol::block_on(job.wait_until(deadline)),
             None => smol::block_on(job.wait()),
         }
     }
 
-    /// Withdraws a job, see [`JobHandle::withdraw`].
+    /// Requests the cancellation of a job, see [`JobHandle::cancel`].
     pub fn cancel(&self, job: &JobHandle) -> Result<(), Error> {
         smol::block_on(job.cancel())
     }
--- a/packages/client/src/client/completion.rs
+++ b/packages/client/src/client/completion.rs
@@ -1,75 +1,96 @@
-//! Takes in what came of a request.
+//! Applies the result of a request to the job, the endpoint and the budget.
 
+use std::net::SocketAddr;
 use std::time::Instant;
 
 use tracing::info;
 
+use super::dispatch::PendingRequest;
 use super::shared::Shared;
-use super::transport::CompletedRequest;
+use super::state::{ClientState, DispatchState};
+use super::transport::{CompletedRequest, RequestResult};
 use crate::counters::increment;
 use crate::model::{Change, Outcome, Transition};
 
 impl Shared {
-    /// Takes in what came of an errand; what the journal should know is
-    /// written by the caller.
-    pub(super) fn apply_completion(&self, d: CompletedRequest, now: Instant) -> Transition {
+    /// Applies the result of a request.  An acceptance is written to the
+    /// journal by the caller, for many jobs at once.
+    pub(super) fn apply_completion(&self, completed: CompletedRequest, now: Instant) -> Transition {
+        let Some((transition, change)) = self.update_job(completed, now) else { return Transition::Unchanged };
+        if transition == Transition::Accepted {
+            increment(&self.counters.accepted);
+            info!(id = %change.id, "job accepted");
+        }
+        if transition == Transition::Unchanged && change.answer.is_none() {
+            return transition;
+        }
+        if let Some(answer) = &change.answer {
+            increment(&self.counters.answers);
+            info!(id = %change.id, ?answer, "final answer recorded");
+            self.job_ended.notify(usize::MAX);
+        }
+        // an answer that is not recorded yet is not shown
+        if transition != Transition::Ended {
+            // when the buffer is full, the oldest change is dropped and its
+            // readers get an overflow error
+            let _ = self.change_sender.try_broadcast(change);
+        }
+        transition
+    }
+
+    /// Updates endpoint, budget and job under one lock; `None` if the job's
+    /// answer has been taken meanwhile.
+    fn update_job(&self, completed: CompletedRequest, now: Instant) -> Option<(Transition, Change)> {
+        let CompletedRequest { request, result } = completed;
         let mut guard = self.lock();
-        let i = &mut *guard;
-        let id = &d.request.id;
-        if let (Some(to), Ok(o)) = (d.request.endpoint, &d.outcome) {
-            match o {
-                Outcome::State(_) | Outcome::Refused { .. } | Outcome::UnknownJob => {
-                    i.endpoints.record_success(to);
-                    if d.request.is_retry {
-                        i.budget.record_success(i.awaiting_budget.len(), now);
-                    }
-                }
-                Outcome::RetryLater(_) => {
-                    increment(&self.counters.refused_for_now);
-                    i.endpoints.record_failure(to, now);
-                    i.budget.record_failure(now);
-                }
-                Outcome::Indeterminate => {
-                    increment(&self.counters.in_doubt);
-                    i.endpoints.record_failure(to, now);
-                    i.budget.record_failure(now);
-                }
-            }
+        let state = &mut *guard;
+        if let (Some(endpoint), RequestResult::Classified(outcome)) = (request.endpoint, &result) {
+            self.update_endpoint(state, &request, endpoint, outcome, now);
         }
-        let jitter = i.rng.f64();
-        let Some(t) = i.jobs.get_mut(id) else { return Transition::Unchanged };
-        t.in_flight = false;
-        let timing = &self.settings.timing;
-        let changed = match d.outcome {
-            Ok(o) => t.job.apply_outcome(d.request.action, o, timing, jitter, now),
-            Err(ok) => {
-                t.job.apply_record_result(ok, timing, jitter, now);
+        let jitter = state.rng.f64();
+        let tracked = state.jobs.get_mut(&request.id)?;
+        tracked.dispatch = DispatchState::Scheduled;
+        let (job, timing) = (&mut tracked.job, &self.settings.timing);
+        let transition = match result {
+            RequestResult::Classified(outcome) => job.apply_outcome(request.action, outcome, timing, jitter, now),
+            RequestResult::AnswerRecorded => {
+                job.mark_recorded();
+                Transition::Unchanged
+            }
+            RequestResult::RecordingFailed => {
+                job.retry_recording(timing, jitter, now);
                 Transition::Unchanged
             }
         };
-        let change = Change { id: id.clone(), progress: t.job.progress(), answer: t.job.answer().cloned() };
-        i.schedule(id, None);
-        if matches!(changed, Transition::Accepted | Transition::Ended) {
-            i.release_dependents(id);
+        let change = Change { id: request.id, progress: job.progress(), answer: job.answer().cloned() };
+        state.schedule(&change.id);
+        if matches!(transition, Transition::Accepted | Transition::Ended) {
+            state.release_dependents(&change.id);
         }
-        drop(guard);
-        match changed {
-            Transition::Accepted => {
-                increment(&self.counters.accepted);
-                info!(id = %change.id, "accepted");
+        Some((transition, change))
+    }
+
+    /// Updates circuit breaker and retry budget after a response, or none.
+    fn update_endpoint(
+        &self,
+        state: &mut ClientState,
+        request: &PendingRequest,
+        endpoint: SocketAddr,
+        outcome: &Outcome,
+        now: Instant,
+    ) {
+        match outcome {
+            Outcome::State(_) | Outcome::Refused { .. } | Outcome::UnknownJob => {
+                state.endpoints.record_success(endpoint);
+                if request.is_retry {
+                    state.budget.record_success(state.awaiting_budget.len(), now);
+                }
+                return;
             }
-            Transition::Unchanged if change.answer.is_none() => return changed,
-            _ => {}
-        }
-        if let Some(a) = &change.answer {
-            increment(&self.counters.answers);
-            info!(id = %change.id, answer = ?a, "final answer");
-            self.job_ended.notify(usize::MAX);
-        }
-        if changed != Transition::Ended {
-            // full: the oldest goes, and its readers are told
-            let _ = self.change_sender.try_broadcast(change);
+            Outcome::RetryLater(_) => increment(&self.counters.refused_for_now),
+            Outcome::Indeterminate => increment(&self.counters.in_doubt),
         }
-        changed
+        state.endpoints.record_failure(endpoint, now);
+        state.budget.record_failure(now);
     }
 }
--- a/packages/client/src/client/dispatch.rs
+++ b/packages/client/src/client/dispatch.rs
@@ -1,4 +1,5 @@
-//! Which requests to send now.
+//! Selects the requests to send now, within the limits on requests in flight,
+//! endpoints and retries.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -6,90 +7,140 @@
 use coralnotch_wire::model::Name;
 
 use super::shared::Shared;
+use super::state::{ClientState, DispatchState};
 use crate::counters::increment;
 use crate::model::Action;
+use crate::retry::RetryBudget;
 
-/// What is to be done for a job now.
+/// Least time until the driver looks for due jobs again.
+const MIN_RECHECK_DELAY: Duration = Duration::from_millis(1);
+
+/// An action that is to be carried out for a job.
 pub(super) struct PendingRequest {
     pub(super) id: Name,
     pub(super) action: Action,
+    /// Where to send it; `None` for [`Action::RecordAnswer`], which sends nothing.
     pub(super) endpoint: Option<SocketAddr>,
-    /// It repeats one that did not go through.
+    /// Whether it repeats an attempt that failed.
     pub(super) is_retry: bool,
 }
 
-/// Least time until the next look.
-const MIN_RECHECK_DELAY: Duration = Duration::from_millis(1);
+/// What the driver does next.
+pub(super) struct DispatchPlan {
+    /// To be started now.
+    pub(super) requests: Vec<PendingRequest>,
+    /// When to plan again, even if nothing happens before.
+    pub(super) recheck_at: Option<Instant>,
+}
 
 impl Shared {
-    /// What is due, as far as requests under way, endpoints and the budget of
-    /// retries allow; and when to look again.
-    pub(super) fn next_requests(&self, in_flight: usize, now: Instant) -> (Vec<PendingRequest>, Option<Instant>) {
+    /// Selects the requests to start while `in_flight` others are under way.
+    pub(super) fn next_requests(&self, in_flight: usize, now: Instant) -> DispatchPlan {
         let mut guard = self.lock();
-        let i = &mut *guard;
-        let mut requests = Vec::new();
-        let mut room = self.settings.max_in_flight.saturating_sub(in_flight);
-        let mut look = None;
-        // who waited for the budget goes before who comes now
-        while room > 0 && !i.awaiting_budget.is_empty() {
-            let to = match i.endpoints.choose(now).and_then(|to| i.budget.try_spend(now).map(|()| to)) {
-                Ok(to) => to,
+        let state = &mut *guard;
+        let free_slots = self.settings.max_in_flight.saturating_sub(in_flight);
+        let mut plan = DispatchPlan { requests: Vec::new(), recheck_at: None };
+        // retries that waited for the budget go before jobs that are due now
+        self.dispatch_waiting_retries(state, free_slots, now, &mut plan);
+        self.dispatch_due_jobs(state, free_slots, now, &mut plan);
+        let next_due_at = state.due_jobs.first().map(|(due_at, _)| *due_at);
+        plan.recheck_at = [next_due_at, plan.recheck_at].into_iter().flatten().min();
+        plan
+    }
+
+    fn dispatch_waiting_retries(
+        &self,
+        state: &mut ClientState,
+        free_slots: usize,
+        now: Instant,
+        plan: &mut DispatchPlan,
+    ) {
+        while plan.requests.len() < free_slots && !state.awaiting_budget.is_empty() {
+            let chosen = state.endpoints.choose(now);
+            let affordable = chosen.and_then(|endpoint| state.budget.try_spend(now).map(|()| endpoint));
+            let endpoint = match affordable {
+                Ok(endpoint) => endpoint,
                 Err(wait) => {
-                    look = Some(now + wait.max(MIN_RECHECK_DELAY));
-                    break;
+                    plan.recheck_at = Some(now + wait.max(MIN_RECHECK_DELAY));
+                    return;
                 }
             };
-            let Some(id) = i.awaiting_budget.pop_front() else { break };
-            let Some(t) = i.jobs.get_mut(&id).filter(|t| t.job.due_at().is_some()) else { continue };
+            let Some(id) = state.awaiting_budget.pop_front() else { return };
+            let unfinished = state.jobs.get_mut(&id).filter(|tracked| tracked.job.due_at().is_some());
+            let Some(tracked) = unfinished else { continue };
             increment(&self.counters.retries);
-            requests.push(PendingRequest { action: t.job.action(), id, endpoint: Some(to), is_retry: true });
-            room -= 1;
+            tracked.dispatch = DispatchState::InFlight;
+            let action = tracked.job.action();
+            plan.requests.push(PendingRequest { id, action, endpoint: Some(endpoint), is_retry: true });
         }
-        while room > 0 {
-            let Some((at, id)) = i.due_jobs.first().cloned().filter(|d| d.0 <= now) else { break };
-            i.due_jobs.remove(&(at, id.clone()));
-            let first = i.first_unaccepted_dependency(&id);
-            let Some(tracked) = i.jobs.get_mut(&id) else { continue };
-            if let Some(first) = first {
-                tracked.in_flight = true;
-                i.awaiting_dependency.entry(first).or_default().push(id);
-                continue;
+    }
+
+    fn dispatch_due_jobs(&self, state: &mut ClientState, free_slots: usize, now: Instant, plan: &mut DispatchPlan) {
+        while plan.requests.len() < free_slots {
+            let due = state.due_jobs.first().cloned().filter(|(due_at, _)| *due_at <= now);
+            let Some(entry) = due else { return };
+            state.due_jobs.remove(&entry);
+            let (_, id) = entry;
+            self.dispatch_due_job(state, id, now, plan);
+        }
+    }
+
+    /// Plans the action of a due job, or puts the job where it has to wait.
+    fn dispatch_due_job(&self, state: &mut ClientState, id: Name, now: Instant, plan: &mut DispatchPlan) {
+        let dependency = state.first_unaccepted_dependency(&id);
+        let Some(tracked) = state.jobs.get_mut(&id) else { return };
+        if let Some(dependency) = dependency {
+            tracked.dispatch = DispatchState::AwaitingDependency;
+            state.awaiting_dependency.entry(dependency).or_default().push(id);
+            return;
+        }
+        let (action, is_retry) = (tracked.job.action(), tracked.job.is_retry());
+        if action == Action::RecordAnswer {
+            tracked.dispatch = DispatchState::InFlight;
+            plan.requests.push(PendingRequest { id, action, endpoint: None, is_retry });
+            return;
+        }
+        let endpoint = match state.endpoints.choose(now) {
+            Ok(endpoint) => endpoint,
+            Err(wait) => {
+                tracked.job.postpone(now + wait.max(MIN_RECHECK_DELAY));
+                state.schedule(&id);
+                return;
             }
-            let (action, again) = (tracked.job.action(), tracked.job.is_retry());
-            let mut to = None;
-            if action != Action::RecordAnswer {
-                match i.endpoints.choose(now) {
-                    Err(rest) => {
-                        tracked.job.postpone(now + rest.max(MIN_RECHECK_DELAY));
-                        i.schedule(&id, None);
-                        continue;
-                    }
-                    Ok(addr) => to = Some(addr),
-                }
-                match again {
-                    false => i.budget.record_first_attempt(now),
-                    // in its turn: others may be held already
-                    true if self.settings.retry_budget => {
-                        let wait =
-                            if i.awaiting_budget.is_empty() { i.budget.try_spend(now) } else { Err(MIN_RECHECK_DELAY) };
-                        if let Err(wait) = wait {
-                            increment(&self.counters.held_back);
-                            tracked.in_flight = true;
-                            i.awaiting_budget.push_back(id);
-                            let at = now + wait.max(MIN_RECHECK_DELAY);
-                            look = Some(look.map_or(at, |l: Instant| l.min(at)));
-                            continue;
-                        }
-                        increment(&self.counters.retries);
-                    }
-                    true => increment(&self.counters.retries),
-                }
+        };
+        if let Err(wait) = self.charge_attempt(&mut state.budget, !state.awaiting_budget.is_empty(), is_retry, now) {
+            increment(&self.counters.held_back);
+            tracked.dispatch = DispatchState::AwaitingBudget;
+            state.awaiting_budget.push_back(id);
+            let recheck_at = now + wait.max(MIN_RECHECK_DELAY);
+            plan.recheck_at = Some(plan.recheck_at.map_or(recheck_at, |earlier| earlier.min(recheck_at)));
+            return;
+        }
+        tracked.dispatch = DispatchState::InFlight;
+        plan.requests.push(PendingRequest { id, action, endpoint: Some(endpoint), is_retry });
+    }
+
+    /// Charges an attempt to the retry budget; the error is how long a retry
+    /// has to wait for it.
+    fn charge_attempt(
+        &self,
+        budget: &mut RetryBudget,
+        others_wait: bool,
+        is_retry: bool,
+        now: Instant,
+    ) -> Result<(), Duration> {
+        if !is_retry {
+            budget.record_first_attempt(now);
+            return Ok(());
+        }
+        if self.settings.retry_budget {
+            // first come, first served
+            if others_wait {
+                return Err(MIN_RECHECK_DELAY);
             }
-            tracked.in_flight = true;
-            requests.push(PendingRequest { id, action, endpoint: to, is_retry: again });
-            room -= 1;
+            budget.try_spend(now)?;
         }
-        let next = i.due_jobs.first().map(|d| d.0);
-        (requests, [next, look].into_iter().flatten().min())
+        increment(&self.counters.retries);
+        Ok(())
     }
 }
--- a/packages/client/src/client/driver.rs
+++ b/packages/client/src/client/driver.rs
@@ -1,5 +1,6 @@
-//! The loop that pursues all jobs of a client.
+//! The loop that drives all jobs of a client to their final answers.
 
+use std::future::{pending, Future};
 use std::sync::Arc;
 use std::time::Instant;
 
@@ -10,79 +11,106 @@
 use super::shared::Shared;
 use super::transport::CompletedRequest;
 use crate::counters::increment;
+use crate::journal::{Journal, JournalError};
 use crate::model::Transition;
 
-/// Why the driver goes on.
+/// Why the driver woke up.
 enum WakeReason {
-    RequestCompleted(Option<CompletedRequest>),
-    JournalWritten(Option<bool>),
-    Signalled,
+    RequestCompleted(CompletedRequest),
+    AcceptancesWritten(Result<(), JournalError>),
+    /// Time to plan again, or a caller has changed something.
+    RecheckDue,
+}
+
+/// Writes acceptances to the journal, one write at a time for many jobs.
+///
+/// A program that starts again queries an accepted job instead of submitting
+/// it; where the acceptance is lost, it submits once more under the same id.
+/// So a failed write is counted and not repeated.
+#[derive(Default)]
+struct AcceptanceWriter {
+    unwritten: Vec<Name>,
+    write: Option<smol::Task<Result<(), JournalError>>>,
+}
+
+impl AcceptanceWriter {
+    /// Starts a write, unless one is under way or there is nothing to write.
+    fn start_write(&mut self, journal: &Arc<Journal>) {
+        if self.write.is_some() || self.unwritten.is_empty() {
+            return;
+        }
+        let journal = journal.clone();
+        let ids = std::mem::take(&mut self.unwritten);
+        self.write = Some(smol::unblock(move || journal.update(&ids, |record| record.accepted = true)));
+    }
+
+    /// Waits for the write that is under way; for ever if there is none.
+    async fn written(&mut self) -> WakeReason {
+        match self.write.as_mut() {
+            Some(write) => WakeReason::AcceptancesWritten(write.await),
+            None => pending().await,
+        }
+    }
 }
 
 impl Shared {
+    /// Drives all jobs until the client is closed.
     pub(super) async fn drive(self: Arc<Self>) {
-        let mut in_flight = FuturesUnordered::new();
-        let mut accepted: Vec<Name> = Vec::new();
-        let mut writing: Option<smol::Task<bool>> = None;
+        let mut requests = FuturesUnordered::new();
+        let mut acceptances = AcceptanceWriter::default();
         loop {
-            let woken = self.work_available.listen();
+            // listens before it looks, so that no notification is lost
+            let notified = self.work_available.listen();
             if self.lock().is_closed {
                 return;
             }
-            let now = Instant::now();
-            let (requests, next) = self.next_requests(in_flight.len(), now);
-            for e in requests {
-                in_flight.push(self.perform(e));
+            let plan = self.next_requests(requests.len(), Instant::now());
+            for request in plan.requests {
+                requests.push(self.perform(request));
             }
-            let full = in_flight.len() >= self.settings.max_in_flight;
-            let finished = async {
-                match in_flight.next().await {
-                    Some(d) => Some(d),
-                    None => std::future::pending().await,
-                }
+            let is_full = requests.len() >= self.settings.max_in_flight;
+            let recheck = async {
+                or(sleep_until(plan.recheck_at.filter(|_| !is_full)), notified).await;
+                WakeReason::RecheckDue
             };
-            let timer = async {
-                match next.filter(|_| !full) {
-                    Some(t) => drop(smol::Timer::at(t).await),
-                    None => std::future::pending().await,
-                }
-            };
-            let noted = async {
-                match writing.as_mut() {
-                    Some(w) => Some(w.await),
-                    None => std::future::pending().await,
-                }
-            };
-            let event = or(async { WakeReason::RequestCompleted(finished.await) }, async {
-                WakeReason::JournalWritten(noted.await)
-            });
-            match or(event, async {
-                or(timer, woken).await;
-                WakeReason::Signalled
-            })
-            .await
-            {
-                WakeReason::RequestCompleted(Some(d)) => {
-                    let id = d.request.id.clone();
-                    if self.apply_completion(d, Instant::now()) == Transition::Accepted && self.journal.is_some() {
-                        accepted.push(id);
+            match or(or(next_completion(&mut requests), acceptances.written()), recheck).await {
+                WakeReason::RequestCompleted(completed) => {
+                    let id = completed.request.id.clone();
+                    let transition = self.apply_completion(completed, Instant::now());
+                    if transition == Transition::Accepted && self.journal.is_some() {
+                        acceptances.unwritten.push(id);
                     }
                 }
-                WakeReason::JournalWritten(ok) => {
-                    writing = None;
-                    if ok == Some(false) {
+                WakeReason::AcceptancesWritten(result) => {
+                    acceptances.write = None;
+                    if result.is_err() {
                         increment(&self.counters.journal_failures);
                     }
                 }
-                _ => {}
+                WakeReason::RecheckDue => {}
             }
-            // a program that starts again asks instead of submitting; where
-            // this is lost it submits once more, under the same id.  So it is
-            // written for many at once, and a failure is only counted.
-            if let Some(j) = self.journal.clone().filter(|_| writing.is_none() && !accepted.is_empty()) {
-                let ids = std::mem::take(&mut accepted);
-                writing = Some(smol::unblock(move || j.update(&ids, |r| r.accepted = true).is_ok()));
+            if let Some(journal) = &self.journal {
+                acceptances.start_write(journal);
             }
         }
     }
 }
+
+/// Waits for a request to complete; for ever if none is in flight.
+async fn next_completion<F>(requests: &mut FuturesUnordered<F>) -> WakeReason
+where
+    F: Future<Output = CompletedRequest>,
+{
+    match requests.next().await {
+        Some(completed) => WakeReason::RequestCompleted(completed),
+        None => pending().await,
+    }
+}
+
+/// Sleeps until a time; for ever if there is none.
+async fn sleep_until(time: Option<Instant>) {
+    match time {
+        Some(time) => drop(smol::Timer::at(time).await),
+        None => pending().await,
+    }
+}
--- a/packages/client/src/client/handle.rs
+++ b/packages/client/src/client/handle.rs
@@ -1,4 +1,4 @@
-//! A job in the client's care.
+//! The handle of one job.
 
 use std::time::Instant;
 
@@ -6,10 +6,10 @@
 use futures_lite::future::or;
 
 use super::Client;
+use crate::error::Error;
 use crate::model::{Final, Progress};
-use crate::Error;
 
-/// A job in the client's care.
+/// A job that a client pursues.  Clones are handles of the same job.
 #[derive(Clone)]
 pub struct JobHandle {
     pub(super) id: Name,
@@ -17,76 +17,95 @@
 }
 
 impl JobHandle {
-    /// Its id.
+    /// The job's id.
     pub fn id(&self) -> &Name {
         &self.id
     }
 
-    /// How it stands, as far as is known: never an older state than before.
+    /// The latest known progress; it never goes back to an older state.
     pub fn progress(&self) -> Progress {
-        self.client.shared.lock().jobs.get(&self.id).map(|t| t.job.progress()).unwrap_or_default()
+        let state = self.client.shared.lock();
+        state.jobs.get(&self.id).map(|tracked| tracked.job.progress()).unwrap_or_default()
     }
 
-    /// Its final answer, if it is known.
+    /// The final answer, once it is recorded.
     pub fn answer(&self) -> Option<Final> {
-        self.client.shared.lock().jobs.get(&self.id).and_then(|t| t.job.answer().cloned())
+        let state = self.client.shared.lock();
+        state.jobs.get(&self.id).and_then(|tracked| tracked.job.answer().cloned())
     }
 
-    /// Waits for the final answer, for as long as it takes.  Again, it is the
-    /// same answer.
+    /// Waits for the final answer, for as long as it takes.  Later calls return
+    /// the same answer.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Closed`] if the client is closed, or the answer has been taken.
     pub async fn wait(&self) -> Result<Final, Error> {
         loop {
-            let over = self.client.shared.job_ended.listen();
-            if let Some(a) = self.answer() {
-                return Ok(a);
+            // listens before it looks, so that no notification is lost
+            let job_ended = self.client.shared.job_ended.listen();
+            if let Some(answer) = self.answer() {
+                return Ok(answer);
             }
             {
-                let i = self.client.shared.lock();
-                if i.is_closed || !i.jobs.contains_key(&self.id) {
+                let state = self.client.shared.lock();
+                if state.is_closed || !state.jobs.contains_key(&self.id) {
                     return Err(Error::Closed);
                 }
             }
-            over.await;
+            job_ended.await;
         }
     }
 
-    /// Waits for the final answer until a time.  [`Error::Deadline`] says that
-    /// it is not known yet, never that the job failed: it is pursued on.
+    /// Waits for the final answer until a time.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Deadline`] says that the answer is not known yet, never that the
+    /// job failed: the client keeps pursuing it.
     pub async fn wait_until(&self, deadline: Instant) -> Result<Final, Error> {
-        let late = async {
+        let timeout = async {
             smol::Timer::at(deadline).await;
             Err(Error::Deadline { id: self.id.to_string() })
         };
-        or(self.wait(), late).await
+        or(self.wait(), timeout).await
     }
 
-    /// Withdraws the job, durably: it is pursued until a controller says that
-    /// the job is cancelled, or was done before.
+    /// Requests the cancellation of the job, durably: it is pursued until a
+    /// controller answers that the job is cancelled, or was done before.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Journal`] if the request can't be recorded; it is not pursued then.
     pub async fn cancel(&self) -> Result<(), Error> {
-        if let Some(j) = self.client.shared.journal.clone() {
+        if let Some(journal) = self.client.shared.journal.clone() {
             let id = self.id.clone();
-            smol::unblock(move || j.update(&[id], |r| r.cancel_requested = true)).await?;
+            smol::unblock(move || journal.update(&[id], |record| record.cancel_requested = true)).await?;
         }
-        let mut guard = self.client.shared.lock();
-        let i = &mut *guard;
-        if let Some(t) = i.jobs.get_mut(&self.id) {
-            let was = t.job.due_at();
-            t.job.request_cancellation(Instant::now());
-            i.schedule(&self.id, was);
+        let mut state = self.client.shared.lock();
+        if let Some(tracked) = state.jobs.get_mut(&self.id) {
+            let old_due_at = tracked.job.due_at();
+            tracked.job.request_cancellation(Instant::now());
+            state.reschedule(&self.id, old_due_at);
         }
-        drop(guard);
+        drop(state);
         self.client.shared.work_available.notify(1);
         Ok(())
     }
 
-    /// Takes the final answer: the caller has acted on it, and the job leaves
-    /// the journal.  Until then every life of the program is given the same
-    /// answer; afterwards none is given it again.  Waits for the answer first.
+    /// Waits for the final answer and removes the job from the journal: the
+    /// caller has acted on the answer.  Until then every run of the program gets
+    /// the same answer; afterwards none gets it again.
+    ///
+    /// # Errors
+    ///
+    /// Those of [`JobHandle::wait`], and [`Error::Journal`] if the record can't
+    /// be removed; the job is kept then.
     pub async fn take(self) -> Result<Final, Error> {
         let answer = self.wait().await?;
-        if let Some(j) = self.client.shared.journal.clone() {
+        if let Some(journal) = self.client.shared.journal.clone() {
             let id = self.id.clone();
-            smol::unblock(move || j.remove(&id)).await?;
+            smol::unblock(move || journal.remove(&id)).await?;
         }
         self.client.shared.lock().jobs.remove(&self.id);
         self.client.shared.job_ended.notify(usize::MAX);
--- a/packages/client/src/client/shared.rs
+++ b/packages/client/src/client/shared.rs
@@ -11,21 +11,25 @@
 use crate::model::Change;
 use crate::settings::Settings;
 
+/// The parts of a client that its driver and all its handles use.
 pub(super) struct Shared {
     pub(super) settings: Settings,
     pub(super) journal: Option<Arc<Journal>>,
     pub(super) http: http::Client,
     pub(super) state: Mutex<ClientState>,
-    /// Something is to be done.
+    /// Wakes the driver: a job was added or changed, or the client was closed.
     pub(super) work_available: Event,
-    /// A job is over, or was let go.
+    /// Wakes callers that wait: an answer was recorded or taken, or the client
+    /// was closed.
     pub(super) job_ended: Event,
     pub(super) counters: AtomicCounters,
     pub(super) change_sender: async_broadcast::Sender<Change>,
 }
 
 impl Shared {
+    /// Locks the state.  A panic elsewhere does not keep other jobs from being
+    /// pursued, so a poisoned lock is taken as well.
     pub(super) fn lock(&self) -> MutexGuard<'_, ClientState> {
-        self.state.lock().unwrap_or_else(|e| e.into_inner())
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
--- a/packages/client/src/client/transport.rs
+++ b/packages/client/src/client/transport.rs
@@ -1,5 +1,7 @@
-//! Sends a request, or writes an answer to the journal.
+//! Carries out the action of a job: sends a request to an endpoint, or writes
+//! the final answer to the journal.
 
+use std::net::SocketAddr;
 use std::time::SystemTime;
 
 use coralnotch_wire::http;
@@ -10,49 +12,71 @@
 use super::shared::Shared;
 use crate::counters::increment;
 use crate::model::{Action, Outcome};
-use crate::outcome::outcome;
+use crate::outcome::classify_response;
 
-/// What came of it.
+/// An action that was carried out.
 pub(super) struct CompletedRequest {
     pub(super) request: PendingRequest,
-    pub(super) outcome: Result<Outcome, bool>,
+    pub(super) result: RequestResult,
+}
+
+/// What an action came to.
+pub(super) enum RequestResult {
+    /// The endpoint answered, or did not.
+    Classified(Outcome),
+    /// The final answer is in the journal.
+    AnswerRecorded,
+    /// The final answer could not be written to the journal.
+    RecordingFailed,
 }
 
 impl Shared {
+    /// Carries out an action.
     pub(super) async fn perform(&self, request: PendingRequest) -> CompletedRequest {
-        let Some(to) = request.endpoint else {
-            let outcome = Err(self.record_answer(&request.id).await);
-            return CompletedRequest { request, outcome };
-        };
-        let (method, target, body) = {
-            let i = self.lock();
-            let spec = i.jobs.get(&request.id).map(|t| t.job.spec().clone());
-            match (request.action, spec) {
-                (Action::Submit, Some(s)) => ("POST", "/v2/runs".to_owned(), Some(http::encode(&*s))),
-                (Action::Cancel, _) => ("POST", format!("/v2/runs/{}/withdraw", request.id), None),
-                _ => ("GET", format!("/v2/runs/{}", request.id), None),
-            }
+        let result = match request.endpoint {
+            Some(endpoint) => RequestResult::Classified(self.send(&request, endpoint).await),
+            None if self.record_answer(&request.id).await => RequestResult::AnswerRecorded,
+            None => RequestResult::RecordingFailed,
         };
+        CompletedRequest { request, result }
+    }
+
+    /// Sends a request once.
+    async fn send(&self, request: &PendingRequest, endpoint: SocketAddr) -> Outcome {
+        let PendingRequest { id, action, .. } = request;
+        let (method, target, body) = self.encode_request(id, *action);
         increment(&self.counters.requests);
-        let got = self.http.exchange(to, method, &target, body.as_deref(), self.settings.request_timeout).await;
-        if let Err(e) = &got {
-            debug!(id = %request.id, action = ?request.action, %to, error = %e, "no answer");
+        let timeout = self.settings.request_timeout;
+        let response = self.http.exchange(endpoint, method, &target, body.as_deref(), timeout).await;
+        if let Err(error) = &response {
+            debug!(%id, ?action, to = %endpoint, %error, "no answer");
+        }
+        classify_response(*action, response, id, SystemTime::now())
+    }
+
+    /// Method, target and body of a request.
+    fn encode_request(&self, id: &Name, action: Action) -> (&'static str, String, Option<Vec<u8>>) {
+        let state = self.lock();
+        let spec = state.jobs.get(id).map(|tracked| tracked.job.spec().clone());
+        match (action, spec) {
+            (Action::Submit, Some(spec)) => ("POST", "/v2/runs".to_owned(), Some(http::encode(&*spec))),
+            (Action::Cancel, _) => ("POST", format!("/v2/runs/{id}/withdraw"), None),
+            _ => ("GET", format!("/v2/runs/{id}"), None),
         }
-        let outcome = outcome(request.action, got, &request.id, SystemTime::now());
-        CompletedRequest { request, outcome: Ok(outcome) }
     }
 
     /// Writes a job's final answer to the journal; whether it is there.
     async fn record_answer(&self, id: &Name) -> bool {
-        let answer = self.lock().jobs.get(id).and_then(|t| t.job.unrecorded_answer().cloned());
-        let Some(answer) = answer else { return false };
+        let unrecorded = self.lock().jobs.get(id).and_then(|tracked| tracked.job.unrecorded_answer().cloned());
+        let Some(answer) = unrecorded else { return false };
         let Some(journal) = self.journal.clone() else { return true };
         let key = id.clone();
-        match smol::unblock(move || journal.update(&[key], |r| r.answer = Some(answer.clone()))).await {
+        let write = move || journal.update(&[key], |record| record.answer = Some(answer.clone()));
+        match smol::unblock(write).await {
             Ok(()) => true,
-            Err(e) => {
+            Err(error) => {
                 increment(&self.counters.journal_failures);
-                warn!(%id, error = %e, "the journal can't be written; tried again");
+                warn!(%id, %error, "cannot write the final answer to the journal; retrying");
                 false
             }
         }
--- a/packages/client/src/counters.rs
+++ b/packages/client/src/counters.rs
@@ -9,10 +9,13 @@
         pub struct Counters {
             $($(#[$doc])* pub $name: u64,)*
         }
+
+        /// The same counters while the client runs.
         #[derive(Default)]
         pub(crate) struct AtomicCounters {
             $(pub(crate) $name: AtomicU64,)*
         }
+
         impl AtomicCounters {
             pub(crate) fn snapshot(&self) -> Counters {
                 Counters { $($name: self.$name.load(Ordering::Relaxed),)* }
@@ -22,26 +25,27 @@
 }
 
 counters! {
-    /// Jobs taken in, those resumed from the journal among them.
+    /// Jobs submitted, those resumed from the journal among them.
     jobs,
     /// Jobs that a controller accepted.
     accepted,
-    /// Final answers on record.
+    /// Final answers that were recorded.
     answers,
     /// Requests sent.
     requests,
-    /// Requests that repeat one that did not go through.
+    /// Requests that repeat one that failed.
     retries,
-    /// Answers that said "not now".
+    /// Responses that refused for now.
     refused_for_now,
-    /// Requests without a usable answer.
+    /// Requests without a usable response.
     in_doubt,
-    /// Retries that waited for the budget.
+    /// Retries that waited for the retry budget.
     held_back,
     /// Writes to the journal that failed.
     journal_failures,
 }
 
-pub(crate) fn increment(c: &AtomicU64) {
-    c.fetch_add(1, Ordering::Relaxed);
+/// Adds one to a counter.
+pub(crate) fn increment(counter: &AtomicU64) {
+    counter.fetch_add(1, Ordering::Relaxed);
 }
--- a/packages/client/src/endpoints.rs
+++ b/packages/client/src/endpoints.rs
@@ -1,66 +1,74 @@
-//! Which of several endpoints to ask: the same one while it works, another
-//! when it fails, and one that keeps failing not for a while.
+//! Chooses among endpoints: the same one while it works, the next when it fails,
+//! and none whose circuit breaker is open.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Failures in a row after which an endpoint is left alone.
+/// Consecutive failures that open an endpoint's circuit breaker.
 const FAILURES_TO_OPEN: u32 = 3;
 
 #[derive(Debug)]
 struct Endpoint {
     address: SocketAddr,
+    /// Consecutive failures.
     failures: u32,
+    /// Until when the circuit breaker is open and the endpoint is not used.
     open_until: Option<Instant>,
 }
 
-/// The endpoints, with a breaker each.
+/// The endpoints, each with a circuit breaker.
 #[derive(Debug)]
 pub struct Endpoints {
-    all: Vec<Endpoint>,
+    endpoints: Vec<Endpoint>,
+    /// Index of the endpoint in use.
     current: usize,
     cooldown: Duration,
 }
 
 impl Endpoints {
-    /// Endpoints to begin with `first`; one that keeps failing rests so long.
-    pub fn new(addrs: &[SocketAddr], first: usize, rest: Duration) -> Endpoints {
-        let one = |a: &SocketAddr| Endpoint { address: *a, failures: 0, open_until: None };
-        Endpoints { all: addrs.iter().map(one).collect(), current: first % addrs.len().max(1), cooldown: rest }
+    /// Endpoints of which the one at index `first` is used first; one that keeps
+    /// failing is not used for `cooldown`.
+    pub fn new(addresses: &[SocketAddr], first: usize, cooldown: Duration) -> Endpoints {
+        let endpoints: Vec<Endpoint> =
+            addresses.iter().map(|address| Endpoint { address: *address, failures: 0, open_until: None }).collect();
+        let current = first % endpoints.len().max(1);
+        Endpoints { endpoints, current, cooldown }
     }
 
-    /// Where to send now; `None` while all rest, with how long the first does.
+    /// The endpoint to use now; if all circuit breakers are open, the error is
+    /// how long the first one still is.
     pub fn choose(&mut self, now: Instant) -> Result<SocketAddr, Duration> {
-        let n = self.all.len();
-        for k in 0..n {
-            let i = (self.current + k) % n;
-            if self.all[i].open_until.is_none_or(|t| t <= now) {
-                self.current = i;
-                return Ok(self.all[i].address);
+        let count = self.endpoints.len();
+        for offset in 0..count {
+            let index = (self.current + offset) % count;
+            let endpoint = &self.endpoints[index];
+            if endpoint.open_until.is_none_or(|until| until <= now) {
+                self.current = index;
+                return Ok(endpoint.address);
             }
         }
-        let soonest = self.all.iter().filter_map(|e| e.open_until).min();
-        Err(soonest.map_or(self.cooldown, |t| t.saturating_duration_since(now)))
+        let first_closed_at = self.endpoints.iter().filter_map(|endpoint| endpoint.open_until).min();
+        Err(first_closed_at.map_or(self.cooldown, |until| until.saturating_duration_since(now)))
     }
 
-    /// An endpoint answered as it should.
-    pub fn record_success(&mut self, addr: SocketAddr) {
-        if let Some(e) = self.all.iter_mut().find(|e| e.address == addr) {
-            (e.failures, e.open_until) = (0, None);
+    /// An endpoint gave a usable response.
+    pub fn record_success(&mut self, address: SocketAddr) {
+        if let Some(endpoint) = self.endpoints.iter_mut().find(|endpoint| endpoint.address == address) {
+            (endpoint.failures, endpoint.open_until) = (0, None);
         }
     }
 
-    /// An endpoint did not answer, or refused for now: the next one's turn.
-    pub fn record_failure(&mut self, addr: SocketAddr, now: Instant) {
-        let Some(i) = self.all.iter().position(|e| e.address == addr) else { return };
-        let e = &mut self.all[i];
-        e.failures += 1;
-        if e.failures >= FAILURES_TO_OPEN {
-            // half open after the rest: one more failure shuts it again
-            (e.failures, e.open_until) = (FAILURES_TO_OPEN - 1, Some(now + self.cooldown));
+    /// An endpoint did not answer, or refused for now: the next one is used.
+    pub fn record_failure(&mut self, address: SocketAddr, now: Instant) {
+        let Some(index) = self.endpoints.iter().position(|endpoint| endpoint.address == address) else { return };
+        let endpoint = &mut self.endpoints[index];
+        endpoint.failures += 1;
+        if endpoint.failures >= FAILURES_TO_OPEN {
+            // half open after the cooldown: one more failure opens it again
+            (endpoint.failures, endpoint.open_until) = (FAILURES_TO_OPEN - 1, Some(now + self.cooldown));
         }
-        if self.current == i {
-            self.current = (i + 1) % self.all.len();
+        if self.current == index {
+            self.current = (index + 1) % self.endpoints.len();
         }
     }
 }
--- a/packages/client/src/ids.rs
+++ b/packages/client/src/ids.rs
@@ -1,4 +1,4 @@
-//! Ids in the protocol's form that independent clients never choose twice.
+//! Job ids in the protocol's form that independent clients never choose twice.
 
 use coralnotch_wire::model::Name;
 
@@ -6,22 +6,23 @@
 /// thousand million ids are all different but for one chance in 10^12.
 const DIGITS: usize = 32;
 
-/// The system gave no randomness.
+/// The system's source of randomness failed.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
-pub struct NoRandomness(String);
+pub struct RandomnessError(getrandom::Error);
 
-/// A new id, from the system's randomness: nobody is asked, and clients that
-/// start at the same moment from the same image still choose differently.
-pub fn fresh_id() -> Result<Name, NoRandomness> {
-    let most = 10u128.pow(DIGITS as u32);
-    let fair = u128::MAX - u128::MAX % most;
+/// A new id from the system's randomness.  No server is asked, and clients that
+/// start at the same moment from the same image still choose different ids.
+pub fn fresh_id() -> Result<Name, RandomnessError> {
+    let id_count = 10u128.pow(DIGITS as u32);
+    // numbers from here on would make small ids more likely
+    let rejected_from = u128::MAX - u128::MAX % id_count;
     loop {
         let mut bytes = [0; 16];
-        getrandom::fill(&mut bytes).map_err(|e| NoRandomness(e.to_string()))?;
-        let n = u128::from_le_bytes(bytes);
-        if n < fair {
-            return Ok(format!("j-{:0DIGITS$}", n % most).into());
+        getrandom::fill(&mut bytes).map_err(RandomnessError)?;
+        let number = u128::from_le_bytes(bytes);
+        if number < rejected_from {
+            return Ok(format!("j-{:0DIGITS$}", number % id_count).into());
         }
     }
 }
--- a/packages/client/src/job/tests.rs
+++ b/packages/client/src/job/tests.rs
@@ -34,7 +34,7 @@
     Cancel,
     WriteAnswer(bool),
     Wait(u64),
-    /// The program dies and starts again from its journal.
+    /// The program dies and is started again with its journal.
     Restart,
 }
 
@@ -53,16 +53,16 @@
     /// one final answer at most, never another, shown only when recorded;
     /// nothing shown goes back; an unfinished job is always due, and soon.
     #[test]
-    fn one_final_answer_whatever_is_answered(steps in prop::collection::vec(steps(), 1..200), jitter in 0.0f64..1.0) {
+    fn one_final_answer_whatever_the_controllers_answer(steps in prop::collection::vec(steps(), 1..200), jitter in 0.0f64..1.0) {
         let timing = timing();
         let mut now = Instant::now();
         let mut job = Job::new(spec("j-1", 5), false, false, now);
-        // what the journal has: accepted, withdrawn, answer
-        let mut disk: (bool, bool, Option<Final>) = (false, false, None);
+        // what the journal has
+        let mut recorded = JobRecord::new(&spec("j-1", 5));
         let mut given: Option<Final> = None;
         for step in steps {
-            let (was_shown, was_accepted) = (job.progress(), job.is_accepted());
-            let mut died = false;
+            let (old_progress, was_accepted) = (job.progress(), job.is_accepted());
+            let mut restarted = false;
             match step {
                 Step::Receive(asked, outcome) => {
                     let asked = asked.unwrap_or(job.action());
@@ -71,56 +71,59 @@
                         let c = job.apply_outcome(asked, outcome, &timing, jitter, now);
                         prop_assert!(!(c == Transition::Ended && refused && was_accepted), "accepted, then refused");
                         if c == Transition::Accepted {
-                            disk.0 = true;
+                            recorded.accepted = true;
                         }
                     }
                 }
                 Step::Cancel => {
                     if job.request_cancellation(now) {
-                        disk.1 = true;
+                        recorded.cancel_requested = true;
                     }
                 }
                 Step::WriteAnswer(ok) => {
                     if let Some(a) = job.unrecorded_answer().cloned() {
                         if ok {
-                            disk.2 = Some(a);
+                            recorded.answer = Some(a);
+                        }
+                        match ok {
+                            true => job.mark_recorded(),
+                            false => job.retry_recording(&timing, jitter, now),
                         }
-                        job.apply_record_result(ok, &timing, jitter, now);
                     }
                 }
                 Step::Wait(ms) => now += Duration::from_millis(ms),
                 Step::Restart => {
-                    if disk.2.is_none() {
-                        job = Job::new(spec("j-1", 5), disk.0, disk.1, now);
-                        died = true;
+                    if recorded.answer.is_none() {
+                        job = Job::new(spec("j-1", 5), recorded.accepted, recorded.cancel_requested, now);
+                        restarted = true;
                     }
                 }
             }
-            prop_assert!(died || job.progress().done >= was_shown.done);
+            prop_assert!(restarted || job.progress().done >= old_progress.done);
             if let Some(a) = job.answer() {
-                prop_assert_eq!(disk.2.as_ref(), Some(a), "shown before it was on record");
+                prop_assert_eq!(recorded.answer.as_ref(), Some(a), "shown before it was on record");
                 prop_assert_eq!(given.get_or_insert(a.clone()), a, "another answer");
                 prop_assert!(job.due_at().is_none());
             } else {
                 prop_assert!(given.is_none());
-                let due = job.due_at().expect("it is pursued");
-                prop_assert!(due <= now + Duration::from_secs(40), "not for ever");
+                let due = job.due_at().expect("an unfinished job is due");
+                prop_assert!(due <= now + Duration::from_secs(40), "due within the longest delay");
             }
         }
     }
 }
 
-/// Polls are rare while the end is far, and jobs of one kind are spread.
+/// Queries are rare while the end is far, and those of equal jobs are spread.
 #[test]
-fn polls_follow_the_expected_end() {
+fn queries_follow_the_expected_end() {
     let t0 = Instant::now();
     let long = Arc::new(JobSpec { estimate_s: 40.0, ..(*spec("j-1", 1)).clone() });
     let wait = |after: u64, jitter: f64| {
-        let mut j = Job::new(long.clone(), true, false, t0);
+        let mut job = Job::new(long.clone(), true, false, t0);
         let now = t0 + Duration::from_secs(after);
         let s = JobState { id: "j-1".into(), stage: "running".into(), done: 0, running: 1 };
-        j.apply_outcome(Action::Query, Outcome::State(s), &timing(), jitter, now);
-        j.due_at().expect("it runs").duration_since(now).as_secs_f64()
+        job.apply_outcome(Action::Query, Outcome::State(s), &timing(), jitter, now);
+        job.due_at().expect("a running job is due").duration_since(now).as_secs_f64()
     };
     assert_eq!(wait(0, 0.5), 20.0);
     assert_eq!(wait(39, 0.5), 1.0);
@@ -129,19 +132,19 @@
     assert!(wait(0, 0.0) < wait(0, 1.0));
 }
 
-/// A withdrawal is pursued until it is answered, also where the
+/// A cancellation is pursued until it is answered, also where the
 /// submission before it was in doubt.
 #[test]
-fn a_withdrawal_waits_for_the_acceptance() {
+fn a_cancellation_waits_for_the_acceptance() {
     let now = Instant::now();
-    let mut j = Job::new(spec("j-1", 1), false, false, now);
-    j.apply_outcome(Action::Submit, Outcome::Indeterminate, &timing(), 0.5, now);
-    assert!(j.request_cancellation(now) && !j.request_cancellation(now));
-    assert_eq!(j.action(), Action::Submit);
+    let mut job = Job::new(spec("j-1", 1), false, false, now);
+    job.apply_outcome(Action::Submit, Outcome::Indeterminate, &timing(), 0.5, now);
+    assert!(job.request_cancellation(now) && !job.request_cancellation(now));
+    assert_eq!(job.action(), Action::Submit);
     let s = |stage: &str| Outcome::State(JobState { id: "j-1".into(), stage: stage.into(), done: 0, running: 0 });
-    assert_eq!(j.apply_outcome(Action::Submit, s("pending"), &timing(), 0.5, now), Transition::Accepted);
-    assert_eq!((j.action(), j.due_at()), (Action::Cancel, Some(now)));
-    assert_eq!(j.apply_outcome(Action::Cancel, s("running"), &timing(), 0.5, now), Transition::Unchanged);
-    assert_eq!(j.apply_outcome(Action::Cancel, s("done"), &timing(), 0.5, now), Transition::Ended);
-    assert_eq!(j.unrecorded_answer(), Some(&Final::Done));
+    assert_eq!(job.apply_outcome(Action::Submit, s("pending"), &timing(), 0.5, now), Transition::Accepted);
+    assert_eq!((job.action(), job.due_at()), (Action::Cancel, Some(now)));
+    assert_eq!(job.apply_outcome(Action::Cancel, s("running"), &timing(), 0.5, now), Transition::Unchanged);
+    assert_eq!(job.apply_outcome(Action::Cancel, s("done"), &timing(), 0.5, now), Transition::Ended);
+    assert_eq!(job.unrecorded_answer(), Some(&Final::Done));
 }
--- a/packages/client/src/journal.rs
+++ b/packages/client/src/journal.rs
@@ -1,182 +1,186 @@
-//! The journal on disk: each job is in it before anything is sent, and its
-//! final answer before anyone is told.
+//! The journal on disk: a job is in it before anything is sent for it, and its
+//! final answer before anyone gets it.
+
+mod error;
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
 use coralnotch_wire::model::{JobSpec, Name};
-use redb::{Database, DatabaseError, ReadableTable, StorageError, TableDefinition};
+use redb::{Database, DatabaseError, ReadableTable, StorageError, Table, TableDefinition};
 
+use self::error::{from_io_error, from_redb_error, TransactionFailure};
 use crate::model::JobRecord;
 
-mod error;
-
-pub use error::JournalError;
-
-use error::{from_io_error, from_redb_error, LAYOUT};
+pub use self::error::JournalError;
 
+/// Records as JSON, by the jobs' ids.
 const JOBS: TableDefinition<&str, &[u8]> = TableDefinition::new("jobs");
+/// Properties of the file.
 const META: TableDefinition<&str, &str> = TableDefinition::new("meta");
-/// Batches that were taken in, with how many jobs they had.
+/// Number of jobs of each batch that was added, by its name.
 const BATCH_SIZES: TableDefinition<&str, u64> = TableDefinition::new("batches");
+/// Key of the layout's version in [`META`].
+const LAYOUT_KEY: &str = "layout";
+/// Version of the layout; a file of another one is refused, not rewritten.
+const LAYOUT: &str = "1";
+
 /// A journal that this process has open.  Calls block for the disk: from
-/// asynchronous code they belong on a thread for that.
+/// asynchronous code they belong on a thread for blocking work.
 #[derive(Debug)]
 pub struct Journal {
     path: PathBuf,
-    db: Database,
-}
-
-/// What the store says, small enough to be handed on.
-struct BoxedRedbError(Box<redb::Error>);
-
-macro_rules! from_redb_errors {
-    ($($error:ident)*) => {
-        $(impl From<redb::$error> for BoxedRedbError {
-            fn from(e: redb::$error) -> BoxedRedbError {
-                BoxedRedbError(Box::new(e.into()))
-            }
-        })*
-    };
+    database: Database,
 }
-from_redb_errors!(TransactionError TableError StorageError CommitError);
 
 impl Journal {
-    /// Opens a journal, or makes one where there is no file.  A file that is
+    /// Opens a journal, or creates one where there is no file.  A file that is
     /// no journal is left as it is.
     pub fn open(path: &Path) -> Result<Journal, JournalError> {
-        let of = |e: redb::Error| from_redb_error(path, e);
-        // an empty file is what a crash leaves of a journal's first moment; it
-        // has no job, as none is sent before it is written
-        let db = Database::create(path).map_err(|e| match e {
-            DatabaseError::Storage(StorageError::Io(e)) => from_io_error(path, &e),
-            e => of(e.into()),
+        // a crash while a journal is created leaves an empty file; it has no
+        // job, as none is sent before it is written
+        let database = Database::create(path).map_err(|error| match error {
+            DatabaseError::Storage(StorageError::Io(error)) => from_io_error(path, &error),
+            error => from_redb_error(path, error.into()),
         })?;
-        let journal = Journal { path: path.to_owned(), db };
-        let found = journal.ensure_layout()?;
+        let journal = Journal { path: path.to_owned(), database };
+        let found = journal.ensure_layout().map_err(|failure| failure.into_journal_error(path))?;
         match found.as_deref() {
             None | Some(LAYOUT) => Ok(journal),
             Some(other) => Err(JournalError::UnsupportedLayout { path: path.to_owned(), found: other.to_owned() }),
         }
     }
 
-    /// The layout on record; a new journal gets this version's.
-    fn ensure_layout(&self) -> Result<Option<String>, JournalError> {
-        let run = || -> Result<Option<String>, BoxedRedbError> {
-            let txn = self.db.begin_write()?;
-            let found = {
-                let mut meta = txn.open_table(META)?;
-                txn.open_table(JOBS)?;
-                let found = meta.get("layout")?.map(|v| v.value().to_owned());
-                if found.is_none() {
-                    meta.insert("layout", LAYOUT)?;
-                }
-                found
-            };
-            match found {
-                Some(_) => txn.abort()?,
-                None => txn.commit()?,
+    /// The layout that the file has; a new file gets this version's, and `None`
+    /// is returned.
+    fn ensure_layout(&self) -> Result<Option<String>, TransactionFailure> {
+        let transaction = self.database.begin_write()?;
+        let found = {
+            let mut meta = transaction.open_table(META)?;
+            transaction.open_table(JOBS)?;
+            let found = meta.get(LAYOUT_KEY)?.map(|value| value.value().to_owned());
+            if found.is_none() {
+                meta.insert(LAYOUT_KEY, LAYOUT)?;
             }
-            Ok(found)
+            found
         };
-        run().map_err(|t| from_redb_error(&self.path, *t.0))
+        match found {
+            Some(_) => transaction.abort()?,
+            None => transaction.commit()?,
+        }
+        Ok(found)
     }
 
-    /// All jobs on record, in the order of their ids.
+    /// All records, in the order of the jobs' ids.
     pub fn read_all(&self) -> Result<Vec<JobRecord>, JournalError> {
-        let run = || -> Result<Vec<Vec<u8>>, BoxedRedbError> {
-            let txn = self.db.begin_read()?;
-            let jobs = txn.open_table(JOBS)?;
-            let mut all = Vec::new();
-            for row in jobs.iter()? {
-                all.push(row?.1.value().to_vec());
-            }
-            Ok(all)
-        };
-        let rows = run().map_err(|t| from_redb_error(&self.path, *t.0))?;
-        rows.iter().map(|r| self.decode_record(r)).collect()
+        let rows = self.read_rows().map_err(|failure| failure.into_journal_error(&self.path))?;
+        rows.iter().map(|row| self.decode_record(row)).collect()
+    }
+
+    fn read_rows(&self) -> Result<Vec<Vec<u8>>, TransactionFailure> {
+        let transaction = self.database.begin_read()?;
+        let jobs = transaction.open_table(JOBS)?;
+        let mut rows = Vec::new();
+        for entry in jobs.iter()? {
+            let (_, row) = entry?;
+            rows.push(row.value().to_vec());
+        }
+        Ok(rows)
     }
 
     fn decode_record(&self, row: &[u8]) -> Result<JobRecord, JournalError> {
         serde_json::from_slice(row)
-            .map_err(|e| JournalError::Corrupt { path: self.path.clone(), reason: e.to_string() })
+            .map_err(|error| JournalError::Corrupt { path: self.path.clone(), reason: error.to_string() })
     }
 
-    /// Puts new jobs on record, all or none, durably.  A job that is there
-    /// already with the same submission stays as it is.  Returns the records
-    /// as they stand; `None` if a batch of this name was added before.
+    /// Adds new jobs, all or none, durably.  A job that is there already with the
+    /// same specification stays as it is.  Returns the records as they are then;
+    /// `None` if a batch of this name was added before.
     pub fn add(&self, specs: &[Arc<JobSpec>], batch: Option<&str>) -> Result<Option<Vec<JobRecord>>, JournalError> {
-        let run = || -> Result<Result<Option<Vec<JobRecord>>, JournalError>, BoxedRedbError> {
-            let txn = self.db.begin_write()?;
-            if let Some(batch) = batch {
-                let known = txn.open_table(BATCH_SIZES)?.insert(batch, specs.len() as u64)?.is_some();
-                if known {
-                    return Ok(Ok(None));
-                }
+        self.try_add(specs, batch).map_err(|failure| failure.into_journal_error(&self.path))
+    }
+
+    fn try_add(
+        &self,
+        specs: &[Arc<JobSpec>],
+        batch: Option<&str>,
+    ) -> Result<Option<Vec<JobRecord>>, TransactionFailure> {
+        // a transaction that is not committed changes nothing
+        let transaction = self.database.begin_write()?;
+        if let Some(batch) = batch {
+            let is_known = transaction.open_table(BATCH_SIZES)?.insert(batch, specs.len() as u64)?.is_some();
+            if is_known {
+                return Ok(None);
             }
-            let mut records = Vec::with_capacity(specs.len());
-            {
-                let mut jobs = txn.open_table(JOBS)?;
-                for spec in specs {
-                    let old = jobs.get(&*spec.id)?.map(|v| self.decode_record(v.value()));
-                    let record = match old {
-                        Some(Ok(r)) if r.spec == **spec => r,
-                        Some(Ok(_)) => return Ok(Err(JournalError::IdTaken { id: spec.id.to_string() })),
-                        Some(Err(e)) => return Ok(Err(e)),
-                        None => {
-                            let r = JobRecord {
-                                spec: (**spec).clone(),
-                                accepted: false,
-                                cancel_requested: false,
-                                answer: None,
-                            };
-                            jobs.insert(&*spec.id, &*serde_json::to_vec(&r).unwrap_or_default())?;
-                            r
-                        }
-                    };
-                    records.push(record);
-                }
+        }
+        let mut records = Vec::with_capacity(specs.len());
+        {
+            let mut jobs = transaction.open_table(JOBS)?;
+            for spec in specs {
+                records.push(self.insert_if_absent(&mut jobs, spec)?);
             }
-            txn.commit()?;
-            Ok(Ok(Some(records)))
+        }
+        transaction.commit()?;
+        Ok(Some(records))
+    }
+
+    fn insert_if_absent(&self, jobs: &mut Jobs<'_>, spec: &JobSpec) -> Result<JobRecord, TransactionFailure> {
+        let Some(known) = self.get(jobs, &spec.id)? else {
+            let record = JobRecord::new(spec);
+            put(jobs, &spec.id, &record)?;
+            return Ok(record);
         };
-        run().map_err(|t| from_redb_error(&self.path, *t.0))?
+        if known.spec != *spec {
+            return Err(JournalError::IdTaken { id: spec.id.to_string() }.into());
+        }
+        Ok(known)
     }
 
-    /// Changes records, durably; those that are not there are passed over.
-    pub fn update(&self, ids: &[Name], how: impl Fn(&mut JobRecord)) -> Result<(), JournalError> {
-        let run = || -> Result<Result<(), JournalError>, BoxedRedbError> {
-            let txn = self.db.begin_write()?;
-            {
-                let mut jobs = txn.open_table(JOBS)?;
-                for id in ids {
-                    let old = jobs.get(&**id)?.map(|v| self.decode_record(v.value()));
-                    let mut record = match old {
-                        None => continue,
-                        Some(Ok(r)) => r,
-                        Some(Err(e)) => return Ok(Err(e)),
-                    };
-                    how(&mut record);
-                    jobs.insert(&**id, &*serde_json::to_vec(&record).unwrap_or_default())?;
-                }
+    /// Changes records, durably; ids without a record are passed over.
+    pub fn update(&self, ids: &[Name], change: impl Fn(&mut JobRecord)) -> Result<(), JournalError> {
+        self.try_update(ids, change).map_err(|failure| failure.into_journal_error(&self.path))
+    }
+
+    fn try_update(&self, ids: &[Name], change: impl Fn(&mut JobRecord)) -> Result<(), TransactionFailure> {
+        let transaction = self.database.begin_write()?;
+        {
+            let mut jobs = transaction.open_table(JOBS)?;
+            for id in ids {
+                let Some(mut record) = self.get(&jobs, id)? else { continue };
+                change(&mut record);
+                put(&mut jobs, id, &record)?;
             }
-            txn.commit()?;
-            Ok(Ok(()))
-        };
-        run().map_err(|t| from_redb_error(&self.path, *t.0))?
+        }
+        transaction.commit()?;
+        Ok(())
     }
 
     /// Removes a record: its answer has been taken.
     pub fn remove(&self, id: &str) -> Result<(), JournalError> {
-        let run = || -> Result<(), BoxedRedbError> {
-            let txn = self.db.begin_write()?;
-            txn.open_table(JOBS)?.remove(id)?;
-            txn.commit()?;
-            Ok(())
-        };
-        run().map_err(|t| from_redb_error(&self.path, *t.0))
+        self.try_remove(id).map_err(|failure| failure.into_journal_error(&self.path))
+    }
+
+    fn try_remove(&self, id: &str) -> Result<(), TransactionFailure> {
+        let transaction = self.database.begin_write()?;
+        transaction.open_table(JOBS)?.remove(id)?;
+        transaction.commit()?;
+        Ok(())
+    }
+
+    fn get(&self, jobs: &Jobs<'_>, id: &str) -> Result<Option<JobRecord>, TransactionFailure> {
+        let Some(row) = jobs.get(id)? else { return Ok(None) };
+        Ok(Some(self.decode_record(row.value())?))
     }
 }
 
+/// The table of records in a transaction.
+type Jobs<'txn> = Table<'txn, &'static str, &'static [u8]>;
+
+fn put(jobs: &mut Jobs<'_>, id: &str, record: &JobRecord) -> Result<(), TransactionFailure> {
+    let row = serde_json::to_vec(record).unwrap_or_default();
+    jobs.insert(id, &*row)?;
+    Ok(())
+}
+
 #[cfg(test)]
 mod tests;
--- a/packages/client/src/journal/error.rs
+++ b/packages/client/src/journal/error.rs
@@ -1,10 +1,9 @@
-//! Why a journal can't be used, and what its operator can do about it.
+//! Why a journal can't be used, and what its user can do about it.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Version of the layout; another one is refused, not rewritten.
-pub(super) const LAYOUT: &str = "1";
+use super::LAYOUT;
 
 /// Why a journal can't be used, and what to do about it.
 #[derive(Debug, thiserror::Error)]
@@ -15,7 +14,7 @@
         /// The file.
         path: PathBuf,
     },
-    /// It is no journal, or a damaged one.  Nothing was written to it.
+    /// The file is no journal, or a damaged one.  Nothing was written to it.
     #[error("{path} is damaged or no journal ({reason}): keep it for its jobs' ids, and begin with another file")]
     Corrupt {
         /// The file.
@@ -23,7 +22,7 @@
         /// What is wrong with it.
         reason: String,
     },
-    /// It has the layout of another version.
+    /// The file has the layout of another version.
     #[error("{path} has layout {found}, this version writes {LAYOUT}: open it with the version that wrote it")]
     UnsupportedLayout {
         /// The file.
@@ -31,7 +30,7 @@
         /// Its layout.
         found: String,
     },
-    /// It can be read only.
+    /// The file can be read only.
     #[error("{path} can't be written ({reason}): check who owns it and how its disk is mounted")]
     ReadOnly {
         /// The file.
@@ -39,21 +38,21 @@
         /// The system's reason.
         reason: String,
     },
-    /// No room.
+    /// The disk is full.
     #[error("no room for {path}: free some; nothing was sent for what could not be written")]
     StorageFull {
         /// The file.
         path: PathBuf,
     },
-    /// Something else.
+    /// Another failure of the file.
     #[error("{path}: {reason}")]
     Io {
         /// The file.
         path: PathBuf,
-        /// The reason.
+        /// The system's reason.
         reason: String,
     },
-    /// The id is in the journal with another submission.
+    /// The id belongs to a job with another specification.
     #[error("{id} is in the journal with another submission: an id is one job's, for good")]
     IdTaken {
         /// The id.
@@ -61,30 +60,68 @@
     },
 }
 
-pub(super) fn from_io_error(path: &Path, e: &io::Error) -> JournalError {
+/// Why a transaction was not committed.
+pub(super) enum TransactionFailure {
+    /// The database failed.
+    Database(Box<redb::Error>),
+    /// What is in the journal does not allow the change.
+    Rejected(JournalError),
+}
+
+impl TransactionFailure {
+    /// The error that a user gets, for the journal at `path`.
+    pub(super) fn into_journal_error(self, path: &Path) -> JournalError {
+        match self {
+            TransactionFailure::Database(error) => from_redb_error(path, *error),
+            TransactionFailure::Rejected(error) => error,
+        }
+    }
+}
+
+impl From<JournalError> for TransactionFailure {
+    fn from(error: JournalError) -> TransactionFailure {
+        TransactionFailure::Rejected(error)
+    }
+}
+
+macro_rules! from_redb_errors {
+    ($($error:ident)*) => {
+        $(impl From<redb::$error> for TransactionFailure {
+            fn from(error: redb::$error) -> TransactionFailure {
+                TransactionFailure::Database(Box::new(error.into()))
+            }
+        })*
+    };
+}
+from_redb_errors!(TransactionError TableError StorageError CommitError);
+
+/// The error for a failure of the file system.
+pub(super) fn from_io_error(path: &Path, error: &io::Error) -> JournalError {
     let path = path.to_owned();
-    match e.kind() {
+    match error.kind() {
         io::ErrorKind::PermissionDenied | io::ErrorKind::ReadOnlyFilesystem => {
-            JournalError::ReadOnly { path, reason: e.to_string() }
+            JournalError::ReadOnly { path, reason: error.to_string() }
         }
         io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded | io::ErrorKind::FileTooLarge => {
             JournalError::StorageFull { path }
         }
         io::ErrorKind::InvalidData | io::ErrorKind::UnexpectedEof => {
-            JournalError::Corrupt { path, reason: e.to_string() }
+            JournalError::Corrupt { path, reason: error.to_string() }
         }
-        _ => JournalError::Io { path, reason: e.to_string() },
+        _ => JournalError::Io { path, reason: error.to_string() },
     }
 }
 
-pub(super) fn from_redb_error(path: &Path, e: redb::Error) -> JournalError {
-    match e {
-        redb::Error::Io(e) => from_io_error(path, &e),
-        redb::Error::DatabaseAlreadyOpen => JournalError::AlreadyOpen { path: path.to_owned() },
-        redb::Error::Corrupted(reason) => JournalError::Corrupt { path: path.to_owned(), reason },
-        redb::Error::UpgradeRequired(v) => {
-            JournalError::UnsupportedLayout { path: path.to_owned(), found: format!("of format {v}") }
+/// The error for a failure of the database.
+pub(super) fn from_redb_error(path: &Path, error: redb::Error) -> JournalError {
+    let path = path.to_owned();
+    match error {
+        redb::Error::Io(error) => from_io_error(&path, &error),
+        redb::Error::DatabaseAlreadyOpen => JournalError::AlreadyOpen { path },
+        redb::Error::Corrupted(reason) => JournalError::Corrupt { path, reason },
+        redb::Error::UpgradeRequired(version) => {
+            JournalError::UnsupportedLayout { path, found: format!("of format {version}") }
         }
-        e => JournalError::Io { path: path.to_owned(), reason: e.to_string() },
+        error => JournalError::Io { path, reason: error.to_string() },
     }
 }
--- a/packages/client/src/journal/tests.rs
+++ b/packages/client/src/journal/tests.rs
@@ -3,71 +3,73 @@
 use coralnotch_wire::example::spec;
 use std::{fs, io};
 
-/// A file of its own in the system's directory, gone with this.
-struct Place(PathBuf);
+/// A file in the temporary directory that is removed on drop.
+struct TempFile(PathBuf);
 
-impl Place {
-    fn new(name: &str) -> Place {
+impl TempFile {
+    fn new(name: &str) -> TempFile {
         let path = std::env::temp_dir().join(format!("coralnotch-journal-{}-{name}", std::process::id()));
         let _ = fs::remove_file(&path);
-        Place(path)
+        TempFile(path)
     }
 }
 
-impl Drop for Place {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = fs::remove_file(&self.0);
     }
 }
 
 #[test]
-fn what_is_on_record_is_there_again() {
-    let place = Place::new("again");
-    let j = Journal::open(&place.0).expect("a new journal");
-    assert!(matches!(Journal::open(&place.0), Err(JournalError::AlreadyOpen { .. })));
-    j.add(&[spec("j-1", 1), spec("j-2", 2)], Some("a")).expect("room");
-    assert_eq!(j.add(&[spec("j-9", 1)], Some("a")).expect("room"), None, "a batch of that name was there");
-    j.update(&["j-2".into(), "j-3".into()], |r| r.answer = Some(Final::Done)).expect("room");
-    drop(j);
-    let j = Journal::open(&place.0).expect("the journal");
-    let all = j.read_all().expect("two jobs");
+fn records_survive_reopening() {
+    let file = TempFile::new("again");
+    let journal = Journal::open(&file.0).expect("a new journal");
+    assert!(matches!(Journal::open(&file.0), Err(JournalError::AlreadyOpen { .. })));
+    journal.add(&[spec("j-1", 1), spec("j-2", 2)], Some("a")).expect("room");
+    assert_eq!(journal.add(&[spec("j-9", 1)], Some("a")).expect("room"), None, "a batch of that name was there");
+    journal.update(&["j-2".into(), "j-3".into()], |r| r.answer = Some(Final::Done)).expect("room");
+    drop(journal);
+    let journal = Journal::open(&file.0).expect("the journal");
+    let all = journal.read_all().expect("two jobs");
     let found: Vec<_> = all.iter().map(|r| (&*r.spec.id, r.answer.clone())).collect();
     assert_eq!(found, [("j-1", None), ("j-2", Some(Final::Done))]);
-    // the same again is no news; another one of the same id is refused
-    // with all that came beside it
-    assert_eq!(j.add(&[spec("j-2", 2)], None).expect("known").expect("no batch")[0].answer, Some(Final::Done));
-    assert!(matches!(j.add(&[spec("j-4", 1), spec("j-2", 9)], None), Err(JournalError::IdTaken { id }) if id == "j-2"));
-    assert_eq!(j.read_all().expect("readable").len(), 2);
-    j.remove("j-2").expect("room");
-    assert_eq!(j.read_all().expect("readable").len(), 1);
+    // the same job again changes nothing; another one under the same id is
+    // refused, with the whole batch
+    assert_eq!(journal.add(&[spec("j-2", 2)], None).expect("known").expect("no batch")[0].answer, Some(Final::Done));
+    assert!(
+        matches!(journal.add(&[spec("j-4", 1), spec("j-2", 9)], None), Err(JournalError::IdTaken { id }) if id == "j-2")
+    );
+    assert_eq!(journal.read_all().expect("readable").len(), 2);
+    journal.remove("j-2").expect("room");
+    assert_eq!(journal.read_all().expect("readable").len(), 1);
 }
 
-/// What is no journal, or none any more, is named and left as it is.
+/// A file that is no journal, or a damaged one, is reported and left as it is.
 #[test]
-fn damaged_and_foreign_files_are_left_alone() {
-    let place = Place::new("foreign");
+fn damaged_and_foreign_files_are_not_written() {
+    let file = TempFile::new("foreign");
     let text = b"the only copy of something else\n".repeat(200);
-    fs::write(&place.0, &text).expect("a file");
-    assert!(matches!(Journal::open(&place.0), Err(JournalError::Corrupt { .. })));
-    assert_eq!(fs::read(&place.0).expect("still there"), text);
-    let place = Place::new("layout");
-    let j = Journal::open(&place.0).expect("a new journal");
-    let txn = j.db.begin_write().expect("a transaction");
+    fs::write(&file.0, &text).expect("a file");
+    assert!(matches!(Journal::open(&file.0), Err(JournalError::Corrupt { .. })));
+    assert_eq!(fs::read(&file.0).expect("still there"), text);
+    let file = TempFile::new("layout");
+    let journal = Journal::open(&file.0).expect("a new journal");
+    let txn = journal.database.begin_write().expect("a transaction");
     txn.open_table(META).expect("a table").insert("layout", "7").expect("room");
     txn.commit().expect("room");
-    drop(j);
-    assert!(matches!(Journal::open(&place.0), Err(JournalError::UnsupportedLayout { found, .. }) if found == "7"));
-    let place = Place::new("record");
-    let j = Journal::open(&place.0).expect("a new journal");
-    let txn = j.db.begin_write().expect("a transaction");
+    drop(journal);
+    assert!(matches!(Journal::open(&file.0), Err(JournalError::UnsupportedLayout { found, .. }) if found == "7"));
+    let file = TempFile::new("record");
+    let journal = Journal::open(&file.0).expect("a new journal");
+    let txn = journal.database.begin_write().expect("a transaction");
     txn.open_table(JOBS).expect("a table").insert("j-1", &b"{\"spec\":"[..]).expect("room");
     txn.commit().expect("room");
-    assert!(matches!(j.read_all(), Err(JournalError::Corrupt { .. })));
-    assert!(matches!(j.add(&[spec("j-1", 1)], None), Err(JournalError::Corrupt { .. })), "not overwritten");
+    assert!(matches!(journal.read_all(), Err(JournalError::Corrupt { .. })));
+    assert!(matches!(journal.add(&[spec("j-1", 1)], None), Err(JournalError::Corrupt { .. })), "not overwritten");
 }
 
 #[test]
-fn what_the_system_says_becomes_what_to_do() {
+fn system_errors_say_what_to_do() {
     let of = |kind: io::ErrorKind| from_io_error(Path::new("x"), &kind.into()).to_string();
     assert!(of(io::ErrorKind::StorageFull).contains("free some"));
     assert!(of(io::ErrorKind::ReadOnlyFilesystem).contains("mounted"));
@@ -79,16 +81,16 @@
 /// read what this one writes: tables, keys and rows are pinned byte by byte.
 #[test]
 fn golden_form_of_the_journal() {
-    let place = Place::new("golden");
-    let j = Journal::open(&place.0).expect("a new journal");
-    j.add(&["j-1", "j-2", "j-3", "j-4", "j-5"].map(|id| spec(id, 2)), Some("a batch")).expect("room");
-    j.update(&["j-2".into()], |r| r.accepted = true).expect("room");
-    j.update(&["j-3".into()], |r| (r.cancel_requested, r.answer) = (true, Some(Final::Cancelled))).expect("room");
-    j.update(&["j-4".into()], |r| r.answer = Some(Final::Done)).expect("room");
+    let file = TempFile::new("golden");
+    let journal = Journal::open(&file.0).expect("a new journal");
+    journal.add(&["j-1", "j-2", "j-3", "j-4", "j-5"].map(|id| spec(id, 2)), Some("a batch")).expect("room");
+    journal.update(&["j-2".into()], |r| r.accepted = true).expect("room");
+    journal.update(&["j-3".into()], |r| (r.cancel_requested, r.answer) = (true, Some(Final::Cancelled))).expect("room");
+    journal.update(&["j-4".into()], |r| r.answer = Some(Final::Done)).expect("room");
     let refused = Final::Refused { status: 422, reason: "too large".into() };
-    j.update(&["j-5".into()], |r| r.answer = Some(refused.clone())).expect("room");
-    drop(j);
-    let db = Database::open(&place.0).expect("the file");
+    journal.update(&["j-5".into()], |r| r.answer = Some(refused.clone())).expect("room");
+    drop(journal);
+    let db = Database::open(&file.0).expect("the file");
     let txn = db.begin_read().expect("a transaction");
     let rows = txn.open_table(TableDefinition::<&str, &[u8]>::new("jobs")).expect("the table jobs");
     for (id, end) in [
--- a/packages/client/src/lib.rs
+++ b/packages/client/src/lib.rs
@@ -1,11 +1,20 @@
 //! Submits jobs to coralnotch, and gives exactly one final answer for each.
 //!
-//! A program hands over a job; the library writes it to its journal before
-//! anything is sent, and pursues it through refusals, lost answers, dead
-//! controllers and its own program's end until the job is done, cancelled or
-//! refused for good.  docs/client.md has a complete program.
+//! A program submits a job; the library writes it to its journal before anything
+//! is sent, and pursues it through refusals, lost responses, dead controllers and
+//! restarts of its own program until the job is done, cancelled or refused for
+//! good.  docs/client.md has a complete program.
 //!
-//! Knows the protocol and nothing of how a controller decides.
+//! The library knows the protocol and nothing of how a controller decides.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `model` | plain types that the other modules share |
+//! | `ids`, `retry`, `endpoints`, `outcome` | ids, retry timing, choice of an endpoint, meaning of a response |
+//! | `job` | the state machine of one job |
+//! | `journal` | the jobs on disk |
+//! | `settings`, `counters`, `error` | what a caller sets, reads and gets |
+//! | `client` | the driver that carries out what the state machines ask for |
 
 mod blocking;
 mod client;
@@ -24,10 +33,10 @@
 pub use client::{Client, JobHandle};
 pub use counters::Counters;
 pub use error::Error;
-pub use ids::{fresh_id, NoRandomness};
+pub use ids::{fresh_id, RandomnessError};
 pub use job::{Job, Timing};
 pub use journal::{Journal, JournalError};
 pub use model::{Action, Change, Final, JobRecord, Outcome, Progress, Transition};
-pub use outcome::{outcome, parse_retry_after};
+pub use outcome::{classify_response, parse_retry_after};
 pub use retry::{Backoff, RetryBudget};
-pub use settings::Settings;
+pub use settings::{Settings, SettingsError};
--- a/packages/client/src/model.rs
+++ b/packages/client/src/model.rs
@@ -1,5 +1,5 @@
-//! The plain types of the client: a job's record, what is done for it and
-//! what comes of it.
+//! The plain types of the client: what is recorded of a job, what is done for
+//! it and what comes of that.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Final {
-    /// All its tasks completed.
+    /// All tasks of the job completed.
     Done,
-    /// It was withdrawn, here or elsewhere.
+    /// The job was cancelled, by this client or elsewhere.
     Cancelled,
-    /// It can never run, and never did.
+    /// The job can never run, and never did.
     Refused {
-        /// 400 or 422.
+        /// HTTP status: 400 or 422.
         status: u16,
         /// The controller's reason.
         #[serde(rename = "why")]
@@ -24,54 +24,61 @@
     },
 }
 
-/// A job on record.
+/// A job as the journal keeps it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
     /// The submission, with its id.
     pub spec: JobSpec,
-    /// A controller has it.
+    /// Whether a controller has accepted the job.
     pub accepted: bool,
-    /// Its user wants it no more.
+    /// Whether the user has requested the cancellation of the job.
     #[serde(rename = "withdrawn")]
     pub cancel_requested: bool,
-    /// Its final answer.
+    /// The final answer.
     pub answer: Option<Final>,
 }
 
+impl JobRecord {
+    /// The record of a job that has not been sent yet.
+    pub fn new(spec: &JobSpec) -> JobRecord {
+        JobRecord { spec: spec.clone(), accepted: false, cancel_requested: false, answer: None }
+    }
+}
+
 /// What to do for a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Submit it, maybe again.
+    /// Submit it; a repeated submission is idempotent.
     Submit,
-    /// Ask how it stands.
+    /// Query its state.
     Query,
-    /// Withdraw it.
+    /// Cancel it.
     Cancel,
     /// Write its final answer to the journal.
     RecordAnswer,
 }
 
-/// What one try came to.
+/// What one request came to.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
-    /// The job is known, and stands so.
+    /// The controller knows the job and gives its state.
     State(JobState),
-    /// It will never run.
+    /// The job can never run.
     Refused {
-        /// 400 or 422.
+        /// HTTP status: 400 or 422.
         status: u16,
         /// The controller's reason.
         reason: String,
     },
     /// The controller does not know the job.
     UnknownJob,
-    /// Not now; with the least wait that the controller asks for.
+    /// The controller refuses for now, with the least wait that it asks for.
     RetryLater(Option<Duration>),
-    /// Nothing is known: it may have been carried out.
+    /// No usable response: the request may have been carried out.
     Indeterminate,
 }
 
-/// How a job stands, as last shown.
+/// The progress of a job, as last shown to its user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Progress {
     /// Completed tasks.
@@ -80,25 +87,26 @@
     pub running: u32,
 }
 
-/// What changed, if anything a caller can see did.
+/// How an outcome changed a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Transition {
-    /// Nothing.
+    /// Nothing that a user can see has changed.
     Unchanged,
-    /// It is accepted now.
+    /// A controller has accepted the job.
     Accepted,
-    /// Tasks began or completed.
+    /// Tasks were started or completed.
     Progressed,
-    /// The final answer came; it is not recorded yet.
+    /// The final answer has arrived; it is not recorded yet.
     Ended,
 }
 
-/// A job's state changed.
+/// A change of a job, as readers of [`Client::changes`](crate::Client::changes)
+/// get it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Change {
     /// The job.
     pub id: Name,
-    /// How it stands.
+    /// Its progress.
     pub progress: Progress,
     /// Its final answer, with the last change.
     pub answer: Option<Final>,
--- a/packages/client/src/outcome.rs
+++ b/packages/client/src/outcome.rs
@@ -1,5 +1,5 @@
-//! What an answer, or none, means for a job.  The table in docs/client.md is
-//! this function, row by row.
+//! Classifies responses, and their absence, by what they mean for a job.  The
+//! table in docs/client.md is this function, row by row.
 
 use std::time::{Duration, SystemTime};
 
@@ -9,65 +9,74 @@
 
 use crate::model::{Action, Outcome};
 
-/// A `Retry-After` is believed up to this, as the protocol has it.
+/// The longest `Retry-After` that is obeyed; the protocol's bound.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
+/// The body of an error response.
 #[derive(Deserialize, Default)]
 struct ErrorBody {
     #[serde(default)]
     error: String,
 }
 
-/// The wait that a `Retry-After` asks for: seconds or a date.  What makes no
-/// sense is ignored, what asks for too long is cut, a date in the past is none.
-pub fn parse_retry_after(value: &str, wall: SystemTime) -> Option<Duration> {
+/// The body of a response that gives a job's state.
+#[derive(Deserialize)]
+struct StateBody {
+    #[serde(rename = "nameId", default)]
+    id: Option<String>,
+    #[serde(default)]
+    stage: String,
+    #[serde(default)]
+    done: u32,
+    #[serde(default)]
+    running: u32,
+}
+
+/// The wait that a `Retry-After` header asks for, in seconds or as a date.  A
+/// value that is neither is ignored, a longer wait is cut to [`MAX_RETRY_AFTER`],
+/// and a date in the past is no wait.  `wall_clock` is the time of day.
+pub fn parse_retry_after(value: &str, wall_clock: SystemTime) -> Option<Duration> {
     let value = value.trim();
-    if !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit()) {
-        // more digits than a number has are a very long time, too
-        let s = value.parse::<u64>().unwrap_or(u64::MAX);
-        return Some(Duration::from_secs(s).min(MAX_RETRY_AFTER));
+    if !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit()) {
+        // more digits than a number has are a very long wait, too
+        let seconds = value.parse::<u64>().unwrap_or(u64::MAX);
+        return Some(Duration::from_secs(seconds).min(MAX_RETRY_AFTER));
     }
     let date = httpdate::parse_http_date(value).ok()?;
-    Some(date.duration_since(wall).unwrap_or_default().min(MAX_RETRY_AFTER))
+    Some(date.duration_since(wall_clock).unwrap_or_default().min(MAX_RETRY_AFTER))
 }
 
-/// What a try came to.  `wall` is the time of day, for dates in answers.
-pub fn outcome(asked: Action, got: Result<Answer, Error>, id: &str, wall: SystemTime) -> Outcome {
-    let answer = match got {
-        Ok(a) => a,
-        // reset, half an answer, none in time, or one that is no HTTP
-        Err(_) => return Outcome::Indeterminate,
-    };
-    let later = || Outcome::RetryLater(answer.retry_after.as_deref().and_then(|v| parse_retry_after(v, wall)));
-    match (asked, answer.status) {
-        (_, 200) | (Action::Submit, 201) => match http::decode::<StateBody>(&answer.body) {
-            Ok(s) if s.id.as_deref() == Some(id) => match s.stage.as_str() {
-                "pending" | "running" | "done" | "cancelled" => {
-                    Outcome::State(JobState { id: id.into(), stage: s.stage, done: s.done, running: s.running })
-                }
-                _ => Outcome::Indeterminate,
-            },
-            // not about this job, or not readable: it says nothing
-            _ => Outcome::Indeterminate,
-        },
+/// Classifies the response to a request for the job `id`.  `wall_clock` is the
+/// time of day, for dates in responses.
+pub fn classify_response(action: Action, response: Result<Answer, Error>, id: &str, wall_clock: SystemTime) -> Outcome {
+    // reset, truncated, too late or no HTTP at all
+    let Ok(response) = response else { return Outcome::Indeterminate };
+    match (action, response.status) {
+        (_, 200) | (Action::Submit, 201) => classify_state(&response.body, id),
         (Action::Submit, status @ (400 | 422)) => {
-            Outcome::Refused { status, reason: http::decode::<ErrorBody>(&answer.body).unwrap_or_default().error }
+            let body: ErrorBody = http::decode(&response.body).unwrap_or_default();
+            Outcome::Refused { status, reason: body.error }
         }
         (Action::Query | Action::Cancel, 404) => Outcome::UnknownJob,
-        _ => later(),
+        _ => {
+            let retry_after = response.retry_after.as_deref();
+            Outcome::RetryLater(retry_after.and_then(|value| parse_retry_after(value, wall_clock)))
+        }
     }
 }
 
-#[derive(Deserialize)]
-struct StateBody {
-    #[serde(rename = "nameId", default)]
-    id: Option<String>,
-    #[serde(default)]
-    stage: String,
-    #[serde(default)]
-    done: u32,
-    #[serde(default)]
-    running: u32,
+/// A response that is unreadable or about another job says nothing.
+fn classify_state(body: &[u8], id: &str) -> Outcome {
+    let Ok(state) = http::decode::<StateBody>(body) else { return Outcome::Indeterminate };
+    if state.id.as_deref() != Some(id) {
+        return Outcome::Indeterminate;
+    }
+    match state.stage.as_str() {
+        "pending" | "running" | "done" | "cancelled" => {
+            Outcome::State(JobState { id: id.into(), stage: state.stage, done: state.done, running: state.running })
+        }
+        _ => Outcome::Indeterminate,
+    }
 }
 
 #[cfg(test)]
--- a/src/commands/submit.rs
+++ b/src/commands/submit.rs
@@ -216,7 +216,9 @@
 impl From<Error> for Failed {
     fn from(e: Error) -> Failed {
         let code = match e {
-            Error::Input(_) | Error::Journal(_) => BAD_SETTINGS,
+            Error::Settings(_) | Error::InvalidJob { .. } | Error::BatchTooLarge { .. } | Error::Journal(_) => {
+                BAD_SETTINGS
+            }
             Error::Deadline { .. } | Error::Closed | Error::Random(_) => 1,
         };
         Failed(code, e.to_string())
