--- a/src/commands/cli.rs
+++ b/src/commands/cli.rs
@@ -8,7 +8,7 @@
 use clap::{Parser, Subcommand};
 use tracing_subscriber::filter::LevelFilter;
 
-use crate::commands::client::{say, BAD_SETTINGS};
+use crate::commands::client::{print_line, EXIT_BAD_INPUT};
 use crate::config::Config;
 use crate::policy::Checked;
 
@@ -46,39 +46,40 @@
         /// line each; - for standard input.  Jobs without `nameId` get one.
         file: String,
         #[command(flatten)]
-        how: crate::commands::submit::How,
+        options: crate::commands::submit::SubmitOptions,
     },
     /// Follow a job until it is over.
     Follow {
         /// The job's id.
         id: String,
         #[command(flatten)]
-        to: To,
+        to: QueryOptions,
     },
     /// Show how a job stands.
     Show {
         /// The job's id.
         id: String,
         #[command(flatten)]
-        to: To,
+        to: QueryOptions,
     },
     /// Withdraw a job: its tasks are stopped.
-    Withdraw {
+    #[command(name = "withdraw")]
+    Cancel {
         /// The job's id.
         id: String,
         #[command(flatten)]
-        to: To,
+        to: QueryOptions,
     },
     /// Show how a controller stands: who leads, what waits and why.
     Status {
         #[command(flatten)]
-        to: To,
+        to: QueryOptions,
     },
 }
 
 /// Which controller, and how to print its answer.
 #[derive(clap::Args)]
-struct To {
+struct QueryOptions {
     /// Where the controller listens for users: its `bind`.
     #[arg(long, value_name = "IP:PORT")]
     node: std::net::SocketAddr,
@@ -91,7 +92,7 @@
 }
 
 /// How often a followed job is asked about.
-const FOLLOW_EVERY: Duration = Duration::from_secs(1);
+const FOLLOW_INTERVAL: Duration = Duration::from_secs(1);
 /// Runs the command line.
 pub fn main() -> ExitCode {
     let args = Args::parse();
@@ -99,26 +100,26 @@
     let usual = if matches!(args.command, Command::Serve { .. }) { LevelFilter::INFO } else { LevelFilter::WARN };
     if let Err(e) = logs(usual) {
         eprintln!("coralnotch: {e}");
-        return ExitCode::from(BAD_SETTINGS);
+        return ExitCode::from(EXIT_BAD_INPUT);
     }
     let (config, policy, run) = match &args.command {
         Command::Serve { config, policy } => (config, policy, true),
         Command::Check { config, policy } => (config, policy, false),
-        Command::Submit { file, how } => return crate::commands::submit::run(file, how),
+        Command::Submit { file, options } => return crate::commands::submit::run(file, options),
         other => return ask(other),
     };
     let (settings, checked) = match load(config, policy.as_deref()) {
         Ok(l) => l,
         Err(e) => {
             eprintln!("{e}");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(EXIT_BAD_INPUT);
         }
     };
     if !run {
         for (name, value, origin) in &checked.origins {
-            say(&format!("{name:20} {value:>12}  = {origin}"));
+            print_line(&format!("{name:20} {value:>12}  = {origin}"));
         }
-        say(&format!("{}: settings and policy are in order", config.display()));
+        print_line(&format!("{}: settings and policy are in order", config.display()));
         return ExitCode::SUCCESS;
     }
     match crate::run::run(settings, checked.policy) {
@@ -147,40 +148,40 @@
 
 /// Runs a command against a running controller.
 fn ask(command: &Command) -> ExitCode {
-    use crate::commands::client::{explained_text, job_text, print, status_text, Controller, Error};
-    let at = |to: &To| Controller::new(to.node, Duration::from_secs(to.patience));
+    use crate::commands::client::{explained_text, job_text, print, status_text, ControllerClient, Error};
+    let client = |to: &QueryOptions| ControllerClient::new(to.node, Duration::from_secs(to.patience));
     let done = smol::block_on(async {
         Ok(match command {
             Command::Follow { id, to } => {
-                let at = at(to);
+                let client = client(to);
                 let mut last = None;
                 loop {
-                    let s = at.show(id).await?.state;
+                    let s = client.job(id).await?.state;
                     if s.stage == "done" || s.stage == "cancelled" {
                         break print(&s, to.json, job_text);
                     }
                     if last.as_ref() != Some(&s) {
-                        say(&print(&s, to.json, job_text));
+                        print_line(&print(&s, to.json, job_text));
                     }
                     last = Some(s);
-                    smol::Timer::after(FOLLOW_EVERY).await;
+                    smol::Timer::after(FOLLOW_INTERVAL).await;
                 }
             }
-            Command::Show { id, to } => print(&at(to).show(id).await?, to.json, explained_text),
-            Command::Withdraw { id, to } => print(&at(to).withdraw(id).await?, to.json, job_text),
-            Command::Status { to } => print(&at(to).status().await?, to.json, status_text),
+            Command::Show { id, to } => print(&client(to).job(id).await?, to.json, explained_text),
+            Command::Cancel { id, to } => print(&client(to).cancel(id).await?, to.json, job_text),
+            Command::Status { to } => print(&client(to).status().await?, to.json, status_text),
             Command::Serve { .. } | Command::Check { .. } | Command::Submit { .. } => String::new(),
         })
     });
     match done {
         Ok(text) => {
-            say(&text);
+            print_line(&text);
             ExitCode::SUCCESS
         }
         Err(e) => {
             eprintln!("coralnotch: {e}");
             match e {
-                Error::Input(_) => ExitCode::from(BAD_SETTINGS),
+                Error::Input(_) => ExitCode::from(EXIT_BAD_INPUT),
                 Error::Refused { .. } | Error::GaveUp { .. } => ExitCode::FAILURE,
             }
         }
--- a/src/commands/client.rs
+++ b/src/commands/client.rs
@@ -37,43 +37,48 @@
 }
 
 #[derive(Deserialize, Default)]
-struct Plain {
+struct ErrorBody {
     #[serde(default)]
     error: String,
 }
 
 /// Exit code for settings and other input that can't be used.
-pub(crate) const BAD_SETTINGS: u8 = 2;
+pub(crate) const EXIT_BAD_INPUT: u8 = 2;
 /// How long one try may take.
-const TRY: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A controller that is talked to.
-pub struct Controller {
+pub struct ControllerClient {
     node: SocketAddr,
     http: Client,
     patience: Duration,
 }
 
-impl Controller {
+impl ControllerClient {
     /// The controller at an address, with patience for refusals.
-    pub fn new(node: SocketAddr, patience: Duration) -> Controller {
-        Controller { node, http: Client::default(), patience }
+    pub fn new(node: SocketAddr, patience: Duration) -> ControllerClient {
+        ControllerClient { node, http: Client::default(), patience }
     }
 
     /// Sends a request until it gets an answer that is not "later".
-    async fn ask<T: for<'a> Deserialize<'a>>(&self, method: &str, path: &str, body: Option<&[u8]>) -> Result<T, Error> {
+    async fn request<T: for<'a> Deserialize<'a>>(
+        &self,
+        method: &str,
+        path: &str,
+        body: Option<&[u8]>,
+    ) -> Result<T, Error> {
         let began = Instant::now();
         loop {
-            let why = match self.http.send(self.node, method, path, body, TRY).await {
+            let why = match self.http.send(self.node, method, path, body, REQUEST_TIMEOUT).await {
                 Ok((200 | 201, body)) => {
                     return http::decode(&body).map_err(|e| Error::Input(format!("the answer can't be read: {e}")));
                 }
                 Ok((status @ (400 | 404 | 405 | 413 | 422), body)) => {
-                    let why = http::decode::<Plain>(&body).unwrap_or_default().error;
+                    let why = http::decode::<ErrorBody>(&body).unwrap_or_default().error;
                     return Err(Error::Refused { status, why });
                 }
                 Ok((status, body)) => {
-                    format!("status {status}, {}", http::decode::<Plain>(&body).unwrap_or_default().error)
+                    format!("status {status}, {}", http::decode::<ErrorBody>(&body).unwrap_or_default().error)
                 }
                 Err(e) => e.to_string(),
             };
@@ -85,22 +90,22 @@
     }
 
     /// How a job stands.
-    pub async fn show(&self, id: &str) -> Result<JobExplanation, Error> {
-        self.ask("GET", &format!("/v2/runs/{}?why", checked(id)?), None).await
+    pub async fn job(&self, id: &str) -> Result<JobExplanation, Error> {
+        self.request("GET", &format!("/v2/runs/{}?why", validate_id(id)?), None).await
     }
 
-    /// Withdraws a job.
-    pub async fn withdraw(&self, id: &str) -> Result<JobState, Error> {
-        self.ask("POST", &format!("/v2/runs/{}/withdraw", checked(id)?), None).await
+    /// Cancels a job.
+    pub async fn cancel(&self, id: &str) -> Result<JobState, Error> {
+        self.request("POST", &format!("/v2/runs/{}/withdraw", validate_id(id)?), None).await
     }
 
     /// How the controller stands.
     pub async fn status(&self) -> Result<Status, Error> {
-        self.ask("GET", "/v2/status", None).await
+        self.request("GET", "/v2/status", None).await
     }
 }
 
-fn checked(id: &str) -> Result<&str, Error> {
+fn validate_id(id: &str) -> Result<&str, Error> {
     match valid_id(id) {
         true => Ok(id),
         false => Err(Error::Input(format!("{id:?} is no job id: j- and digits, like j-000412"))),
@@ -189,7 +194,7 @@
 }
 
 /// Prints a line.  A reader that has gone away, such as `head`, is no failure.
-pub(crate) fn say(line: &str) {
+pub(crate) fn print_line(line: &str) {
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
--- a/src/commands/client/tests.rs
+++ b/src/commands/client/tests.rs
@@ -19,6 +19,6 @@
 
 #[test]
 fn ids_are_checked_before_anything_is_sent() {
-    assert!(checked("j-000412").is_ok());
-    assert!(checked("../x").is_err());
+    assert!(validate_id("j-000412").is_ok());
+    assert!(validate_id("../x").is_err());
 }
--- a/src/commands/submit.rs
+++ b/src/commands/submit.rs
@@ -18,12 +18,12 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-use crate::commands::client::{say, Controller, BAD_SETTINGS};
+use crate::commands::client::{print_line, ControllerClient, EXIT_BAD_INPUT};
 use crate::model::{JobSpec, Name, Shape};
 
 /// How to submit.
 #[derive(Debug, Clone, clap::Args)]
-pub struct How {
+pub struct SubmitOptions {
     /// Where controllers or a load balancer listen for users; several are
     /// tried in turn.
     #[arg(long, value_name = "IP:PORT", value_delimiter = ',', required = true)]
@@ -56,7 +56,7 @@
     pub answer: Final,
 }
 
-fn text(l: &Line) -> String {
+fn answer_text(l: &Line) -> String {
     match &l.answer {
         Final::Done => format!("{} is done", l.id),
         Final::Cancelled => format!("{} is cancelled", l.id),
@@ -65,45 +65,45 @@
 }
 
 /// Answers on disk: whole lines only, each durable before it counts.
-struct Answers {
+struct AnswersFile {
     file: File,
-    have: HashSet<Name>,
+    answered: HashSet<Name>,
 }
 
-impl Answers {
-    fn open(path: &Path) -> Result<Answers, String> {
+impl AnswersFile {
+    fn open(path: &Path) -> Result<AnswersFile, String> {
         let fault = |e: io::Error| format!("{}: {e}", path.display());
         let mut file = File::options().read(true).write(true).create(true).truncate(false).open(path).map_err(fault)?;
         let mut text = Vec::new();
         file.read_to_end(&mut text).map_err(fault)?;
         // what a crash cut off is written again
         let whole = text.iter().rposition(|b| *b == b'\n').map_or(0, |n| n + 1);
-        let mut have = HashSet::new();
+        let mut answered = HashSet::new();
         for (n, line) in text[..whole].split(|b| *b == b'\n').filter(|l| !l.is_empty()).enumerate() {
             let l: Line =
                 serde_json::from_slice(line).map_err(|e| format!("{}: line {}: {e}", path.display(), n + 1))?;
-            have.insert(l.id);
+            answered.insert(l.id);
         }
         file.set_len(whole as u64).map_err(fault)?;
         file.seek(SeekFrom::End(0)).map_err(fault)?;
-        Ok(Answers { file, have })
+        Ok(AnswersFile { file, answered })
     }
 
     fn add(&mut self, line: &Line) -> io::Result<()> {
-        if self.have.contains(&line.id) {
+        if self.answered.contains(&line.id) {
             return Ok(());
         }
         let mut bytes = serde_json::to_vec(line)?;
         bytes.push(b'\n');
         self.file.write_all(&bytes)?;
         self.file.sync_data()?;
-        self.have.insert(line.id.clone());
+        self.answered.insert(line.id.clone());
         Ok(())
     }
 }
 
 /// Jobs of a text: one, or one a line.  The error is all that is wrong.
-fn jobs(file: &str, text: &str) -> Result<Vec<JobSpec>, String> {
+fn parse_jobs(file: &str, text: &str) -> Result<Vec<JobSpec>, String> {
     let one = |text: &str| -> Result<JobSpec, String> {
         let mut v: serde_json::Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
         if let Some(m) = v.as_object_mut().filter(|m| m.get("nameId").is_none_or(|i| i.is_null())) {
@@ -120,7 +120,7 @@
     let many = lines.len() > 1 && serde_json::from_str::<serde_json::Value>(lines[0]).is_ok();
     if !many {
         let specs = one(text).map(|s| vec![s]).map_err(|e| format!("{file}: {e}"))?;
-        let wrong = chained(file, &specs);
+        let wrong = check_dependencies(file, &specs);
         return if wrong.is_empty() { Ok(specs) } else { Err(wrong.join("\n")) };
     }
     let (mut specs, mut wrong, mut ids) = (Vec::new(), Vec::new(), HashSet::new());
@@ -133,7 +133,7 @@
             Err(e) => wrong.push(format!("{file}: line {}: {e}", n + 1)),
         }
     }
-    wrong.extend(chained(file, &specs));
+    wrong.extend(check_dependencies(file, &specs));
     match wrong.is_empty() {
         true => Ok(specs),
         false => Err(wrong.join("\n")),
@@ -142,7 +142,7 @@
 
 /// What is wrong with what the jobs of a file need, as far as the file tells: a
 /// service is never done, and jobs that wait for one another never start.
-fn chained(file: &str, specs: &[JobSpec]) -> Vec<String> {
+fn check_dependencies(file: &str, specs: &[JobSpec]) -> Vec<String> {
     let by_id: HashMap<&Name, &JobSpec> = specs.iter().map(|s| (&s.id, s)).collect();
     let mut wrong = Vec::new();
     for s in specs {
@@ -175,18 +175,18 @@
 
 /// Names that the jobs need, that are not among them and that no controller
 /// knows.
-async fn strangers(file: &str, specs: &[JobSpec], how: &How) -> Result<Vec<String>, Failed> {
+async fn check_unknown(file: &str, specs: &[JobSpec], options: &SubmitOptions) -> Result<Vec<String>, Failed> {
     let own: HashSet<&Name> = specs.iter().map(|s| &s.id).collect();
     let mut known: HashMap<&Name, bool> = HashMap::new();
     let mut wrong = Vec::new();
-    let patience = Duration::from_secs(if how.patience > 0 { how.patience } else { u64::MAX / 4 });
-    let Some(node) = how.node.first() else { return Ok(wrong) };
-    let controller = Controller::new(*node, patience);
+    let patience = Duration::from_secs(if options.patience > 0 { options.patience } else { u64::MAX / 4 });
+    let Some(node) = options.node.first() else { return Ok(wrong) };
+    let controller = ControllerClient::new(*node, patience);
     for s in specs {
         for n in s.needs.iter().filter(|n| !own.contains(n)) {
             let found = match known.get(n) {
                 Some(found) => *found,
-                None => match controller.show(n).await {
+                None => match controller.job(n).await {
                     Ok(_) => true,
                     Err(crate::commands::client::Error::Refused { status: 404, .. }) => false,
                     Err(e) => return Err(Failed(1, e.to_string())),
@@ -217,7 +217,7 @@
     fn from(e: Error) -> Failed {
         let code = match e {
             Error::Settings(_) | Error::InvalidJob { .. } | Error::BatchTooLarge { .. } | Error::Journal(_) => {
-                BAD_SETTINGS
+                EXIT_BAD_INPUT
             }
             Error::Deadline { .. } | Error::Closed | Error::Random(_) => 1,
         };
@@ -226,8 +226,8 @@
 }
 
 /// Runs the command.
-pub fn run(file: &str, how: &How) -> ExitCode {
-    match smol::block_on(submit(file, how)) {
+pub fn run(file: &str, options: &SubmitOptions) -> ExitCode {
+    match smol::block_on(submit(file, options)) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(Failed(code, why)) => {
@@ -238,24 +238,24 @@
 }
 
 /// Whether all went well.
-async fn submit(file: &str, how: &How) -> Result<bool, Failed> {
-    let bad = |e: String| Failed(BAD_SETTINGS, e);
+async fn submit(file: &str, options: &SubmitOptions) -> Result<bool, Failed> {
+    let bad = |e: String| Failed(EXIT_BAD_INPUT, e);
     let input = read(file).map_err(bad)?;
-    let specs = jobs(file, &input).map_err(bad)?;
-    let wrong = strangers(file, &specs, how).await?;
+    let specs = parse_jobs(file, &input).map_err(bad)?;
+    let wrong = check_unknown(file, &specs, options).await?;
     if !wrong.is_empty() {
-        return Err(Failed(BAD_SETTINGS, wrong.join("\n")));
+        return Err(Failed(EXIT_BAD_INPUT, wrong.join("\n")));
     }
-    let mut answers = how.out.as_deref().map(Answers::open).transpose().map_err(bad)?;
-    let mut settings = Settings::new(how.node.clone());
-    settings.journal = how.journal.clone();
+    let mut answers = options.out.as_deref().map(AnswersFile::open).transpose().map_err(bad)?;
+    let mut settings = Settings::new(options.node.clone());
+    settings.journal = options.journal.clone();
     settings.max_unfinished_jobs = settings.max_unfinished_jobs.max(specs.len());
     settings.change_buffer = settings.change_buffer.max(specs.len() * 2);
     let client = Client::open(settings).await?;
-    let deadline = (how.patience > 0).then(|| Instant::now() + Duration::from_secs(how.patience));
+    let deadline = (options.patience > 0).then(|| Instant::now() + Duration::from_secs(options.patience));
     let mut changes = client.changes();
     let total = specs.len() as u64;
-    if how.journal.is_some() {
+    if options.journal.is_some() {
         // what this file is, not where: its jobs are taken in once
         let batch: String = Sha256::digest(input.as_bytes()).iter().map(|b| format!("{b:02x}")).collect();
         if client.submit_once(&batch, specs).await?.is_none() {
@@ -265,8 +265,8 @@
         client.submit_all(specs).await?;
     }
     let handles = client.resumed();
-    if !how.wait {
-        return accepted(&handles, &mut changes, deadline, how.json).await;
+    if !options.wait {
+        return wait_for_acceptances(&handles, &mut changes, deadline, options.json).await;
     }
     let bar = match total > 1 && io::stderr().is_terminal() {
         true => ProgressBar::with_draw_target(Some(total), ProgressDrawTarget::stderr()),
@@ -297,15 +297,15 @@
         let line = Line { id: handle.id().clone(), answer };
         match answers.as_mut() {
             Some(a) => a.add(&line).map_err(|e| Failed(1, format!("the answers' file: {e}")))?,
-            None if how.json => say(&serde_json::to_string(&line).unwrap_or_default()),
-            None => bar.suspend(|| say(&text(&line))),
+            None if options.json => print_line(&serde_json::to_string(&line).unwrap_or_default()),
+            None => bar.suspend(|| print_line(&answer_text(&line))),
         }
         bar.inc(1);
         handle.take().await?;
     }
     bar.finish_and_clear();
     if late > 0 {
-        let again = match how.journal {
+        let again = match options.journal {
             Some(_) => "they are in the journal: the same command goes on with them",
             None => "with --journal the same command would go on with them",
         };
@@ -315,7 +315,7 @@
 }
 
 /// Waits until each job is accepted or over, and prints it.
-async fn accepted(
+async fn wait_for_acceptances(
     handles: &[JobHandle],
     changes: &mut async_broadcast::Receiver<Change>,
     deadline: Option<Instant>,
@@ -349,9 +349,9 @@
         well &= !matches!(c.answer, Some(Final::Refused { .. }));
         let stage = match &c.answer {
             None => "accepted".to_owned(),
-            Some(a) => text(&Line { id: c.id.clone(), answer: a.clone() }),
+            Some(a) => answer_text(&Line { id: c.id.clone(), answer: a.clone() }),
         };
-        say(&match (json, &c.answer) {
+        print_line(&match (json, &c.answer) {
             (true, a) => serde_json::json!({ "id": c.id, "accepted": true, "answer": a }).to_string(),
             (false, None) => format!("{} is {stage}", c.id),
             (false, Some(_)) => stage,
--- a/src/commands/submit/tests.rs
+++ b/src/commands/submit/tests.rs
@@ -5,11 +5,11 @@
 #[test]
 fn one_job_or_one_a_line_and_all_errors_at_once() {
     let pretty = JOB.replace(",\"", ",\n\"");
-    assert_eq!(jobs("f", &pretty).expect("one job over lines").len(), 1);
-    let many = jobs("f", &format!("{JOB}\n\n{JOB}\n")).expect("two jobs");
+    assert_eq!(parse_jobs("f", &pretty).expect("one job over lines").len(), 1);
+    let many = parse_jobs("f", &format!("{JOB}\n\n{JOB}\n")).expect("two jobs");
     assert_ne!(many[0].id, many[1].id);
     let own = JOB.replacen('{', "{\"nameId\":\"j-1\",", 1);
-    let wrong = jobs("f", &format!("{own}\n{own}\n{{}}\nnonsense\n")).expect_err("three faults");
+    let wrong = parse_jobs("f", &format!("{own}\n{own}\n{{}}\nnonsense\n")).expect_err("three faults");
     for part in ["f: line 2: j-1 is there twice", "f: line 3: missing field", "f: line 4:"] {
         assert!(wrong.contains(part), "{part} is missing in {wrong}");
     }
@@ -24,7 +24,7 @@
     };
     let good =
         [job("j-3", "batch", "[\"j-2\",\"j-1\"]"), job("j-2", "group", "[\"j-1\"]"), job("j-1", "batch", "null")];
-    assert_eq!(jobs("f", &good.join("\n")).expect("in any order").len(), 3);
+    assert_eq!(parse_jobs("f", &good.join("\n")).expect("in any order").len(), 3);
     let bad = [
         job("j-1", "standing", "[]"),
         job("j-2", "batch", "[\"j-1\"]"),
@@ -33,12 +33,12 @@
         job("j-5", "batch", "[\"j-5\"]"),
         job("j-6", "batch", "7"),
     ];
-    let wrong = jobs("f", &bad.join("\n")).expect_err("five faults");
+    let wrong = parse_jobs("f", &bad.join("\n")).expect_err("five faults");
     for part in ["j-2 needs j-1, a service", "f: j-3 needs itself", "f: j-4 needs", "f: j-5 needs", "f: line 6:"] {
         assert!(wrong.contains(part), "{part} is missing in {wrong}");
     }
     assert_eq!(wrong.lines().count(), 5);
-    assert!(jobs("f", &job("j-5", "batch", "[\"j-5\"]")).is_err());
+    assert!(parse_jobs("f", &job("j-5", "batch", "[\"j-5\"]")).is_err());
 }
 
 /// A line that a crash cut off is written again, a whole one never.
@@ -47,13 +47,13 @@
     let path = std::env::temp_dir().join(format!("coralnotch-answers-{}", std::process::id()));
     let line = |id: &str| Line { id: id.into(), answer: Final::Done };
     std::fs::write(&path, "{\"id\":\"j-1\",\"answer\":\"done\"}\n{\"id\":\"j-2\",\"ans").expect("a file");
-    let mut a = Answers::open(&path).expect("answers");
+    let mut a = AnswersFile::open(&path).expect("answers");
     for id in ["j-1", "j-2", "j-2"] {
         a.add(&line(id)).expect("room");
     }
     let text = std::fs::read_to_string(&path).expect("the file");
     std::fs::write(&path, "something else\n").expect("a file");
-    assert!(Answers::open(&path).is_err());
+    assert!(AnswersFile::open(&path).is_err());
     std::fs::remove_file(&path).expect("it is there");
     assert_eq!(text, "{\"id\":\"j-1\",\"answer\":\"done\"}\n{\"id\":\"j-2\",\"answer\":\"done\"}\n");
 }
@@ -76,7 +76,7 @@
 /// What is printed for people is pinned as well.
 #[test]
 fn golden_answers_in_words() {
-    let words = |answer| text(&Line { id: "j-1".into(), answer });
+    let words = |answer| answer_text(&Line { id: "j-1".into(), answer });
     assert_eq!(words(Final::Done), "j-1 is done");
     assert_eq!(words(Final::Cancelled), "j-1 is cancelled");
     assert_eq!(words(Final::Refused { status: 400, reason: "pieces".into() }), "j-1 is refused: 400 pieces");
