--- a/packages/client/examples/nightly.rs
+++ b/packages/client/examples/nightly.rs
@@ -37,21 +37,21 @@
 }
 
 fn main() -> Result<(), Box<dyn Error>> {
-    let to: SocketAddr = std::env::args().nth(1).ok_or("say where to submit: IP:PORT")?.parse()?;
-    let mut settings = Settings::new(vec![to]);
+    let endpoint: SocketAddr = std::env::args().nth(1).ok_or("say where to submit: IP:PORT")?.parse()?;
+    let mut settings = Settings::new(vec![endpoint]);
     settings.journal = Some("nightly.journal".into());
     let client = BlockingClient::open(settings)?;
 
-    // killed here and started again, the program takes in nothing twice
+    // a batch is submitted once, also if the program is killed and restarted
     client.submit_once("tonight", vec![job(1)?, job(2)?, job(3)?])?;
 
     for handle in client.client().resumed() {
         let answer = loop {
             match client.wait(&handle, Duration::from_secs(10)) {
                 Ok(answer) => break answer,
-                // not known yet: the job is pursued meanwhile
-                Err(ClientError::Deadline { .. }) => println!("{} goes on: {:?}", handle.id(), handle.progress()),
-                Err(e) => return Err(e.into()),
+                // not known yet: the client keeps pursuing the job
+                Err(ClientError::Deadline { .. }) => println!("{} is unfinished: {:?}", handle.id(), handle.progress()),
+                Err(error) => return Err(error.into()),
             }
         };
         match &answer {
@@ -59,7 +59,7 @@
             Final::Cancelled => println!("{} is cancelled", handle.id()),
             Final::Refused { status, reason } => println!("{} is refused: {status} {reason}", handle.id()),
         }
-        // acted on: no later life of this program is given it again
+        // the answer was acted on: later runs of this program do not get it again
         client.take(handle)?;
     }
     Ok(())
--- a/src/commands/cli.rs
+++ b/src/commands/cli.rs
@@ -1,15 +1,19 @@
 //! The command line.
 
-use std::io::IsTerminal;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
 use clap::{Parser, Subcommand};
 use tracing_subscriber::filter::LevelFilter;
 
-use crate::commands::client::{print_line, EXIT_BAD_INPUT};
+use crate::commands::client::{ControllerClient, Error};
+use crate::commands::logging;
+use crate::commands::output::{print_line, render, EXIT_BAD_INPUT, EXIT_FAILURE};
+use crate::commands::submit::{submit, SubmitOptions};
+use crate::commands::text::{explained_text, job_text, status_text};
 use crate::config::Config;
+use crate::policy::check::Fault;
 use crate::policy::Checked;
 
 #[derive(Parser)]
@@ -19,26 +23,19 @@
     command: Command,
 }
 
+// the doc comments of commands and options are the program's help
 #[derive(Subcommand)]
 enum Command {
     /// Run a controller until it is killed.
     Serve {
-        /// The platform's settings file.
-        #[arg(long)]
-        config: PathBuf,
-        /// The operators' policy file, on top of the default policy.
-        #[arg(long)]
-        policy: Option<PathBuf>,
+        #[command(flatten)]
+        files: SettingsFiles,
     },
     /// Check settings and policy without starting anything; prints each
     /// tunable with the expression that gave it.
     Check {
-        /// The platform's settings file.
-        #[arg(long)]
-        config: PathBuf,
-        /// The operators' policy file, on top of the default policy.
-        #[arg(long)]
-        policy: Option<PathBuf>,
+        #[command(flatten)]
+        files: SettingsFiles,
     },
     /// Submit a job, or many, and with --wait pursue each to its final answer.
     Submit {
@@ -46,21 +43,21 @@
         /// line each; - for standard input.  Jobs without `nameId` get one.
         file: String,
         #[command(flatten)]
-        options: crate::commands::submit::SubmitOptions,
+        options: SubmitOptions,
     },
     /// Follow a job until it is over.
     Follow {
         /// The job's id.
         id: String,
         #[command(flatten)]
-        to: QueryOptions,
+        options: QueryOptions,
     },
     /// Show how a job stands.
     Show {
         /// The job's id.
         id: String,
         #[command(flatten)]
-        to: QueryOptions,
+        options: QueryOptions,
     },
     /// Withdraw a job: its tasks are stopped.
     #[command(name = "withdraw")]
@@ -68,16 +65,25 @@
         /// The job's id.
         id: String,
         #[command(flatten)]
-        to: QueryOptions,
+        options: QueryOptions,
     },
     /// Show how a controller stands: who leads, what waits and why.
     Status {
         #[command(flatten)]
-        to: QueryOptions,
+        options: QueryOptions,
     },
 }
 
-/// Which controller, and how to print its answer.
+#[derive(clap::Args)]
+struct SettingsFiles {
+    /// The platform's settings file.
+    #[arg(long)]
+    config: PathBuf,
+    /// The operators' policy file, on top of the default policy.
+    #[arg(long)]
+    policy: Option<PathBuf>,
+}
+
 #[derive(clap::Args)]
 struct QueryOptions {
     /// Where the controller listens for users: its `bind`.
@@ -91,115 +97,136 @@
     json: bool,
 }
 
-/// How often a followed job is asked about.
+impl QueryOptions {
+    fn client(&self) -> ControllerClient {
+        ControllerClient::new(self.node, Duration::from_secs(self.patience))
+    }
+}
+
+/// Time between two queries of a job that is followed.
 const FOLLOW_INTERVAL: Duration = Duration::from_secs(1);
+
 /// Runs the command line.
 pub fn main() -> ExitCode {
     let args = Args::parse();
-    // a command says what it has to say on standard output
-    let usual = if matches!(args.command, Command::Serve { .. }) { LevelFilter::INFO } else { LevelFilter::WARN };
-    if let Err(e) = logs(usual) {
-        eprintln!("coralnotch: {e}");
-        return ExitCode::from(EXIT_BAD_INPUT);
+    // commands print their results on standard output, so that they log less
+    let default_level =
+        if matches!(args.command, Command::Serve { .. }) { LevelFilter::INFO } else { LevelFilter::WARN };
+    if let Err(error) = logging::init(default_level) {
+        return exit_with(EXIT_BAD_INPUT, &error);
+    }
+    match args.command {
+        Command::Serve { files } => serve(&files),
+        Command::Check { files } => check(&files),
+        Command::Submit { file, options } => submit(&file, &options),
+        Command::Follow { id, options } => finish(smol::block_on(follow(&id, &options))),
+        Command::Show { id, options } => finish(smol::block_on(show(&id, &options))),
+        Command::Cancel { id, options } => finish(smol::block_on(cancel(&id, &options))),
+        Command::Status { options } => finish(smol::block_on(status(&options))),
     }
-    let (config, policy, run) = match &args.command {
-        Command::Serve { config, policy } => (config, policy, true),
-        Command::Check { config, policy } => (config, policy, false),
-        Command::Submit { file, options } => return crate::commands::submit::run(file, options),
-        other => return ask(other),
+}
+
+fn exit_with(code: u8, error: &dyn std::fmt::Display) -> ExitCode {
+    eprintln!("coralnotch: {error}");
+    ExitCode::from(code)
+}
+
+/// Each line of the error says what it is about.
+fn exit_with_load_error(error: &LoadError) -> ExitCode {
+    eprintln!("{error}");
+    ExitCode::from(EXIT_BAD_INPUT)
+}
+
+fn serve(files: &SettingsFiles) -> ExitCode {
+    let (config, checked) = match load(files) {
+        Ok(loaded) => loaded,
+        Err(error) => return exit_with_load_error(&error),
+    };
+    match crate::run::run(config, checked.policy) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => exit_with(EXIT_FAILURE, &error),
+    }
+}
+
+fn check(files: &SettingsFiles) -> ExitCode {
+    let checked = match load(files) {
+        Ok((_, checked)) => checked,
+        Err(error) => return exit_with_load_error(&error),
     };
-    let (settings, checked) = match load(config, policy.as_deref()) {
-        Ok(l) => l,
-        Err(e) => {
-            eprintln!("{e}");
-            return ExitCode::from(EXIT_BAD_INPUT);
+    for (name, value, origin) in &checked.origins {
+        print_line(&format!("{name:20} {value:>12}  = {origin}"));
+    }
+    print_line(&format!("{}: settings and policy are in order", files.config.display()));
+    ExitCode::SUCCESS
+}
+
+/// Why settings or policy can't be used.
+#[derive(Debug, thiserror::Error)]
+enum LoadError {
+    #[error("coralnotch: {0}")]
+    Config(#[from] crate::config::Error),
+    #[error("coralnotch: {}: {source}", .file.display())]
+    ReadPolicy { file: PathBuf, source: std::io::Error },
+    /// All that is wrong with the policy; each fault names its file and line.
+    #[error("{}", join_lines(.0))]
+    Policy(Vec<Fault>),
+}
+
+fn join_lines(faults: &[Fault]) -> String {
+    let lines: Vec<String> = faults.iter().map(Fault::to_string).collect();
+    lines.join("\n")
+}
+
+fn load(files: &SettingsFiles) -> Result<(Config, Checked), LoadError> {
+    let config = Config::load(&files.config)?;
+    let operators_policy = match &files.policy {
+        None => None,
+        Some(file) => {
+            let read = std::fs::read_to_string(file);
+            let text = read.map_err(|source| LoadError::ReadPolicy { file: file.clone(), source })?;
+            Some((file.display().to_string(), text))
         }
     };
-    if !run {
-        for (name, value, origin) in &checked.origins {
-            print_line(&format!("{name:20} {value:>12}  = {origin}"));
+    let operators_policy = operators_policy.as_ref().map(|(file, text)| (file.as_str(), text.as_str()));
+    let checked = crate::policy::check(&config, operators_policy).map_err(LoadError::Policy)?;
+    Ok((config, checked))
+}
+
+async fn follow(id: &str, options: &QueryOptions) -> Result<String, Error> {
+    let client = options.client();
+    let mut last_printed = None;
+    loop {
+        let job = client.job(id).await?.state;
+        if job.stage == "done" || job.stage == "cancelled" {
+            return Ok(render(&job, options.json, job_text));
         }
-        print_line(&format!("{}: settings and policy are in order", config.display()));
-        return ExitCode::SUCCESS;
-    }
-    match crate::run::run(settings, checked.policy) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("coralnotch: {e}");
-            ExitCode::FAILURE
+        if last_printed.as_ref() != Some(&job) {
+            print_line(&render(&job, options.json, job_text));
         }
+        last_printed = Some(job);
+        smol::Timer::after(FOLLOW_INTERVAL).await;
     }
 }
 
-/// Logs go to standard error: as much as `LOG_LEVEL` asks for, or the usual, lines for
-/// people or, with `LOG_FORMAT=json`, an object a line.
-fn logs(usual: LevelFilter) -> Result<(), String> {
-    // the platform's variable: a word that is not known must not keep a
-    // controller from starting
-    let level = std::env::var("LOG_LEVEL").ok().and_then(|l| l.parse().ok()).unwrap_or(usual);
-    let lines = tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr);
-    match std::env::var("LOG_FORMAT").as_deref() {
-        Err(_) | Ok("" | "text") => lines.with_ansi(std::io::stderr().is_terminal()).init(),
-        Ok("json") => lines.json().flatten_event(true).init(),
-        Ok(f) => return Err(format!("LOG_FORMAT={f:?} is neither text nor json")),
-    }
-    Ok(())
-}
-
-/// Runs a command against a running controller.
-fn ask(command: &Command) -> ExitCode {
-    use crate::commands::client::{explained_text, job_text, print, status_text, ControllerClient, Error};
-    let client = |to: &QueryOptions| ControllerClient::new(to.node, Duration::from_secs(to.patience));
-    let done = smol::block_on(async {
-        Ok(match command {
-            Command::Follow { id, to } => {
-                let client = client(to);
-                let mut last = None;
-                loop {
-                    let s = client.job(id).await?.state;
-                    if s.stage == "done" || s.stage == "cancelled" {
-                        break print(&s, to.json, job_text);
-                    }
-                    if last.as_ref() != Some(&s) {
-                        print_line(&print(&s, to.json, job_text));
-                    }
-                    last = Some(s);
-                    smol::Timer::after(FOLLOW_INTERVAL).await;
-                }
-            }
-            Command::Show { id, to } => print(&client(to).job(id).await?, to.json, explained_text),
-            Command::Cancel { id, to } => print(&client(to).cancel(id).await?, to.json, job_text),
-            Command::Status { to } => print(&client(to).status().await?, to.json, status_text),
-            Command::Serve { .. } | Command::Check { .. } | Command::Submit { .. } => String::new(),
-        })
-    });
-    match done {
+async fn show(id: &str, options: &QueryOptions) -> Result<String, Error> {
+    Ok(render(&options.client().job(id).await?, options.json, explained_text))
+}
+
+async fn cancel(id: &str, options: &QueryOptions) -> Result<String, Error> {
+    Ok(render(&options.client().cancel(id).await?, options.json, job_text))
+}
+
+async fn status(options: &QueryOptions) -> Result<String, Error> {
+    Ok(render(&options.client().status().await?, options.json, status_text))
+}
+
+/// Prints the result of a query and gives the command's exit code.
+fn finish(result: Result<String, Error>) -> ExitCode {
+    match result {
         Ok(text) => {
             print_line(&text);
             ExitCode::SUCCESS
         }
-        Err(e) => {
-            eprintln!("coralnotch: {e}");
-            match e {
-                Error::Input(_) => ExitCode::from(EXIT_BAD_INPUT),
-                Error::Refused { .. } | Error::GaveUp { .. } => ExitCode::FAILURE,
-            }
-        }
+        Err(error) => exit_with(error.exit_code(), &error),
     }
 }
-
-/// Reads settings and policy; the error is all that is wrong with them.
-fn load(config: &Path, policy: Option<&Path>) -> Result<(Config, Checked), String> {
-    let config = Config::load(config).map_err(|e| format!("coralnotch: {e}"))?;
-    let own = match policy {
-        None => None,
-        Some(p) => {
-            let text = std::fs::read_to_string(p).map_err(|e| format!("coralnotch: {}: {e}", p.display()))?;
-            Some((p.display().to_string(), text))
-        }
-    };
-    let own = own.as_ref().map(|(f, t)| (f.as_str(), t.as_str()));
-    let checked = crate::policy::check(&config, own)
-        .map_err(|faults| faults.iter().map(|f| f.to_string()).collect::<Vec<_>>().join("\n"))?;
-    Ok((config, checked))
-}
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -2,4 +2,7 @@
 
 pub mod cli;
 pub mod client;
+pub mod logging;
+pub mod output;
 pub mod submit;
+pub mod text;
--- a/src/commands/submit/tests.rs
+++ b/src/commands/submit/tests.rs
@@ -1,4 +1,7 @@
+use super::answers::answer_text;
+use super::input::parse_jobs;
 use super::*;
+use coralnotch_client::Final;
 
 const JOB: &str = r#"{"lane":"demo","crew":"demo","shape":"batch","rank":"normal","pieces":1,"cpus":1.0,"accelerators":0.0,"memGb":1.0,"bundle":"i","sizeGb":0.1,"oneZone":false,"spread":false,"driftwood":true,"expectS":1.0,"markEveryS":0.0,"markTakesS":0.0}"#;
 
@@ -9,15 +12,15 @@
     let many = parse_jobs("f", &format!("{JOB}\n\n{JOB}\n")).expect("two jobs");
     assert_ne!(many[0].id, many[1].id);
     let own = JOB.replacen('{', "{\"nameId\":\"j-1\",", 1);
-    let wrong = parse_jobs("f", &format!("{own}\n{own}\n{{}}\nnonsense\n")).expect_err("three faults");
+    let faults = parse_jobs("f", &format!("{own}\n{own}\n{{}}\nnonsense\n")).expect_err("three faults").to_string();
     for part in ["f: line 2: j-1 is there twice", "f: line 3: missing field", "f: line 4:"] {
-        assert!(wrong.contains(part), "{part} is missing in {wrong}");
+        assert!(faults.contains(part), "{part} is missing in {faults}");
     }
 }
 
-/// Faults of a chain are told all at once, with file and job.
+/// All faults of dependencies are reported at once, with file and job.
 #[test]
-fn chains_that_cannot_run_are_told_at_once() {
+fn all_faults_of_dependencies_are_reported_at_once() {
     let job = |id: &str, shape: &str, needs: &str| {
         let job = JOB.replacen('{', &format!("{{\"nameId\":\"{id}\",\"awaits\":{needs},"), 1);
         job.replace("batch", shape)
@@ -33,11 +36,11 @@
         job("j-5", "batch", "[\"j-5\"]"),
         job("j-6", "batch", "7"),
     ];
-    let wrong = parse_jobs("f", &bad.join("\n")).expect_err("five faults");
+    let faults = parse_jobs("f", &bad.join("\n")).expect_err("five faults").to_string();
     for part in ["j-2 needs j-1, a service", "f: j-3 needs itself", "f: j-4 needs", "f: j-5 needs", "f: line 6:"] {
-        assert!(wrong.contains(part), "{part} is missing in {wrong}");
+        assert!(faults.contains(part), "{part} is missing in {faults}");
     }
-    assert_eq!(wrong.lines().count(), 5);
+    assert_eq!(faults.lines().count(), 5);
     assert!(parse_jobs("f", &job("j-5", "batch", "[\"j-5\"]")).is_err());
 }
 
@@ -47,9 +50,9 @@
     let path = std::env::temp_dir().join(format!("coralnotch-answers-{}", std::process::id()));
     let line = |id: &str| Line { id: id.into(), answer: Final::Done };
     std::fs::write(&path, "{\"id\":\"j-1\",\"answer\":\"done\"}\n{\"id\":\"j-2\",\"ans").expect("a file");
-    let mut a = AnswersFile::open(&path).expect("answers");
+    let mut answers = AnswersFile::open(&path).expect("answers");
     for id in ["j-1", "j-2", "j-2"] {
-        a.add(&line(id)).expect("room");
+        answers.add(&line(id)).expect("room");
     }
     let text = std::fs::read_to_string(&path).expect("the file");
     std::fs::write(&path, "something else\n").expect("a file");
--- a/tests/architecture.rs
+++ b/tests/architecture.rs
@@ -43,7 +43,10 @@
     "leadership::renewal",
     "leadership::election",
     "run",
+    "commands::output",
+    "commands::logging",
     "commands::client",
+    "commands::text",
     "commands::submit",
     "commands::cli",
 ];
