--- a/packages/emulator/src/serve.rs
+++ b/packages/emulator/src/serve.rs
@@ -237,13 +237,13 @@
 
     /// The cloud takes a machine back at that time.
     pub fn notice(&self, name: &Name, at: Instant) {
-        self.worker_pool.borrow_mut().notice(name, at);
+        self.worker_pool.borrow_mut().schedule_reclaim(name, at);
         self.wake_changed();
     }
 
     /// A machine is gone, and its sockets with it.
     pub fn gone(&self, name: &Name) {
-        self.worker_pool.borrow_mut().gone(name);
+        self.worker_pool.borrow_mut().remove_machine(name);
         self.workers.borrow_mut().remove(name);
     }
 
@@ -285,7 +285,7 @@
         };
         let Ok(address) = listener.local_addr() else { return };
         let at: Name = address.to_string().into();
-        self.worker_pool.borrow_mut().up(name.clone(), b.kind, b.zone, b.spot, at, Instant::now());
+        self.worker_pool.borrow_mut().add_machine(name.clone(), b.kind, b.zone, b.spot, at, Instant::now());
         let (w, n) = (self.clone(), name.clone());
         let handler = move |r: Request| {
             let answer = w.direct(&n, &r);
@@ -319,7 +319,7 @@
         let status = match (r.method.as_str(), r.path.as_str()) {
             ("GET", "/status") => 200,
             ("POST", "/commands") => match http::decode::<DirectCommandBody>(&r.body) {
-                Ok(body) => match worker_pool.command(name, body, now) {
+                Ok(body) => match worker_pool.apply_direct_commands(name, body, now) {
                     true => 200,
                     false => 409,
                 },
@@ -327,7 +327,7 @@
             },
             _ => return Some(Response::refuse(404, "no such path")),
         };
-        Some(Response::new(status, &worker_pool.report(name, now)?.0))
+        Some(Response::new(status, &worker_pool.heartbeat(name, now)?.0))
     }
 
     /// Reports every interval, and early when something changed.
@@ -349,7 +349,7 @@
                 or(timer, wake).await;
                 continue;
             }
-            let Some((report, sent)) = self.worker_pool.borrow_mut().report(&name, now) else { return };
+            let Some((report, sent)) = self.worker_pool.borrow_mut().heartbeat(&name, now) else { return };
             let Some(to) = self.controllers.get(at) else { return };
             last = Some(now);
             let body = http::encode(&report);
@@ -363,7 +363,7 @@
             let wait = match answer {
                 Ok((200, body)) => {
                     if let Ok(a) = http::decode::<HeartbeatReply>(&body) {
-                        self.worker_pool.borrow_mut().answered(&name, sent, a, Instant::now());
+                        self.worker_pool.borrow_mut().apply_reply(&name, sent, a, Instant::now());
                     }
                     Duration::from_secs_f64(self.report_s * (0.75 + 0.5 * self.rng.borrow_mut().f64()))
                 }
--- a/packages/emulator/src/up.rs
+++ b/packages/emulator/src/up.rs
@@ -583,10 +583,10 @@
         started: workers.started,
         killed: workers.killed,
         cost: world.cloud.borrow().cost(Instant::now()),
-        broken: workers.broken.clone(),
+        broken: workers.violations.clone(),
         per_second: world.per_second.borrow().as_ref().map(|p| p.1.clone()).unwrap_or_default(),
         keys: world.state.borrow().under(""),
-        completed: workers.completed().clone(),
+        completed: workers.completed_at().clone(),
     };
     let Report { started, killed, cost, broken, .. } = &report;
     say(&format!("{started} tasks started, {killed} killed by a lease; the machines cost {cost:.2}"));
--- a/packages/emulator/src/worker_pool.rs
+++ b/packages/emulator/src/worker_pool.rs
@@ -1,7 +1,7 @@
-//! Machines with their workers, as the protocol has them: sessions, leases and
-//! fences, image fetches, gangs, saves.  A plain state machine over all
-//! machines at once, as gangs span them; it also notes each broken rule that
-//! can be seen from where tasks run.
+//! Machines with their workers, as the protocol describes them: incarnations, leases and fencing
+//! tokens, image fetches, gangs, checkpoints.  A plain state machine over all machines at once, as
+//! gangs span them; it also records each violation of the protocol that can be seen from where
+//! tasks run.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -25,33 +25,34 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Work {
+enum TaskPhase {
     Pulling,
-    Gathering {
+    WaitingForGang {
         since: Instant,
     },
     Running {
         since: Instant,
     },
-    /// A mate is gone: it exits then.
-    Alone {
+    /// Another task of the gang is gone: this one exits then.
+    GangMemberLost {
         until: Instant,
     },
-    /// Saves until then; all mates have to be told by `told_by`.
-    Flushing {
+    /// Saves a checkpoint until then; for a gang it counts if all tasks are stopped by
+    /// `gang_deadline`.
+    Checkpointing {
         until: Instant,
-        told_by: Instant,
+        gang_deadline: Instant,
     },
-    Ended {
+    Exited {
         cause: ExitCause,
         saved: Option<bool>,
     },
 }
 
 #[derive(Debug, Clone)]
-struct Held {
+struct TaskRecord {
     attempt: u64,
-    work: Work,
+    phase: TaskPhase,
 }
 
 /// A machine with its worker.
@@ -66,29 +67,29 @@
     /// Where its worker takes direct commands.
     pub address: Name,
     /// When the cloud takes it.
-    pub taken: Option<Instant>,
+    pub reclaim_at: Option<Instant>,
     /// Something changed that is worth a report.
-    changed: bool,
+    has_changed: bool,
     /// Nothing on it changes by itself before this.
-    due: Instant,
+    next_change: Instant,
     /// It has tasks of gangs: what these do hangs on other machines.
-    gangs: bool,
-    session: u64,
-    tally: u64,
-    token: u64,
-    renewed: Instant,
+    has_gang_tasks: bool,
+    incarnation: u64,
+    sequence: u64,
+    fencing_token: u64,
+    lease_renewed: Instant,
     /// Relative to its type.
     speed: f64,
-    tasks: BTreeMap<Task, Held>,
+    tasks: BTreeMap<Task, TaskRecord>,
     /// Images, with when they are here; the last used last.
     images: Vec<(Name, f64, Instant)>,
 }
 
 /// A report on its way: only its answer, in time, counts.
 #[derive(Debug, Clone, Copy)]
-pub struct Sent {
-    session: u64,
-    at: Instant,
+pub struct SentHeartbeat {
+    incarnation: u64,
+    sent_at: Instant,
 }
 
 /// All machines, and what users uploaded.
@@ -97,29 +98,29 @@
     settings: Settings,
     machines: BTreeMap<Name, Machine>,
     /// The machines that list a task, in any state.
-    holders: HashMap<Task, Vec<Name>>,
+    machines_by_task: HashMap<Task, Vec<Name>>,
     /// Machines with something to report since this was last asked for.
-    changed: Vec<Name>,
+    changed_machines: Vec<Name>,
     specs: HashMap<Name, Arc<JobSpec>>,
     /// Jobs whose start is timed, with how many of their tasks have yet to start.
-    timed: HashMap<Name, u32>,
+    tasks_to_start: HashMap<Name, u32>,
     /// Completed tasks of each job; their results are kept.
-    done: HashMap<Name, BTreeSet<u32>>,
+    completed_tasks: HashMap<Name, BTreeSet<u32>>,
     /// When the last task of a job completed.
-    completed: HashMap<Name, Instant>,
+    completed_at: HashMap<Name, Instant>,
     /// Saved progress, in seconds of the estimate; by job for gangs.
-    saved: HashMap<Task, f64>,
+    saved_progress: HashMap<Task, f64>,
     rng: Rng,
     /// How long a task runs for each second of its estimate.
     pub pace: f64,
     /// Rules that were seen broken.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Tasks that began to run.
     pub started: u64,
     /// Tasks killed by the lease of their worker.
     pub killed: u64,
     /// When all tasks of a timed job had begun to run.
-    pub begun: Vec<(Name, Instant)>,
+    pub timed_starts: Vec<(Name, Instant)>,
 }
 
 fn seconds(s: f64) -> Duration {
@@ -142,19 +143,19 @@
         WorkerPool {
             settings,
             machines: BTreeMap::new(),
-            holders: HashMap::new(),
-            changed: Vec::new(),
+            machines_by_task: HashMap::new(),
+            changed_machines: Vec::new(),
             specs: HashMap::new(),
-            timed: HashMap::new(),
-            done: HashMap::new(),
-            completed: HashMap::new(),
-            saved: HashMap::new(),
+            tasks_to_start: HashMap::new(),
+            completed_tasks: HashMap::new(),
+            completed_at: HashMap::new(),
+            saved_progress: HashMap::new(),
             rng,
             pace,
-            broken: Vec::new(),
+            violations: Vec::new(),
             started: 0,
             killed: 0,
-            begun: Vec::new(),
+            timed_starts: Vec::new(),
         }
     }
 
@@ -166,25 +167,25 @@
     /// The start of a job that was uploaded is to be timed.
     pub fn time_start(&mut self, job: &Name) {
         if let Some(spec) = self.specs.get(job) {
-            self.timed.insert(job.clone(), spec.tasks);
+            self.tasks_to_start.insert(job.clone(), spec.tasks);
         }
     }
 
     /// How many tasks of a job are done.
-    pub fn done(&self, job: &str) -> usize {
-        self.done.get(job).map_or(0, BTreeSet::len)
+    pub fn completed_task_count(&self, job: &str) -> usize {
+        self.completed_tasks.get(job).map_or(0, BTreeSet::len)
     }
 
     /// When the last task of each completed job did.
-    pub fn completed(&self) -> &HashMap<Name, Instant> {
-        &self.completed
+    pub fn completed_at(&self) -> &HashMap<Name, Instant> {
+        &self.completed_at
     }
 
     /// Tasks that run, and those of services among them.
-    pub fn running(&self) -> (u64, u64) {
+    pub fn running_tasks(&self) -> (u64, u64) {
         let (mut all, mut replicas) = (0, 0);
-        for (task, held) in self.machines.values().flat_map(|m| &m.tasks) {
-            if !matches!(held.work, Work::Running { .. }) {
+        for (task, record) in self.machines.values().flat_map(|machine| &machine.tasks) {
+            if !matches!(record.phase, TaskPhase::Running { .. }) {
                 continue;
             }
             all += 1;
@@ -200,97 +201,97 @@
     }
 
     /// The cloud takes a machine back at that time.
-    pub fn notice(&mut self, name: &str, at: Instant) {
-        if let Some(m) = self.machines.get_mut(name) {
-            m.taken = Some(at);
-            m.changed = true;
-            self.changed.push(name.into());
+    pub fn schedule_reclaim(&mut self, name: &str, at: Instant) {
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.reclaim_at = Some(at);
+            machine.has_changed = true;
+            self.changed_machines.push(name.into());
         }
     }
 
     /// The machines with something to report since the last call, some of them more than once.
     pub fn take_changed(&mut self) -> Vec<Name> {
-        std::mem::take(&mut self.changed)
+        std::mem::take(&mut self.changed_machines)
     }
 
     /// Whether a machine has something to report.
     pub fn has_changed(&self, name: &str) -> bool {
-        self.machines.get(name).is_some_and(|m| m.changed)
+        self.machines.get(name).is_some_and(|machine| machine.has_changed)
     }
 
     /// A machine is up.
-    pub fn up(&mut self, name: Name, kind: MachineType, zone: Name, spot: bool, address: Name, now: Instant) {
-        let m = Machine {
+    pub fn add_machine(&mut self, name: Name, kind: MachineType, zone: Name, spot: bool, address: Name, now: Instant) {
+        let machine = Machine {
             kind,
             zone,
             spot,
             address,
-            taken: None,
-            changed: true,
-            due: now,
-            gangs: false,
-            session: 1,
-            tally: 0,
-            token: 0,
-            renewed: now,
+            reclaim_at: None,
+            has_changed: true,
+            next_change: now,
+            has_gang_tasks: false,
+            incarnation: 1,
+            sequence: 0,
+            fencing_token: 0,
+            lease_renewed: now,
             speed: 0.95 + 0.1 * self.rng.f64(),
             tasks: BTreeMap::new(),
             images: Vec::new(),
         };
-        self.machines.insert(name, m);
+        self.machines.insert(name, machine);
     }
 
     /// A machine and all on it is gone.
-    pub fn gone(&mut self, name: &str) {
-        let Some(m) = self.machines.remove(name) else { return };
-        for task in m.tasks.keys() {
-            release(&mut self.holders, task, name);
+    pub fn remove_machine(&mut self, name: &str) {
+        let Some(machine) = self.machines.remove(name) else { return };
+        for task in machine.tasks.keys() {
+            release(&mut self.machines_by_task, task, name);
         }
     }
 
     /// A machine's report; `None` if there is no such machine.
-    pub fn report(&mut self, name: &str, now: Instant) -> Option<(Heartbeat, Sent)> {
-        let m = self.machines.get_mut(name)?;
-        m.tally += 1;
-        m.changed = false;
-        let one = |(task, held): (&Task, &Held)| {
-            let (state, cause, saved) = match held.work {
-                Work::Pulling => (TaskState::Pulling, None, None),
-                Work::Gathering { .. } => (TaskState::WaitingForGang, None, None),
-                Work::Running { .. } | Work::Alone { .. } => (TaskState::Running, None, None),
-                Work::Flushing { .. } => (TaskState::Checkpointing, None, None),
-                Work::Ended { cause, saved } => (TaskState::Exited, Some(cause), saved),
+    pub fn heartbeat(&mut self, name: &str, now: Instant) -> Option<(Heartbeat, SentHeartbeat)> {
+        let machine = self.machines.get_mut(name)?;
+        machine.sequence += 1;
+        machine.has_changed = false;
+        let one = |(task, record): (&Task, &TaskRecord)| {
+            let (state, cause, saved) = match record.phase {
+                TaskPhase::Pulling => (TaskState::Pulling, None, None),
+                TaskPhase::WaitingForGang { .. } => (TaskState::WaitingForGang, None, None),
+                TaskPhase::Running { .. } | TaskPhase::GangMemberLost { .. } => (TaskState::Running, None, None),
+                TaskPhase::Checkpointing { .. } => (TaskState::Checkpointing, None, None),
+                TaskPhase::Exited { cause, saved } => (TaskState::Exited, Some(cause), saved),
             };
-            TaskStatus { task: task.clone(), attempt: held.attempt, state, cause, saved }
+            TaskStatus { task: task.clone(), attempt: record.attempt, state, cause, saved }
         };
         let report = Heartbeat {
             machine: name.into(),
-            address: m.address.clone(),
-            kind: m.kind.name.clone(),
-            zone: m.zone.clone(),
-            spot: m.spot,
-            incarnation: m.session,
-            sequence: m.tally,
-            fencing_token: m.token,
-            reclaim_in_s: m.taken.map(|t| t.saturating_duration_since(now).as_secs_f64()),
-            tasks: m.tasks.iter().map(one).collect(),
+            address: machine.address.clone(),
+            kind: machine.kind.name.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
+            incarnation: machine.incarnation,
+            sequence: machine.sequence,
+            fencing_token: machine.fencing_token,
+            reclaim_in_s: machine.reclaim_at.map(|t| t.saturating_duration_since(now).as_secs_f64()),
+            tasks: machine.tasks.iter().map(one).collect(),
         };
-        Some((report, Sent { session: m.session, at: now }))
+        Some((report, SentHeartbeat { incarnation: machine.incarnation, sent_at: now }))
     }
 
-    /// The answer to a report.  One for an earlier session, or with a lower
+    /// Applies the reply to a heartbeat.  One for an earlier incarnation, or with a lower fencing
     /// token, is dropped.
-    pub fn answered(&mut self, name: &str, sent: Sent, answer: HeartbeatReply, now: Instant) {
-        let Some(m) = self.machines.get_mut(name) else { return };
-        if sent.session != m.session || answer.fencing_token < m.token {
+    pub fn apply_reply(&mut self, name: &str, sent: SentHeartbeat, answer: HeartbeatReply, now: Instant) {
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        if sent.incarnation != machine.incarnation || answer.fencing_token < machine.fencing_token {
             return;
         }
-        let raised = answer.fencing_token > m.token;
-        m.changed |= raised;
-        m.token = answer.fencing_token;
-        m.renewed = sent.at;
+        let raised = answer.fencing_token > machine.fencing_token;
+        machine.has_changed |= raised;
+        machine.fencing_token = answer.fencing_token;
+        machine.lease_renewed = sent.sent_at;
         if raised {
-            self.changed.push(name.into());
+            self.changed_machines.push(name.into());
         }
         if !answer.commands.is_empty() {
             self.execute(name, answer.commands, now);
@@ -298,109 +299,112 @@
     }
 
     /// A direct command; whether it was executed.
-    pub fn command(&mut self, name: &str, body: DirectCommandBody, now: Instant) -> bool {
-        let Some(m) = self.machines.get_mut(name) else { return false };
-        if body.incarnation != m.session || body.fencing_token < m.token {
+    pub fn apply_direct_commands(&mut self, name: &str, body: DirectCommandBody, now: Instant) -> bool {
+        let Some(machine) = self.machines.get_mut(name) else { return false };
+        if body.incarnation != machine.incarnation || body.fencing_token < machine.fencing_token {
             return false;
         }
-        m.token = body.fencing_token;
+        machine.fencing_token = body.fencing_token;
         self.execute(name, body.commands, now);
         true
     }
 
-    fn execute(&mut self, name: &str, orders: Vec<Command>, now: Instant) {
-        for o in orders {
-            match o {
-                Command::Start { task, attempt } => self.run(name, task, attempt, now),
-                Command::Stop { task, attempt, grace } => self.halt(name, &task, attempt, grace, now),
+    fn execute(&mut self, name: &str, commands: Vec<Command>, now: Instant) {
+        for command in commands {
+            match command {
+                Command::Start { task, attempt } => self.start_task(name, task, attempt, now),
+                Command::Stop { task, attempt, grace } => self.stop_task(name, &task, attempt, grace, now),
                 Command::Acknowledge { task, attempt } => {
-                    let Some(m) = self.machines.get_mut(name) else { return };
-                    if m.tasks.get(&task).is_some_and(|h| h.attempt == attempt && matches!(h.work, Work::Ended { .. }))
-                    {
-                        m.tasks.remove(&task);
-                        release(&mut self.holders, &task, name);
+                    let Some(machine) = self.machines.get_mut(name) else { return };
+                    if machine.tasks.get(&task).is_some_and(|record| {
+                        record.attempt == attempt && matches!(record.phase, TaskPhase::Exited { .. })
+                    }) {
+                        machine.tasks.remove(&task);
+                        release(&mut self.machines_by_task, &task, name);
                     }
                 }
             }
         }
-        if let Some(m) = self.machines.get_mut(name) {
-            m.changed = true;
-            m.due = now;
-            self.changed.push(name.into());
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.has_changed = true;
+            machine.next_change = now;
+            self.changed_machines.push(name.into());
         }
     }
 
-    fn run(&mut self, name: &str, task: Task, attempt: u64, now: Instant) {
+    fn start_task(&mut self, name: &str, task: Task, attempt: u64, now: Instant) {
         let spec = self.specs.get(&task.job).filter(|s| task.index < s.tasks).cloned();
-        let Some(m) = self.machines.get_mut(name) else { return };
-        m.gangs |= spec.as_ref().is_some_and(|s| s.shape == Shape::Gang);
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        machine.has_gang_tasks |= spec.as_ref().is_some_and(|s| s.shape == Shape::Gang);
         let mut used = Resources::default();
-        for (t, _) in m.tasks.iter().filter(|(_, h)| !matches!(h.work, Work::Ended { .. })) {
+        for (t, _) in machine.tasks.iter().filter(|(_, record)| !matches!(record.phase, TaskPhase::Exited { .. })) {
             if let Some(s) = self.specs.get(&t.job) {
                 used.add(&s.size());
             }
         }
-        let refuse = |cause| Held { attempt, work: Work::Ended { cause, saved: None } };
-        let held = match (m.tasks.get(&task), &spec) {
+        let refuse = |cause| TaskRecord { attempt, phase: TaskPhase::Exited { cause, saved: None } };
+        let record = match (machine.tasks.get(&task), &spec) {
             // again, or busy with another attempt: the listing shows which
             (Some(_), _) => return,
             (None, None) => refuse(ExitCause::UnknownJob),
             (None, Some(s)) => {
-                let mut free = m.kind.size();
-                free.subtract(&used);
-                if free.fits(&s.size()) {
-                    Held { attempt, work: Work::Pulling }
+                let mut free = machine.kind.size();
+                free.take(&used);
+                if free.holds(&s.size()) {
+                    TaskRecord { attempt, phase: TaskPhase::Pulling }
                 } else {
                     refuse(ExitCause::NoRoom)
                 }
             }
         };
-        if let (Work::Pulling, Some(s)) = (held.work, &spec) {
-            if !m.images.iter().any(|i| i.0 == s.image) {
-                let rate = (m.kind.fetch_gb_per_s * (0.67 + 0.66 * self.rng.f64())).max(1e-6);
-                m.images.push((s.image.clone(), s.image_gb, now + seconds(s.image_gb / rate)));
-                while m.images.len() > 1 && m.images.iter().map(|i| i.1).sum::<f64>() > m.kind.cache_gb {
-                    m.images.remove(0);
+        if let (TaskPhase::Pulling, Some(s)) = (record.phase, &spec) {
+            if !machine.images.iter().any(|i| i.0 == s.image) {
+                let rate = (machine.kind.fetch_gb_per_s * (0.67 + 0.66 * self.rng.f64())).max(1e-6);
+                machine.images.push((s.image.clone(), s.image_gb, now + seconds(s.image_gb / rate)));
+                while machine.images.len() > 1
+                    && machine.images.iter().map(|i| i.1).sum::<f64>() > machine.kind.cache_gb
+                {
+                    machine.images.remove(0);
                 }
             }
         }
-        self.holders.entry(task.clone()).or_default().push(name.into());
-        m.tasks.insert(task, held);
+        self.machines_by_task.entry(task.clone()).or_default().push(name.into());
+        machine.tasks.insert(task, record);
     }
 
-    fn halt(&mut self, name: &str, task: &Task, attempt: u64, grace: f64, now: Instant) {
+    fn stop_task(&mut self, name: &str, task: &Task, attempt: u64, grace: f64, now: Instant) {
         let Some(spec) = self.specs.get(&task.job).cloned() else { return };
-        let told_by = now + seconds(self.settings.gang_peer_s);
-        let Some(m) = self.machines.get_mut(name) else { return };
-        let speed = m.speed;
-        let Some(held) = m.tasks.get_mut(task).filter(|h| h.attempt == attempt) else { return };
-        match held.work {
-            Work::Running { since } if spec.checkpoint_s > 0.0 && grace >= spec.save_s => {
-                held.work = Work::Flushing { until: now + seconds(spec.save_s), told_by };
-                self.keep(task, &spec, now.saturating_duration_since(since).as_secs_f64() * speed, false);
+        let gang_deadline = now + seconds(self.settings.gang_peer_s);
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        let speed = machine.speed;
+        let Some(record) = machine.tasks.get_mut(task).filter(|record| record.attempt == attempt) else { return };
+        match record.phase {
+            TaskPhase::Running { since } if spec.checkpoint_s > 0.0 && grace >= spec.save_s => {
+                record.phase = TaskPhase::Checkpointing { until: now + seconds(spec.save_s), gang_deadline };
+                self.save_progress(task, &spec, now.saturating_duration_since(since).as_secs_f64() * speed, false);
             }
-            Work::Flushing { .. } if grace > 0.0 => {}
-            Work::Ended { .. } => {}
-            Work::Running { since } => {
-                held.work = Work::Ended { cause: ExitCause::StoppedByCommand, saved: None };
-                self.keep(task, &spec, now.saturating_duration_since(since).as_secs_f64() * speed, true);
+            TaskPhase::Checkpointing { .. } if grace > 0.0 => {}
+            TaskPhase::Exited { .. } => {}
+            TaskPhase::Running { since } => {
+                record.phase = TaskPhase::Exited { cause: ExitCause::StoppedByCommand, saved: None };
+                self.save_progress(task, &spec, now.saturating_duration_since(since).as_secs_f64() * speed, true);
             }
-            _ => held.work = Work::Ended { cause: ExitCause::StoppedByCommand, saved: None },
+            _ => record.phase = TaskPhase::Exited { cause: ExitCause::StoppedByCommand, saved: None },
         }
     }
 
     /// Whose progress a task's is: its gang's, or its own.
-    fn unit(task: &Task, spec: &JobSpec) -> Task {
+    fn progress_key(task: &Task, spec: &JobSpec) -> Task {
         let index = if spec.shape == Shape::Gang { 0 } else { task.index };
         Task { job: task.job.clone(), index }
     }
 
     /// Progress made since a start, all of it or up to the last checkpoint.
-    fn keep(&mut self, task: &Task, spec: &JobSpec, ran: f64, checkpoints_only: bool) {
+    fn save_progress(&mut self, task: &Task, spec: &JobSpec, ran: f64, checkpoints_only: bool) {
         if spec.checkpoint_s <= 0.0 {
             return;
         }
-        let have = self.saved.entry(Self::unit(task, spec)).or_default();
+        let have = self.saved_progress.entry(Self::progress_key(task, spec)).or_default();
         let all = *have + ran / self.pace.max(1e-9);
         let kept = if checkpoints_only { (all / spec.checkpoint_s).floor() * spec.checkpoint_s } else { all };
         *have = have.max(kept.min(spec.estimate_s));
@@ -408,164 +412,175 @@
 
     /// Time passes: leases end, images arrive, gangs meet, tasks complete.
     pub fn step(&mut self, now: Instant) {
-        self.end_leases(now);
-        let mates = self.mates();
-        let due = |(name, m): (&Name, &Machine)| (m.gangs || m.due <= now).then(|| name.clone());
+        self.expire_leases(now);
+        let gang_counts = self.gang_counts();
+        let due = |(name, machine): (&Name, &Machine)| {
+            (machine.has_gang_tasks || machine.next_change <= now).then(|| name.clone())
+        };
         for name in self.machines.iter().filter_map(due).collect::<Vec<_>>() {
-            self.step_machine(&name, &mates, now);
+            self.step_machine(&name, &gang_counts, now);
         }
     }
 
-    /// Workers whose lease is over kill their tasks and begin a session.
-    fn end_leases(&mut self, now: Instant) {
+    /// Workers whose lease expired kill their tasks and begin a new incarnation.
+    fn expire_leases(&mut self, now: Instant) {
         let lease = seconds(self.settings.lease_s);
-        for (name, m) in &mut self.machines {
-            if now.saturating_duration_since(m.renewed) <= lease {
+        for (name, machine) in &mut self.machines {
+            if now.saturating_duration_since(machine.lease_renewed) <= lease {
                 continue;
             }
-            self.killed += m.tasks.values().filter(|h| !matches!(h.work, Work::Ended { .. })).count() as u64;
-            for task in m.tasks.keys() {
-                release(&mut self.holders, task, name);
+            self.killed +=
+                machine.tasks.values().filter(|record| !matches!(record.phase, TaskPhase::Exited { .. })).count()
+                    as u64;
+            for task in machine.tasks.keys() {
+                release(&mut self.machines_by_task, task, name);
             }
-            m.tasks.clear();
-            m.session += 1;
-            m.renewed = now;
-            m.changed = true;
-            self.changed.push(name.clone());
+            machine.tasks.clear();
+            machine.incarnation += 1;
+            machine.lease_renewed = now;
+            machine.has_changed = true;
+            self.changed_machines.push(name.clone());
         }
     }
 
     /// Of each attempt of a gang: how many of its tasks wait for the others, and how many are
     /// past that.
-    fn mates(&self) -> HashMap<(Name, u64), (u32, u32)> {
-        let mut mates: HashMap<(Name, u64), (u32, u32)> = HashMap::new();
-        for (t, h) in self.machines.values().filter(|m| m.gangs).flat_map(|m| &m.tasks) {
-            let c = mates.entry((t.job.clone(), h.attempt)).or_default();
-            match h.work {
-                Work::Gathering { .. } => c.0 += 1,
-                Work::Running { .. } | Work::Flushing { .. } => c.1 += 1,
-                Work::Ended { cause: ExitCause::Completed, .. } | Work::Ended { saved: Some(true), .. } => c.1 += 1,
+    fn gang_counts(&self) -> HashMap<(Name, u64), (u32, u32)> {
+        let mut gang_counts: HashMap<(Name, u64), (u32, u32)> = HashMap::new();
+        for (t, record) in
+            self.machines.values().filter(|machine| machine.has_gang_tasks).flat_map(|machine| &machine.tasks)
+        {
+            let c = gang_counts.entry((t.job.clone(), record.attempt)).or_default();
+            match record.phase {
+                TaskPhase::WaitingForGang { .. } => c.0 += 1,
+                TaskPhase::Running { .. } | TaskPhase::Checkpointing { .. } => c.1 += 1,
+                TaskPhase::Exited { cause: ExitCause::Completed, .. } | TaskPhase::Exited { saved: Some(true), .. } => {
+                    c.1 += 1
+                }
                 _ => {}
             }
         }
-        mates
+        gang_counts
     }
 
-    fn step_machine(&mut self, name: &Name, mates: &HashMap<(Name, u64), (u32, u32)>, now: Instant) {
-        let Some(m) = self.machines.get(name) else { return };
-        let tasks: Vec<(Task, Held)> = m.tasks.iter().map(|(t, h)| (t.clone(), h.clone())).collect();
+    fn step_machine(&mut self, name: &Name, gang_counts: &HashMap<(Name, u64), (u32, u32)>, now: Instant) {
+        let Some(machine) = self.machines.get(name) else { return };
+        let tasks: Vec<(Task, TaskRecord)> = machine.tasks.iter().map(|(t, h)| (t.clone(), h.clone())).collect();
         let mut changed = false;
-        for (task, held) in tasks {
+        for (task, record) in tasks {
             let Some(spec) = self.specs.get(&task.job).cloned() else { continue };
             let gang = spec.shape == Shape::Gang;
-            let (gathered, going) = mates.get(&(task.job.clone(), held.attempt)).copied().unwrap_or_default();
-            let next = self.next(name, &task, &spec, held.work, gang.then_some((gathered, going)), now);
-            if next != held.work {
-                if let Some(m) = self.machines.get_mut(name) {
+            let (waiting, past) = gang_counts.get(&(task.job.clone(), record.attempt)).copied().unwrap_or_default();
+            let next = self.next_phase(name, &task, &spec, record.phase, gang.then_some((waiting, past)), now);
+            if next != record.phase {
+                if let Some(machine) = self.machines.get_mut(name) {
                     changed = true;
-                    m.tasks.insert(task, Held { attempt: held.attempt, work: next });
+                    machine.tasks.insert(task, TaskRecord { attempt: record.attempt, phase: next });
                 }
             }
         }
-        let (due, gangs) = self.schedule(name, now);
-        let Some(m) = self.machines.get_mut(name) else { return };
-        (m.due, m.gangs) = (due, gangs);
+        let (due, gangs) = self.next_change(name, now);
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        (machine.next_change, machine.has_gang_tasks) = (due, gangs);
         if changed {
-            m.changed = true;
-            self.changed.push(name.clone());
+            machine.has_changed = true;
+            self.changed_machines.push(name.clone());
         }
     }
 
     /// When something on a machine next changes by itself, and whether it has tasks of gangs.
-    fn schedule(&self, name: &Name, now: Instant) -> (Instant, bool) {
+    fn next_change(&self, name: &Name, now: Instant) -> (Instant, bool) {
         let mut due = now + seconds(self.settings.lease_s);
         let mut gangs = false;
-        let Some(m) = self.machines.get(name) else { return (due, gangs) };
-        for (task, held) in &m.tasks {
+        let Some(machine) = self.machines.get(name) else { return (due, gangs) };
+        for (task, record) in &machine.tasks {
             let Some(spec) = self.specs.get(&task.job) else { continue };
             gangs |= spec.shape == Shape::Gang;
-            let at = match held.work {
-                Work::Pulling => m.images.iter().find(|i| i.0 == spec.image).map(|i| i.2),
-                Work::Running { .. } if spec.shape == Shape::Service => None,
-                Work::Running { since } => {
-                    let left = spec.estimate_s - self.saved.get(&Self::unit(task, spec)).copied().unwrap_or(0.0);
-                    Some(since + seconds(left * self.pace / m.speed))
+            let at = match record.phase {
+                TaskPhase::Pulling => machine.images.iter().find(|i| i.0 == spec.image).map(|i| i.2),
+                TaskPhase::Running { .. } if spec.shape == Shape::Service => None,
+                TaskPhase::Running { since } => {
+                    let left = spec.estimate_s
+                        - self.saved_progress.get(&Self::progress_key(task, spec)).copied().unwrap_or(0.0);
+                    Some(since + seconds(left * self.pace / machine.speed))
                 }
-                Work::Alone { until } | Work::Flushing { until, .. } => Some(until),
-                Work::Gathering { .. } | Work::Ended { .. } => None,
+                TaskPhase::GangMemberLost { until } | TaskPhase::Checkpointing { until, .. } => Some(until),
+                TaskPhase::WaitingForGang { .. } | TaskPhase::Exited { .. } => None,
             };
             due = at.map_or(due, |t| due.min(t));
         }
         (due, gangs)
     }
 
-    fn next(
+    fn next_phase(
         &mut self,
         name: &Name,
         task: &Task,
         spec: &JobSpec,
-        work: Work,
+        work: TaskPhase,
         gang: Option<(u32, u32)>,
         now: Instant,
-    ) -> Work {
-        let Some(m) = self.machines.get(name) else { return work };
-        let (speed, peer) = (m.speed, seconds(self.settings.gang_peer_s));
-        let ended = |cause, saved| Work::Ended { cause, saved };
+    ) -> TaskPhase {
+        let Some(machine) = self.machines.get(name) else { return work };
+        let (speed, peer) = (machine.speed, seconds(self.settings.gang_peer_s));
+        let ended = |cause, saved| TaskPhase::Exited { cause, saved };
         match work {
-            Work::Pulling => {
-                if m.images.iter().any(|i| i.0 == spec.image && i.2 > now) {
+            TaskPhase::Pulling => {
+                if machine.images.iter().any(|i| i.0 == spec.image && i.2 > now) {
                     return work;
                 }
-                self.check(name, task, spec);
-                if let Some(n) = spec.needs.iter().find(|n| !self.completed.contains_key(*n)) {
-                    self.broken.push(format!("too_early: {task} starts before {n} is done"));
+                self.check_start(name, task, spec);
+                if let Some(n) = spec.needs.iter().find(|n| !self.completed_at.contains_key(*n)) {
+                    self.violations.push(format!("too_early: {task} starts before {n} is done"));
                 }
-                if self.done.get(&task.job).is_some_and(|d| d.contains(&task.index)) {
+                if self.completed_tasks.get(&task.job).is_some_and(|d| d.contains(&task.index)) {
                     ended(ExitCause::Completed, None)
                 } else if gang.is_some() {
-                    Work::Gathering { since: now }
+                    TaskPhase::WaitingForGang { since: now }
                 } else {
-                    self.begins(&task.job, now);
-                    Work::Running { since: now }
+                    self.record_start(&task.job, now);
+                    TaskPhase::Running { since: now }
                 }
             }
-            Work::Gathering { since } => {
-                let (gathered, going) = gang.unwrap_or_default();
-                if gathered + going >= spec.tasks {
-                    self.begins(&task.job, now);
-                    Work::Running { since: now }
+            TaskPhase::WaitingForGang { since } => {
+                let (waiting, past) = gang.unwrap_or_default();
+                if waiting + past >= spec.tasks {
+                    self.record_start(&task.job, now);
+                    TaskPhase::Running { since: now }
                 } else if now.saturating_duration_since(since) > seconds(self.settings.gang_wait_s) {
                     ended(ExitCause::GangTimeout, None)
                 } else {
                     work
                 }
             }
-            Work::Running { since } => {
+            TaskPhase::Running { since } => {
                 let ran = now.saturating_duration_since(since).as_secs_f64() * speed;
-                let left = spec.estimate_s - self.saved.get(&Self::unit(task, spec)).copied().unwrap_or(0.0);
+                let left =
+                    spec.estimate_s - self.saved_progress.get(&Self::progress_key(task, spec)).copied().unwrap_or(0.0);
                 if spec.shape != Shape::Service && ran >= left * self.pace {
-                    let done = self.done.entry(task.job.clone()).or_default();
+                    let done = self.completed_tasks.entry(task.job.clone()).or_default();
                     match gang {
                         Some(_) => done.extend(0..spec.tasks),
                         None => drop(done.insert(task.index)),
                     }
                     if done.len() as u32 >= spec.tasks {
-                        self.completed.entry(task.job.clone()).or_insert(now);
+                        self.completed_at.entry(task.job.clone()).or_insert(now);
                     }
                     ended(ExitCause::Completed, None)
-                } else if gang.is_some() && self.done.get(&task.job).is_some_and(|d| d.contains(&task.index)) {
+                } else if gang.is_some() && self.completed_tasks.get(&task.job).is_some_and(|d| d.contains(&task.index))
+                {
                     ended(ExitCause::Completed, None)
-                } else if gang.is_some_and(|(gathered, going)| gathered + going < spec.tasks) {
-                    Work::Alone { until: now + peer }
+                } else if gang.is_some_and(|(waiting, past)| waiting + past < spec.tasks) {
+                    TaskPhase::GangMemberLost { until: now + peer }
                 } else {
                     work
                 }
             }
-            Work::Alone { until } if until <= now => ended(ExitCause::GangMemberLost, None),
-            Work::Flushing { until, told_by } if until <= now => match gang {
-                // a gang's save counts once all of it was told in time
-                Some((_, going)) if going < spec.tasks => {
-                    if told_by <= now {
+            TaskPhase::GangMemberLost { until } if until <= now => ended(ExitCause::GangMemberLost, None),
+            TaskPhase::Checkpointing { until, gang_deadline } if until <= now => match gang {
+                // a gang's checkpoint counts once all of its tasks were stopped in time
+                Some((_, past)) if past < spec.tasks => {
+                    if gang_deadline <= now {
                         ended(ExitCause::GangMemberLost, None)
                     } else {
                         work
@@ -578,32 +593,32 @@
     }
 
     /// A task of a job begins to run.
-    fn begins(&mut self, job: &Name, now: Instant) {
+    fn record_start(&mut self, job: &Name, now: Instant) {
         self.started += 1;
-        let Some(left) = self.timed.get_mut(job) else { return };
+        let Some(left) = self.tasks_to_start.get_mut(job) else { return };
         *left -= 1;
         if *left == 0 {
-            self.timed.remove(job);
-            self.begun.push((job.clone(), now));
+            self.tasks_to_start.remove(job);
+            self.timed_starts.push((job.clone(), now));
         }
     }
 
     /// What the rules say of a start: one machine a task, and where it may be.
-    fn check(&mut self, name: &Name, task: &Task, spec: &JobSpec) {
-        let Some(m) = self.machines.get(name) else { return };
+    fn check_start(&mut self, name: &Name, task: &Task, spec: &JobSpec) {
+        let Some(machine) = self.machines.get(name) else { return };
         let holds = |n: &&Name| {
-            let held = self.machines.get(*n).and_then(|o| o.tasks.get(task));
-            held.is_some_and(|h| !matches!(h.work, Work::Ended { .. } | Work::Pulling))
+            let record = self.machines.get(*n).and_then(|o| o.tasks.get(task));
+            record.is_some_and(|record| !matches!(record.phase, TaskPhase::Exited { .. } | TaskPhase::Pulling))
         };
-        let holders = self.holders.get(task).into_iter().flatten();
+        let holders = self.machines_by_task.get(task).into_iter().flatten();
         for other in holders.filter(|n| *n != name).filter(holds) {
-            self.broken.push(format!("ran_twice: {task} starts on {name} while it is on {other}"));
+            self.violations.push(format!("ran_twice: {task} starts on {name} while it is on {other}"));
         }
-        let right = spec.types.as_ref().is_none_or(|t| t.contains(&m.kind.name))
-            && spec.zone.as_ref().is_none_or(|z| *z == m.zone)
-            && (spec.spot || !m.spot);
+        let right = spec.types.as_ref().is_none_or(|t| t.contains(&machine.kind.name))
+            && spec.zone.as_ref().is_none_or(|z| *z == machine.zone)
+            && (spec.spot || !machine.spot);
         if !right {
-            self.broken.push(format!("wrong_place: {task} starts on {name}"));
+            self.violations.push(format!("wrong_place: {task} starts on {name}"));
         }
     }
 }
