--- a/packages/client/src/client/dispatch.rs
+++ b/packages/client/src/client/dispatch.rs
@@ -144,3 +144,6 @@
         Ok(())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/packages/client/src/settings.rs
+++ b/packages/client/src/settings.rs
@@ -103,3 +103,6 @@
         Ok(())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/packages/emulator/src/worker_pool.rs
+++ b/packages/emulator/src/worker_pool.rs
@@ -349,8 +349,8 @@
             (None, None) => refuse(ExitCause::UnknownJob),
             (None, Some(s)) => {
                 let mut free = machine.kind.size();
-                free.take(&used);
-                if free.holds(&s.size()) {
+                free.subtract(&used);
+                if free.fits(&s.size()) {
                     TaskRecord { attempt, phase: TaskPhase::Pulling }
                 } else {
                     refuse(ExitCause::NoRoom)
