--- a/packages/client/src/outcome.rs
+++ b/packages/client/src/outcome.rs
@@ -33,7 +33,7 @@
 }
 
 /// The wait that a `Retry-After` header asks for, in seconds or as a date.  A
-/// value that is neither is ignored, a longer wait is cut to [`MAX_RETRY_AFTER`],
+/// value that is neither is ignored, a longer wait is cut to 30 s,
 /// and a date in the past is no wait.  `wall_clock` is the time of day.
 pub fn parse_retry_after(value: &str, wall_clock: SystemTime) -> Option<Duration> {
     let value = value.trim();
