--- a/packages/emulator/src/scale/role.rs
+++ b/packages/emulator/src/scale/role.rs
@@ -432,21 +432,21 @@
 
 fn worker_stats(world: &World) -> WorkerStats {
     let mut workers = world.worker_pool.borrow_mut();
-    let (running, replicas) = workers.running_tasks();
+    let running = workers.running_tasks();
     let (now, today) = (Instant::now(), SystemTime::now());
     let since_epoch = |t: Instant| {
         let at = today.checked_sub(now.saturating_duration_since(t)).unwrap_or(today);
         at.duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)
     };
-    let begun = std::mem::take(&mut workers.timed_starts);
+    let timed_starts = std::mem::take(&mut workers.timed_starts);
     WorkerStats {
         machines: workers.machines().len() as u64,
-        running,
-        replicas,
+        running: running.all,
+        replicas: running.service_replicas,
         started: workers.started,
         killed: workers.killed,
         broken: workers.violations.clone(),
-        begun: begun.into_iter().map(|(job, at)| Begun { job, at_us: since_epoch(at) }).collect(),
+        begun: timed_starts.into_iter().map(|start| Begun { job: start.job, at_us: since_epoch(start.at) }).collect(),
         traffic: world.traffic.get(),
     }
 }
--- a/packages/emulator/src/serve.rs
+++ b/packages/emulator/src/serve.rs
@@ -20,7 +20,7 @@
 use crate::balancer::{Balancer, SubmissionReader};
 use crate::cloud::{Cloud, Event};
 use crate::state::{State, Step};
-use crate::worker_pool::WorkerPool;
+use crate::worker_pool::{NewMachine, WorkerPool};
 
 /// Interval at which time passes for machines and watches.
 const TICK: Duration = Duration::from_millis(20);
@@ -285,7 +285,8 @@
         };
         let Ok(address) = listener.local_addr() else { return };
         let at: Name = address.to_string().into();
-        self.worker_pool.borrow_mut().add_machine(name.clone(), b.kind, b.zone, b.spot, at, Instant::now());
+        let machine = NewMachine { name: name.clone(), kind: b.kind, zone: b.zone, spot: b.spot, address: at };
+        self.worker_pool.borrow_mut().add_machine(machine, Instant::now());
         let (w, n) = (self.clone(), name.clone());
         let handler = move |r: Request| {
             let answer = w.direct(&n, &r);
--- a/packages/emulator/src/worker_pool/tests.rs
+++ b/packages/emulator/src/worker_pool/tests.rs
@@ -1,5 +1,8 @@
-use super::*;
 use coralnotch_wire::example::spec;
+use coralnotch_wire::model::MachineType;
+use coralnotch_wire::workers::{Command, DirectCommandBody, ExitCause, HeartbeatReply, TaskState};
+
+use super::*;
 
 fn worker_pool(machines: usize, now: Instant) -> WorkerPool {
     let settings = Settings { lease_s: 10.0, gang_wait_s: 5.0, gang_peer_s: 1.0 };
@@ -17,7 +20,14 @@
         zones: vec!["z".into()],
     };
     for i in 0..machines {
-        pool.add_machine(format!("i-{i}").into(), kind.clone(), "z".into(), false, "127.0.0.1:9".into(), now);
+        let machine = NewMachine {
+            name: format!("i-{i}").into(),
+            kind: kind.clone(),
+            zone: "z".into(),
+            spot: false,
+            address: "127.0.0.1:9".into(),
+        };
+        pool.add_machine(machine, now);
     }
     pool
 }
