--- a/packages/emulator/src/capacity/mod.rs
+++ b/packages/emulator/src/capacity/mod.rs
@@ -11,9 +11,9 @@
 
 use self::bench::BenchRow;
 use self::fit::{fit, Fit, Point};
+use crate::error::Error;
 use crate::scale::result::{Phase, RegionFigures, ScaleReport};
 use crate::scale::scenario::Scenario;
-use crate::up::Error;
 
 /// File of the bench's figures; all others of the directory are results of scale runs.
 const BENCH_FILE: &str = "bench.json";
--- a/packages/emulator/src/capacity/page.rs
+++ b/packages/emulator/src/capacity/page.rs
@@ -4,9 +4,9 @@
 
 use super::bench::BenchRow;
 use super::{loads, RegionLoad, Results, Slope, Slopes};
+use crate::error::Error;
 use crate::scale::result::{Phase, RegionFigures, ScaleReport};
 use crate::scale::scenario::Scenario;
-use crate::up::Error;
 
 /// What a worker may spend on control.
 const WORKER_CORES: f64 = 0.025;
--- a/packages/emulator/src/capacity/plots.rs
+++ b/packages/emulator/src/capacity/plots.rs
@@ -1,8 +1,8 @@
 //! A page with a plot of each slope: what was measured, and the fit at the same places.
 
 use super::{Results, Slope, Slopes};
+use crate::error::Error;
 use crate::page::plot;
-use crate::up::Error;
 
 /// The page, as HTML with its plots inside.
 pub fn page(r: &Results) -> Result<String, Error> {
--- a/packages/emulator/src/lib.rs
+++ b/packages/emulator/src/lib.rs
@@ -7,6 +7,7 @@
 pub mod balancer;
 pub mod capacity;
 pub mod cloud;
+pub mod error;
 pub mod faults;
 pub mod history;
 pub mod load;
--- a/packages/emulator/src/load.rs
+++ b/packages/emulator/src/load.rs
@@ -22,9 +22,10 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use serde::{Deserialize, Serialize};
 
+use crate::error::Error;
 use crate::faults;
 use crate::history::{check, Given};
-use crate::up::{up, Error, Options, Size};
+use crate::up::{self, Options, Size};
 
 /// Who submits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -366,10 +367,10 @@
         exit: false,
     };
     let (stop, stopped) = smol::channel::bounded(1);
-    let (told, ready) = std::sync::mpsc::channel();
+    let (ready_sender, ready) = std::sync::mpsc::channel();
     let cluster = std::thread::spawn(move || {
-        up(&options, stopped, move |a| {
-            let _ = told.send(a);
+        up::run(&options, stopped, move |addr| {
+            let _ = ready_sender.send(addr);
         })
     });
     let notes = Arc::new(Notes {
@@ -390,10 +391,10 @@
     let accept = Times::of(&lock(&notes.accept));
     let spent = lock(&notes.last_accept).map_or(0.0, |t| t.duration_since(began).as_secs_f64());
     let answer = Times::of(&lock(&notes.answer));
-    let requests = over.per_second.clone();
+    let requests = over.requests_per_second.clone();
     let due = if s.unfinished { given.len() } else { jobs };
-    let mut wrong = check(due, &given, None, &over.completed);
-    wrong.extend(over.broken);
+    let mut wrong = check(due, &given, None, &over.completed_at);
+    wrong.extend(over.violations);
     Ok(Report {
         scenario: s.clone(),
         jobs,
--- a/packages/emulator/src/main.rs
+++ b/packages/emulator/src/main.rs
@@ -6,10 +6,11 @@
 
 use clap::{Parser, Subcommand};
 use coralnotch_emulator::capacity;
+use coralnotch_emulator::error::Error;
 use coralnotch_emulator::load::{self, Scenario};
 use coralnotch_emulator::page;
 use coralnotch_emulator::scale;
-use coralnotch_emulator::up::{up, Error, Options};
+use coralnotch_emulator::up::{self, Options};
 
 #[derive(Parser)]
 #[command(name = "coralnotch-emulator", version, about = "A coralnotch cluster on one machine")]
@@ -75,7 +76,7 @@
         return ExitCode::FAILURE;
     }
     let done = match &args.command {
-        Command::Up(options) => up(options, stopped, |_| ()).map(drop),
+        Command::Up(options) => up::run(options, stopped, |_| ()).map(drop),
         Command::Load { scenario, report, controller } => load(scenario, report, controller.clone()),
         Command::Compare { reports, page } => compare(reports, page.as_deref()),
         Command::Scale(options) => scale::run(options, &stopped).map(drop),
--- a/packages/emulator/src/page.rs
+++ b/packages/emulator/src/page.rs
@@ -2,8 +2,8 @@
 
 use plotters::prelude::*;
 
+use crate::error::Error;
 use crate::load::{table, Report};
-use crate::up::Error;
 
 const SIZE: (u32, u32) = (900, 320);
 
--- a/packages/emulator/src/scale/mod.rs
+++ b/packages/emulator/src/scale/mod.rs
@@ -22,7 +22,8 @@
 use self::result::{Phase, Quantiles, RegionFigures, ScaleReport, Step};
 use self::scenario::{Arrays, Scenario};
 use self::users::Notes;
-use crate::up::{program, Error};
+use crate::error::Error;
+use crate::up::controller_program;
 
 /// How long controllers may take until users are served.
 const READY: Duration = Duration::from_secs(30);
@@ -81,7 +82,7 @@
     if !options.steps.is_empty() {
         scenario.steps.clone_from(&options.steps);
     }
-    let program = program(options.controller.as_deref())?;
+    let program = controller_program(options.controller.as_deref())?;
     role::raise_file_limit()?;
     let io = |what: &Path, error| Error::Io { what: what.display().to_string(), error };
     std::fs::create_dir_all(&options.out).map_err(|e| io(&options.out, e))?;
--- a/packages/emulator/src/scale/process.rs
+++ b/packages/emulator/src/scale/process.rs
@@ -10,7 +10,7 @@
 
 use super::result::Usage;
 use super::role::Role;
-use crate::up::Error;
+use crate::error::Error;
 
 const MEGABYTE: f64 = 1024.0 * 1024.0;
 
--- a/packages/emulator/src/scale/region.rs
+++ b/packages/emulator/src/scale/region.rs
@@ -16,8 +16,8 @@
 use super::role::Role;
 use super::scenario::{Load, Scenario};
 use super::users::{Notes, Users};
+use crate::error::Error;
 use crate::settings::{Cluster, NodePlace, Team, WorkerTimes};
-use crate::up::Error;
 
 /// A controller that was ended is started again after this.
 const RESTART: Duration = Duration::from_secs(3);
--- a/packages/emulator/src/scale/role.rs
+++ b/packages/emulator/src/scale/role.rs
@@ -23,10 +23,10 @@
     path, send, Begun, CloudStats, Done, Kill, MachineEvents, MachineUp, StateStats, Upload, WorkerStats, ZoneChange,
 };
 use crate::cloud::{self, Cloud, Event};
+use crate::error::Error;
 use crate::serve::{Booted, Controller, World};
 use crate::settings::WorkerTimes;
 use crate::state::{Limits, State};
-use crate::up::Error;
 use crate::worker_pool::{self, WorkerPool};
 
 /// Interval at which time passes for machines.
--- /dev/null
+++ b/packages/emulator/src/up/demo.rs
@@ -0,0 +1,74 @@
+//! The demonstration: one job, followed until it is over.
+
+use std::net::SocketAddr;
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+use coralnotch_wire::example;
+use coralnotch_wire::http::{self, Client};
+use coralnotch_wire::model::{JobSpec, JobState};
+
+use super::print_line;
+use crate::error::Error;
+
+/// Limit of one request.
+const REQUEST_LIMIT: Duration = Duration::from_secs(5);
+/// Pause before a submission is repeated.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Interval of queries.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+
+/// The job that `--demo` submits.
+pub(super) fn demo_job() -> JobSpec {
+    // the protocol's form of an id; the time makes it new to the state service
+    let id = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_millis());
+    JobSpec {
+        class: "demo".into(),
+        team: "demo".into(),
+        image: "demo-image".into(),
+        image_gb: 0.5,
+        estimate_s: 4.0,
+        ..(*example::spec(&format!("j-{id}"), 12)).clone()
+    }
+}
+
+/// Submits a job and prints each change of its state until it is over.
+pub(super) async fn run_job(balancer: SocketAddr, spec: &JobSpec) -> Result<(), Error> {
+    let client = Client::default();
+    let began = Instant::now();
+    let elapsed = || format!("{:5.1} s", began.elapsed().as_secs_f64());
+    submit(&client, balancer, spec).await?;
+    print_line(&format!("{}  {} is submitted: {} tasks of {} s", elapsed(), spec.id, spec.tasks, spec.estimate_s));
+    let mut printed = None;
+    loop {
+        if let Some(state) = query(&client, balancer, spec).await {
+            if printed.as_ref() != Some(&state) {
+                let JobState { stage, running, done, .. } = &state;
+                print_line(&format!("{}  {} is {stage}: {running} running, {done} done", elapsed(), spec.id));
+            }
+            if state.stage == "done" || state.stage == "cancelled" {
+                return Ok(());
+            }
+            printed = Some(state);
+        }
+        smol::Timer::after(POLL_INTERVAL).await;
+    }
+}
+
+/// Submits a job until it is accepted; an error if it is refused for good.
+async fn submit(client: &Client, balancer: SocketAddr, spec: &JobSpec) -> Result<(), Error> {
+    loop {
+        match client.send(balancer, "POST", "/v2/runs", Some(&http::encode(spec)), REQUEST_LIMIT).await {
+            Ok((200 | 201, _)) => return Ok(()),
+            Ok((status @ (400 | 422), _)) => return Err(Error::Failed(format!("{} is refused: {status}", spec.id))),
+            _ => smol::Timer::after(RETRY_DELAY).await,
+        };
+    }
+}
+
+async fn query(client: &Client, balancer: SocketAddr, spec: &JobSpec) -> Option<JobState> {
+    let path = format!("/v2/runs/{}", spec.id);
+    match client.send(balancer, "GET", &path, None, REQUEST_LIMIT).await {
+        Ok((200, body)) => http::decode(&body).ok(),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/packages/emulator/src/up/injection.rs
@@ -0,0 +1,96 @@
+//! Injection of faults into a running cluster.
+
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use coralnotch_wire::model::Name;
+use smol::LocalExecutor;
+
+use super::deployment::limits_after;
+use super::processes::Processes;
+use crate::faults::Fault;
+use crate::serve::World;
+use crate::state::Limits;
+
+/// Injects faults, and ends those that last for a while.
+pub(super) struct FaultInjector {
+    world: Rc<World>,
+    executor: Rc<LocalExecutor<'static>>,
+    /// The state service's limits now.
+    limits: Limits,
+}
+
+/// How machines are lost.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum MachineLoss {
+    /// They die without notice.
+    Crash,
+    /// The cloud reclaims spot machines, with notice.
+    Reclaim,
+}
+
+impl FaultInjector {
+    pub(super) fn new(world: Rc<World>, executor: Rc<LocalExecutor<'static>>, limits: Limits) -> FaultInjector {
+        FaultInjector { world, executor, limits }
+    }
+
+    /// Injects a fault; what lasts for a while ends by itself.
+    pub(super) fn inject(&mut self, processes: &mut Processes, fault: Fault) {
+        let now = Instant::now();
+        match fault {
+            Fault::Crash { node } => processes.crash(node),
+            Fault::Upgrade { node } => processes.upgrade(node),
+            Fault::Down { lasts } => processes.crash_all(now + lasts),
+            Fault::StateLimits { .. } => {
+                self.limits = limits_after(self.limits, fault);
+                self.world.state.borrow_mut().limit(self.limits);
+            }
+            Fault::StateOutage { lasts } => {
+                self.world.state.borrow_mut().fail(now);
+                self.after(lasts, |world| world.state.borrow_mut().heal(Instant::now()));
+            }
+            Fault::Refused { node, lasts } => {
+                self.world.refused.borrow_mut().insert(node);
+                self.after(lasts, move |world| {
+                    world.refused.borrow_mut().remove(&node);
+                });
+            }
+            Fault::Delay { by, lasts } => {
+                self.world.delay.set(by);
+                self.after(lasts, |world| world.delay.set(Duration::ZERO));
+            }
+            Fault::CloudOutage { lasts } => {
+                self.world.cloud.borrow_mut().fail(true);
+                self.after(lasts, |world| world.cloud.borrow_mut().fail(false));
+            }
+            Fault::KillMachines { count } => self.lose_machines(count, MachineLoss::Crash, now),
+            Fault::SpotWave { count } => self.lose_machines(count, MachineLoss::Reclaim, now),
+        }
+    }
+
+    /// Runs `end` after a delay, unless the executor ends before.
+    fn after(&self, delay: Duration, end: impl FnOnce(&World) + 'static) {
+        let world = self.world.clone();
+        let task = async move {
+            smol::Timer::after(delay).await;
+            end(&world);
+        };
+        self.executor.spawn(task).detach();
+    }
+
+    /// Lets `count` machines be lost, chosen at random.
+    fn lose_machines(&self, count: usize, loss: MachineLoss, now: Instant) {
+        let mut rng = self.world.rng.borrow_mut();
+        let mut names: Vec<Name> = self.world.worker_pool.borrow().machines().keys().cloned().collect();
+        rng.shuffle(&mut names);
+        let mut cloud = self.world.cloud.borrow_mut();
+        let lose = |name: &Name| match loss {
+            MachineLoss::Crash => cloud.kill(name, now),
+            MachineLoss::Reclaim => cloud.take_back(name, &mut rng, now),
+        };
+        // machines that cannot be lost in this way are passed over and do not count
+        let events = names.iter().filter_map(lose).take(count).collect();
+        drop((cloud, rng));
+        self.world.clone().carry_out(&self.executor, events);
+    }
+}
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -224,7 +224,7 @@
         "{}",
         history.answers.len()
     );
-    assert_eq!(report.broken, [] as [String; 0]);
+    assert_eq!(report.violations, [] as [String; 0]);
     println!("{} answers, {} refusals for now", history.answers.len(), history.inconclusive);
     let _ = std::fs::remove_dir_all(&dir);
 }
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -2,7 +2,8 @@
 
 use std::path::PathBuf;
 
-use coralnotch_emulator::up::{up, Error, Options, Size};
+use coralnotch_emulator::error::Error;
+use coralnotch_emulator::up::{self, Options, Size};
 
 fn options(dir: &str) -> Options {
     Options {
@@ -24,7 +25,7 @@
 #[test]
 fn a_job_runs_on_a_cluster_on_one_machine() {
     let (_stop, stopped) = smol::channel::bounded(1);
-    up(&options("demo"), stopped, |_| ()).expect("a cluster that runs a job");
+    up::run(&options("demo"), stopped, |_| ()).expect("a cluster that runs a job");
 }
 
 /// An unusable option is reported before anything starts.
@@ -32,5 +33,5 @@
 fn a_missing_controller_is_said_at_once() {
     let (_stop, stopped) = smol::channel::bounded(1);
     let options = Options { controller: Some("/no/such/program".into()), ..options("none") };
-    assert!(matches!(up(&options, stopped, |_| ()), Err(Error::Input(why)) if why.contains("/no/such/program")));
+    assert!(matches!(up::run(&options, stopped, |_| ()), Err(Error::Input(why)) if why.contains("/no/such/program")));
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,7 +8,8 @@
 use std::thread;
 
 use coralnotch::model::{JobSpec, Name};
-use coralnotch_emulator::up::{up, Error, Options, Report, Size};
+use coralnotch_emulator::error::Error;
+use coralnotch_emulator::up::{self, Options, Report, Size};
 use smol::channel::Sender;
 
 /// The controller program that Cargo built for this test run.
@@ -73,7 +74,7 @@
         let (stop, stopped) = smol::channel::bounded(1);
         let (ready_sender, ready) = mpsc::channel();
         let thread = thread::spawn(move || {
-            up(&options, stopped, move |addr| ready_sender.send(addr).expect("the test waits for the address"))
+            up::run(&options, stopped, move |addr| ready_sender.send(addr).expect("the test waits for the address"))
         });
         let addr = ready.recv().expect("the cluster gets ready");
         Cluster { addr, stop, thread }
--- a/tests/common/stored_jobs.rs
+++ b/tests/common/stored_jobs.rs
@@ -8,5 +8,5 @@
 
 /// The jobs whose records the state service held when the cluster stopped.
 pub fn stored_jobs(report: &Report) -> HashSet<Name> {
-    report.keys.iter().filter_map(|path| path.strip_prefix(key::JOB)).map(Name::from).collect()
+    report.stored_keys.iter().filter_map(|path| path.strip_prefix(key::JOB)).map(Name::from).collect()
 }
--- a/tests/exactly_once.rs
+++ b/tests/exactly_once.rs
@@ -202,7 +202,7 @@
     let answers: Vec<Line> = clients.iter().flat_map(Submitter::answers).collect();
     let report = cluster.stop();
     let jobs = run.clients * run.jobs_per_client;
-    let wrong = check(jobs, &answers, &seen, &stored_jobs(&report), &report.completed);
+    let wrong = check(jobs, &answers, &seen, &stored_jobs(&report), &report.completed_at);
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
     println!("{} jobs, each answered once, in {:.1} s", answers.len(), began.elapsed().as_secs_f64());
     let _ = fs::remove_dir_all(&dir);
@@ -247,7 +247,7 @@
     let seen = run_clients(&mut clients, crashes, Duration::from_secs(120));
     let answers = clients[0].answers();
     let report = cluster.stop();
-    let wrong = check(20, &answers, &seen, &stored_jobs(&report), &report.completed);
+    let wrong = check(20, &answers, &seen, &stored_jobs(&report), &report.completed_at);
     assert!(wrong.iter().any(|w| w.contains("jobs are stored, 20 were handed out")), "{wrong:?}");
     let _ = fs::remove_dir_all(&dir);
 }
@@ -286,7 +286,7 @@
         lines
     });
     let report = cluster.stop();
-    let wrong = check(5, &answers, &HashMap::new(), &stored_jobs(&report), &report.completed);
+    let wrong = check(5, &answers, &HashMap::new(), &stored_jobs(&report), &report.completed_at);
     assert!(wrong.iter().any(|w| w.contains("jobs are stored, 5 were handed out")), "{wrong:?}");
     let _ = fs::remove_dir_all(&dir);
 }
