--- a/packages/emulator/src/faults/tests.rs
+++ b/packages/emulator/src/faults/tests.rs
@@ -18,7 +18,7 @@
 #[test]
 fn all_errors_come_at_once() {
     let text = "[[fault]]\nkind = \"crash\"\nat_s = -1\nnode = 3\n[[fault]]\nkind = \"flood\"\nat_s = 1\n[[fault]]\nkind = \"state-outage\"\ncount = 2\n";
-    let wrong = parse(text, 3).expect_err("a bad plan");
+    let wrong = parse(text, 3).expect_err("a bad plan").to_string();
     for part in [
         "fault 1: at_s = -1",
         "fault 1: node = 3 is not a whole number from 0 to 2",
--- a/packages/emulator/src/load.rs
+++ b/packages/emulator/src/load.rs
@@ -120,7 +120,7 @@
         must((1..=1000).contains(&s.tasks), "tasks: from 1 to 1000");
         must(s.cluster.state_rps >= 10.0 && s.cluster.write_rps >= 10.0, "cluster: rates of at least 10");
         if let Err(e) = faults::plan(s.faults.clone(), 3) {
-            wrong.push(e);
+            wrong.push(e.to_string());
         }
         match wrong.is_empty() {
             true => Ok(s),
@@ -352,7 +352,7 @@
 
 /// Runs a scenario on a cluster of its own.
 pub fn run(s: &Scenario, controller: Option<PathBuf>) -> Result<Report, Error> {
-    let plan = faults::plan(s.faults.clone(), 3).map_err(Error::Input)?;
+    let plan = faults::plan(s.faults.clone(), 3).map_err(|e| Error::Input(e.to_string()))?;
     let options = Options {
         upgrade: None,
         port: 0,
