--- /dev/null
+++ b/packages/emulator/src/state/transaction.rs
@@ -0,0 +1,89 @@
+//! Compare-and-swap transactions.
+
+use std::time::Instant;
+
+use coralnotch_wire::http::{self, Response};
+use coralnotch_wire::state::{Precondition, Write};
+
+use super::messages::{CurrentRevision, FailedPreconditions, Transaction};
+use super::{counted_size, is_valid_key, State, StoredValue};
+
+/// Largest transaction in bytes as the service counts them.
+const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
+/// A transaction may have so many preconditions for each write that the limits allow.
+const PRECONDITIONS_PER_WRITE: usize = 4;
+
+/// A write that was checked.
+enum CheckedWrite {
+    Set { key: String, data: Vec<u8>, lease_id: Option<u64> },
+    Delete { key: String },
+}
+
+impl State {
+    /// Carries out all writes of a transaction if all of its preconditions hold, or none.  Sizes and
+    /// leases are checked first, then the rate of writes, then the preconditions.
+    pub(super) fn transact(&mut self, body: &[u8], now: Instant) -> Response {
+        let Ok(transaction) = http::decode::<Transaction>(body) else { return Response::refuse(400, "malformed") };
+        let max_writes = self.limits.txn_ops;
+        if counted_size(body.len()) > MAX_TRANSACTION_BYTES
+            || transaction.writes.len() > max_writes
+            || transaction.preconditions.len() > max_writes * PRECONDITIONS_PER_WRITE
+        {
+            return Response::refuse(400, "transaction too large");
+        }
+        let writes: Vec<CheckedWrite> =
+            match transaction.writes.into_iter().map(|write| self.check_write(write)).collect() {
+                Ok(writes) => writes,
+                Err(reason) => return Response::refuse(400, reason),
+            };
+        if !self.write_rate.allows(writes.len() as f64, now) {
+            self.refused += 1;
+            return Response::refuse(429, "too many changes");
+        }
+        let failed = self.failed_preconditions(&transaction.preconditions);
+        if !failed.is_empty() {
+            return Response::new(409, &FailedPreconditions { keys: failed, revision: self.revision });
+        }
+        self.revision += u64::from(!writes.is_empty());
+        self.changes_made += writes.len() as u64;
+        writes.into_iter().for_each(|write| self.apply(write));
+        Response::new(200, &CurrentRevision { revision: self.revision })
+    }
+
+    /// Checks a write against the limits; the error is the reason of the refusal.
+    fn check_write(&self, write: Write) -> Result<CheckedWrite, &'static str> {
+        let (key, data, lease_id) = match write {
+            Write::Delete { delete } => return Ok(CheckedWrite::Delete { key: delete }),
+            Write::Set { set, data, lease_id } => (set, http::encode(&data), lease_id),
+        };
+        if !is_valid_key(&key) || counted_size(data.len()) as f64 > self.limits.value_kb * 1024.0 {
+            return Err("bad key, or value too large");
+        }
+        if lease_id.is_some_and(|id| !self.leases.contains_key(&id)) {
+            return Err("no such lease");
+        }
+        Ok(CheckedWrite::Set { key, data, lease_id })
+    }
+
+    /// Keys whose revision is not the one that a precondition asks for.
+    fn failed_preconditions(&self, preconditions: &[Precondition]) -> Vec<String> {
+        let revision = |key: &str| self.keys.get(key).map_or(0, |value| value.revision);
+        let failed = preconditions.iter().filter(|condition| revision(&condition.key) != condition.revision);
+        failed.map(|condition| condition.key.clone()).collect()
+    }
+
+    fn apply(&mut self, write: CheckedWrite) {
+        match write {
+            CheckedWrite::Set { key, data, lease_id } => {
+                let value = StoredValue { data: data.clone(), revision: self.revision, lease_id };
+                self.keys.insert(key.clone(), value);
+                self.record_change(key, Some(data));
+            }
+            CheckedWrite::Delete { key } => {
+                if self.keys.remove(&key).is_some() {
+                    self.record_change(key, None);
+                }
+            }
+        }
+    }
+}
--- a/packages/emulator/src/up.rs
+++ b/packages/emulator/src/up.rs
@@ -195,7 +195,7 @@
         cost: world.cloud.borrow().cost(Instant::now()),
         violations: workers.violations.clone(),
         requests_per_second: requests.as_ref().map(|(_, counts)| counts.clone()).unwrap_or_default(),
-        stored_keys: world.state.borrow().under(""),
+        stored_keys: world.state.borrow().keys_under(""),
         completed_at: workers.completed_at().clone(),
     };
     let Report { started, killed, cost, violations, .. } = &report;
--- a/packages/emulator/src/up/injection.rs
+++ b/packages/emulator/src/up/injection.rs
@@ -43,11 +43,11 @@
             Fault::Down { lasts } => processes.crash_all(now + lasts),
             Fault::StateLimits { .. } => {
                 self.limits = limits_after(self.limits, fault);
-                self.world.state.borrow_mut().limit(self.limits);
+                self.world.state.borrow_mut().set_limits(self.limits);
             }
             Fault::StateOutage { lasts } => {
-                self.world.state.borrow_mut().fail(now);
-                self.after(lasts, |world| world.state.borrow_mut().heal(Instant::now()));
+                self.world.state.borrow_mut().begin_outage();
+                self.after(lasts, |world| world.state.borrow_mut().end_outage(Instant::now()));
             }
             Fault::Refused { node, lasts } => {
                 self.world.refused.borrow_mut().insert(node);
