--- /dev/null
+++ b/packages/emulator/src/environment/services.rs
@@ -0,0 +1,77 @@
+//! The state service and the cloud as HTTP servers, and the passing of time.
+
+use std::rc::Rc;
+use std::time::Instant;
+
+use coralnotch_wire::http::{self, Request, Response};
+use smol::net::TcpListener;
+use smol::LocalExecutor;
+
+use super::{server_limits, Environment, TICK};
+use crate::state::{Step, Watch};
+
+impl Environment {
+    /// Serves the state service to one controller, on a listener of its own.
+    pub async fn serve_state(
+        self: Rc<Self>,
+        executor: Rc<LocalExecutor<'static>>,
+        listener: TcpListener,
+        controller: usize,
+    ) {
+        let handler = move |request: Request| {
+            let environment = self.clone();
+            async move { environment.answer_state_request(controller, &request).await }
+        };
+        http::serve(executor, listener, server_limits(), Rc::new(handler)).await;
+    }
+
+    async fn answer_state_request(&self, controller: usize, request: &Request) -> Response {
+        let delay = self.delay.get();
+        if !delay.is_zero() {
+            smol::Timer::after(delay).await;
+        }
+        if self.refused.borrow().contains(&controller) {
+            return Response::refuse(503, "trouble");
+        }
+        let step = self.state.borrow_mut().ask(request, Instant::now());
+        match step {
+            Step::Answer(response) => response,
+            Step::Watch(watch) => self.wait_for_changes(controller, &watch).await,
+        }
+    }
+
+    async fn wait_for_changes(&self, controller: usize, watch: &Watch) -> Response {
+        loop {
+            smol::Timer::after(TICK).await;
+            if self.refused.borrow().contains(&controller) {
+                return Response::refuse(503, "trouble");
+            }
+            if let Some(response) = self.state.borrow_mut().news(watch, Instant::now()) {
+                return response;
+            }
+        }
+    }
+
+    /// Serves the cloud.
+    pub async fn serve_cloud(self: Rc<Self>, executor: Rc<LocalExecutor<'static>>, listener: TcpListener) {
+        let worker_executor = executor.clone();
+        let handler = move |request: Request| {
+            let (answer, events) = self.cloud.borrow_mut().ask(&request, &mut self.rng.borrow_mut(), Instant::now());
+            self.apply_cloud_events(&worker_executor, events);
+            async move { answer }
+        };
+        http::serve(executor, listener, server_limits(), Rc::new(handler)).await;
+    }
+
+    /// Lets time pass for machines and cloud, until it is dropped.
+    pub async fn run_clock(self: Rc<Self>, executor: Rc<LocalExecutor<'static>>) {
+        loop {
+            smol::Timer::after(TICK).await;
+            let now = Instant::now();
+            self.worker_pool.borrow_mut().step(now);
+            self.wake_changed_workers();
+            let events = self.cloud.borrow_mut().step(now);
+            self.apply_cloud_events(&executor, events);
+        }
+    }
+}
--- a/packages/emulator/src/lib.rs
+++ b/packages/emulator/src/lib.rs
@@ -7,13 +7,13 @@
 pub mod balancer;
 pub mod capacity;
 pub mod cloud;
+pub mod environment;
 pub mod error;
 pub mod faults;
 pub mod history;
 pub mod load;
 pub mod page;
 pub mod scale;
-pub mod serve;
 pub mod settings;
 pub mod state;
 pub mod up;
--- a/packages/emulator/src/scale/control.rs
+++ b/packages/emulator/src/scale/control.rs
@@ -8,7 +8,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use crate::serve::Traffic;
+use crate::environment::Traffic;
 
 /// How long one message may take.
 const LIMIT: Duration = Duration::from_secs(10);
--- a/packages/emulator/src/scale/role.rs
+++ b/packages/emulator/src/scale/role.rs
@@ -23,8 +23,8 @@
     path, send, Begun, CloudStats, Done, Kill, MachineEvents, MachineUp, StateStats, Upload, WorkerStats, ZoneChange,
 };
 use crate::cloud::{self, Cloud, Event};
+use crate::environment::{BootedMachine, Controller, Environment};
 use crate::error::Error;
-use crate::serve::{Booted, Controller, World};
 use crate::settings::WorkerTimes;
 use crate::state::{Limits, State};
 use crate::worker_pool::{self, WorkerPool};
@@ -220,18 +220,18 @@
 ) -> Result<(), Error> {
     let mut rng = Rng::with_seed(0);
     let workers = no_workers(&mut rng);
-    let world = World::new(State::new(limits.limits()), no_cloud(), workers, Vec::new(), 1.0, rng);
+    let environment = Environment::new(State::new(limits.limits()), no_cloud(), workers, Vec::new(), 1.0, rng);
     let (control, at) = listen(host).await?;
     let mut addresses = vec![at];
     for i in 0..listeners {
         let (on, at) = listen(host).await?;
         addresses.push(at);
-        ex.spawn(world.clone().serve_state(ex.clone(), on, i)).detach();
+        ex.spawn(environment.clone().serve_state(ex.clone(), on, i)).detach();
     }
     ready(&addresses);
     let handler = move |r: Request| {
         let answer = match (r.method.as_str(), r.path.as_str()) {
-            ("GET", path::STATS) => Response::new(200, &state_stats(&world.state.borrow())),
+            ("GET", path::STATS) => Response::new(200, &state_stats(&environment.state.borrow())),
             _ => Response::refuse(404, "no such path"),
         };
         async move { answer }
@@ -246,7 +246,7 @@
 
 /// The cloud's process: it tells the workers' process what happens to machines, in order.
 struct CloudRole {
-    world: Rc<World>,
+    environment: Rc<Environment>,
     workers: SocketAddr,
     client: Client,
     /// What is still to be told.
@@ -262,8 +262,8 @@
 ) -> Result<(), Error> {
     let mut rng = Rng::with_seed(seed);
     let none = no_workers(&mut rng);
-    let world = World::new(State::new(Limits::NONE), Cloud::new(settings), none, Vec::new(), 1.0, rng);
-    let role = Rc::new(CloudRole { world, workers, client: Client::new(1), events: RefCell::default() });
+    let environment = Environment::new(State::new(Limits::NONE), Cloud::new(settings), none, Vec::new(), 1.0, rng);
+    let role = Rc::new(CloudRole { environment, workers, client: Client::new(1), events: RefCell::default() });
     let (control, at) = listen(host).await?;
     let (on, service) = listen(host).await?;
     ready(&[at, service]);
@@ -283,7 +283,7 @@
         for e in events {
             match e {
                 Event::Up(name) => {
-                    if let Some(Booted { name, kind, zone, spot }) = self.world.booted(&name) {
+                    if let Some(BootedMachine { name, kind, zone, spot }) = self.environment.booted_machine(&name) {
                         all.up.push(MachineUp { name, kind: kind.name, zone, spot });
                     }
                 }
@@ -310,7 +310,7 @@
     async fn time(self: Rc<Self>) {
         loop {
             smol::Timer::after(TICK).await;
-            let events = self.world.cloud.borrow_mut().step(Instant::now());
+            let events = self.environment.cloud.borrow_mut().step(Instant::now());
             self.note(events);
             self.tell().await;
         }
@@ -318,7 +318,8 @@
 
     /// A call of a controller's.  Deleted machines are gone when it is answered.
     async fn call(self: Rc<Self>, r: Request) -> Response {
-        let (answer, events) = self.world.cloud.borrow_mut().ask(&r, &mut self.world.rng.borrow_mut(), Instant::now());
+        let (answer, events) =
+            self.environment.cloud.borrow_mut().ask(&r, &mut self.environment.rng.borrow_mut(), Instant::now());
         self.note(events);
         self.tell().await;
         answer
@@ -327,7 +328,7 @@
     async fn control(self: Rc<Self>, r: Request) -> Response {
         let answer = match (r.method.as_str(), r.path.as_str()) {
             ("GET", path::STATS) => {
-                Response::new(200, &CloudStats { rented: self.world.cloud.borrow().machines().len() as u64 })
+                Response::new(200, &CloudStats { rented: self.environment.cloud.borrow().machines().len() as u64 })
             }
             ("POST", path::KILL) => match http::decode::<Kill>(&r.body) {
                 Ok(k) => Response::new(200, &Done { machines: self.kill(k.count, None) }),
@@ -345,10 +346,10 @@
 
     /// Lets machines die, at random, all or those of a zone; how many did.
     fn kill(&self, count: usize, zone: Option<&Name>) -> usize {
-        let mut cloud = self.world.cloud.borrow_mut();
+        let mut cloud = self.environment.cloud.borrow_mut();
         let alive = |m: &cloud::Rented| m.died.is_none() && zone.is_none_or(|z| m.zone == *z);
         let mut names: Vec<Name> = cloud.machines().iter().filter(|(_, m)| alive(m)).map(|(n, _)| n.clone()).collect();
-        self.world.rng.borrow_mut().shuffle(&mut names);
+        self.environment.rng.borrow_mut().shuffle(&mut names);
         let now = Instant::now();
         let events: Vec<Event> = names.iter().take(count).filter_map(|n| cloud.kill(n, now)).collect();
         drop(cloud);
@@ -358,7 +359,7 @@
     }
 
     fn change_zone(&self, z: &ZoneChange) -> usize {
-        self.world.cloud.borrow_mut().close_zone(&z.zone, z.closed);
+        self.environment.cloud.borrow_mut().close_zone(&z.zone, z.closed);
         if !z.closed {
             return 0;
         }
@@ -381,14 +382,14 @@
         let WorkerTimes { report_s, lease_s, gang_wait_s, gang_peer_s, .. } = self.times;
         let workers = WorkerPool::new(worker_pool::Settings { lease_s, gang_wait_s, gang_peer_s }, 1.0, rng.fork());
         let controllers = self.controllers.into_iter().map(|(name, addr)| Controller { name, addr }).collect();
-        let world = World::new(State::new(Limits::NONE), no_cloud(), workers, controllers, report_s, rng);
-        world.host.set(self.host);
-        ex.spawn(world.clone().time(ex.clone())).detach();
+        let environment = Environment::new(State::new(Limits::NONE), no_cloud(), workers, controllers, report_s, rng);
+        environment.host.set(self.host);
+        ex.spawn(environment.clone().run_clock(ex.clone())).detach();
         let (control, at) = listen(self.host).await?;
         ready(&[at]);
         let (types, e) = (Rc::new(self.types), ex.clone());
         let handler = move |r: Request| {
-            let answer = workers_control(&world, &e, &types, &r);
+            let answer = workers_control(&environment, &e, &types, &r);
             async move { answer }
         };
         http::serve(ex, control, control_limits(), Rc::new(handler)).await;
@@ -396,12 +397,17 @@
     }
 }
 
-fn workers_control(world: &Rc<World>, ex: &Rc<LocalExecutor<'static>>, types: &[MachineType], r: &Request) -> Response {
+fn workers_control(
+    environment: &Rc<Environment>,
+    ex: &Rc<LocalExecutor<'static>>,
+    types: &[MachineType],
+    r: &Request,
+) -> Response {
     match (r.method.as_str(), r.path.as_str()) {
-        ("GET", path::STATS) => Response::new(200, &worker_stats(world)),
+        ("GET", path::STATS) => Response::new(200, &worker_stats(environment)),
         ("POST", path::UPLOAD) => match http::decode::<Upload>(&r.body) {
             Ok(u) => {
-                let mut workers = world.worker_pool.borrow_mut();
+                let mut workers = environment.worker_pool.borrow_mut();
                 for spec in u.specs {
                     let id = spec.id.clone();
                     workers.upload(spec);
@@ -415,11 +421,11 @@
         },
         ("POST", path::MACHINES) => match http::decode::<MachineEvents>(&r.body) {
             Ok(events) => {
-                events.gone.iter().for_each(|n| world.gone(n));
+                events.gone.iter().for_each(|n| environment.remove_machine(n));
                 let count = events.up.len();
                 for u in events.up {
                     if let Some(kind) = types.iter().find(|t| t.name == u.kind).cloned() {
-                        world.clone().boot(ex, Booted { name: u.name, kind, zone: u.zone, spot: u.spot });
+                        environment.start_worker(ex, BootedMachine { name: u.name, kind, zone: u.zone, spot: u.spot });
                     }
                 }
                 Response::new(200, &Done { machines: count })
@@ -430,8 +436,8 @@
     }
 }
 
-fn worker_stats(world: &World) -> WorkerStats {
-    let mut workers = world.worker_pool.borrow_mut();
+fn worker_stats(environment: &Environment) -> WorkerStats {
+    let mut workers = environment.worker_pool.borrow_mut();
     let running = workers.running_tasks();
     let (now, today) = (Instant::now(), SystemTime::now());
     let since_epoch = |t: Instant| {
@@ -447,6 +453,6 @@
         killed: workers.killed,
         broken: workers.violations.clone(),
         begun: timed_starts.into_iter().map(|start| Begun { job: start.job, at_us: since_epoch(start.at) }).collect(),
-        traffic: world.traffic.get(),
+        traffic: environment.traffic.get(),
     }
 }
--- a/packages/emulator/src/up.rs
+++ b/packages/emulator/src/up.rs
@@ -29,9 +29,9 @@
 use self::injection::FaultInjector;
 use self::listeners::Listeners;
 use self::processes::Processes;
+use crate::environment::{Controller, Environment, RequestCounts};
 use crate::error::{Error, IoContext};
 use crate::faults::{self, Planned};
-use crate::serve::{Controller, World};
 use crate::state::State;
 
 /// Interval of looks at the processes and at the fault plan.
@@ -77,11 +77,12 @@
         let balancer = listeners.users_address()?;
         let settings = cluster_settings(&listeners.controllers, plan.iter(), &options.size);
         listeners.write_settings(&dir, &settings)?;
-        let world = new_world(options, &listeners.controllers);
-        listeners.serve(&world, &executor);
+        let environment = new_environment(options, &listeners.controllers);
+        listeners.serve(&environment, &executor);
         let processes = Processes::new(options, program, dir, ZONES.len());
-        let injector = FaultInjector::new(world.clone(), executor.clone(), options.size.limits());
-        let mut cluster = Cluster { options, world: world.clone(), executor, processes, injector, plan, balancer };
+        let injector = FaultInjector::new(environment.clone(), executor.clone(), options.size.limits());
+        let mut cluster =
+            Cluster { options, environment: environment.clone(), executor, processes, injector, plan, balancer };
         let stopped = async {
             let _ = stop.recv().await;
             Ok(())
@@ -89,7 +90,7 @@
         let result = or(cluster.run(ready), stopped).await;
         drop(cluster);
         result?;
-        report(&world)
+        report(&environment)
     }))
 }
 
@@ -104,7 +105,7 @@
 }
 
 /// The emulated services around controllers at these addresses.
-fn new_world(options: &Options, addresses: &[ControllerAddresses]) -> Rc<World> {
+fn new_environment(options: &Options, addresses: &[ControllerAddresses]) -> Rc<Environment> {
     let mut rng = Rng::with_seed(options.seed);
     let workers = deployment::worker_pool(rng.fork());
     let controller = |(index, addresses): (usize, &ControllerAddresses)| Controller {
@@ -113,13 +114,13 @@
     };
     let controllers = addresses.iter().enumerate().map(controller).collect();
     let state = State::new(options.size.limits());
-    World::new(state, deployment::cloud(options), workers, controllers, HEARTBEAT_INTERVAL_S, rng)
+    Environment::new(state, deployment::cloud(options), workers, controllers, HEARTBEAT_INTERVAL_S, rng)
 }
 
 /// A cluster whose emulated services are served.
 struct Cluster<'a> {
     options: &'a Options,
-    world: Rc<World>,
+    environment: Rc<Environment>,
     executor: Rc<LocalExecutor<'static>>,
     processes: Processes,
     injector: FaultInjector,
@@ -134,10 +135,10 @@
     async fn run(&mut self, ready: impl FnOnce(SocketAddr)) -> Result<(), Error> {
         for index in 0..self.processes.count() {
             self.processes.start(index)?;
-            self.executor.spawn(self.world.clone().probe(index)).detach();
+            self.executor.spawn(self.environment.clone().probe(index)).detach();
         }
         self.wait_ready().await?;
-        *self.world.per_second.borrow_mut() = Some((Instant::now(), Vec::new()));
+        *self.environment.request_counts.borrow_mut() = Some(RequestCounts::begin());
         ready(self.balancer);
         let demonstration = demonstrate(self.options, self.balancer);
         or(demonstration, self.supervise()).await
@@ -145,7 +146,7 @@
 
     async fn wait_ready(&mut self) -> Result<(), Error> {
         let began = Instant::now();
-        while !(0..self.processes.count()).any(|index| self.world.balancer.borrow().healthy(index)) {
+        while !(0..self.processes.count()).any(|index| self.environment.balancer.borrow().healthy(index)) {
             if began.elapsed() > READY_LIMIT {
                 let dir = self.processes.dir().display();
                 return Err(Error::Failed(format!("no controller is ready; see the logs in {dir}")));
@@ -186,16 +187,16 @@
 }
 
 /// Reports what was seen, and prints it in short; an error if a rule of the protocol was broken.
-fn report(world: &World) -> Result<Report, Error> {
-    let workers = world.worker_pool.borrow();
-    let requests = world.per_second.borrow();
+fn report(environment: &Environment) -> Result<Report, Error> {
+    let workers = environment.worker_pool.borrow();
+    let requests = environment.request_counts.borrow();
     let report = Report {
         started: workers.started,
         killed: workers.killed,
-        cost: world.cloud.borrow().cost(Instant::now()),
+        cost: environment.cloud.borrow().cost(Instant::now()),
         violations: workers.violations.clone(),
-        requests_per_second: requests.as_ref().map(|(_, counts)| counts.clone()).unwrap_or_default(),
-        stored_keys: world.state.borrow().keys_under(""),
+        requests_per_second: requests.as_ref().map(|counts| counts.per_second.clone()).unwrap_or_default(),
+        stored_keys: environment.state.borrow().keys_under(""),
         completed_at: workers.completed_at().clone(),
     };
     let Report { started, killed, cost, violations, .. } = &report;
--- a/packages/emulator/src/up/injection.rs
+++ b/packages/emulator/src/up/injection.rs
@@ -8,13 +8,13 @@
 
 use super::deployment::limits_after;
 use super::processes::Processes;
+use crate::environment::Environment;
 use crate::faults::Fault;
-use crate::serve::World;
 use crate::state::Limits;
 
 /// Injects faults, and ends those that last for a while.
 pub(super) struct FaultInjector {
-    world: Rc<World>,
+    environment: Rc<Environment>,
     executor: Rc<LocalExecutor<'static>>,
     /// The state service's limits now.
     limits: Limits,
@@ -30,8 +30,12 @@
 }
 
 impl FaultInjector {
-    pub(super) fn new(world: Rc<World>, executor: Rc<LocalExecutor<'static>>, limits: Limits) -> FaultInjector {
-        FaultInjector { world, executor, limits }
+    pub(super) fn new(
+        environment: Rc<Environment>,
+        executor: Rc<LocalExecutor<'static>>,
+        limits: Limits,
+    ) -> FaultInjector {
+        FaultInjector { environment, executor, limits }
     }
 
     /// Injects a fault; what lasts for a while ends by itself.
@@ -43,25 +47,25 @@
             Fault::Down { lasts } => processes.crash_all(now + lasts),
             Fault::StateLimits { .. } => {
                 self.limits = limits_after(self.limits, fault);
-                self.world.state.borrow_mut().set_limits(self.limits);
+                self.environment.state.borrow_mut().set_limits(self.limits);
             }
             Fault::StateOutage { lasts } => {
-                self.world.state.borrow_mut().begin_outage();
-                self.after(lasts, |world| world.state.borrow_mut().end_outage(Instant::now()));
+                self.environment.state.borrow_mut().begin_outage();
+                self.after(lasts, |environment| environment.state.borrow_mut().end_outage(Instant::now()));
             }
             Fault::Refused { node, lasts } => {
-                self.world.refused.borrow_mut().insert(node);
-                self.after(lasts, move |world| {
-                    world.refused.borrow_mut().remove(&node);
+                self.environment.refused.borrow_mut().insert(node);
+                self.after(lasts, move |environment| {
+                    environment.refused.borrow_mut().remove(&node);
                 });
             }
             Fault::Delay { by, lasts } => {
-                self.world.delay.set(by);
-                self.after(lasts, |world| world.delay.set(Duration::ZERO));
+                self.environment.delay.set(by);
+                self.after(lasts, |environment| environment.delay.set(Duration::ZERO));
             }
             Fault::CloudOutage { lasts } => {
-                self.world.cloud.borrow_mut().fail(true);
-                self.after(lasts, |world| world.cloud.borrow_mut().fail(false));
+                self.environment.cloud.borrow_mut().fail(true);
+                self.after(lasts, |environment| environment.cloud.borrow_mut().fail(false));
             }
             Fault::KillMachines { count } => self.lose_machines(count, MachineLoss::Crash, now),
             Fault::SpotWave { count } => self.lose_machines(count, MachineLoss::Reclaim, now),
@@ -69,21 +73,21 @@
     }
 
     /// Runs `end` after a delay, unless the executor ends before.
-    fn after(&self, delay: Duration, end: impl FnOnce(&World) + 'static) {
-        let world = self.world.clone();
+    fn after(&self, delay: Duration, end: impl FnOnce(&Environment) + 'static) {
+        let environment = self.environment.clone();
         let task = async move {
             smol::Timer::after(delay).await;
-            end(&world);
+            end(&environment);
         };
         self.executor.spawn(task).detach();
     }
 
     /// Lets `count` machines be lost, chosen at random.
     fn lose_machines(&self, count: usize, loss: MachineLoss, now: Instant) {
-        let mut rng = self.world.rng.borrow_mut();
-        let mut names: Vec<Name> = self.world.worker_pool.borrow().machines().keys().cloned().collect();
+        let mut rng = self.environment.rng.borrow_mut();
+        let mut names: Vec<Name> = self.environment.worker_pool.borrow().machines().keys().cloned().collect();
         rng.shuffle(&mut names);
-        let mut cloud = self.world.cloud.borrow_mut();
+        let mut cloud = self.environment.cloud.borrow_mut();
         let lose = |name: &Name| match loss {
             MachineLoss::Crash => cloud.kill(name, now),
             MachineLoss::Reclaim => cloud.take_back(name, &mut rng, now),
@@ -91,6 +95,6 @@
         // machines that cannot be lost in this way are passed over and do not count
         let events = names.iter().filter_map(lose).take(count).collect();
         drop((cloud, rng));
-        self.world.clone().carry_out(&self.executor, events);
+        self.environment.apply_cloud_events(&self.executor, events);
     }
 }
--- a/packages/emulator/src/up/listeners.rs
+++ b/packages/emulator/src/up/listeners.rs
@@ -9,8 +9,8 @@
 use smol::LocalExecutor;
 
 use super::deployment::{ControllerAddresses, ZONES};
+use crate::environment::Environment;
 use crate::error::{Error, IoContext};
-use crate::serve::World;
 use crate::settings::Cluster;
 
 /// The listeners of a cluster, and the addresses for its controllers.
@@ -56,13 +56,13 @@
 
     /// Serves the state service, the cloud and the load balancer, and lets time pass for the
     /// machines.  All of it ends with the executor.
-    pub(super) fn serve(self, world: &Rc<World>, executor: &Rc<LocalExecutor<'static>>) {
+    pub(super) fn serve(self, environment: &Rc<Environment>, executor: &Rc<LocalExecutor<'static>>) {
         for (index, listener) in self.states.into_iter().enumerate() {
-            executor.spawn(world.clone().serve_state(executor.clone(), listener, index)).detach();
+            executor.spawn(environment.clone().serve_state(executor.clone(), listener, index)).detach();
         }
-        executor.spawn(world.clone().serve_cloud(executor.clone(), self.cloud)).detach();
-        executor.spawn(world.clone().time(executor.clone())).detach();
-        executor.spawn(world.clone().balance(executor.clone(), self.users)).detach();
+        executor.spawn(environment.clone().serve_cloud(executor.clone(), self.cloud)).detach();
+        executor.spawn(environment.clone().run_clock(executor.clone())).detach();
+        executor.spawn(environment.clone().balance(executor.clone(), self.users)).detach();
     }
 }
 
