--- /dev/null
+++ b/packages/emulator/src/cloud/requests.rs
@@ -0,0 +1,142 @@
+//! The cloud's HTTP interface.
+
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+use coralnotch_wire::cloud::{ListedMachine, Rental};
+use coralnotch_wire::http::{self, Request, Response};
+use coralnotch_wire::model::{MachineType, Name};
+use fastrand::Rng;
+use serde::{Deserialize, Serialize};
+
+use super::{Cloud, Event, Rented};
+
+/// Most machines in one rental.
+const MAX_RENTED: u32 = 50;
+/// Most names in one deletion.
+const MAX_DELETED: usize = 100;
+/// Most machines in one part of a list.
+const MAX_LISTED: usize = 500;
+
+/// Machines, or their names; the rest follows with another request if it is truncated.
+#[derive(Serialize)]
+struct Machines<T> {
+    #[serde(rename = "polyps")]
+    machines: Vec<T>,
+    #[serde(skip_serializing_if = "std::ops::Not::not")]
+    truncated: bool,
+}
+
+#[derive(Deserialize)]
+pub(super) struct MachineNames {
+    #[serde(rename = "polyps")]
+    pub(super) machines: Vec<Name>,
+}
+
+#[derive(Serialize)]
+struct MachineTypes<'a> {
+    #[serde(rename = "hulls")]
+    types: &'a [MachineType],
+}
+
+impl Cloud {
+    /// Handles a request; returns the response, and what the request did to machines.
+    pub fn ask(&mut self, request: &Request, rng: &mut Rng, now: Instant) -> (Response, Vec<Event>) {
+        if self.is_out {
+            return (Response::refuse(503, "trouble"), Vec::new());
+        }
+        if !self.request_rate.allows(1.0, now) {
+            return (Response::refuse(429, "too many requests"), Vec::new());
+        }
+        let response = match (request.method.as_str(), request.path.as_str()) {
+            ("GET", "/flavors") => Response::new(200, &MachineTypes { types: &self.settings.types }),
+            ("GET", "/rentals") => self.list(&request.query, rng, now),
+            ("POST", "/rentals") => self.rent(&request.body, rng, now),
+            ("POST", "/rentals/delete") => return self.delete(&request.body, now),
+            _ => Response::refuse(404, "no such path"),
+        };
+        (response, Vec::new())
+    }
+
+    /// Rents machines, fewer than asked for if there is no capacity for all.  A repeated request
+    /// rents nothing and has the same response.
+    fn rent(&mut self, body: &[u8], rng: &mut Rng, now: Instant) -> Response {
+        let Ok(rental) = http::decode::<Rental>(body) else { return Response::refuse(400, "malformed") };
+        if let Some(names) = self.rentals.get(&rental.request_id) {
+            return Response::new(200, &Machines { machines: names.clone(), truncated: false });
+        }
+        let is_asked_for = |kind: &&MachineType| kind.name == rental.kind && kind.zones.contains(&rental.zone);
+        let Some(boot_s) = self.settings.types.iter().find(is_asked_for).map(|kind| kind.boot_s) else {
+            return Response::refuse(400, "no such type there");
+        };
+        if !(1..=MAX_RENTED).contains(&rental.count) {
+            return Response::refuse(400, "count");
+        }
+        let free = self.free_capacity(&rental);
+        if free == 0 || self.closed_zones.contains(&rental.zone) {
+            return Response::refuse(503, "no capacity");
+        }
+        let count = rental.count.min(free as u32);
+        let names: Vec<Name> = (0..count).map(|_| self.add_machine(&rental, boot_s, rng, now)).collect();
+        self.rentals.insert(rental.request_id, names.clone());
+        Response::new(200, &Machines { machines: names, truncated: false })
+    }
+
+    /// How many more machines of a rental's type, zone and kind there are.
+    fn free_capacity(&self, rental: &Rental) -> usize {
+        let is_same = |machine: &&Rented| {
+            machine.kind == rental.kind
+                && machine.zone == rental.zone
+                && machine.spot == rental.spot
+                && machine.died_at.is_none()
+        };
+        self.settings.capacity.saturating_sub(self.machines.values().filter(is_same).count())
+    }
+
+    fn add_machine(&mut self, rental: &Rental, boot_s: f64, rng: &mut Rng, now: Instant) -> Name {
+        self.last_machine_number += 1;
+        let name: Name = format!("i-{:06}", self.last_machine_number).into();
+        let boot = Duration::from_secs_f64(boot_s * (0.6 + 0.9 * rng.f64()));
+        let machine = Rented {
+            kind: rental.kind.clone(),
+            zone: rental.zone.clone(),
+            spot: rental.spot,
+            rented_at: now,
+            up_at: (rng.f64() >= self.settings.boot_fail).then_some(now + boot),
+            died_at: None,
+            reclaim_at: None,
+        };
+        self.machines.insert(name.clone(), machine);
+        self.booting.push(name.clone());
+        name
+    }
+
+    /// Lists machines as they were a while ago, from after the name `since`.
+    fn list(&self, query: &str, rng: &mut Rng, now: Instant) -> Response {
+        let query: BTreeMap<&str, &str> = query.split('&').filter_map(|pair| pair.split_once('=')).collect();
+        let since = query.get("since").copied().unwrap_or_default();
+        let max_listed = query.get("page").and_then(|page| page.parse().ok()).unwrap_or(MAX_LISTED).min(MAX_LISTED);
+        // ordinarily about the lag, now and then up to twice it: a list can be older than the one before
+        let lag_s = self.settings.list_lag_s * (0.5 + rng.f64()) * if rng.u8(0..8) == 0 { 1.33 } else { 1.0 };
+        let as_of = now.checked_sub(Duration::from_secs_f64(lag_s));
+        let is_old_enough = |at: Instant| as_of.is_some_and(|as_of| at <= as_of);
+        let snapshot = self.snapshots.iter().rev().find(|snapshot| is_old_enough(snapshot.at));
+        let listed = snapshot.map(|snapshot| snapshot.machines.as_slice()).unwrap_or_default();
+        let mut machines: Vec<ListedMachine> =
+            listed.iter().filter(|machine| *machine.name > *since).take(max_listed + 1).cloned().collect();
+        let truncated = machines.len() > max_listed;
+        machines.truncate(max_listed);
+        Response::new(200, &Machines { machines, truncated })
+    }
+
+    /// Deletes machines; those that are gone already are passed over.
+    fn delete(&mut self, body: &[u8], now: Instant) -> (Response, Vec<Event>) {
+        match http::decode::<MachineNames>(body) {
+            Ok(names) if names.machines.len() <= MAX_DELETED => {
+                let gone = names.machines.iter().filter_map(|name| self.remove(name, now)).collect();
+                (Response::new(200, &BTreeMap::<&str, u8>::new()), gone)
+            }
+            _ => (Response::refuse(400, "malformed"), Vec::new()),
+        }
+    }
+}
--- a/packages/emulator/src/environment/machines.rs
+++ b/packages/emulator/src/environment/machines.rs
@@ -40,7 +40,7 @@
                         self.start_worker(executor, machine);
                     }
                 }
-                Event::Notice(name, at) => self.schedule_reclaim(&name, at),
+                Event::ReclaimNotice(name, at) => self.schedule_reclaim(&name, at),
                 Event::Gone(name) => self.remove_machine(&name),
             }
         }
@@ -50,7 +50,7 @@
     pub fn booted_machine(&self, name: &Name) -> Option<BootedMachine> {
         let cloud = self.cloud.borrow();
         let machine = cloud.machines().get(name)?;
-        let kind = cloud.kind(&machine.kind)?.clone();
+        let kind = cloud.machine_type(&machine.kind)?.clone();
         Some(BootedMachine { name: name.clone(), kind, zone: machine.zone.clone(), spot: machine.spot })
     }
 
--- a/packages/emulator/src/scale/role.rs
+++ b/packages/emulator/src/scale/role.rs
@@ -291,7 +291,7 @@
                     all.up.retain(|u| u.name != name);
                     all.gone.push(name);
                 }
-                Event::Notice(..) => {}
+                Event::ReclaimNotice(..) => {}
             }
         }
     }
@@ -347,7 +347,7 @@
     /// Lets machines die, at random, all or those of a zone; how many did.
     fn kill(&self, count: usize, zone: Option<&Name>) -> usize {
         let mut cloud = self.environment.cloud.borrow_mut();
-        let alive = |m: &cloud::Rented| m.died.is_none() && zone.is_none_or(|z| m.zone == *z);
+        let alive = |m: &cloud::Rented| m.died_at.is_none() && zone.is_none_or(|z| m.zone == *z);
         let mut names: Vec<Name> = cloud.machines().iter().filter(|(_, m)| alive(m)).map(|(n, _)| n.clone()).collect();
         self.environment.rng.borrow_mut().shuffle(&mut names);
         let now = Instant::now();
@@ -359,10 +359,13 @@
     }
 
     fn change_zone(&self, z: &ZoneChange) -> usize {
-        self.environment.cloud.borrow_mut().close_zone(&z.zone, z.closed);
+        let mut cloud = self.environment.cloud.borrow_mut();
         if !z.closed {
+            cloud.open_zone(&z.zone);
             return 0;
         }
+        cloud.close_zone(&z.zone);
+        drop(cloud);
         self.kill(usize::MAX, Some(&z.zone))
     }
 }
--- a/packages/emulator/src/up/injection.rs
+++ b/packages/emulator/src/up/injection.rs
@@ -64,8 +64,8 @@
                 self.after(lasts, |environment| environment.delay.set(Duration::ZERO));
             }
             Fault::CloudOutage { lasts } => {
-                self.environment.cloud.borrow_mut().fail(true);
-                self.after(lasts, |environment| environment.cloud.borrow_mut().fail(false));
+                self.environment.cloud.borrow_mut().begin_outage();
+                self.after(lasts, |environment| environment.cloud.borrow_mut().end_outage());
             }
             Fault::KillMachines { count } => self.lose_machines(count, MachineLoss::Crash, now),
             Fault::SpotWave { count } => self.lose_machines(count, MachineLoss::Reclaim, now),
@@ -90,7 +90,7 @@
         let mut cloud = self.environment.cloud.borrow_mut();
         let lose = |name: &Name| match loss {
             MachineLoss::Crash => cloud.kill(name, now),
-            MachineLoss::Reclaim => cloud.take_back(name, &mut rng, now),
+            MachineLoss::Reclaim => cloud.reclaim(name, &mut rng, now),
         };
         // machines that cannot be lost in this way are passed over and do not count
         let events = names.iter().filter_map(lose).take(count).collect();
