--- a/packages/emulator/src/balancer.rs
+++ b/packages/emulator/src/balancer.rs
@@ -1,170 +1,150 @@
-//! The load balancer: a plain choice by health and open connections, and the
-//! copying of bytes.  It works at connection level; what users upload beside
-//! their submissions is read off the copied bytes by [`SubmissionReader`].
+//! The load balancer's choice of a controller, by health and open connections.
+//!
+//! It works at connection level.  What users upload beside their submissions is read off the copied
+//! bytes by [`SubmissionReader`].
 
-use std::net::SocketAddr;
-use std::time::{Duration, Instant};
+mod submission_reader;
 
-use coralnotch_wire::http;
-use coralnotch_wire::model::JobSpec;
+use std::time::{Duration, Instant};
 
-/// First pause of a controller that was removed; it doubles up to the last.
-const REMOVED_FIRST: Duration = Duration::from_secs(3);
-const REMOVED_MOST: Duration = Duration::from_secs(60);
-/// Failed connections in a row after which a controller is skipped, and how long.
-const SKIPPED_AFTER: u32 = 3;
-const SKIPPED_FOR: Duration = Duration::from_secs(3);
-/// A removal within so long of the last one doubles the pause.
-const MEMORY: Duration = Duration::from_secs(120);
+pub use self::submission_reader::SubmissionReader;
+
+/// First pause of a controller that became unhealthy; each further one is twice as long, up to the
+/// longest.
+const FIRST_PAUSE: Duration = Duration::from_secs(3);
+const MAX_PAUSE: Duration = Duration::from_secs(60);
+/// The pause is doubled if the controller became unhealthy within so long of the last time.
+const PAUSE_MEMORY: Duration = Duration::from_secs(120);
+/// Failed connections in a row after which a controller is skipped, and for how long.
+const SKIP_AFTER_FAILURES: u32 = 3;
+const SKIP_TIME: Duration = Duration::from_secs(3);
+/// Bits of the last two and of the last six probes.
+const LAST_TWO: u8 = 0b11;
+const LAST_SIX: u8 = 0b11_1111;
+/// Failures among the last six probes with which a controller becomes unhealthy.
+const MAX_FAILED_PROBES: u32 = 3;
 
 /// A controller as the balancer sees it.
 #[derive(Debug, Clone)]
-pub struct Backend {
-    /// Where it listens for users.
-    pub addr: SocketAddr,
-    /// Connections open through the balancer.
-    pub open: usize,
-    healthy: bool,
-    ever: bool,
+struct Backend {
+    /// Open connections.
+    open: usize,
+    is_healthy: bool,
+    was_ever_healthy: bool,
     /// The last six probes, the newest in the lowest bit; 1 for a failure.
-    failed: u8,
-    probes: u32,
-    removed: Option<Instant>,
+    failed_probes: u8,
+    unhealthy_since: Option<Instant>,
+    /// How long it stays unhealthy at least.
     pause: Duration,
-    failures: u32,
+    /// Failed connections in a row.
+    failed_connections: u32,
     skip_until: Option<Instant>,
 }
 
-/// The balancer's picture.
-#[derive(Debug, Clone)]
-pub struct Balancer {
-    backends: Vec<Backend>,
-}
-
-impl Balancer {
-    /// Nothing is known of these controllers yet.
-    pub fn new(addrs: &[SocketAddr]) -> Balancer {
-        let one = |addr: &SocketAddr| Backend {
-            addr: *addr,
+impl Backend {
+    fn new() -> Backend {
+        Backend {
             open: 0,
-            healthy: false,
-            ever: false,
-            failed: 0,
-            probes: 0,
-            removed: None,
-            pause: REMOVED_FIRST / 2,
-            failures: 0,
+            is_healthy: false,
+            was_ever_healthy: false,
+            failed_probes: 0,
+            unhealthy_since: None,
+            pause: FIRST_PAUSE / 2,
+            failed_connections: 0,
             skip_until: None,
-        };
-        Balancer { backends: addrs.iter().map(one).collect() }
+        }
     }
 
-    /// The controllers, in the order given.
-    pub fn backends(&self) -> &[Backend] {
-        &self.backends
+    fn record_probe(&mut self, succeeded: bool, now: Instant) {
+        self.failed_probes = (self.failed_probes << 1 | u8::from(!succeeded)) & LAST_SIX;
+        if self.is_healthy {
+            let both_failed = self.failed_probes & LAST_TWO == LAST_TWO;
+            if both_failed || self.failed_probes.count_ones() >= MAX_FAILED_PROBES {
+                self.mark_unhealthy(now);
+            }
+        } else if succeeded && self.may_return(now) {
+            self.is_healthy = true;
+            self.was_ever_healthy = true;
+            self.failed_probes = 0;
+        }
     }
 
-    /// Whether a controller gets connections.
-    pub fn healthy(&self, i: usize) -> bool {
-        self.backends.get(i).is_some_and(|b| b.healthy)
+    fn mark_unhealthy(&mut self, now: Instant) {
+        self.is_healthy = false;
+        let is_again = self.unhealthy_since.is_some_and(|at| now.saturating_duration_since(at) < PAUSE_MEMORY);
+        self.pause = if is_again { (self.pause * 2).min(MAX_PAUSE) } else { FIRST_PAUSE };
+        self.unhealthy_since = Some(now);
     }
 
-    /// A probe came to an end.
-    pub fn probed(&mut self, i: usize, ok: bool, now: Instant) {
-        let Some(b) = self.backends.get_mut(i) else { return };
-        b.failed = (b.failed << 1 | u8::from(!ok)) & 0b11_1111;
-        b.probes += 1;
-        if b.healthy {
-            if b.failed & 0b11 == 0b11 || b.failed.count_ones() >= 3 {
-                b.healthy = false;
-                let again = b.removed.is_some_and(|t| now.saturating_duration_since(t) < MEMORY);
-                b.pause = if again { (b.pause * 2).min(REMOVED_MOST) } else { REMOVED_FIRST };
-                b.removed = Some(now);
-            }
+    /// Whether a successful probe makes it healthy: the first one of all does; later, two in a row
+    /// after the pause.
+    fn may_return(&self, now: Instant) -> bool {
+        let pause_is_over = self.unhealthy_since.is_none_or(|since| now.saturating_duration_since(since) >= self.pause);
+        !self.was_ever_healthy || (self.failed_probes & LAST_TWO == 0 && pause_is_over)
+    }
+
+    fn record_connection(&mut self, succeeded: bool, now: Instant) {
+        if succeeded {
+            self.open += 1;
+            self.failed_connections = 0;
             return;
         }
-        let rested = b.removed.is_none_or(|t| now.saturating_duration_since(t) >= b.pause);
-        if ok && (!b.ever || (b.failed & 0b11 == 0 && rested)) {
-            (b.healthy, b.ever, b.failed) = (true, true, 0);
+        self.failed_connections += 1;
+        if self.failed_connections >= SKIP_AFTER_FAILURES {
+            self.failed_connections = 0;
+            self.skip_until = Some(now + SKIP_TIME);
         }
     }
 
-    /// Where a new connection goes, other than where it failed already.
-    pub fn choose(&self, tried: &[usize], now: Instant) -> Option<usize> {
-        let ok = |(i, b): &(usize, &Backend)| b.healthy && !tried.contains(i) && b.skip_until.is_none_or(|t| t <= now);
-        self.backends.iter().enumerate().filter(ok).min_by_key(|(_, b)| b.open).map(|(i, _)| i)
+    fn takes_connections(&self, now: Instant) -> bool {
+        self.is_healthy && self.skip_until.is_none_or(|until| until <= now)
     }
+}
 
-    /// A connection was made, or not.
-    pub fn connected(&mut self, i: usize, ok: bool, now: Instant) {
-        let Some(b) = self.backends.get_mut(i) else { return };
-        if ok {
-            b.open += 1;
-            b.failures = 0;
-        } else {
-            b.failures += 1;
-            if b.failures >= SKIPPED_AFTER {
-                (b.failures, b.skip_until) = (0, Some(now + SKIPPED_FOR));
-            }
-        }
+/// What the balancer knows of the controllers.
+#[derive(Debug, Clone)]
+pub struct Balancer {
+    backends: Vec<Backend>,
+}
+
+impl Balancer {
+    /// Creates a balancer for so many controllers, of which it knows nothing yet.
+    pub fn new(controllers: usize) -> Balancer {
+        Balancer { backends: (0..controllers).map(|_| Backend::new()).collect() }
+    }
+
+    /// Whether a controller is healthy.
+    pub fn is_healthy(&self, index: usize) -> bool {
+        self.backends.get(index).is_some_and(|backend| backend.is_healthy)
     }
 
-    /// A connection ended.
-    pub fn closed(&mut self, i: usize) {
-        if let Some(b) = self.backends.get_mut(i) {
-            b.open = b.open.saturating_sub(1);
+    /// Records the result of a health probe.
+    pub fn record_probe(&mut self, index: usize, succeeded: bool, now: Instant) {
+        if let Some(backend) = self.backends.get_mut(index) {
+            backend.record_probe(succeeded, now);
         }
     }
-}
 
-/// Most bytes kept of a request that is not complete.
-const TAP_MOST: usize = 128 * 1024;
-
-/// Reads submissions off the bytes that a user sends: users upload a job's
-/// description for the workers, and here that is the submission itself.
-#[derive(Debug, Default)]
-pub struct SubmissionReader {
-    buf: Vec<u8>,
-    lost: bool,
-    /// Whole requests so far.
-    pub requests: u64,
-}
+    /// Chooses a controller for a new connection, the one with the fewest open ones among those that
+    /// were not tried; `None` if there is none.
+    pub fn choose(&self, tried: &[usize], now: Instant) -> Option<usize> {
+        let candidates = self.backends.iter().enumerate();
+        let candidates = candidates.filter(|(index, backend)| backend.takes_connections(now) && !tried.contains(index));
+        candidates.min_by_key(|(_, backend)| backend.open).map(|(index, _)| index)
+    }
 
-impl SubmissionReader {
-    /// More bytes of a connection; the submissions that they complete.
-    pub fn take(&mut self, bytes: &[u8]) -> Vec<JobSpec> {
-        let mut found = Vec::new();
-        if self.lost {
-            return found;
+    /// Records whether a connection to a controller was made.
+    pub fn record_connection(&mut self, index: usize, succeeded: bool, now: Instant) {
+        if let Some(backend) = self.backends.get_mut(index) {
+            backend.record_connection(succeeded, now);
         }
-        self.buf.extend_from_slice(bytes);
-        loop {
-            match http::parse_request(&self.buf) {
-                Ok(Some(head)) => {
-                    let end = head.len + head.body;
-                    if self.buf.len() < end {
-                        break;
-                    }
-                    self.requests += 1;
-                    if head.method == "POST" && head.target == "/v2/runs" {
-                        found.extend(http::decode::<JobSpec>(&self.buf[head.len..end]).ok());
-                    }
-                    self.buf.drain(..end);
-                }
-                Ok(None) => break,
-                Err(_) => self.lost = true,
-            }
-            if self.lost || self.buf.is_empty() {
-                break;
-            }
-        }
-        if self.buf.len() > TAP_MOST {
-            self.lost = true;
-        }
-        if self.lost {
-            self.buf = Vec::new();
+    }
+
+    /// Records that a connection ended.
+    pub fn record_close(&mut self, index: usize) {
+        if let Some(backend) = self.backends.get_mut(index) {
+            backend.open = backend.open.saturating_sub(1);
         }
-        found
     }
 }
 
--- a/packages/emulator/src/environment.rs
+++ b/packages/emulator/src/environment.rs
@@ -124,12 +124,11 @@
         heartbeat_interval_s: f64,
         rng: Rng,
     ) -> Rc<Environment> {
-        let addresses: Vec<SocketAddr> = controllers.iter().map(|controller| controller.addr).collect();
         Rc::new(Environment {
             state: RefCell::new(state),
             cloud: RefCell::new(cloud),
             worker_pool: RefCell::new(worker_pool),
-            balancer: RefCell::new(Balancer::new(&addresses)),
+            balancer: RefCell::new(Balancer::new(controllers.len())),
             rng: RefCell::new(rng),
             request_counts: RefCell::default(),
             refused: RefCell::default(),
--- a/packages/emulator/src/environment/load_balancer.rs
+++ b/packages/emulator/src/environment/load_balancer.rs
@@ -38,7 +38,7 @@
         loop {
             let answer = client.send(controller.addr, "GET", "/healthz", None, PROBE_LIMIT).await;
             let is_healthy = matches!(answer, Ok((200, _)));
-            self.balancer.borrow_mut().probed(index, is_healthy, Instant::now());
+            self.balancer.borrow_mut().record_probe(index, is_healthy, Instant::now());
             smol::Timer::after(PROBE_INTERVAL).await;
         }
     }
@@ -65,7 +65,7 @@
             let _ = smol::io::copy(stream, user).await;
         };
         or(or(requests, responses), self.wait_unhealthy(controller)).await;
-        self.balancer.borrow_mut().closed(controller);
+        self.balancer.borrow_mut().record_close(controller);
     }
 
     /// Connects to a controller of the balancer's choice; `None` if none can be reached.
@@ -79,7 +79,7 @@
                 None
             };
             let stream = or(connect, timeout).await;
-            self.balancer.borrow_mut().connected(controller, stream.is_some(), Instant::now());
+            self.balancer.borrow_mut().record_connection(controller, stream.is_some(), Instant::now());
             match stream {
                 Some(stream) => return Some(Connection { controller, stream }),
                 None => tried.push(controller),
@@ -111,7 +111,7 @@
         let mut unhealthy_since: Option<Instant> = None;
         loop {
             smol::Timer::after(PROBE_INTERVAL).await;
-            if self.balancer.borrow().healthy(controller) {
+            if self.balancer.borrow().is_healthy(controller) {
                 unhealthy_since = None;
             } else if unhealthy_since.get_or_insert_with(Instant::now).elapsed() > RESET_AFTER {
                 return;
--- a/packages/emulator/src/scale/users.rs
+++ b/packages/emulator/src/scale/users.rs
@@ -133,7 +133,7 @@
             region,
             teams,
             workers,
-            balancer: RefCell::new(Balancer::new(&controllers)),
+            balancer: RefCell::new(Balancer::new(controllers.len())),
             controllers,
             client: Client::new(64),
             rng: RefCell::new(Rng::with_seed(seed)),
@@ -148,7 +148,7 @@
 
     /// Whether a controller takes users.
     pub fn any_healthy(&self) -> bool {
-        (0..self.controllers.len()).any(|i| self.balancer.borrow().healthy(i))
+        (0..self.controllers.len()).any(|i| self.balancer.borrow().is_healthy(i))
     }
 
     /// Probes the controllers, and lets gangs, arrays and urgent jobs arrive.
@@ -173,7 +173,7 @@
         loop {
             let answer = client.send(self.controllers[i], "GET", "/healthz", None, PROBE_LIMIT).await;
             let ok = matches!(answer, Ok((200, _)));
-            self.balancer.borrow_mut().probed(i, ok, Instant::now());
+            self.balancer.borrow_mut().record_probe(i, ok, Instant::now());
             smol::Timer::after(PROBE_EVERY).await;
         }
     }
@@ -283,7 +283,7 @@
     /// A healthy controller, at random.
     fn controller(&self) -> Option<SocketAddr> {
         let balancer = self.balancer.borrow();
-        let healthy: Vec<usize> = (0..self.controllers.len()).filter(|i| balancer.healthy(*i)).collect();
+        let healthy: Vec<usize> = (0..self.controllers.len()).filter(|i| balancer.is_healthy(*i)).collect();
         let i = self.rng.borrow_mut().choice(healthy)?;
         Some(self.controllers[i])
     }
--- a/packages/emulator/src/up.rs
+++ b/packages/emulator/src/up.rs
@@ -146,7 +146,7 @@
 
     async fn wait_ready(&mut self) -> Result<(), Error> {
         let began = Instant::now();
-        while !(0..self.processes.count()).any(|index| self.environment.balancer.borrow().healthy(index)) {
+        while !(0..self.processes.count()).any(|index| self.environment.balancer.borrow().is_healthy(index)) {
             if began.elapsed() > READY_LIMIT {
                 let dir = self.processes.dir().display();
                 return Err(Error::Failed(format!("no controller is ready; see the logs in {dir}")));
