--- a/packages/emulator/src/load/tests.rs
+++ b/packages/emulator/src/load/tests.rs
@@ -16,9 +16,9 @@
 #[test]
 fn all_that_is_wrong_with_a_scenario_is_said() {
     let bad = GOOD.replace("20.0", "-1.0") + "clients = 0\ntasks = 0\n[[fault]]\nkind = \"flood\"\nat_s = 1\n";
-    let wrong = Scenario::parse(&bad).expect_err("four faults");
+    let wrong = Scenario::parse(&bad).expect_err("four faults").to_string();
     for part in ["negative", "clients: from 1", "tasks: from 1", "kind \"flood\""] {
         assert!(wrong.contains(part), "{part} is missing in {wrong}");
     }
-    assert!(Scenario::parse(&(GOOD.to_owned() + "ratte = 1\n")).expect_err("a typo").contains("ratte"));
+    assert!(Scenario::parse(&(GOOD.to_owned() + "ratte = 1\n")).expect_err("a typo").to_string().contains("ratte"));
 }
--- /dev/null
+++ b/packages/emulator/src/load/users.rs
@@ -0,0 +1,65 @@
+//! Users of a run: each follows one job from its submission to its final answer.
+
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+use coralnotch_client::{Client, Final};
+use coralnotch_wire::http::{self, Client as HttpClient};
+use coralnotch_wire::model::{JobSpec, JobState};
+
+use super::observations::Observations;
+
+/// Limit of one request without the library, and the pause before the next one.
+const REQUEST_LIMIT: Duration = Duration::from_secs(5);
+const PAUSE: Duration = Duration::from_secs(1);
+
+/// Submits a job with one request at a time and polls it until it is over.
+pub(super) async fn run_with_requests(
+    balancer: SocketAddr,
+    client: &HttpClient,
+    spec: JobSpec,
+    due: Instant,
+    observations: &Observations,
+) {
+    let body = http::encode(&spec);
+    loop {
+        match client.send(balancer, "POST", "/v2/runs", Some(&body), REQUEST_LIMIT).await {
+            Ok((200 | 201, _)) => break,
+            Ok((400 | 422, _)) => return observations.record_answer(spec.id, "refused", due),
+            _ => smol::Timer::after(PAUSE).await,
+        };
+    }
+    observations.record_acceptance(due);
+    let path = format!("/v2/runs/{}", spec.id);
+    loop {
+        smol::Timer::after(PAUSE).await;
+        let response = client.send(balancer, "GET", &path, None, REQUEST_LIMIT).await;
+        let Ok((200, body)) = response else { continue };
+        let stage = http::decode::<JobState>(&body).map(|state| state.stage);
+        if let Ok(answer @ ("done" | "cancelled")) = stage.as_deref() {
+            return observations.record_answer(spec.id, answer, due);
+        }
+    }
+}
+
+/// Submits a job with the client library and waits for its final answer.
+pub(super) async fn run_with_library(client: &Client, spec: JobSpec, due: Instant, observations: &Observations) {
+    let (id, mut changes) = (spec.id.clone(), client.changes());
+    let Ok(handle) = client.submit(spec).await else { return };
+    // the first change of the job is its acceptance
+    loop {
+        match changes.recv().await {
+            Ok(change) if change.id == id => break,
+            Err(async_broadcast::RecvError::Closed) => break,
+            _ => {}
+        }
+    }
+    drop(changes);
+    observations.record_acceptance(due);
+    match handle.take().await {
+        Ok(Final::Done) => observations.record_answer(id, "done", due),
+        Ok(Final::Cancelled) => observations.record_answer(id, "cancelled", due),
+        Ok(Final::Refused { .. }) => observations.record_answer(id, "refused", due),
+        Err(_) => {}
+    }
+}
