--- a/packages/emulator/src/history.rs
+++ b/packages/emulator/src/history.rs
@@ -1,5 +1,5 @@
-//! A checker of histories: what users were told against what was stored and
-//! what ran.  It knows the protocol's rules and nothing of who was asked.
+//! A checker of histories: compares the answers that users were given with the stored jobs and with
+//! what ran.  It knows the protocol's rules, and nothing of which controller answered.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Instant;
@@ -11,35 +11,36 @@
 pub struct Given {
     /// The job.
     pub id: Name,
-    /// `done`, `cancelled`, or something else that its user took for an end.
+    /// `done`, `cancelled`, or another text that its user took for a final answer.
     pub answer: String,
-    /// When it was first seen, if that is known.
+    /// When the user first saw it, if that is known.
     pub seen: Option<Instant>,
 }
 
-/// What is wrong: jobs stored against jobs handed out, answers against jobs,
-/// and answers against what had run by then.  `stored` is `None` where nobody
-/// can say.
+/// Checks a history and returns what is wrong, a line each: the number of stored jobs, the answers of
+/// each job, and answers that came before the job had run.  `jobs` is the number of jobs that were
+/// handed out; `stored` is `None` if it is not known what is stored.
 pub fn check(
     jobs: usize,
     answers: &[Given],
     stored: Option<&HashSet<Name>>,
-    completed: &HashMap<Name, Instant>,
+    completed_at: &HashMap<Name, Instant>,
 ) -> Vec<String> {
     let mut wrong = Vec::new();
-    if let Some(s) = stored.filter(|s| s.len() != jobs) {
-        wrong.push(format!("{} jobs are stored, {jobs} were handed out", s.len()));
+    if let Some(stored) = stored.filter(|stored| stored.len() != jobs) {
+        wrong.push(format!("{} jobs are stored, {jobs} were handed out", stored.len()));
     }
     let mut first: HashMap<&Name, &str> = HashMap::new();
-    for g in answers {
-        if let Some(before) = first.insert(&g.id, &g.answer) {
-            wrong.push(format!("{} is answered twice: {before}, then {}", g.id, g.answer));
+    for Given { id, answer, seen } in answers {
+        if let Some(earlier) = first.insert(id, answer) {
+            wrong.push(format!("{id} is answered twice: {earlier}, then {answer}"));
         }
-        if stored.is_some_and(|s| !s.contains(&g.id)) {
-            wrong.push(format!("{} is answered and not stored", g.id));
+        if stored.is_some_and(|stored| !stored.contains(id)) {
+            wrong.push(format!("{id} is answered and not stored"));
         }
-        if g.answer == "done" && completed.get(&g.id).is_none_or(|t| g.seen.is_some_and(|s| s < *t)) {
-            wrong.push(format!("{} is called done before it is", g.id));
+        let is_before = |completed_at: &Instant| seen.is_some_and(|seen| seen < *completed_at);
+        if answer == "done" && completed_at.get(id).is_none_or(is_before) {
+            wrong.push(format!("{id} is called done before it is"));
         }
     }
     for id in stored.into_iter().flatten().filter(|id| !first.contains_key(id)) {
--- a/packages/emulator/src/scale/region.rs
+++ b/packages/emulator/src/scale/region.rs
@@ -17,7 +17,7 @@
 use super::scenario::{Load, Scenario};
 use super::users::{Notes, Users};
 use crate::error::Error;
-use crate::settings::{Cluster, NodePlace, Team, WorkerTimes};
+use crate::settings::{ClusterSettings, ControllerSettings, Team, WorkerTimes};
 
 /// A controller that was ended is started again after this.
 const RESTART: Duration = Duration::from_secs(3);
@@ -80,7 +80,7 @@
     pub zones: Vec<Name>,
     /// Its users.
     pub users: Rc<Users>,
-    nodes: Vec<NodePlace>,
+    nodes: Vec<ControllerSettings>,
     controllers: RefCell<Vec<Option<Running>>>,
     /// When each controller that was ended is started again.
     due: RefCell<Vec<Option<Instant>>>,
@@ -123,6 +123,24 @@
     bound.map_err(|error| Error::Io { what: format!("a free port on {host}"), error })
 }
 
+/// Settings of a region's controllers, which are spread over its zones.
+fn controller_settings(
+    region: usize,
+    count: usize,
+    zones: &[Name],
+    host: IpAddr,
+) -> Result<Vec<ControllerSettings>, Error> {
+    let settings = |index: usize| {
+        Ok(ControllerSettings {
+            name: format!("r{region}-c{index}"),
+            zone: zones[index % zones.len()].to_string(),
+            bind: free(host)?,
+            peer_bind: free(host)?,
+        })
+    };
+    (0..count).map(settings).collect()
+}
+
 impl Region {
     /// Starts all processes of region `n`.
     pub fn start(
@@ -136,11 +154,7 @@
         let host = IpAddr::V4(Ipv4Addr::new(127, 0, (n + 1) as u8, 1));
         let share = |all: usize| (n + 1) * all / s.target.regions - n * all / s.target.regions;
         let zones: Vec<Name> = (0..share(s.target.zones)).map(|z| format!("r{n}-z{z}").into()).collect();
-        let mut nodes = Vec::new();
-        for i in 0..share(s.target.controllers) {
-            let zone = zones[i % zones.len()].to_string();
-            nodes.push(NodePlace { name: format!("r{n}-c{i}"), zone, bind: free(host)?, peer_bind: free(host)? });
-        }
+        let nodes = controller_settings(n, share(s.target.controllers), &zones, host)?;
         let (load, types) = (s.load(part), types(s, &zones));
         let seed = s.seed + n as u64;
         let r = &s.region;
@@ -166,7 +180,7 @@
         let cluster = cluster(s, &load, &nodes, &zones);
         for (i, node) in nodes.iter().enumerate() {
             let file = dir.join(format!("{}.toml", node.name));
-            let text = cluster.file(i, address(&states, i + 1)?, cloud_service);
+            let text = cluster.controller_file(i, address(&states, i + 1)?, cloud_service);
             std::fs::write(&file, text).map_err(|error| Error::Io { what: file.display().to_string(), error })?;
         }
         let binds = nodes.iter().map(|c| c.bind).collect();
@@ -224,7 +238,7 @@
     }
 
     /// Ends controllers; each is started again after `pause`, or with a later call if `None`.
-    fn end(&self, which: impl Fn(&NodePlace) -> bool, pause: Option<Duration>) {
+    fn end(&self, which: impl Fn(&ControllerSettings) -> bool, pause: Option<Duration>) {
         for (i, node) in self.nodes.iter().enumerate().filter(|(_, n)| which(n)) {
             tracing::info!("ends {}", node.name);
             if let Some(mut c) = self.controllers.borrow_mut()[i].take() {
@@ -391,7 +405,7 @@
 }
 
 /// What the controllers of a region are told.
-fn cluster(s: &Scenario, load: &Load, nodes: &[NodePlace], zones: &[Name]) -> Cluster {
+fn cluster(s: &Scenario, load: &Load, nodes: &[ControllerSettings], zones: &[Name]) -> ClusterSettings {
     let r = &s.region;
     let share = (load.workers * s.target.tasks_per_worker) as f64 / s.target.teams as f64;
     let team = |i: usize| Team {
@@ -399,7 +413,7 @@
         cpus: share,
         cpus_max: (share * TEAM_MOST).max(TEAM_MOST * 2.0),
     };
-    Cluster {
+    ClusterSettings {
         nodes: nodes.to_vec(),
         zones: zones.iter().map(|z| z.to_string()).collect(),
         teams: (0..s.target.teams).map(team).collect(),
--- a/packages/emulator/src/settings.rs
+++ b/packages/emulator/src/settings.rs
@@ -1,26 +1,26 @@
-//! The settings files of a cluster's controllers.
+//! The settings files of a cluster's controllers, in the form that `coralnotch serve` reads.
 
 use std::net::SocketAddr;
 
 use crate::state::Limits;
 
-/// A controller's place in its cluster.
+/// What differs between the controllers of a cluster.
 #[derive(Debug, Clone)]
-pub struct NodePlace {
+pub struct ControllerSettings {
     /// Its name.
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// Where users and workers come.
+    /// Address for users and workers.
     pub bind: SocketAddr,
-    /// Where the other controllers come.
+    /// Address for the other controllers.
     pub peer_bind: SocketAddr,
 }
 
-/// How workers behave, all in seconds.
+/// Time limits of the workers, all in seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct WorkerTimes {
-    /// Interval of reports.
+    /// Interval of heartbeats.
     pub report_s: f64,
     /// Lease.
     pub lease_s: f64,
@@ -28,62 +28,62 @@
     pub gang_wait_s: f64,
     /// How quickly a gang notices a loss.
     pub gang_peer_s: f64,
-    /// Within this a cancelled job is gone.
+    /// A cancelled job has left the machines within this time.
     pub cancel_s: f64,
 }
 
-/// A team with what is guaranteed to it and what it may use at most, in cores; 0 for none.
+/// A team with its quota in cores; 0 for none.
 #[derive(Debug, Clone)]
 pub struct Team {
     /// Its name.
     pub name: String,
     /// Guaranteed cores.
     pub cpus: f64,
-    /// Most cores.
+    /// Limit of cores.
     pub cpus_max: f64,
 }
 
-/// What all controllers of a cluster are told.
+/// Settings that all controllers of a cluster share.
 #[derive(Debug, Clone)]
-pub struct Cluster {
+pub struct ClusterSettings {
     /// The controllers.
-    pub nodes: Vec<NodePlace>,
+    pub nodes: Vec<ControllerSettings>,
     /// Zones.
     pub zones: Vec<String>,
     /// Teams.
     pub teams: Vec<Team>,
-    /// Workers.
+    /// Time limits of the workers.
     pub workers: WorkerTimes,
     /// What the state service allows.
     pub state: Limits,
-    /// What it allows from some moment on.
+    /// Lower limits that it may have later without notice.
     pub state_next: Limits,
-    /// What the cloud allows, in requests a second.
+    /// Requests a second that the cloud allows.
     pub cloud_rps: f64,
-    /// How old the cloud's list is, in seconds.
+    /// Age of the cloud's list of machines, in seconds.
     pub list_lag_s: f64,
     /// Share of a core for each controller.
     pub cores: f64,
-    /// Memory of each, in MB.
+    /// Memory of each controller, in MB.
     pub memory_mb: f64,
-    /// Sockets of each.
+    /// Sockets that each may open.
     pub sockets: usize,
 }
 
-impl Cluster {
-    /// The settings file of controller `i`.
-    pub fn file(&self, i: usize, state: SocketAddr, cloud: SocketAddr) -> String {
-        let node = &self.nodes[i];
-        let NodePlace { name, zone, bind, peer_bind } = node;
-        let siblings: String = (0..self.nodes.len()).filter(|j| *j != i).map(|j| sibling(&self.nodes[j])).collect();
-        let teams: String = self.teams.iter().map(team).collect();
+impl ClusterSettings {
+    /// The settings file of one controller, for a state service and a cloud at these addresses.
+    pub fn controller_file(&self, index: usize, state: SocketAddr, cloud: SocketAddr) -> String {
+        let ControllerSettings { name, zone, bind, peer_bind } = &self.nodes[index];
+        let peers = self.nodes.iter().enumerate().filter(|(peer, _)| *peer != index);
+        let peers: String = peers.map(|(_, peer)| peer_section(peer)).collect();
+        let teams: String = self.teams.iter().map(team_section).collect();
         let WorkerTimes { report_s, lease_s, gang_wait_s, gang_peer_s, cancel_s } = self.workers;
         let Limits { rps, write_rps, value_kb, txn_ops } = self.state;
         let next = self.state_next;
         let (cloud_rps, list_lag_s, size, zones) = (self.cloud_rps, self.list_lag_s, self.nodes.len(), &self.zones);
         let (cores, memory_mb, sockets) = (self.cores, self.memory_mb, self.sockets);
         format!(
-            "host_name = \"{name}\"\ndomain = \"{zone}\"\nbind = \"{bind}\"\npeer_bind = \"{peer_bind}\"\n\n{siblings}\
+            "host_name = \"{name}\"\ndomain = \"{zone}\"\nbind = \"{bind}\"\npeer_bind = \"{peer_bind}\"\n\n{peers}\
              [services]\ncloud = \"{cloud}\"\nstate = \"{state}\"\n\n\
              [deployment]\nsize = {size}\nzones = {zones:?}\n\n{teams}\
              [deployment.workers]\nreport_s = {report_s:?}\nlease_s = {lease_s:?}\ngang_wait_s = {gang_wait_s:?}\n\
@@ -97,11 +97,12 @@
     }
 }
 
-fn sibling(n: &NodePlace) -> String {
-    format!("[[siblings]]\nhost_name = \"{}\"\ndomain = \"{}\"\naddr = \"{}\"\n\n", n.name, n.zone, n.peer_bind)
+fn peer_section(peer: &ControllerSettings) -> String {
+    let ControllerSettings { name, zone, peer_bind, .. } = peer;
+    format!("[[siblings]]\nhost_name = \"{name}\"\ndomain = \"{zone}\"\naddr = \"{peer_bind}\"\n\n")
 }
 
-fn team(t: &Team) -> String {
-    let Team { name, cpus, cpus_max } = t;
+fn team_section(team: &Team) -> String {
+    let Team { name, cpus, cpus_max } = team;
     format!("[[deployment.teams]]\nname = \"{name}\"\ncpus = {cpus:?}\ncpus_max = {cpus_max:?}\n\n")
 }
--- a/packages/emulator/src/up/deployment.rs
+++ b/packages/emulator/src/up/deployment.rs
@@ -9,7 +9,7 @@
 use super::{Options, Size};
 use crate::cloud::{self, Cloud};
 use crate::faults::{Fault, Planned};
-use crate::settings::{Cluster, NodePlace, Team, WorkerTimes};
+use crate::settings::{ClusterSettings, ControllerSettings, Team, WorkerTimes};
 use crate::state::Limits;
 use crate::worker_pool::{self, WorkerPool};
 
@@ -87,14 +87,14 @@
     addresses: &[ControllerAddresses],
     plan: impl Iterator<Item = &'a Planned>,
     size: &Size,
-) -> Cluster {
-    let node = |(index, addresses): (usize, &ControllerAddresses)| NodePlace {
+) -> ClusterSettings {
+    let node = |(index, addresses): (usize, &ControllerAddresses)| ControllerSettings {
         name: controller_name(index),
         zone: ZONES[index].into(),
         bind: addresses.users,
         peer_bind: addresses.peers,
     };
-    Cluster {
+    ClusterSettings {
         nodes: addresses.iter().enumerate().map(node).collect(),
         zones: ZONES.map(Into::into).to_vec(),
         teams: vec![Team { name: "demo".into(), cpus: 0.0, cpus_max: 0.0 }],
--- a/packages/emulator/src/up/listeners.rs
+++ b/packages/emulator/src/up/listeners.rs
@@ -11,7 +11,7 @@
 use super::deployment::{ControllerAddresses, ZONES};
 use crate::environment::Environment;
 use crate::error::{Error, IoContext};
-use crate::settings::Cluster;
+use crate::settings::ClusterSettings;
 
 /// The listeners of a cluster, and the addresses for its controllers.
 pub(super) struct Listeners {
@@ -44,11 +44,11 @@
     }
 
     /// Writes the settings file of each controller.
-    pub(super) fn write_settings(&self, dir: &Path, cluster: &Cluster) -> Result<(), Error> {
+    pub(super) fn write_settings(&self, dir: &Path, cluster: &ClusterSettings) -> Result<(), Error> {
         let cloud = address(&self.cloud)?;
         for (index, listener) in self.states.iter().enumerate() {
             let file = dir.join(format!("node-{index}.toml"));
-            let settings = cluster.file(index, address(listener)?, cloud);
+            let settings = cluster.controller_file(index, address(listener)?, cloud);
             fs::write(&file, settings).context(file.display().to_string())?;
         }
         Ok(())
