--- /dev/null
+++ b/packages/emulator/src/scale/role/state.rs
@@ -0,0 +1,52 @@
+//! The state service of a region.
+
+use std::net::IpAddr;
+use std::rc::Rc;
+
+use coralnotch_wire::http::{self, Request, Response};
+use fastrand::Rng;
+use smol::LocalExecutor;
+
+use super::{control_limits, listen, no_cloud, no_workers, print_ready, StateLimits};
+use crate::environment::Environment;
+use crate::error::Error;
+use crate::scale::control::{path, StateStats};
+use crate::state::State;
+
+/// Serves the state service with a listener for each controller, and its figures on another one.
+pub(super) async fn serve(
+    executor: Rc<LocalExecutor<'static>>,
+    host: IpAddr,
+    listeners: usize,
+    limits: StateLimits,
+) -> Result<(), Error> {
+    let mut rng = Rng::with_seed(0);
+    let workers = no_workers(&mut rng);
+    let environment = Environment::new(State::new(limits.limits()), no_cloud(), workers, Vec::new(), 1.0, rng);
+    let control = listen(host).await?;
+    let mut addresses = vec![control.address];
+    for index in 0..listeners {
+        let service = listen(host).await?;
+        addresses.push(service.address);
+        executor.spawn(environment.clone().serve_state(executor.clone(), service.listener, index)).detach();
+    }
+    print_ready(&addresses);
+    let handler = move |request: Request| {
+        let answer = match (request.method.as_str(), request.path.as_str()) {
+            ("GET", path::STATS) => Response::new(200, &stats(&environment.state.borrow())),
+            _ => Response::refuse(404, "no such path"),
+        };
+        async move { answer }
+    };
+    http::serve(executor, control.listener, control_limits(), Rc::new(handler)).await;
+    Ok(())
+}
+
+fn stats(state: &State) -> StateStats {
+    StateStats {
+        requests: state.requests,
+        refused: state.refused,
+        changes: state.changes_made,
+        keys: state.len() as u64,
+    }
+}
