--- a/packages/emulator/src/scale/mod.rs
+++ b/packages/emulator/src/scale/mod.rs
@@ -235,7 +235,7 @@
         let mut all = Vec::new();
         for r in &self.regions {
             all.push(r.snapshot().await?);
-            r.begin();
+            r.begin_phase();
         }
         self.users_meter.begin();
         Ok(all)
@@ -288,11 +288,11 @@
         let restarts = self.scenario.load(self.part).restarts;
         let (mut restarted, mut sampled) = (0, began);
         while began.elapsed().as_secs_f64() < seconds {
-            let looks = self.regions.iter().any(Region::expects_start);
+            let looks = self.regions.iter().any(Region::is_measuring_gap);
             smol::Timer::after(if looks { LOOK_EVERY } else { SAMPLE_EVERY }).await;
-            for r in self.regions.iter().filter(|r| r.expects_start()) {
+            for r in self.regions.iter().filter(|r| r.is_measuring_gap()) {
                 let s = r.worker_stats().await?;
-                r.started(s.started);
+                r.record_started(s.started);
                 s.begun.into_iter().for_each(|b| self.notes.begun(b));
             }
             if fault == Fault::Restarts {
@@ -314,7 +314,7 @@
         let phase = self.end(name, &before, began, broken).await?;
         if fault == Fault::ZoneFails {
             let zone = self.regions[0].zones.last().cloned();
-            self.regions[0].change_zone(&zone.unwrap_or_else(|| "".into()), false).await?;
+            self.regions[0].restore_zone(&zone.unwrap_or_else(|| "".into())).await?;
         }
         Ok(phase)
     }
@@ -341,10 +341,10 @@
             Fault::MachinesDie => drop(first.kill_machines(RACK).await?),
             Fault::ZoneFails => {
                 if let Some(zone) = first.zones.last() {
-                    first.change_zone(zone, true).await?;
+                    first.fail_zone(zone).await?;
                 }
             }
-            Fault::RegionEnds => first.end_all(before[0].workers.started),
+            Fault::RegionEnds => first.end_all_controllers(before[0].workers.started),
         }
         Ok(())
     }
@@ -353,7 +353,7 @@
     fn check(&self) -> Result<(), Error> {
         let mut memory = 0.0;
         for r in &self.regions {
-            r.keep()?;
+            r.supervise()?;
             memory += r.sample();
         }
         let bounds = &self.scenario.bounds;
--- /dev/null
+++ b/packages/emulator/src/scale/region/setup.rs
@@ -0,0 +1,234 @@
+//! Starting a region's processes.
+
+use std::cell::{Cell, RefCell};
+use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
+use std::path::Path;
+use std::rc::Rc;
+use std::time::Instant;
+
+use coralnotch_wire::http::Client;
+use coralnotch_wire::model::{MachineType, Name};
+
+use super::{ControllerProcess, Region};
+use crate::error::{Error, IoContext};
+use crate::scale::process::Running;
+use crate::scale::role::Role;
+use crate::scale::scenario::{Load, Scenario};
+use crate::scale::users::{Notes, Users};
+use crate::settings::{ClusterSettings, ControllerSettings, Team, WorkerTimes};
+
+/// A team may use so many times its share.
+const MAX_TEAM_SHARE: f64 = 40.0;
+/// Machines that can be rented, as a multiple of those that the load fills.
+const SPARE_MACHINES: f64 = 1.1;
+
+/// The machine types: half of the workers have one accelerator, the others as many as make up
+/// the target's.
+fn machine_types(scenario: &Scenario, zones: &[Name]) -> Vec<MachineType> {
+    let target = &scenario.target;
+    let cpus = target.tasks_per_worker as f64;
+    let gpus = 2.0 * target.accelerators as f64 / target.workers as f64 - 1.0;
+    let machine_type = |name: &str, gpus: f64, price: f64| MachineType {
+        name: name.into(),
+        cpus,
+        gpus,
+        memory: cpus * 4.0,
+        cache_gb: 50.0,
+        fetch_gb_per_s: 1.0,
+        price,
+        spot_price: price,
+        boot_s: 2.0,
+        zones: zones.to_vec(),
+    };
+    vec![machine_type("plain", 1.0, 1.0), machine_type("accelerated", gpus.floor().max(1.0), 1.2)]
+}
+
+/// An address on this host that is free now.
+fn free_address(host: IpAddr) -> Result<SocketAddr, Error> {
+    let bound = TcpListener::bind((host, 0)).and_then(|listener| listener.local_addr());
+    bound.context(format!("a free port on {host}"))
+}
+
+/// Settings of a region's controllers, which are spread over its zones.
+fn controller_settings(
+    region: usize,
+    count: usize,
+    zones: &[Name],
+    host: IpAddr,
+) -> Result<Vec<ControllerSettings>, Error> {
+    let settings = |index: usize| {
+        Ok(ControllerSettings {
+            name: format!("r{region}-c{index}"),
+            zone: zones[index % zones.len()].to_string(),
+            bind: free_address(host)?,
+            peer_bind: free_address(host)?,
+        })
+    };
+    (0..count).map(settings).collect()
+}
+
+/// The processes of a region's services, with the addresses at which they listen.
+struct Services {
+    state: Running,
+    state_control: SocketAddr,
+    /// Addresses of the state service, one for each controller.
+    state_services: Vec<SocketAddr>,
+    cloud: Running,
+    cloud_control: SocketAddr,
+    cloud_service: SocketAddr,
+    workers: Running,
+    workers_control: SocketAddr,
+}
+
+/// What the services of a region are started with.
+struct ServiceConfig<'a> {
+    scenario: &'a Scenario,
+    load: &'a Load,
+    /// Number of the region.
+    number: usize,
+    host: IpAddr,
+    zones: &'a [Name],
+    controllers: &'a [ControllerSettings],
+    seed: u64,
+    /// Directory of the logs.
+    dir: &'a Path,
+}
+
+impl Services {
+    fn start(config: &ServiceConfig<'_>) -> Result<Services, Error> {
+        let ServiceConfig { host, seed, dir, .. } = *config;
+        let region = &config.scenario.region;
+        let types = machine_types(config.scenario, config.zones);
+        let process_name = |service: &str| format!("r{}-{service}", config.number);
+        let role = Role::Workers {
+            host,
+            types: types.clone(),
+            controllers: config.controllers.iter().map(|settings| (settings.name.clone(), settings.bind)).collect(),
+            report_s: region.report_s,
+            lease_s: region.lease_s,
+            gang_wait_s: region.gang_wait_s,
+            gang_peer_s: region.gang_peer_s,
+            seed,
+        };
+        let (workers, addresses) = Running::start(&role, dir, &process_name("workers"))?;
+        let workers_control = address(&addresses, 0)?;
+        let filled = config.load.workers as f64 * SPARE_MACHINES;
+        let role = Role::Cloud {
+            host,
+            types,
+            capacity: (filled / (2 * config.zones.len()) as f64).ceil() as usize,
+            rps: region.cloud_rps,
+            list_lag_s: region.list_lag_s,
+            workers: workers_control,
+            seed,
+        };
+        let (cloud, addresses) = Running::start(&role, dir, &process_name("cloud"))?;
+        let (cloud_control, cloud_service) = (address(&addresses, 0)?, address(&addresses, 1)?);
+        let role = Role::State { host, listeners: config.controllers.len(), limits: region.state };
+        let (state, mut addresses) = Running::start(&role, dir, &process_name("state"))?;
+        let state_control = address(&addresses, 0)?;
+        let state_services = addresses.split_off(1);
+        let services = Services {
+            state,
+            state_control,
+            state_services,
+            cloud,
+            cloud_control,
+            cloud_service,
+            workers,
+            workers_control,
+        };
+        Ok(services)
+    }
+
+    /// Writes the settings file of each controller.
+    fn write_settings(&self, config: &ServiceConfig<'_>) -> Result<(), Error> {
+        let cluster = cluster_settings(config);
+        for (index, settings) in config.controllers.iter().enumerate() {
+            let file = config.dir.join(format!("{}.toml", settings.name));
+            let text = cluster.controller_file(index, address(&self.state_services, index)?, self.cloud_service);
+            std::fs::write(&file, text).context(file.display().to_string())?;
+        }
+        Ok(())
+    }
+}
+
+impl Region {
+    /// Starts all processes of region `number`, for a part of the target.
+    pub fn start(
+        scenario: &Scenario,
+        part: f64,
+        number: usize,
+        program: &Path,
+        dir: &Path,
+        notes: Rc<Notes>,
+    ) -> Result<Region, Error> {
+        let target = &scenario.target;
+        let host = IpAddr::V4(Ipv4Addr::new(127, 0, (number + 1) as u8, 1));
+        let share = |all: usize| (number + 1) * all / target.regions - number * all / target.regions;
+        let zones: Vec<Name> = (0..share(target.zones)).map(|zone| format!("r{number}-z{zone}").into()).collect();
+        let settings = controller_settings(number, share(target.controllers), &zones, host)?;
+        let load = scenario.load(part);
+        let seed = scenario.seed + number as u64;
+        let config =
+            ServiceConfig { scenario, load: &load, number, host, zones: &zones, controllers: &settings, seed, dir };
+        let services = Services::start(&config)?;
+        services.write_settings(&config)?;
+        let Services { state, state_control, cloud, cloud_control, workers, workers_control, .. } = services;
+        let users_addresses = settings.iter().map(|settings| settings.bind).collect();
+        let start_now = |_| ControllerProcess { running: None, start_at: Some(Instant::now()) };
+        let region = Region {
+            users: Users::new(number, target.teams, workers_control, users_addresses, load, notes, seed),
+            zones,
+            controllers: RefCell::new(settings.iter().map(start_now).collect()),
+            settings,
+            state: RefCell::new(state),
+            cloud: RefCell::new(cloud),
+            workers: RefCell::new(workers),
+            state_control,
+            cloud_control,
+            workers_control,
+            client: Client::new(8),
+            dir: dir.to_owned(),
+            program: program.to_owned(),
+            start_gap: Cell::new(None),
+        };
+        region.supervise()?;
+        Ok(region)
+    }
+}
+
+fn address(addresses: &[SocketAddr], index: usize) -> Result<SocketAddr, Error> {
+    let address = addresses.get(index).copied();
+    address.ok_or_else(|| Error::Failed("a process told too few addresses".into()))
+}
+
+/// The settings that all controllers of a region share.
+fn cluster_settings(config: &ServiceConfig<'_>) -> ClusterSettings {
+    let (region, target) = (&config.scenario.region, &config.scenario.target);
+    let share = (config.load.workers * target.tasks_per_worker) as f64 / target.teams as f64;
+    let team = |index: usize| Team {
+        name: format!("team-{index:04}"),
+        cpus: share,
+        cpus_max: (share * MAX_TEAM_SHARE).max(MAX_TEAM_SHARE * 2.0),
+    };
+    ClusterSettings {
+        nodes: config.controllers.to_vec(),
+        zones: config.zones.iter().map(|zone| zone.to_string()).collect(),
+        teams: (0..target.teams).map(team).collect(),
+        workers: WorkerTimes {
+            report_s: region.report_s,
+            lease_s: region.lease_s,
+            gang_wait_s: region.gang_wait_s,
+            gang_peer_s: region.gang_peer_s,
+            cancel_s: region.cancel_s,
+        },
+        state: region.state.limits(),
+        state_next: region.state.limits(),
+        cloud_rps: region.cloud_rps,
+        list_lag_s: region.list_lag_s,
+        cores: region.cores,
+        memory_mb: region.memory_mb,
+        sockets: region.sockets,
+    }
+}
