--- a/src/peers/forwarding/outbound.rs
+++ b/src/peers/forwarding/outbound.rs
@@ -83,7 +83,7 @@
         loop {
             let batch = {
                 let _guard = collecting.lock().await;
-                self.collect_batch(&self.heartbeat_queue.queued.receiver).await
+                self.collect_batch().await
             };
             self.deliver_batch(batch).await;
             let idle_limit = self.policy.lease.mul_f64(EVICTION_PERIOD_LEASES);
@@ -99,14 +99,12 @@
     }
 
     /// The heartbeats that are queued within `policy.batch_gap` of the first one.
-    async fn collect_batch(&self, queue: &smol::channel::Receiver<QueuedHeartbeat>) -> Vec<QueuedHeartbeat> {
-        let Ok(first) = queue.recv().await else { return std::future::pending().await };
+    async fn collect_batch(&self) -> Vec<QueuedHeartbeat> {
+        let queue = &self.heartbeat_queue.queued;
+        let Ok(first) = queue.receiver.recv().await else { return std::future::pending().await };
         let mut batch = vec![first];
         smol::Timer::after(self.policy.batch_gap).await;
-        while batch.len() < MAX_BATCH {
-            let Ok(next) = queue.try_recv() else { break };
-            batch.push(next);
-        }
+        queue.fill_batch(&mut batch, MAX_BATCH);
         batch
     }
 
--- a/src/users/confirmation.rs
+++ b/src/users/confirmation.rs
@@ -28,14 +28,11 @@
 
     /// Confirms queued jobs in batches, for as long as the controller runs.
     pub async fn run_confirmations(&self) {
-        let queue = &self.user_requests.confirmations.receiver;
-        while let Ok(first) = queue.recv().await {
+        let queue = &self.user_requests.confirmations;
+        while let Ok(first) = queue.receiver.recv().await {
             smol::Timer::after(self.policy.confirm_gap).await;
             let mut batch = vec![first];
-            while batch.len() < self.store.most.preconditions {
-                let Ok(next) = queue.try_recv() else { break };
-                batch.push(next);
-            }
+            queue.fill_batch(&mut batch, self.store.most.preconditions);
             self.confirm_batch(batch).await;
         }
     }
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -76,14 +76,11 @@
     /// Looks up queued ids in batches, for as long as the controller runs: users ask about jobs that
     /// ended long ago, and about ids that nobody submitted.
     pub async fn run_lookups(&self) {
-        let queue = &self.user_requests.lookups.receiver;
-        while let Ok(first) = queue.recv().await {
+        let queue = &self.user_requests.lookups;
+        while let Ok(first) = queue.receiver.recv().await {
             smol::Timer::after(self.policy.confirm_gap).await;
             let mut batch = vec![first];
-            while batch.len() < self.store.most.preconditions / 2 {
-                let Ok(next) = queue.try_recv() else { break };
-                batch.push(next);
-            }
+            queue.fill_batch(&mut batch, self.store.most.preconditions / 2);
             // a request whose user has given up costs nothing
             batch.retain(|request| !request.reply.is_closed());
             if !batch.is_empty() {
--- a/src/users/queues.rs
+++ b/src/users/queues.rs
@@ -27,6 +27,14 @@
         let (sender, receiver) = smol::channel::bounded(capacity);
         Queue { sender, receiver }
     }
+
+    /// Adds what is queued already to a batch, until the batch has `max` entries.
+    pub(crate) fn fill_batch(&self, batch: &mut Vec<T>, max: usize) {
+        while batch.len() < max {
+            let Ok(next) = self.receiver.try_recv() else { break };
+            batch.push(next);
+        }
+    }
 }
 
 /// A submission that is to be stored.
