--- a/packages/core/src/sim/controllers.rs
+++ b/packages/core/src/sim/controllers.rs
@@ -44,7 +44,7 @@
         Some(self.cluster.reply_to_heartbeat(heartbeat, now))
     }
 
-    /// Breaks the rules that each step keeps, if a defect says so.
+    /// Applies a defect that acts in each step.
     fn inject_defect(&mut self, defect: InjectedDefect) {
         match defect {
             InjectedDefect::UnblockBeforeCommit => {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Breaks the rules that each pass keeps, if a defect says so.
+    /// Applies a defect that acts after each placement pass.
     fn inject_pass_defect(&mut self, defect: InjectedDefect, now: Instant) {
         match defect {
             InjectedDefect::ReleaseAfterMissedHeartbeats => {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Releases what a list of machines lacks, if the defect says so.
+    /// Releases the tasks of machines that a list lacks, if that is the defect.
     fn inject_list_defect(&mut self, defect: InjectedDefect, list: &[ListedMachine], now: Instant) {
         if defect != InjectedDefect::ReleaseUnlistedMachines {
             return;
--- a/packages/core/src/sim/faults.rs
+++ b/packages/core/src/sim/faults.rs
@@ -58,6 +58,7 @@
 }
 
 impl FaultSchedule {
+    /// No fault yet.
     pub(super) fn new(steps_between_faults: u32) -> FaultSchedule {
         FaultSchedule {
             steps_between_faults,
--- a/packages/core/src/sim/fixtures.rs
+++ b/packages/core/src/sim/fixtures.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-/// A new leader's state, for tests of single slices.
+/// The state of a new leader in a given term, with one machine type and no team limits.
 pub fn cluster(term: u64, now: Instant) -> Cluster {
     let config = Config::parse("sim", SETTINGS).expect("settings of the simulation");
     let policy = Arc::new(Policy::new(&config).expect("the default policy"));
-    let mut c = Cluster::new(term, policy, HashMap::new(), now);
-    c.set_types(&[machine_type("t")]);
-    c
+    let mut cluster = Cluster::new(term, policy, HashMap::new(), now);
+    cluster.set_types(&[machine_type("t")]);
+    cluster
 }
 
 /// A heartbeat of a machine without tasks.
@@ -27,6 +27,7 @@
     }
 }
 
+/// A machine type of 8 cores and 64 GB that every zone offers.
 pub fn machine_type(name: &str) -> MachineType {
     MachineType {
         name: name.into(),
--- a/packages/core/src/sim/request_history/controller.rs
+++ b/packages/core/src/sim/request_history/controller.rs
@@ -46,6 +46,7 @@
 }
 
 impl ModelController {
+    /// A new process, which knows nothing yet.
     pub(super) fn new(incarnation: u64) -> ModelController {
         ModelController {
             jobs: JobIndex::new(MAX_ENDED_JOBS),
--- a/packages/core/src/sim/snapshots.rs
+++ b/packages/core/src/sim/snapshots.rs
@@ -26,6 +26,7 @@
 }
 
 impl OutcomeSnapshot {
+    /// A new process, which knows nothing yet.
     pub(super) fn new(incarnation: u64) -> OutcomeSnapshot {
         OutcomeSnapshot {
             cancellations: CancellationLog::new(incarnation, MAX_CANCELLATIONS),
--- a/packages/core/src/sim/workers.rs
+++ b/packages/core/src/sim/workers.rs
@@ -19,9 +19,18 @@
 /// How far a task has come on its machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum TaskProgress {
-    Pulling { until: Ms },
-    WaitingForGang { since: Ms },
-    Running { until: Ms },
+    /// Its image is being pulled.
+    Pulling {
+        until: Ms,
+    },
+    /// It waits for the other tasks of its gang.
+    WaitingForGang {
+        since: Ms,
+    },
+    Running {
+        until: Ms,
+    },
+    /// It has ended, and waits for the acknowledgement.
     Ended(ExitCause),
 }
 
@@ -31,6 +40,7 @@
         matches!(self, TaskProgress::WaitingForGang { .. } | TaskProgress::Running { .. })
     }
 
+    /// Whether the task has ended, for whatever cause.
     pub(super) fn has_ended(self) -> bool {
         matches!(self, TaskProgress::Ended(_))
     }
@@ -79,6 +89,7 @@
 }
 
 impl Worker {
+    /// The machine of an index, whose lease was renewed at a given time.
     pub(super) fn new(i: usize, renewed_at: Ms, next_heartbeat_at: Ms) -> Worker {
         Worker {
             name: format!("i-{i:06}").into(),
--- a/packages/core/src/sim/world.rs
+++ b/packages/core/src/sim/world.rs
@@ -44,7 +44,7 @@
     /// Whether heartbeats reach the leader by way of the other controllers.
     pub(super) forwards_heartbeats: bool,
     /// Whether cancellations are confirmed to users only when all controllers know of
-    /// them; see `feature_gate`.
+    /// them; see `feature_gate::CONFIRMED_CANCELLATIONS`.
     pub(super) peer_notices_required: bool,
     /// A zone without a controller inside: when it is cut off, leases of its workers expire.
     pub(super) zone_without_controller: Option<usize>,
