--- a/packages/core/src/sim/mod.rs
+++ b/packages/core/src/sim/mod.rs
@@ -41,7 +41,7 @@
 use crate::key;
 use crate::model::*;
 use crate::policy::Policy;
-use crate::user_request::{cancellations_txn, submissions_txn};
+use crate::user_request::{cancellations_txn, submissions_txn, Submission};
 use crate::workers::*;
 use controllers::{CommitInFlight, Controller};
 use coralnotch_wire::state::{read_value, KeyValue, Txn, Write};
--- a/packages/core/src/sim/request_history/evaluation.rs
+++ b/packages/core/src/sim/request_history/evaluation.rs
@@ -11,7 +11,7 @@
             NextAction::Reply(reply) => RequestStage::Replied(reply),
             NextAction::LookUp => self.begin_lookup(pending),
             NextAction::Confirm if self.defect == InjectedDefect::SkipConfirmation => {
-                RequestStage::Confirmed(OutcomeRead::Stored(None))
+                RequestStage::Confirmed(Confirmation::Unfinished)
             }
             NextAction::Confirm => RequestStage::Confirming,
             NextAction::Cancel => RequestStage::Cancelling,
--- a/packages/core/src/sim/request_history/mod.rs
+++ b/packages/core/src/sim/request_history/mod.rs
@@ -25,13 +25,15 @@
 use crate::cancellation::{CancellationLog, CancellationNotices};
 use crate::job_index::{EndedJob, InitialScan, JobIndex, JobStatus};
 use crate::lookup::{Lookup, LookupResult};
-use crate::user_request::{NextAction, Reply, RequestKind, StateView, StoreResult, UserRequest, Validation};
+use crate::user_request::{
+    Confirmation, NextAction, Reply, RequestKind, StateView, StoreResult, UserRequest, Validation,
+};
 use controller::{ModelController, StoredJob, Submission, MAX_ENDED_JOBS};
 use coralnotch_wire::history::{older, Answer, Said};
 use coralnotch_wire::state::WatchEvent;
 use coverage::Coverage;
 use defect::InjectedDefect;
-use request::{OutcomeRead, PendingRequest, RequestId, RequestStage};
+use request::{PendingRequest, RequestId, RequestStage};
 use watched_store::{RangePage, WatchedStore, WATCH_HISTORY};
 
 /// Milliseconds of simulated time in a step.
@@ -164,7 +166,10 @@
             if !self.outage && !is_unsatisfiable(&job) {
                 self.submitted_at.entry(job.clone()).or_insert(self.now);
                 // it conflicts if the job was submitted before
-                let _ = self.state_store.apply(&submissions_txn([(&*spec(&job, 1), false)].into_iter()));
+                let _ = self.state_store.apply(&submissions_txn(std::iter::once(crate::user_request::Submission {
+                    spec: &spec(&job, 1),
+                    needs_cancelled_job: false,
+                })));
             }
             self.complete_job(leader);
         }
--- a/packages/core/src/sim/request_history/request.rs
+++ b/packages/core/src/sim/request_history/request.rs
@@ -5,15 +5,6 @@
 /// Identifies a request; later requests have greater numbers.
 pub(super) type RequestId = u64;
 
-/// The answer of the state service on whether a job has an outcome.
-#[derive(Debug, Clone, Copy)]
-pub(super) enum OutcomeRead {
-    /// It refused, or its response was lost.
-    NoResponse,
-    /// The stored outcome, if there is one.
-    Stored(Option<JobOutcome>),
-}
-
 /// Where a request is.
 #[derive(Debug, Clone)]
 pub(super) enum RequestStage {
@@ -30,7 +21,7 @@
     /// On its way back, with the result of a look-up; `None`: no response.
     LookedUp(Option<LookupResult>),
     /// On its way back, with the outcome that was read.
-    Confirmed(OutcomeRead),
+    Confirmed(Confirmation),
     /// On its way back, with the result of a submission.
     Submitted(StoreResult),
     /// On its way back, with the outcome after a cancellation; `None`: no response.
@@ -106,8 +97,7 @@
     fn apply_response(&mut self, pending: &mut PendingRequest, response: RequestStage) {
         match response {
             RequestStage::LookedUp(result) => pending.request.apply_lookup(result),
-            RequestStage::Confirmed(OutcomeRead::NoResponse) => pending.request.apply_confirmation(None),
-            RequestStage::Confirmed(OutcomeRead::Stored(outcome)) => pending.request.apply_confirmation(Some(outcome)),
+            RequestStage::Confirmed(confirmation) => pending.request.apply_confirmation(confirmation),
             RequestStage::Submitted(result) => {
                 if self.rng.bool() {
                     self.read_responses(pending.controller);
@@ -170,10 +160,10 @@
     }
 
     /// Reads from the state service whether a job has an outcome.
-    fn read_outcome(&self, job: &str, response_lost: bool) -> OutcomeRead {
+    fn read_outcome(&self, job: &str, response_lost: bool) -> Confirmation {
         if self.outage || response_lost {
-            return OutcomeRead::NoResponse;
+            return Confirmation::Unavailable;
         }
-        OutcomeRead::Stored(self.state_store.store.outcome(job))
+        self.state_store.store.outcome(job).map_or(Confirmation::Unfinished, Confirmation::Ended)
     }
 }
--- a/packages/core/src/sim/request_history/transactions.rs
+++ b/packages/core/src/sim/request_history/transactions.rs
@@ -35,7 +35,11 @@
             return;
         }
         let batch = std::mem::take(&mut self.controllers[index].submissions);
-        let txn = submissions_txn(batch.iter().map(|s| (&*s.spec, s.needs_cancelled_job)));
+        let txn =
+            submissions_txn(batch.iter().map(|s| crate::user_request::Submission {
+                spec: &s.spec,
+                needs_cancelled_job: s.needs_cancelled_job,
+            }));
         match self.write_submissions(&txn) {
             None => self.apply_unknown_result(&batch),
             Some(Ok(revision)) => self.apply_stored(index, batch, &txn, revision),
--- a/packages/core/src/sim/users.rs
+++ b/packages/core/src/sim/users.rs
@@ -58,7 +58,7 @@
     /// A user submits a job.
     pub(super) fn submit_job(&mut self, size: JobSize) {
         let spec = self.random_job(size);
-        let txn = submissions_txn([(&*spec, false)].into_iter());
+        let txn = submissions_txn(std::iter::once(Submission { spec: &spec, needs_cancelled_job: false }));
         let revision = self.state_store.apply(&txn).expect("a new job");
         if self.rng.u32(0..12) == 0 {
             self.faulty_jobs.insert(spec.id.clone());
--- a/packages/core/src/user_request/satisfiability.rs
+++ b/packages/core/src/user_request/satisfiability.rs
@@ -4,27 +4,34 @@
 
 use crate::model::{JobSpec, MachineType, Shape};
 
-/// Why a job can never run, if it cannot: its team, the machine types, their zones and the
-/// team's limit speak against it.
+/// Rounding in sums of decimal amounts must not turn a fit into a refusal.
+const ROUNDING_SLACK: f64 = 1e-6;
+
+/// Returns why a job can never run, if it cannot: its team, the machine types, their zones or
+/// the team's limit rule it out.
 pub fn unsatisfiable_reason(spec: &JobSpec, teams: &[Team], types: &[MachineType]) -> Option<&'static str> {
-    let Some(team) = teams.iter().find(|t| *t.name == *spec.team) else {
+    let Some(team) = teams.iter().find(|team| *team.name == *spec.team) else {
         return Some("unknown team");
     };
-    let allowed = |t: &&MachineType| spec.types.as_ref().is_none_or(|l| l.contains(&t.name));
-    let mut fit = types.iter().filter(allowed).filter(|t| t.size().fits(&spec.size())).peekable();
-    if fit.peek().is_none() {
+    let is_allowed =
+        |machine_type: &&MachineType| spec.types.as_ref().is_none_or(|names| names.contains(&machine_type.name));
+    let is_large_enough = |machine_type: &&MachineType| machine_type.size().fits(&spec.size());
+    let mut fitting = types.iter().filter(is_allowed).filter(is_large_enough).peekable();
+    if fitting.peek().is_none() {
         return Some("a task fits no allowed machine type");
     }
-    if spec.zone.as_ref().is_some_and(|z| !fit.any(|t| t.zones.contains(z))) {
+    if spec.zone.as_ref().is_some_and(|zone| !fitting.any(|machine_type| machine_type.zones.contains(zone))) {
         return Some("no allowed machine type that a task fits is in its zone");
     }
-    let together = spec.shape != Shape::Array;
-    if together && (spec.zone.is_some() || spec.one_zone) && spec.tasks > spec.zone_cap() {
+    let runs_at_once = spec.shape != Shape::Array;
+    if runs_at_once && (spec.zone.is_some() || spec.one_zone) && spec.tasks > spec.zone_cap() {
         return Some("its tasks are to be spread and to be in one zone");
     }
-    let n = if together { f64::from(spec.tasks) } else { 1.0 };
-    let over = |need: f64, most: f64| most > 0.0 && need * n > most + 1e-6;
-    if over(spec.cpus, team.cpus_max) || over(spec.gpus, team.gpus_max) {
+    // the tasks of an array may run one after another
+    let tasks_at_once = if runs_at_once { f64::from(spec.tasks) } else { 1.0 };
+    // a limit of 0 means that there is none
+    let is_over = |per_task: f64, limit: f64| limit > 0.0 && per_task * tasks_at_once > limit + ROUNDING_SLACK;
+    if is_over(spec.cpus, team.cpus_max) || is_over(spec.gpus, team.gpus_max) {
         return Some("needs more than the team's limit");
     }
     None
--- a/packages/core/src/user_request/tests.rs
+++ b/packages/core/src/user_request/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::key;
+use crate::model::{JobSpec, MachineType, Shape};
 use crate::sim::{machine_type, spec, SETTINGS};
 use coralnotch_policy::config::{Config, Team};
 use coralnotch_wire::state::Write;
@@ -7,35 +8,35 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What one controller knows.
-struct Known {
-    ledger: JobIndex,
-    withdrawals: CancellationLog,
-    telling: CancellationNotices,
+/// The state of one controller.
+struct TestController {
+    jobs: JobIndex,
+    cancellations: CancellationLog,
+    notices: CancellationNotices,
     policy: Policy,
-    t0: Instant,
-    young: bool,
-    all_tell: bool,
+    start: Instant,
+    is_fresh: bool,
+    notices_required: bool,
 }
 
-impl Known {
-    fn new() -> Known {
+impl TestController {
+    fn new() -> TestController {
         let policy = Policy::new(&Config::parse("test", SETTINGS).expect("settings")).expect("the default policy");
-        let t0 = Instant::now();
-        let mut withdrawals = CancellationLog::new(1, 100);
-        withdrawals.begin_watch(1, t0);
-        let (ledger, telling) = (JobIndex::new(8), CancellationNotices::new(2, 100));
-        Known { ledger, withdrawals, telling, policy, t0, young: true, all_tell: true }
+        let start = Instant::now();
+        let mut cancellations = CancellationLog::new(1, 100);
+        cancellations.begin_watch(1, start);
+        let (jobs, notices) = (JobIndex::new(8), CancellationNotices::new(2, 100));
+        TestController { jobs, cancellations, notices, policy, start, is_fresh: true, notices_required: true }
     }
 
-    fn next(&mut self, q: &mut UserRequest, after_s: u64) -> NextAction {
-        let now = self.t0 + Duration::from_secs(after_s);
-        q.next_action(&mut StateView {
-            jobs: &mut self.ledger,
-            cancellations: &self.withdrawals,
-            notices: &mut self.telling,
-            cancellations_complete_as_of: self.young.then_some(now),
-            notices_required: self.all_tell,
+    fn next_action(&mut self, request: &mut UserRequest, after_s: u64) -> NextAction {
+        let now = self.start + Duration::from_secs(after_s);
+        request.next_action(&mut StateView {
+            jobs: &mut self.jobs,
+            cancellations: &self.cancellations,
+            notices: &mut self.notices,
+            cancellations_complete_as_of: self.is_fresh.then_some(now),
+            notices_required: self.notices_required,
             no_task_left: false,
             policy: &self.policy,
             now,
@@ -43,148 +44,154 @@
     }
 }
 
-fn later(s: &NextAction) -> bool {
-    matches!(s, NextAction::Reply(Reply::RetryLater(_)))
+fn is_retry_later(action: &NextAction) -> bool {
+    matches!(action, NextAction::Reply(Reply::RetryLater(_)))
 }
 
-/// Guards against an acceptance whose answer from the store is slow: another controller
-/// may have told more by then, so that it is asked for, like any question.
+/// Guards against an acceptance to which the store responds slowly: another controller may
+/// have reported a later state by then, so that the store is asked again, as for a query.
 #[test]
 fn a_slow_acceptance_is_confirmed() {
-    let fine = Validation::Valid { needs_cancelled_job: false };
+    let valid = Validation::Valid { needs_cancelled_job: false };
     let accepted = |slow: bool, ended: Option<JobOutcome>| {
-        let (mut k, mut q) = (Known::new(), UserRequest::new("j-1".into(), RequestKind::Submit));
-        assert_eq!(k.next(&mut q, 1), NextAction::Validate);
-        q.apply_validation(fine);
-        assert_eq!(k.next(&mut q, 1), NextAction::Store { needs_cancelled_job: false });
-        k.ledger.insert_stored(spec("j-1", 1), 5);
+        let (mut controller, mut request) =
+            (TestController::new(), UserRequest::new("j-1".into(), RequestKind::Submit));
+        assert_eq!(controller.next_action(&mut request, 1), NextAction::Validate);
+        request.apply_validation(valid);
+        assert_eq!(controller.next_action(&mut request, 1), NextAction::Store { needs_cancelled_job: false });
+        controller.jobs.insert_stored(spec("j-1", 1), 5);
         if let Some(outcome) = ended {
-            k.ledger.apply_outcome("j-1", outcome);
+            controller.jobs.apply_outcome("j-1", outcome);
         }
-        q.apply_store_result(StoreResult::New { slow }, &mut k.ledger);
-        k.next(&mut q, 2)
+        request.apply_store_result(StoreResult::New { slow }, &mut controller.jobs);
+        controller.next_action(&mut request, 2)
     };
     assert_eq!(accepted(false, None), NextAction::Reply(Reply::Accepted));
     assert_eq!(accepted(true, None), NextAction::Confirm);
     assert_eq!(
         accepted(false, Some(JobOutcome::Done)),
         NextAction::Reply(Reply::Ended(JobOutcome::Done)),
-        "an end is known by now"
+        "an outcome is known by now"
     );
     assert_eq!(accepted(false, Some(JobOutcome::Cancelled)), NextAction::NotifyPeers);
 }
 
-/// Two requests for one id in one transaction, one of which came before the end of what
-/// the job needs was known here: stored once, as the first has it, and no end is believed
-/// that is not stored.
+/// Two requests for one id in one transaction, one of which came before the outcome of a
+/// dependency was known here: the job is stored once, as in the first, and no outcome is
+/// assumed that is not stored.
 #[test]
 fn an_id_that_comes_twice_is_stored_once() {
     let (one, other) = (spec("j-1", 1), spec("j-2", 1));
-    let sets = |all: &[(&JobSpec, bool)]| {
-        let txn = submissions_txn(all.iter().copied());
+    let submission = |spec, needs_cancelled_job| Submission { spec, needs_cancelled_job };
+    let written_keys = |submissions: &[Submission]| {
+        let txn = submissions_txn(submissions.iter().copied());
         assert_eq!(txn.preconditions.len(), txn.writes.len(), "each key is guarded");
-        let set = |w: &Write| match w {
+        let written_key = |write: &Write| match write {
             Write::Set { set, .. } => set.clone(),
             Write::Delete { delete } => panic!("{delete} is removed"),
         };
-        txn.writes.iter().map(set).collect::<Vec<_>>()
+        txn.writes.iter().map(written_key).collect::<Vec<_>>()
     };
-    let (job, end) = (|id| format!("{}{id}", key::JOB), |id| format!("{}{id}", key::OUTCOME));
-    assert_eq!(sets(&[(&one, false), (&one, true), (&other, false)]), [job("j-1"), job("j-2")]);
-    assert_eq!(sets(&[(&one, true), (&one, false)]), [job("j-1"), end("j-1")]);
+    let (job_key, outcome_key) = (|id| format!("{}{id}", key::JOB), |id| format!("{}{id}", key::OUTCOME));
+    assert_eq!(
+        written_keys(&[submission(&one, false), submission(&one, true), submission(&other, false)]),
+        [job_key("j-1"), job_key("j-2")]
+    );
+    assert_eq!(written_keys(&[submission(&one, true), submission(&one, false)]), [job_key("j-1"), outcome_key("j-1")]);
 }
 
-/// A job that ends by the transaction that stores it is accepted first, whatever is known
-/// of its end by then.
+/// A job that is cancelled by the transaction that stores it is accepted first, whatever is
+/// known of its outcome by then.
 #[test]
-fn a_doomed_job_is_accepted_first() {
-    let (mut k, mut q) = (Known::new(), UserRequest::new("j-1".into(), RequestKind::Submit));
-    assert_eq!(k.next(&mut q, 1), NextAction::Validate);
-    q.apply_validation(Validation::Valid { needs_cancelled_job: true });
-    assert_eq!(k.next(&mut q, 1), NextAction::Store { needs_cancelled_job: true });
-    k.ledger.insert_stored(spec("j-1", 1), 5);
-    k.ledger.apply_outcome("j-1", JobOutcome::Cancelled);
-    q.apply_store_result(StoreResult::New { slow: false }, &mut k.ledger);
-    assert_eq!(k.next(&mut q, 1), NextAction::Reply(Reply::Accepted));
+fn a_job_that_is_stored_as_cancelled_is_accepted_first() {
+    let (mut controller, mut request) = (TestController::new(), UserRequest::new("j-1".into(), RequestKind::Submit));
+    assert_eq!(controller.next_action(&mut request, 1), NextAction::Validate);
+    request.apply_validation(Validation::Valid { needs_cancelled_job: true });
+    assert_eq!(controller.next_action(&mut request, 1), NextAction::Store { needs_cancelled_job: true });
+    controller.jobs.insert_stored(spec("j-1", 1), 5);
+    controller.jobs.apply_outcome("j-1", JobOutcome::Cancelled);
+    request.apply_store_result(StoreResult::New { slow: false }, &mut controller.jobs);
+    assert_eq!(controller.next_action(&mut request, 1), NextAction::Reply(Reply::Accepted));
 }
 
-/// A node that has not seen a job or its end yet asks; it says nothing of its own.
+/// A controller that has not seen a job or its outcome yet asks the store.
 #[test]
-fn what_is_not_known_here_the_store_says() {
-    for wish in [RequestKind::Query, RequestKind::Cancel] {
-        let (mut k, mut q) = (Known::new(), UserRequest::new("j-1".into(), wish));
-        assert_eq!(k.next(&mut q, 1), NextAction::LookUp);
-        let mut silent = q.clone();
-        silent.apply_lookup(None);
-        assert!(later(&k.next(&mut silent, 1)));
-        let mut never = q.clone();
+fn the_store_is_asked_about_unknown_jobs() {
+    for kind in [RequestKind::Query, RequestKind::Cancel] {
+        let (mut controller, mut request) = (TestController::new(), UserRequest::new("j-1".into(), kind));
+        assert_eq!(controller.next_action(&mut request, 1), NextAction::LookUp);
+        let mut unanswered = request.clone();
+        unanswered.apply_lookup(None);
+        assert!(is_retry_later(&controller.next_action(&mut unanswered, 1)));
+        let mut never = request.clone();
         never.apply_lookup(Some(LookupResult::NotFound));
-        assert_eq!(k.next(&mut never, 1), NextAction::Reply(Reply::NotFound));
-        q.apply_lookup(Some(LookupResult::Ended(JobOutcome::Done)));
-        assert_eq!(k.next(&mut q, 1), NextAction::Reply(Reply::Ended(JobOutcome::Done)));
+        assert_eq!(controller.next_action(&mut never, 1), NextAction::Reply(Reply::NotFound));
+        request.apply_lookup(Some(LookupResult::Ended(JobOutcome::Done)));
+        assert_eq!(controller.next_action(&mut request, 1), NextAction::Reply(Reply::Ended(JobOutcome::Done)));
     }
-    // nor does one that knows it as unfinished
-    let (mut k, mut q) = (Known::new(), UserRequest::new("j-1".into(), RequestKind::Query));
-    k.ledger.insert_seen(spec("j-1", 1), 5);
-    assert_eq!(k.next(&mut q, 1), NextAction::Confirm);
-    let mut silent = q.clone();
-    silent.apply_confirmation(None);
-    assert!(later(&k.next(&mut silent, 1)));
-    q.apply_confirmation(Some(None));
-    assert_eq!(k.next(&mut q, 1), NextAction::Reply(Reply::Unfinished));
-    // a cancellation that meets the end of the last task says what the store says
-    let mut q = UserRequest::new("j-1".into(), RequestKind::Cancel);
-    assert_eq!(k.next(&mut q, 1), NextAction::Cancel);
-    q.apply_cancellation(Some(JobOutcome::Done));
-    assert_eq!(k.next(&mut q, 1), NextAction::Reply(Reply::Ended(JobOutcome::Done)));
+    // so does a controller that knows it as unfinished
+    let (mut controller, mut request) = (TestController::new(), UserRequest::new("j-1".into(), RequestKind::Query));
+    controller.jobs.insert_seen(spec("j-1", 1), 5);
+    assert_eq!(controller.next_action(&mut request, 1), NextAction::Confirm);
+    let mut unanswered = request.clone();
+    unanswered.apply_confirmation(Confirmation::Unavailable);
+    assert!(is_retry_later(&controller.next_action(&mut unanswered, 1)));
+    request.apply_confirmation(Confirmation::Unfinished);
+    assert_eq!(controller.next_action(&mut request, 1), NextAction::Reply(Reply::Unfinished));
+    // a cancellation that races with the completion of the last task reports the stored outcome
+    let mut request = UserRequest::new("j-1".into(), RequestKind::Cancel);
+    assert_eq!(controller.next_action(&mut request, 1), NextAction::Cancel);
+    request.apply_cancellation(Some(JobOutcome::Done));
+    assert_eq!(controller.next_action(&mut request, 1), NextAction::Reply(Reply::Ended(JobOutcome::Done)));
 }
 
-/// What can never run is refused for good only if it was never accepted; a repeat of an
-/// accepted job is answered with its state whatever would be said against it now.
+/// A job that can never run is refused for good only if it was never accepted; a repeated
+/// submission of an accepted job is answered with its state, whatever rules it out now.
 #[test]
-fn nothing_is_said_against_an_accepted_job() {
-    let (mut k, mut q) = (Known::new(), UserRequest::new("j-1".into(), RequestKind::Submit));
-    assert_eq!(k.next(&mut q, 1), NextAction::Validate);
-    q.apply_validation(Validation::Unsatisfiable("unknown team"));
-    assert_eq!(k.next(&mut q, 1), NextAction::LookUp);
-    let mut known = q.clone();
-    q.apply_lookup(Some(LookupResult::NotFound));
-    assert_eq!(k.next(&mut q, 1), NextAction::Reply(Reply::Unsatisfiable("unknown team")));
+fn an_accepted_job_is_not_refused_later() {
+    let (mut controller, mut request) = (TestController::new(), UserRequest::new("j-1".into(), RequestKind::Submit));
+    assert_eq!(controller.next_action(&mut request, 1), NextAction::Validate);
+    request.apply_validation(Validation::Unsatisfiable("unknown team"));
+    assert_eq!(controller.next_action(&mut request, 1), NextAction::LookUp);
+    let mut known = request.clone();
+    request.apply_lookup(Some(LookupResult::NotFound));
+    assert_eq!(controller.next_action(&mut request, 1), NextAction::Reply(Reply::Unsatisfiable("unknown team")));
     known.apply_lookup(Some(LookupResult::Confirmed));
-    assert_eq!(k.next(&mut known, 1), NextAction::Reply(Reply::Unfinished));
+    assert_eq!(controller.next_action(&mut known, 1), NextAction::Reply(Reply::Unfinished));
 }
 
-/// A job with many needs from before this controller's life is not called queued before
-/// all of them were read: a part of them is not enough.
+/// A job with many dependencies from before this controller's incarnation is not reported as
+/// unfinished before the outcomes of all of them were read: some of them are not enough.
 #[test]
-fn all_that_a_job_needs_is_read_first() {
-    let mut k = Known::new();
+fn all_dependencies_are_read_first() {
+    let mut controller = TestController::new();
     let needs: Vec<Name> = (100..300).map(|n| format!("j-{n}").into()).collect();
-    k.ledger.insert_seen(Arc::new(JobSpec { needs, ..(*spec("j-1", 1)).clone() }), 5);
-    let mut q = UserRequest::new("j-1".into(), RequestKind::Query);
-    assert_eq!(k.next(&mut q, 1), NextAction::Confirm);
-    q.apply_confirmation(Some(None));
+    controller.jobs.insert_seen(Arc::new(JobSpec { needs, ..(*spec("j-1", 1)).clone() }), 5);
+    let mut request = UserRequest::new("j-1".into(), RequestKind::Query);
+    assert_eq!(controller.next_action(&mut request, 1), NextAction::Confirm);
+    request.apply_confirmation(Confirmation::Unfinished);
     let mut reads = 0;
-    let answer = loop {
-        match k.next(&mut q, 1) {
+    let reply = loop {
+        match controller.next_action(&mut request, 1) {
             NextAction::ReadOutcomes(ids) => {
                 reads += 1;
-                ids.iter().take(64).for_each(|id| assert!(!k.ledger.apply_outcome(id, JobOutcome::Done)));
-                q.apply_outcomes_read(true);
+                ids.iter().take(64).for_each(|id| assert!(!controller.jobs.apply_outcome(id, JobOutcome::Done)));
+                request.apply_outcomes_read(true);
             }
-            step => break step,
+            action => break action,
         }
     };
-    assert_eq!((reads, answer), (4, NextAction::Reply(Reply::Unfinished)));
-    k.ledger.apply_outcome("j-150", JobOutcome::Cancelled);
-    assert!(later(&k.next(&mut q, 1)));
-    let mut q = UserRequest::new("j-1".into(), RequestKind::Query);
-    k.next(&mut q, 1);
-    q.apply_confirmation(Some(None));
-    k.young = false;
-    assert!(later(&k.next(&mut q, 1)), "nor on an old picture");
+    assert_eq!((reads, reply), (4, NextAction::Reply(Reply::Unfinished)));
+    controller.jobs.apply_outcome("j-150", JobOutcome::Cancelled);
+    assert!(is_retry_later(&controller.next_action(&mut request, 1)));
+    let mut request = UserRequest::new("j-1".into(), RequestKind::Query);
+    controller.next_action(&mut request, 1);
+    request.apply_confirmation(Confirmation::Unfinished);
+    controller.is_fresh = false;
+    assert!(is_retry_later(&controller.next_action(&mut request, 1)), "nor with an outdated view");
 }
 
+/// The default teams and one with limits.
 fn teams() -> Vec<Team> {
     let text = format!(
         "{SETTINGS}\n[[deployment.teams]]\nname = \"x\"\ncpus = 0.0\ncpus_max = 12.0\ngpus = 0.0\ngpus_max = 4.0\n"
@@ -194,7 +201,7 @@
 
 /// A submission that can never run is refused, each for its own reason; one that can is not.
 #[test]
-fn what_can_never_run_is_told_apart() {
+fn each_unsatisfiable_job_has_its_reason() {
     let types = [
         MachineType { zones: vec!["a".into(), "b".into()], ..machine_type("s") },
         MachineType { zones: vec!["c".into()], cpus: 16.0, gpus: 2.0, ..machine_type("g") },
@@ -241,10 +248,10 @@
 }
 
 proptest! {
-    /// A submission that lacks a field, or has one of a wrong kind, is malformed: never
-    /// accepted, whichever field it is.
+    /// A submission without one of the fields, or with one of a wrong kind, is malformed and
+    /// never accepted, whichever field it is.
     #[test]
-    fn no_field_may_lack(at in 0usize..40, kind in 0usize..3) {
+    fn no_field_may_be_missing_or_of_a_wrong_kind(at in 0usize..40, kind in 0usize..3) {
         let optional = ["hulls", "bay", "dueS", "awaits"];
         let full = rmpv::decode::read_value(&mut &coralnotch_wire::http::encode(&*spec("j-1", 1))[..]).expect("a map");
         let rmpv::Value::Map(mut fields) = full else { panic!("a map") };
--- a/packages/core/src/user_request/transactions.rs
+++ b/packages/core/src/user_request/transactions.rs
@@ -5,13 +5,22 @@
 use crate::key;
 use crate::model::{JobOutcome, JobSpec, Name};
 
-/// Submissions as one transaction, each guarded on being new; `needs_cancelled_job` ones with their own
-/// ends.  An id that comes twice is stored once, as it came first.
-pub fn submissions_txn<'a>(all: impl Iterator<Item = (&'a JobSpec, bool)>) -> Txn {
+/// A submission that is to be stored.
+#[derive(Debug, Clone, Copy)]
+pub struct Submission<'a> {
+    /// The job.
+    pub spec: &'a JobSpec,
+    /// The job depends on a cancelled one: its own cancellation is stored with it.
+    pub needs_cancelled_job: bool,
+}
+
+/// Returns one transaction that stores these submissions, with the precondition for each that
+/// its id is new.  Of several submissions with the same id only the first is stored.
+pub fn submissions_txn<'a>(submissions: impl Iterator<Item = Submission<'a>>) -> Txn {
     let mut txn = Txn::default();
-    for (spec, needs_cancelled_job) in all {
+    for Submission { spec, needs_cancelled_job } in submissions {
         let path = format!("{}{}", key::JOB, spec.id);
-        if txn.preconditions.iter().any(|g| g.key == path) {
+        if txn.preconditions.iter().any(|precondition| precondition.key == path) {
             continue;
         }
         txn.require(path.clone(), 0);
@@ -23,9 +32,12 @@
     txn
 }
 
-/// The cancellation of jobs, each guarded on having no end.
+/// Returns one transaction that cancels these jobs, with the precondition for each that it has
+/// no outcome yet.
 pub fn cancellations_txn(ids: &[Name]) -> Txn {
     let mut txn = Txn::default();
-    ids.iter().for_each(|id| key::put_outcome(&mut txn, id, JobOutcome::Cancelled));
+    for id in ids {
+        key::put_outcome(&mut txn, id, JobOutcome::Cancelled);
+    }
     txn
 }
--- a/src/users/confirmation.rs
+++ b/src/users/confirmation.rs
@@ -3,12 +3,14 @@
 
 use std::time::Duration;
 
+use coralnotch_core::user_request::Confirmation;
+
 use crate::controller::Controller;
 use crate::model::*;
 use crate::runtime::wake_up::timed;
 use crate::state_store::client::{key, StoreError, Txn, TxnOutcome};
 use crate::users::lookup::outcome_key;
-use crate::users::queues::{Confirmation, ConfirmationRequest};
+use crate::users::queues::ConfirmationRequest;
 use crate::users::request::QUERY_TIMEOUT;
 
 /// Retries of a batch that the state service's rate limit refuses, and the pause before each.
--- a/src/users/queues.rs
+++ b/src/users/queues.rs
@@ -6,7 +6,7 @@
 
 use coralnotch_core::heartbeat_forwarding::HeartbeatForwarding;
 use coralnotch_core::lookup::LookupResult;
-use coralnotch_core::user_request::StoreResult;
+use coralnotch_core::user_request::{Confirmation, StoreResult};
 
 use crate::http::Response;
 use crate::model::*;
@@ -45,17 +45,6 @@
     pub(crate) reply: ReplySender<StoreResult>,
 }
 
-/// What the state service says of a job that is unfinished as far as is known here.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum Confirmation {
-    /// No outcome is stored.
-    Unfinished,
-    /// This outcome is stored.
-    Ended(JobOutcome),
-    /// It cannot be said now.
-    Unavailable,
-}
-
 /// A job that is to be confirmed as unfinished.
 pub(crate) struct ConfirmationRequest {
     pub(crate) id: Name,
--- a/src/users/request.rs
+++ b/src/users/request.rs
@@ -10,7 +10,6 @@
 use crate::http::Response;
 use crate::model::*;
 use crate::runtime::wake_up::timed;
-use crate::users::queues::Confirmation;
 
 /// A user waits 5 s for a submission or a cancellation; a later reply is lost.
 pub(super) const SUBMIT_TIMEOUT: Duration = Duration::from_millis(4000);
@@ -32,14 +31,7 @@
             match (self.next_action(id, &mut request, now), &spec) {
                 (NextAction::Reply(reply), _) => return reply,
                 (NextAction::LookUp, _) => request.apply_lookup(self.look_up_job(id).await),
-                (NextAction::Confirm, _) => {
-                    let stored_outcome = match self.confirm_unfinished(id).await {
-                        Confirmation::Unavailable => None,
-                        Confirmation::Unfinished => Some(None),
-                        Confirmation::Ended(outcome) => Some(Some(outcome)),
-                    };
-                    request.apply_confirmation(stored_outcome);
-                }
+                (NextAction::Confirm, _) => request.apply_confirmation(self.confirm_unfinished(id).await),
                 (NextAction::Cancel, _) => request.apply_cancellation(self.store_cancellation(id).await.ok()),
                 (NextAction::ReadOutcomes(ids), _) => {
                     let all_read = started_at.elapsed() < QUERY_TIMEOUT && self.read_outcomes(ids).await;
--- a/src/users/submit.rs
+++ b/src/users/submit.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use coralnotch_core::user_request::{submissions_txn, RequestKind, StoreResult};
+use coralnotch_core::user_request::{submissions_txn, RequestKind, StoreResult, Submission};
 
 use crate::controller::Controller;
 use crate::http::{self, Response};
@@ -74,7 +74,9 @@
     async fn store_submissions(&self, mut batch: Vec<SubmissionRequest>) {
         let mut retries = 0;
         while !batch.is_empty() {
-            let txn = submissions_txn(batch.iter().map(|s| (&*s.spec, s.needs_cancelled_job)));
+            let txn = submissions_txn(
+                batch.iter().map(|s| Submission { spec: &s.spec, needs_cancelled_job: s.needs_cancelled_job }),
+            );
             let sent_at = Instant::now();
             match self.store.txn(&txn).await {
                 Ok(TxnOutcome::Done(revision)) => {
