--- a/packages/core/src/job_index.rs
+++ b/packages/core/src/job_index.rs
@@ -1,13 +1,12 @@
-//! The jobs that a controller knows: every unfinished one, and of the ended
-//! ones the last few.  Plain state: it reads nothing and asks nobody, and it
-//! must not know how the store is reached.
+//! The jobs that a controller knows: all unfinished ones, and the last few that have ended.
+//! Plain state: it does no I/O and must not know how the store is reached.
 //!
-//! What is not in here may still be stored: an ended job leaves, so that its
-//! controller's memory does not grow with what ever was.  Only the store can
-//! say of an unknown id that it was never accepted.
+//! A job that is not in the index may still be stored.  Ended jobs are evicted, so that a
+//! controller's memory does not grow with the history.  Only the store can tell whether an
+//! unknown id was never accepted.
 //!
-//! A job enters as unfinished only where its end, if it has one, is still to
-//! come by the watch.  Nothing else would ever take it out again.
+//! A job enters the index as unfinished only if its outcome, should it have one, is still to
+//! be shown by the watch.  Nothing else would ever remove the job again.
 
 mod initial_scan;
 
@@ -20,14 +19,14 @@
 use lru::LruCache;
 
 use crate::dependency::DependencyEdges;
-use crate::model::*;
+use crate::model::{JobOutcome, JobSpec, Name};
 
 /// An unfinished job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OpenJob {
     /// The submission.
     pub spec: Arc<JobSpec>,
-    /// Stamp of its record: the order of arrival.
+    /// Revision of its record, which gives the order of arrival.
     pub revision: u64,
 }
 
@@ -36,32 +35,32 @@
 pub struct EndedJob {
     /// The submission.
     pub spec: Arc<JobSpec>,
-    /// Stamp of its record.
+    /// Revision of its record.
     pub revision: u64,
-    /// Its end, which never changes.
+    /// Its outcome, which never changes.
     pub outcome: JobOutcome,
 }
 
-/// What is known of an id without asking the store.
+/// What is known of a job without asking the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum JobStatus {
     /// Unfinished, as far as is known here.
     Open(OpenJob),
-    /// Over for good.
+    /// Ended for good.
     Ended(EndedJob),
-    /// Not known here: never accepted, too new, or over for long.
+    /// Not known here: never accepted, too new, or ended long ago.
     Unknown,
 }
 
-/// Whether an unfinished job is to end with one that it needs, directly or through
-/// others, as far as is known here.
+/// Whether an unfinished job depends, directly or through others, on a cancelled job, as far
+/// as is known here.  Such a job will be cancelled as well.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CancelledDependency {
-    /// One that it needs is cancelled.
+    /// It does.
     Yes,
-    /// None is.
+    /// It does not.
     No,
-    /// Of these nothing is known here; the store has to say.
+    /// Nothing is known here of these dependencies; the store has to be asked.
     Unknown(Vec<Name>),
 }
 
@@ -69,30 +68,30 @@
 #[derive(Debug)]
 pub struct JobIndex {
     open: HashMap<Name, OpenJob>,
-    /// Which unfinished jobs name others as needed.
+    /// Which unfinished jobs depend on which others.
     edges: DependencyEdges,
-    /// The ends of jobs that unfinished ones need.
-    judged: HashMap<Name, JobOutcome>,
+    /// The outcomes of jobs that unfinished ones depend on.
+    dependency_outcomes: HashMap<Name, JobOutcome>,
     ended: LruCache<Name, EndedJob>,
-    /// Records up to this revision come by the sweep or the watch, with their
-    /// ends, and in no other way.
+    /// Records up to this revision come from the initial scan or the watch, with their
+    /// outcomes, and in no other way.
     floor: u64,
 }
 
 impl JobIndex {
-    /// An empty ledger that keeps the last `most` ended jobs.
-    pub fn new(most: usize) -> JobIndex {
-        let most = NonZeroUsize::new(most).unwrap_or(NonZeroUsize::MIN);
+    /// Creates an empty index that keeps the last `ended_capacity` ended jobs.
+    pub fn new(ended_capacity: usize) -> JobIndex {
+        let ended_capacity = NonZeroUsize::new(ended_capacity).unwrap_or(NonZeroUsize::MIN);
         JobIndex {
             open: HashMap::new(),
             edges: DependencyEdges::default(),
-            judged: HashMap::new(),
-            ended: LruCache::new(most),
+            dependency_outcomes: HashMap::new(),
+            ended: LruCache::new(ended_capacity),
             floor: 0,
         }
     }
 
-    /// How many unfinished jobs there are.
+    /// Returns the number of unfinished jobs.
     pub fn len(&self) -> usize {
         self.open.len()
     }
@@ -102,49 +101,53 @@
         self.open.is_empty()
     }
 
-    /// The unfinished jobs, in no order.
+    /// Iterates over the unfinished jobs, in no order.
     pub fn open(&self) -> impl Iterator<Item = &OpenJob> {
         self.open.values()
     }
 
-    /// How many ended jobs are kept.
+    /// Returns the number of ended jobs that are kept.
     pub fn ended(&self) -> usize {
         self.ended.len()
     }
 
-    /// What is known of an id.
+    /// Returns what is known of a job.
     pub fn status_of(&mut self, id: &str) -> JobStatus {
-        if let Some(o) = self.open.get(id) {
-            return JobStatus::Open(o.clone());
+        if let Some(job) = self.open.get(id) {
+            return JobStatus::Open(job.clone());
         }
-        self.ended.get(id).map_or(JobStatus::Unknown, |e| JobStatus::Ended(e.clone()))
+        self.ended.get(id).map_or(JobStatus::Unknown, |job| JobStatus::Ended(job.clone()))
     }
 
-    /// The end of a job, if it is known here.
+    /// Returns the outcome of a job, if it is among the ended jobs that are kept.
     pub fn outcome(&self, id: &str) -> Option<JobOutcome> {
-        self.ended.peek(id).map(|e| e.outcome)
+        self.ended.peek(id).map(|job| job.outcome)
     }
 
-    /// Unfinished jobs that need a job, directly or through others; the nearest
-    /// first, no more than so many.
-    pub fn dependents(&self, id: &str, most: usize) -> Vec<Name> {
-        self.edges.dependents(id, most)
+    /// Returns the unfinished jobs that depend on a job, directly or through others: the
+    /// nearest first, at most `limit`.
+    pub fn dependents(&self, id: &str, limit: usize) -> Vec<Name> {
+        self.edges.dependents(id, limit)
     }
 
-    /// Whether a job is to end with one that it needs.  Its own end may come much
-    /// later: the state service may be down for longer than a withdrawal has.
+    /// Whether a job depends on a cancelled one.  Its own cancellation may be stored much
+    /// later, because the state service may be down for longer than a cancellation may take.
     pub fn cancelled_dependency(&self, id: &str) -> CancelledDependency {
-        let (mut seen, mut unknown) = (HashSet::new(), Vec::new());
-        let mut next: Vec<&Name> = self.open.get(id).map(|o| o.spec.needs.iter().collect()).unwrap_or_default();
-        while let Some(n) = next.pop() {
-            if !seen.insert(n) {
+        let mut visited = HashSet::new();
+        let mut unknown = Vec::new();
+        let mut to_visit: Vec<&Name> = self.open.get(id).map(|job| job.spec.needs.iter().collect()).unwrap_or_default();
+        while let Some(dependency) = to_visit.pop() {
+            if !visited.insert(dependency) {
                 continue;
             }
-            match (self.open.get(n), self.judged.get(n).copied().or_else(|| self.outcome(n))) {
-                (Some(o), _) => next.extend(&o.spec.needs),
-                (None, Some(JobOutcome::Cancelled)) => return CancelledDependency::Yes,
-                (None, Some(JobOutcome::Done)) => {}
-                (None, None) => unknown.push(n.clone()),
+            if let Some(job) = self.open.get(dependency) {
+                to_visit.extend(&job.spec.needs);
+                continue;
+            }
+            match self.dependency_outcomes.get(dependency).copied().or_else(|| self.outcome(dependency)) {
+                Some(JobOutcome::Cancelled) => return CancelledDependency::Yes,
+                Some(JobOutcome::Done) => {}
+                None => unknown.push(dependency.clone()),
             }
         }
         if unknown.is_empty() {
@@ -154,62 +157,69 @@
         }
     }
 
-    /// How many tasks a job has, if it is known here.
+    /// Returns the number of tasks of a job, if the job is known here.
     pub fn task_count(&self, id: &str) -> Option<u32> {
-        self.open.get(id).map(|o| &o.spec).or_else(|| self.ended.peek(id).map(|e| &e.spec)).map(|s| s.tasks)
+        let open = self.open.get(id).map(|job| job.spec.tasks);
+        open.or_else(|| self.ended.peek(id).map(|job| job.spec.tasks))
     }
 
-    /// A sweep or a watch begins at this revision.
-    pub fn raise_floor(&mut self, epoch: u64) {
-        self.floor = self.floor.max(epoch);
+    /// Notes that an initial scan or a watch covers everything up to this revision.
+    pub fn raise_floor(&mut self, revision: u64) {
+        self.floor = self.floor.max(revision);
     }
 
-    /// A record that the sweep or the watch shows; true if it is new here.
-    /// Should it be over already, its end follows by the watch.
-    pub fn insert_seen(&mut self, spec: Arc<JobSpec>, stamp: u64) -> bool {
+    /// Inserts a record that the initial scan or the watch shows; returns whether it is new
+    /// here.  If the job has ended already, the watch shows its outcome later.
+    pub fn insert_seen(&mut self, spec: Arc<JobSpec>, revision: u64) -> bool {
         if self.open.contains_key(&spec.id) || self.ended.contains(&spec.id) {
             return false;
         }
         self.edges.add(&spec.id, &spec.needs);
-        self.open.insert(spec.id.clone(), OpenJob { spec, revision: stamp });
+        self.open.insert(spec.id.clone(), OpenJob { spec, revision });
         true
     }
 
-    /// A record that a transaction of our own has made at `stamp`; true if it
-    /// is new here.  An answer may be read late, after the watch has shown the
-    /// record and its end: then it tells nothing new, and must not bring the
-    /// job back.
-    pub fn insert_stored(&mut self, spec: Arc<JobSpec>, stamp: u64) -> bool {
-        stamp > self.floor && self.insert_seen(spec, stamp)
+    /// Inserts a record that this controller has stored at `revision`; returns whether it is
+    /// new here.
+    ///
+    /// The store's response may be handled late, after the watch has shown the record and its
+    /// outcome.  It is no news then and must not bring the job back.
+    pub fn insert_stored(&mut self, spec: Arc<JobSpec>, revision: u64) -> bool {
+        revision > self.floor && self.insert_seen(spec, revision)
     }
 
-    /// A job's end, as the store has it; true if the job was unfinished here.
+    /// Applies a stored outcome; returns whether the job was unfinished here.
     pub fn apply_outcome(&mut self, id: &str, outcome: JobOutcome) -> bool {
-        // kept for as long as it is needed, whatever else leaves the memory
-        if self.edges.direct_dependents(id).next().is_some() {
-            self.judged.insert(id.into(), outcome);
+        // kept for as long as a job depends on it, even when the ended job is evicted
+        if self.has_dependents(id) {
+            self.dependency_outcomes.insert(id.into(), outcome);
         }
-        let Some(o) = self.open.remove(id) else { return false };
-        self.needs_no_more(id, &o.spec.needs);
-        self.insert_ended(EndedJob { spec: o.spec, revision: o.revision, outcome });
+        let Some(OpenJob { spec, revision }) = self.open.remove(id) else { return false };
+        self.remove_dependencies(id, &spec.needs);
+        self.insert_ended(EndedJob { spec, revision, outcome });
         true
     }
 
-    fn needs_no_more(&mut self, id: &str, needs: &[Name]) {
-        self.edges.remove(id, needs);
-        for n in needs {
-            if self.edges.direct_dependents(n).next().is_none() {
-                self.judged.remove(n);
+    fn has_dependents(&self, id: &str) -> bool {
+        self.edges.direct_dependents(id).next().is_some()
+    }
+
+    /// Removes the dependencies of a job that has ended.
+    fn remove_dependencies(&mut self, id: &str, dependencies: &[Name]) {
+        self.edges.remove(id, dependencies);
+        for dependency in dependencies {
+            if !self.has_dependents(dependency) {
+                self.dependency_outcomes.remove(dependency);
             }
         }
     }
 
-    /// An ended job that was read from the store.
-    pub fn insert_ended(&mut self, e: EndedJob) {
-        if self.open.remove(&e.spec.id).is_some() {
-            self.needs_no_more(&e.spec.id, &e.spec.needs);
+    /// Inserts an ended job that was read from the store.
+    pub fn insert_ended(&mut self, job: EndedJob) {
+        if self.open.remove(&job.spec.id).is_some() {
+            self.remove_dependencies(&job.spec.id, &job.spec.needs);
         }
-        self.ended.put(e.spec.id.clone(), e);
+        self.ended.put(job.spec.id.clone(), job);
     }
 }
 
--- a/packages/core/src/job_index/initial_scan.rs
+++ b/packages/core/src/job_index/initial_scan.rs
@@ -1,5 +1,6 @@
-//! The scan of all stored records and outcomes with which a controller begins.
+//! The initial scan: reads all stored records with their outcomes into a [`JobIndex`].
 
+use std::cmp::Ordering;
 use std::collections::{HashSet, VecDeque};
 use std::sync::Arc;
 
@@ -9,156 +10,181 @@
 use crate::key;
 use crate::model::{JobOutcome, JobSpec, Name, OutcomeRecord};
 
-/// Which page a sweep needs next.
+/// The page that a scan needs next.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PageRequest {
-    /// Keys under this.
+    /// Prefix of the keys.
     pub under: &'static str,
-    /// After this key; empty for the first page.
+    /// The page begins after this key; empty for the first page.
     pub since: String,
 }
 
-/// One listing of keys in their order, a page at a time.
+/// A listing of the keys with one prefix in their order, read page by page.
 #[derive(Debug)]
-struct Listing {
-    under: &'static str,
+struct KeyListing {
+    prefix: &'static str,
+    /// What was read and is not consumed yet.
     rows: VecDeque<KeyValue>,
-    since: String,
-    over: bool,
+    /// The last key that was read.
+    last_key: String,
+    is_read_to_end: bool,
 }
 
-impl Listing {
-    fn new(under: &'static str) -> Listing {
-        Listing { under, rows: VecDeque::new(), since: String::new(), over: false }
+impl KeyListing {
+    fn new(prefix: &'static str) -> KeyListing {
+        KeyListing { prefix, rows: VecDeque::new(), last_key: String::new(), is_read_to_end: false }
     }
 
-    fn need(&self) -> Option<PageRequest> {
-        (self.rows.is_empty() && !self.over).then(|| PageRequest { under: self.under, since: self.since.clone() })
+    /// Returns the next page to read, once all rows at hand are consumed.
+    fn next_page(&self) -> Option<PageRequest> {
+        let is_page_needed = self.rows.is_empty() && !self.is_read_to_end;
+        is_page_needed.then(|| PageRequest { under: self.prefix, since: self.last_key.clone() })
     }
 
-    fn front(&self) -> Option<&str> {
-        self.rows.front().and_then(|i| i.key.strip_prefix(self.under))
+    fn add_page(&mut self, rows: Vec<KeyValue>, truncated: bool) {
+        match rows.last() {
+            Some(last) => self.last_key.clone_from(&last.key),
+            None => self.is_read_to_end = true,
+        }
+        self.is_read_to_end |= !truncated;
+        self.rows.extend(rows);
     }
+
+    /// Returns the id in the key of the first row at hand.
+    fn first_id(&self) -> Option<&str> {
+        self.rows.front().and_then(|row| row.key.strip_prefix(self.prefix))
+    }
+}
+
+/// A stored record with the outcome that was read for it, if any.
+#[derive(Debug)]
+struct ScannedJob {
+    record: KeyValue,
+    outcome: Option<KeyValue>,
 }
 
-/// Reads all records with their ends, both in the order of ids, and holds no
-/// more than a page of each: the history may be of any length.
+/// Reads all records with their outcomes, both in the order of ids, and holds no more than a
+/// page of each: the history may be of any length.
 ///
-/// The pages are of different moments.  Whatever changes after the first one
-/// is shown by a watch from its revision; so a record read here without its
-/// end is corrected by the watch, and an end read without its record belongs
-/// to a record that the watch shows before that end.
+/// The pages are read at different times.  Whatever changes after the first one is shown by a
+/// watch that begins at its revision.  So a record that is read here without its outcome is
+/// corrected by the watch, and an outcome that is read without its record belongs to a record
+/// that the watch shows before that outcome.
 #[derive(Debug)]
 pub struct InitialScan {
-    jobs: Listing,
-    outcomes: Listing,
-    /// EndedJob jobs that are worth keeping all the same.
+    jobs: KeyListing,
+    outcomes: KeyListing,
+    /// Ended jobs that are kept although they have ended.
     wanted: HashSet<Name>,
-    /// Jobs that the watch has shown to end since the sweep began: a page at
-    /// hand may be older than that.
+    /// Jobs whose outcome the watch has shown since the scan began: a page at hand may be
+    /// older than that.
     ended: HashSet<Name>,
 }
 
 impl InitialScan {
-    /// A sweep that has read nothing.  `wanted`: ended jobs that may still
-    /// have tasks somewhere.
+    /// Creates a scan that has read nothing.  `wanted` are ended jobs that may still have
+    /// tasks on some machine.
     pub fn new(wanted: HashSet<Name>) -> InitialScan {
         InitialScan {
-            jobs: Listing::new(key::JOB),
-            outcomes: Listing::new(key::OUTCOME),
+            jobs: KeyListing::new(key::JOB),
+            outcomes: KeyListing::new(key::OUTCOME),
             wanted,
             ended: HashSet::new(),
         }
     }
 
-    /// Jobs that the watch has shown to end.  Its changes may be taken in while
-    /// the sweep goes on.
+    /// Notes jobs whose outcome the watch has shown.  Its changes may be applied while the
+    /// scan is in progress.
     pub fn mark_ended(&mut self, ids: impl Iterator<Item = Name>) {
         self.ended.extend(ids);
     }
 
-    /// The page to read next; `None` when all is read.
+    /// Returns the page to read next; `None` when all is read.
     pub fn next_page(&self) -> Option<PageRequest> {
-        if self.jobs.over && self.jobs.rows.is_empty() {
+        if self.jobs.is_read_to_end && self.jobs.rows.is_empty() {
             return None;
         }
-        self.jobs.need().or_else(|| self.outcomes.need())
+        self.jobs.next_page().or_else(|| self.outcomes.next_page())
     }
 
-    /// A page that was needed.
+    /// Adds a page that was requested.  `under` is its prefix, and `truncated` says that
+    /// there are more keys after it.
     pub fn add_page(&mut self, under: &str, rows: Vec<KeyValue>, truncated: bool) {
-        let l = if under == key::JOB { &mut self.jobs } else { &mut self.outcomes };
-        match rows.last() {
-            Some(last) => l.since.clone_from(&last.key),
-            None => l.over = true,
-        }
-        l.over |= !truncated;
-        l.rows.extend(rows);
+        let listing = if under == key::JOB { &mut self.jobs } else { &mut self.outcomes };
+        listing.add_page(rows, truncated);
     }
 
-    /// The next record with its end, as far as the pages at hand tell.
-    fn next(&mut self) -> Option<(KeyValue, Option<KeyValue>)> {
+    /// Takes the next record with its outcome from the pages at hand; `None` if another page
+    /// is needed to tell, or if all is consumed.
+    fn take_next_job(&mut self) -> Option<ScannedJob> {
         loop {
-            let id = self.jobs.front()?;
-            let Some(end) = self.outcomes.front() else {
-                // without the next page of ends nothing can be said of it
-                return self.outcomes.over.then(|| self.jobs.rows.pop_front().map(|j| (j, None))).flatten();
+            let job_id = self.jobs.first_id()?;
+            let order = match self.outcomes.first_id() {
+                Some(outcome_id) => outcome_id.cmp(job_id),
+                None if self.outcomes.is_read_to_end => Ordering::Greater,
+                // the next page of outcomes may hold that of this job
+                None => return None,
             };
-            match end.cmp(id) {
-                std::cmp::Ordering::Less => {
-                    self.outcomes.rows.pop_front();
+            match order {
+                // its record was stored after the page of records was read
+                Ordering::Less => drop(self.outcomes.rows.pop_front()),
+                Ordering::Equal => {
+                    let record = self.jobs.rows.pop_front()?;
+                    return Some(ScannedJob { record, outcome: self.outcomes.rows.pop_front() });
                 }
-                std::cmp::Ordering::Equal => {
-                    return Some((self.jobs.rows.pop_front()?, self.outcomes.rows.pop_front()))
+                Ordering::Greater => {
+                    return self.jobs.rows.pop_front().map(|record| ScannedJob { record, outcome: None });
                 }
-                std::cmp::Ordering::Greater => return self.jobs.rows.pop_front().map(|j| (j, None)),
             }
         }
     }
 
-    /// Enters into a ledger what the pages at hand tell.  Calls back with the
-    /// jobs that are new as unfinished, and with those that ended unseen.
-    pub fn apply_pages(&mut self, ledger: &mut JobIndex, mut news: impl FnMut(ScanEvent)) {
-        while let Some((job, end)) = self.next() {
-            let id = job.key.strip_prefix(key::JOB).unwrap_or_default();
-            let outcome = match &end {
-                None => None,
-                Some(e) => match read_value::<OutcomeRecord>(&e.key, e.value.clone()).map(|r| r.outcome) {
-                    // an end that cannot be read is an end all the same: not
-                    // taking the job for unfinished is right, whatever it was
-                    None => continue,
-                    outcome => outcome,
+    /// Applies the pages at hand to the index.  Calls `on_event` for each job that is new as
+    /// unfinished, and for each unfinished one that has ended without being noticed.
+    pub fn apply_pages(&mut self, index: &mut JobIndex, mut on_event: impl FnMut(ScanEvent)) {
+        while let Some(ScannedJob { record, outcome }) = self.take_next_job() {
+            let event = match outcome {
+                None => self.apply_open(index, record),
+                Some(row) => match read_value::<OutcomeRecord>(&row.key, row.value) {
+                    Some(stored) => self.apply_ended(index, record, stored.outcome),
+                    // An outcome that cannot be read is an outcome all the same: whatever it
+                    // is, the job is not unfinished.
+                    None => None,
                 },
             };
-            match outcome {
-                Some(f) => {
-                    if ledger.apply_outcome(id, f) {
-                        news(ScanEvent::Ended(id.into(), f));
-                    } else if self.wanted.contains(id) && ledger.outcome(id).is_none() {
-                        let stamp = job.revision;
-                        if let Some(spec) = read_value::<JobSpec>(&job.key, job.value) {
-                            ledger.insert_ended(EndedJob { spec: Arc::new(spec), revision: stamp, outcome: f });
-                        }
-                    }
-                }
-                None if ledger.open.contains_key(id) || self.ended.contains(id) => {}
-                None => {
-                    if let Some(spec) = read_value::<JobSpec>(&job.key, job.value) {
-                        let spec = Arc::new(spec);
-                        if ledger.insert_seen(spec.clone(), job.revision) {
-                            news(ScanEvent::Open(OpenJob { spec, revision: job.revision }));
-                        }
-                    }
-                }
+            if let Some(event) = event {
+                on_event(event);
             }
         }
     }
+
+    fn apply_open(&self, index: &mut JobIndex, record: KeyValue) -> Option<ScanEvent> {
+        let id = record.key.strip_prefix(key::JOB).unwrap_or_default();
+        if index.open.contains_key(id) || self.ended.contains(id) {
+            return None;
+        }
+        let spec = Arc::new(read_value::<JobSpec>(&record.key, record.value)?);
+        let is_new = index.insert_seen(spec.clone(), record.revision);
+        is_new.then_some(ScanEvent::Open(OpenJob { spec, revision: record.revision }))
+    }
+
+    fn apply_ended(&self, index: &mut JobIndex, record: KeyValue, outcome: JobOutcome) -> Option<ScanEvent> {
+        let id = record.key.strip_prefix(key::JOB).unwrap_or_default();
+        if index.apply_outcome(id, outcome) {
+            return Some(ScanEvent::Ended(id.into(), outcome));
+        }
+        if self.wanted.contains(id) && index.outcome(id).is_none() {
+            let spec = Arc::new(read_value::<JobSpec>(&record.key, record.value)?);
+            index.insert_ended(EndedJob { spec, revision: record.revision, outcome });
+        }
+        None
+    }
 }
 
-/// What a sweep brings that was not known.
+/// A change of the index by a scan.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ScanEvent {
-    /// An unfinished job.
+    /// A job is new here as unfinished.
     Open(OpenJob),
     /// A job that was unfinished here has ended.
     Ended(Name, JobOutcome),
--- a/packages/core/src/lookup.rs
+++ b/packages/core/src/lookup.rs
@@ -1,86 +1,101 @@
-//! Looking up ids that a controller does not know: what to ask the store, and
-//! what its answers say.
+//! Looking up ids that a controller does not know: which transactions to send to the store,
+//! and what its responses prove.
 
 use coralnotch_wire::model::{JobOutcome, Name};
 use coralnotch_wire::state::Txn;
 
 use crate::key;
 
-/// What is known of an id once the store was asked, if it had to be.
+/// What is known of an id after the store was asked, if it had to be.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LookupResult {
-    /// Never accepted.
+    /// The job was never accepted.
     NotFound,
-    /// Unfinished as far as is known here; only the store confirms it.
+    /// The job is unfinished as far as is known here; only the store can confirm it.
     Open,
-    /// Unfinished a moment ago, by the store's word.
+    /// The job was unfinished a moment ago, as the store has confirmed.
     Confirmed,
-    /// Over for good.
+    /// The job has ended for good.
     Ended(JobOutcome),
 }
 
-/// Ids that are looked up together: each is guarded on having neither a record
-/// nor an end.  What a conflict names exists; the rest is asked again, for
-/// nothing says that a conflict names every key.
+/// What the store has of one id, as far as its responses have shown.
+#[derive(Debug, Clone)]
+struct LookupEntry {
+    id: Name,
+    has_record: bool,
+    has_outcome: bool,
+}
+
+/// A lookup of several ids together.
+///
+/// Each transaction has the preconditions that an id has neither a record nor an outcome.  A
+/// key that a conflict names exists.  The remaining ids are asked for again, because a
+/// conflict need not name every key.
 #[derive(Debug, Clone)]
 pub struct Lookup {
-    /// Ids, whether they have a record, and whether they have an end.
-    ids: Vec<(Name, bool, bool)>,
-    /// The last transaction confirmed the rest.
+    entries: Vec<LookupEntry>,
+    /// The last transaction succeeded, so that none of its keys exists.
     settled: bool,
 }
 
 impl Lookup {
-    /// Nothing is known of these yet.
+    /// Creates a lookup of these ids, each once.
     pub fn new<'a>(ids: impl Iterator<Item = &'a Name>) -> Lookup {
-        let mut l = Lookup { ids: Vec::new(), settled: false };
+        let mut entries: Vec<LookupEntry> = Vec::new();
         for id in ids {
-            if !l.ids.iter().any(|i| i.0 == *id) {
-                l.ids.push((id.clone(), false, false));
+            if !entries.iter().any(|entry| entry.id == *id) {
+                entries.push(LookupEntry { id: id.clone(), has_record: false, has_outcome: false });
             }
         }
-        l
+        Lookup { entries, settled: false }
     }
 
-    /// What to ask next; `None` once all is known.
+    /// Returns the next transaction to send; `None` once everything is known.
     pub fn txn(&self) -> Option<Txn> {
         let mut txn = Txn::default();
-        for (id, exists, _) in self.ids.iter().filter(|i| !i.2) {
-            if !exists {
-                txn.require(format!("{}{id}", key::JOB), 0);
+        for entry in self.entries.iter().filter(|entry| !entry.has_outcome) {
+            if !entry.has_record {
+                txn.require(format!("{}{}", key::JOB, entry.id), 0);
             }
-            txn.require(format!("{}{id}", key::OUTCOME), 0);
+            txn.require(format!("{}{}", key::OUTCOME, entry.id), 0);
         }
         (!self.settled && !txn.preconditions.is_empty()).then_some(txn)
     }
 
-    /// The last transaction went through.
+    /// Notes that the last transaction succeeded.
     pub fn mark_settled(&mut self) {
         self.settled = true;
     }
 
-    /// These keys exist; false if that is nothing new.
+    /// Notes that these keys exist; returns whether any of that is new.
     pub fn apply_conflict(&mut self, keys: &[String]) -> bool {
-        let mut news = false;
-        for k in keys {
-            let job = k.strip_prefix(key::JOB);
-            let Some(id) = job.or_else(|| k.strip_prefix(key::OUTCOME)) else { continue };
-            for i in self.ids.iter_mut().filter(|i| *i.0 == *id) {
-                let known = if job.is_some() { &mut i.1 } else { &mut i.2 };
-                news |= !std::mem::replace(known, true);
+        let mut any_new = false;
+        for path in keys {
+            if let Some(id) = path.strip_prefix(key::JOB) {
+                any_new |= self.mark_existing(id, |entry| &mut entry.has_record);
+            } else if let Some(id) = path.strip_prefix(key::OUTCOME) {
+                any_new |= self.mark_existing(id, |entry| &mut entry.has_outcome);
             }
         }
-        news
+        any_new
+    }
+
+    /// Sets a flag of an id's entry; returns whether it was not set before.
+    fn mark_existing(&mut self, id: &str, flag: impl Fn(&mut LookupEntry) -> &mut bool) -> bool {
+        let entry = self.entries.iter_mut().find(|entry| *entry.id == *id);
+        entry.is_some_and(|entry| !std::mem::replace(flag(entry), true))
     }
 
-    /// Those that have an end.
+    /// Returns the ids that have an outcome.
     pub fn ended(&self) -> Vec<Name> {
-        self.ids.iter().filter(|i| i.2).map(|i| i.0.clone()).collect()
+        self.entries.iter().filter(|entry| entry.has_outcome).map(|entry| entry.id.clone()).collect()
     }
 
-    /// What is known of an id that has no end, once all is known.
+    /// Returns what is known of an id that has no outcome, once everything is known; `None` for
+    /// an id that has one, or that was not looked up.
     pub fn found(&self, id: &str) -> Option<LookupResult> {
-        let i = self.ids.iter().find(|i| *i.0 == *id && !i.2)?;
-        Some(if i.1 { LookupResult::Confirmed } else { LookupResult::NotFound })
+        let entry = self.entries.iter().find(|entry| *entry.id == *id && !entry.has_outcome)?;
+        Some(if entry.has_record { LookupResult::Confirmed } else { LookupResult::NotFound })
     }
 }
