--- a/packages/core/src/dependency.rs
+++ b/packages/core/src/dependency.rs
@@ -9,87 +9,18 @@
 //! It must not know how an end is stored or read: it is told of an end only
 //! once the store has it.
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+mod edges;
+mod urgency;
+
+pub use edges::DependencyEdges;
+pub use urgency::Urgency;
+
+use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use crate::model::*;
 
-/// Who needs whom, seen from the needed ones.
-#[derive(Debug, Default)]
-pub struct DependencyEdges(NameMap<BTreeSet<Name>>);
-
-impl DependencyEdges {
-    /// A job with what it needs.
-    pub fn add<'a>(&mut self, id: &Name, needs: impl IntoIterator<Item = &'a Name>) {
-        for n in needs {
-            self.0.entry(n.clone()).or_default().insert(id.clone());
-        }
-    }
-
-    /// The job needs these no longer.
-    pub fn remove<'a>(&mut self, id: &str, needs: impl IntoIterator<Item = &'a Name>) {
-        for n in needs {
-            if let Some(after) = self.0.get_mut(n) {
-                after.remove(id);
-                if after.is_empty() {
-                    self.0.remove(n);
-                }
-            }
-        }
-    }
-
-    /// Those that need a job directly.
-    pub fn direct_dependents(&self, id: &str) -> impl Iterator<Item = &Name> {
-        self.0.get(id).into_iter().flatten()
-    }
-
-    /// Those that need a job, directly or through others; the nearest first, and
-    /// no more than so many.  Chains may be thousands long: nothing recurs.
-    pub fn dependents(&self, id: &str, most: usize) -> Vec<Name> {
-        let (mut found, mut seen) = (Vec::new(), BTreeSet::new());
-        let mut next: VecDeque<&Name> = self.direct_dependents(id).collect();
-        while let Some(n) = next.pop_front() {
-            if found.len() == most {
-                break;
-            }
-            if seen.insert(n) {
-                found.push(n.clone());
-                next.extend(self.direct_dependents(n));
-            }
-        }
-        found
-    }
-
-    /// Whether nobody needs anybody.
-    pub fn is_empty(&self) -> bool {
-        self.0.is_empty()
-    }
-}
-
-/// How urgent a job is: for itself, and for those that need it.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Urgency {
-    /// The highest rank.
-    pub priority: Priority,
-    /// The tightest deadline.
-    pub deadline: Option<Instant>,
-}
-
-impl Urgency {
-    /// What a job asks for itself, known since `known`.
-    pub fn own(spec: &JobSpec, known: Instant) -> Urgency {
-        let due = |s| known.checked_add(Duration::try_from_secs_f64(s).ok()?);
-        Urgency { priority: spec.priority, deadline: spec.deadline_s.and_then(due) }
-    }
-
-    /// The more urgent of both, in each respect.
-    pub fn with(self, o: Urgency) -> Urgency {
-        let due = [self.deadline, o.deadline].into_iter().flatten().min();
-        Urgency { priority: self.priority.min(o.priority), deadline: due }
-    }
-}
-
 /// A job that waits for others.
 #[derive(Debug, Clone)]
 pub struct BlockedJob {
