--- a/packages/core/src/dependency.rs
+++ b/packages/core/src/dependency.rs
@@ -1,12 +1,12 @@
-//! Jobs that wait for others: which are held back and by what, what an end
-//! releases, whom a cancellation takes along, and how urgent a job is for the
-//! sake of those that need it.  Plain functions of state and `now`.
+//! Jobs that depend on other jobs: which are blocked and by what, which an outcome releases,
+//! which are cancelled together with a dependency, and how urgent a job is for the sake of
+//! those that depend on it.  Plain functions of state and `now`.
 //!
-//! Only jobs that wait are in here.  A job whose needs are all done enters the
-//! queue and is a job like any other; until then nothing else knows of it, so
-//! it is in no load, no limit, no guarantee and no plan.
+//! Only blocked jobs are in the graph.  A job whose dependencies are all done enters the queue
+//! and is a job like any other.  Until then nothing else knows of it, so that it counts for no
+//! load, no limit, no quota and no plan.
 //!
-//! It must not know how an end is stored or read: it is told of an end only
+//! This module must not know how an outcome is stored or read: it is given an outcome only
 //! once the store has it.
 
 mod edges;
@@ -19,237 +19,257 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crate::model::*;
+use crate::model::{JobOutcome, JobSpec, Name, NameMap};
 
-/// A job that waits for others.
+/// A job that waits for its dependencies.
 #[derive(Debug, Clone)]
 pub struct BlockedJob {
     /// The submission.
     pub spec: Arc<JobSpec>,
-    /// Stamp of its record.
+    /// Revision of its record.
     pub revision: u64,
-    /// When this leader first knew of it.
+    /// When this leader first saw the job.
     pub first_seen: Instant,
-    /// What it needs and what is not known to be over.
+    /// The dependencies that are not known to be done.
     pub missing: BTreeSet<Name>,
 }
 
-/// How a needed job stands.
+impl BlockedJob {
+    fn own_urgency(&self) -> Urgency {
+        Urgency::own(&self.spec, self.first_seen)
+    }
+}
+
+/// What is known here of a dependency.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum DependencyStatus {
-    /// Not over.
+    /// It has no outcome.
     Open,
-    /// Nothing is known of it here: the store has to say.
+    /// Nothing is known of it here; the store has to be asked.
     Unknown,
-    /// Over.
+    /// It has this outcome.
     Ended(JobOutcome),
 }
 
-/// The jobs that wait for others.
+/// The blocked jobs.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
     blocked: NameMap<BlockedJob>,
     edges: DependencyEdges,
-    /// Needed jobs of which nothing is known here, with when to ask the store.
+    /// Dependencies of which nothing is known here, with the time from which the store is to
+    /// be asked again; `None` if it was not asked yet.
     unknown: BTreeMap<Name, Option<Instant>>,
-    /// What those that need a job make of it; only of jobs that are needed.
+    /// The urgency that a job has for the sake of its dependents; only of jobs that have some.
     inherited: NameMap<Urgency>,
-    /// BlockedJob jobs that need a cancelled one: their own end has to be stored.
+    /// Blocked jobs that depend on a cancelled one: their own cancellation has to be stored.
     needing_cancelled: BTreeSet<Name>,
-    /// Jobs whose inherited urgency has changed since it was last asked.
+    /// Jobs whose inherited urgency has changed since [`DependencyGraph::take_changed`].
     changed: Vec<Name>,
 }
 
 impl DependencyGraph {
-    /// Takes a job in, if it has to wait; false if all that it needs is done.
-    /// A job that needs a cancelled one waits for its own end.
+    /// Adds a job if it has to wait; returns false if all its dependencies are done.  A job
+    /// that depends on a cancelled one stays blocked until its own cancellation is stored.
+    ///
+    /// `status_of` returns what is known of a dependency that is not blocked itself.
     pub fn block(
         &mut self,
         spec: &Arc<JobSpec>,
-        stamp: u64,
+        revision: u64,
         now: Instant,
-        look: impl Fn(&Name) -> DependencyStatus,
+        status_of: impl Fn(&Name) -> DependencyStatus,
     ) -> bool {
         let id = &spec.id;
         if self.blocked.contains_key(id) {
             return true;
         }
-        let (mut missing, mut needs_cancelled_job) = (BTreeSet::new(), false);
-        for n in &spec.needs {
-            let stands = if self.blocked.contains_key(n) { DependencyStatus::Open } else { look(n) };
+        let mut missing = BTreeSet::new();
+        let mut needs_cancelled_job = false;
+        for dependency in &spec.needs {
+            let is_blocked = self.blocked.contains_key(dependency);
+            let status = if is_blocked { DependencyStatus::Open } else { status_of(dependency) };
             needs_cancelled_job |=
-                stands == DependencyStatus::Ended(JobOutcome::Cancelled) || self.needing_cancelled.contains(n);
-            match stands {
+                status == DependencyStatus::Ended(JobOutcome::Cancelled) || self.needing_cancelled.contains(dependency);
+            match status {
                 DependencyStatus::Ended(JobOutcome::Done) => continue,
-                DependencyStatus::Unknown => drop(self.unknown.entry(n.clone()).or_default()),
+                DependencyStatus::Unknown => drop(self.unknown.entry(dependency.clone()).or_default()),
                 DependencyStatus::Open | DependencyStatus::Ended(JobOutcome::Cancelled) => {}
             }
-            missing.insert(n.clone());
+            missing.insert(dependency.clone());
         }
         if missing.is_empty() {
             return false;
         }
         self.mark_known(id);
         self.edges.add(id, &missing);
-        let held = BlockedJob { spec: spec.clone(), revision: stamp, first_seen: now, missing };
-        let mut raise: Vec<(Name, Urgency)> = Vec::new();
-        let own = self.urgency(id, Urgency::own(spec, now));
-        raise.extend(held.missing.iter().map(|n| (n.clone(), own)));
-        self.blocked.insert(id.clone(), held);
+        let urgency = self.urgency(id, Urgency::own(spec, now));
+        let inheriting = missing.iter().map(|dependency| (dependency.clone(), urgency)).collect();
+        self.blocked.insert(id.clone(), BlockedJob { spec: spec.clone(), revision, first_seen: now, missing });
         if needs_cancelled_job {
             self.mark_needing_cancelled(id.clone());
         }
-        // upwards, for as long as it makes a difference
-        while let Some((n, u)) = raise.pop() {
-            let before = self.inherited.get(&n).copied();
-            let after = before.map_or(u, |b| b.with(u));
+        self.raise_urgency(inheriting);
+        true
+    }
+
+    /// Raises the inherited urgency of these jobs, and of what they depend on in turn for as
+    /// long as it makes a difference.
+    fn raise_urgency(&mut self, mut to_raise: Vec<(Name, Urgency)>) {
+        while let Some((id, urgency)) = to_raise.pop() {
+            let before = self.inherited.get(&id).copied();
+            let after = before.map_or(urgency, |before| before.with(urgency));
             if before == Some(after) {
                 continue;
             }
-            self.inherited.insert(n.clone(), after);
-            if let Some(h) = self.blocked.get(&n) {
-                let all = Urgency::own(&h.spec, h.first_seen).with(after);
-                raise.extend(h.missing.iter().map(|m| (m.clone(), all)));
+            self.inherited.insert(id.clone(), after);
+            if let Some(job) = self.blocked.get(&id) {
+                let total = job.own_urgency().with(after);
+                to_raise.extend(job.missing.iter().map(|dependency| (dependency.clone(), total)));
             }
-            self.changed.push(n);
+            self.changed.push(id);
         }
-        true
     }
 
-    /// A job is known here from now on.
+    /// Notes that a job is known here from now on, so that the store need not be asked.
     pub fn mark_known(&mut self, id: &str) {
         self.unknown.remove(id);
     }
 
-    /// Whether the job waits for others.
+    /// Whether the job waits for dependencies.
     pub fn is_blocked(&self, id: &str) -> bool {
         self.blocked.contains_key(id)
     }
 
-    /// The jobs that wait.
+    /// Iterates over the blocked jobs, in no order.
     pub fn blocked(&self) -> impl Iterator<Item = &BlockedJob> {
         self.blocked.values()
     }
 
-    /// How many jobs wait.
+    /// Returns the number of blocked jobs.
     pub fn len(&self) -> usize {
         self.blocked.len()
     }
 
-    /// Whether none waits.
+    /// Whether no job is blocked.
     pub fn is_empty(&self) -> bool {
         self.blocked.is_empty()
     }
 
-    /// How urgent a job is that asks for so much itself.
+    /// Returns the urgency of a job, given the urgency that it asks for itself.
     pub fn urgency(&self, id: &str, own: Urgency) -> Urgency {
-        self.inherited.get(id).map_or(own, |u| own.with(*u))
+        self.inherited.get(id).map_or(own, |inherited| own.with(*inherited))
     }
 
-    /// Jobs whose inherited urgency has changed.
+    /// Returns the jobs whose inherited urgency has changed since the last call.
     pub fn take_changed(&mut self) -> Vec<Name> {
         std::mem::take(&mut self.changed)
     }
 
-    /// BlockedJob jobs whose own cancellation is to be stored, as they need a job
-    /// that is cancelled.
+    /// Iterates over the blocked jobs that depend on a cancelled one: their own cancellation
+    /// is to be stored.
     pub fn needing_cancelled(&self) -> impl Iterator<Item = &Name> {
         self.needing_cancelled.iter()
     }
 
-    /// Needed jobs that the store has to be asked about, some at a time; each is
-    /// asked again after `again` if that told nothing.
-    pub fn outcomes_to_fetch(&mut self, most: usize, again: Duration, now: Instant) -> Vec<Name> {
-        let due = |(_, at): &(&Name, &mut Option<Instant>)| at.is_none_or(|t| t <= now);
-        let some = self.unknown.iter_mut().filter(due).take(most);
-        some.map(|(n, at)| {
-            *at = Some(now + again);
-            n.clone()
+    /// Returns dependencies that the store has to be asked about, at most `limit`.  Each is
+    /// returned again after `retry_after` if it is still unknown then.
+    pub fn outcomes_to_fetch(&mut self, limit: usize, retry_after: Duration, now: Instant) -> Vec<Name> {
+        let is_due = |(_, ask_at): &(&Name, &mut Option<Instant>)| ask_at.is_none_or(|at| at <= now);
+        let due = self.unknown.iter_mut().filter(is_due).take(limit);
+        due.map(|(id, ask_at)| {
+            *ask_at = Some(now + retry_after);
+            id.clone()
         })
         .collect()
     }
 
-    /// The needed jobs of which nothing is known here.
+    /// Returns the dependencies of which nothing is known here.
     pub fn unknown(&self) -> Vec<Name> {
         self.unknown.keys().cloned().collect()
     }
 
-    /// Whether nothing is known of a needed job.
+    /// Whether the job is a dependency of which nothing is known here.
     pub fn is_unknown(&self, id: &str) -> bool {
         self.unknown.contains_key(id)
     }
 
-    /// A job is over, and the store has it so.  Returns the jobs that may start
-    /// now.  What needs a cancelled one is doomed, through others too: it leaves
-    /// when its own end is stored.
+    /// Applies a stored outcome, and returns the jobs that it releases.  The jobs that depend
+    /// on a cancelled one, directly or through others, leave the graph when their own
+    /// cancellation is applied.
     pub fn apply_outcome(&mut self, id: &str, outcome: JobOutcome) -> Vec<BlockedJob> {
         self.mark_known(id);
-        self.leave(id);
-        if outcome == JobOutcome::Cancelled {
-            for n in self.edges.direct_dependents(id).cloned().collect::<Vec<_>>() {
-                self.mark_needing_cancelled(n);
+        self.unblock(id);
+        match outcome {
+            JobOutcome::Cancelled => {
+                for dependent in self.edges.direct_dependents(id).cloned().collect::<Vec<_>>() {
+                    self.mark_needing_cancelled(dependent);
+                }
+                Vec::new()
             }
-            return Vec::new();
+            JobOutcome::Done => self.release_dependents(id),
         }
-        let mut free = Vec::new();
-        for n in self.edges.0.remove(id).into_iter().flatten() {
-            let Some(h) = self.blocked.get_mut(&n) else { continue };
-            h.missing.remove(id);
-            if h.missing.is_empty() {
-                free.extend(self.blocked.remove(&n));
+    }
+
+    /// Removes a dependency that is done, and returns the jobs that have no other.
+    fn release_dependents(&mut self, id: &str) -> Vec<BlockedJob> {
+        let mut released = Vec::new();
+        for dependent in self.edges.take_dependents(id) {
+            let Some(job) = self.blocked.get_mut(&dependent) else { continue };
+            job.missing.remove(id);
+            if job.missing.is_empty() {
+                released.extend(self.blocked.remove(&dependent));
             }
         }
         self.inherited.remove(id);
-        free
+        released
     }
 
-    /// The job runs, or has run: a start of it is on record, so that all it
-    /// needs was done before.  Returns it if it was held.
+    /// Removes a job from the graph, and returns it if it was blocked.
+    ///
+    /// Besides an outcome, a stored start of one of its tasks is a reason: it proves that all
+    /// its dependencies were done.  Dependencies that only this job had are no longer asked
+    /// about.
     pub fn unblock(&mut self, id: &str) -> Option<BlockedJob> {
-        self.leave(id)
-    }
-
-    /// A job waits no longer; nobody asks about what it alone needed.
-    fn leave(&mut self, id: &str) -> Option<BlockedJob> {
-        let h = self.blocked.remove(id)?;
+        let job = self.blocked.remove(id)?;
         self.needing_cancelled.remove(id);
-        self.edges.remove(id, &h.missing);
-        for n in &h.missing {
-            if self.edges.direct_dependents(n).next().is_none() {
-                self.unknown.remove(n);
+        self.edges.remove(id, &job.missing);
+        for dependency in &job.missing {
+            if self.edges.direct_dependents(dependency).next().is_none() {
+                self.unknown.remove(dependency);
             }
         }
-        self.recompute_urgency(h.missing.iter().cloned());
-        Some(h)
+        self.recompute_urgency(job.missing.iter().cloned().collect());
+        Some(job)
     }
 
+    /// Marks a job and all its dependents as depending on a cancelled job.
     fn mark_needing_cancelled(&mut self, id: Name) {
-        let mut next = vec![id];
-        while let Some(n) = next.pop() {
-            if self.blocked.contains_key(&n) && self.needing_cancelled.insert(n.clone()) {
-                next.extend(self.edges.direct_dependents(&n).cloned());
+        let mut to_mark = vec![id];
+        while let Some(id) = to_mark.pop() {
+            if self.blocked.contains_key(&id) && self.needing_cancelled.insert(id.clone()) {
+                to_mark.extend(self.edges.direct_dependents(&id).cloned());
             }
         }
     }
 
-    /// Reckons anew what those that still need these jobs make of them.
-    fn recompute_urgency(&mut self, ids: impl IntoIterator<Item = Name>) {
-        let mut next: Vec<Name> = ids.into_iter().collect();
-        while let Some(n) = next.pop() {
-            let of = |h: &BlockedJob| self.urgency(&h.spec.id, Urgency::own(&h.spec, h.first_seen));
-            let after =
-                self.edges.direct_dependents(&n).filter_map(|a| self.blocked.get(a)).map(of).reduce(Urgency::with);
-            if self.inherited.get(&n).copied() == after {
+    /// Recomputes what these jobs, and those that they depend on, inherit from their remaining
+    /// dependents.
+    fn recompute_urgency(&mut self, mut to_recompute: Vec<Name>) {
+        while let Some(id) = to_recompute.pop() {
+            let dependents = self.edges.direct_dependents(&id).filter_map(|dependent| self.blocked.get(dependent));
+            let urgencies = dependents.map(|job| self.urgency(&job.spec.id, job.own_urgency()));
+            let after = urgencies.reduce(Urgency::with);
+            if self.inherited.get(&id).copied() == after {
                 continue;
             }
             match after {
-                Some(u) => drop(self.inherited.insert(n.clone(), u)),
-                None => drop(self.inherited.remove(&n)),
+                Some(urgency) => drop(self.inherited.insert(id.clone(), urgency)),
+                None => drop(self.inherited.remove(&id)),
             }
-            if let Some(h) = self.blocked.get(&n) {
-                next.extend(h.missing.iter().cloned());
+            if let Some(job) = self.blocked.get(&id) {
+                to_recompute.extend(job.missing.iter().cloned());
             }
-            self.changed.push(n);
+            self.changed.push(id);
         }
     }
 }
--- a/packages/core/src/dependency/edges.rs
+++ b/packages/core/src/dependency/edges.rs
@@ -4,53 +4,59 @@
 
 use crate::model::{Name, NameMap};
 
-/// Who needs whom, seen from the needed ones.
+/// Which jobs depend on which, by the job that is depended on.
 #[derive(Debug, Default)]
-pub struct DependencyEdges(pub(super) NameMap<BTreeSet<Name>>);
+pub struct DependencyEdges(NameMap<BTreeSet<Name>>);
 
 impl DependencyEdges {
-    /// A job with what it needs.
-    pub fn add<'a>(&mut self, id: &Name, needs: impl IntoIterator<Item = &'a Name>) {
-        for n in needs {
-            self.0.entry(n.clone()).or_default().insert(id.clone());
+    /// Adds the dependencies of a job.
+    pub fn add<'a>(&mut self, id: &Name, dependencies: impl IntoIterator<Item = &'a Name>) {
+        for dependency in dependencies {
+            self.0.entry(dependency.clone()).or_default().insert(id.clone());
         }
     }
 
-    /// The job needs these no longer.
-    pub fn remove<'a>(&mut self, id: &str, needs: impl IntoIterator<Item = &'a Name>) {
-        for n in needs {
-            if let Some(after) = self.0.get_mut(n) {
-                after.remove(id);
-                if after.is_empty() {
-                    self.0.remove(n);
+    /// Removes these dependencies of a job.
+    pub fn remove<'a>(&mut self, id: &str, dependencies: impl IntoIterator<Item = &'a Name>) {
+        for dependency in dependencies {
+            if let Some(dependents) = self.0.get_mut(dependency) {
+                dependents.remove(id);
+                if dependents.is_empty() {
+                    self.0.remove(dependency);
                 }
             }
         }
     }
 
-    /// Those that need a job directly.
+    /// Removes all dependencies on a job, and returns the jobs that had them.
+    pub(super) fn take_dependents(&mut self, id: &str) -> BTreeSet<Name> {
+        self.0.remove(id).unwrap_or_default()
+    }
+
+    /// Iterates over the jobs that depend on a job directly.
     pub fn direct_dependents(&self, id: &str) -> impl Iterator<Item = &Name> {
         self.0.get(id).into_iter().flatten()
     }
 
-    /// Those that need a job, directly or through others; the nearest first, and
-    /// no more than so many.  Chains may be thousands long: nothing recurs.
-    pub fn dependents(&self, id: &str, most: usize) -> Vec<Name> {
-        let (mut found, mut seen) = (Vec::new(), BTreeSet::new());
-        let mut next: VecDeque<&Name> = self.direct_dependents(id).collect();
-        while let Some(n) = next.pop_front() {
-            if found.len() == most {
+    /// Returns the jobs that depend on a job, directly or through others: the nearest first,
+    /// at most `limit`.  Chains may be thousands long, so the search is not recursive.
+    pub fn dependents(&self, id: &str, limit: usize) -> Vec<Name> {
+        let mut found = Vec::new();
+        let mut visited = BTreeSet::new();
+        let mut to_visit: VecDeque<&Name> = self.direct_dependents(id).collect();
+        while let Some(dependent) = to_visit.pop_front() {
+            if found.len() == limit {
                 break;
             }
-            if seen.insert(n) {
-                found.push(n.clone());
-                next.extend(self.direct_dependents(n));
+            if visited.insert(dependent) {
+                found.push(dependent.clone());
+                to_visit.extend(self.direct_dependents(dependent));
             }
         }
         found
     }
 
-    /// Whether nobody needs anybody.
+    /// Whether no job depends on another.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/packages/core/src/dependency/urgency.rs
+++ b/packages/core/src/dependency/urgency.rs
@@ -4,25 +4,25 @@
 
 use crate::model::{JobSpec, Priority};
 
-/// How urgent a job is: for itself, and for those that need it.
+/// How urgent a job is, on its own account or for the jobs that depend on it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Urgency {
-    /// The highest rank.
+    /// The highest priority.
     pub priority: Priority,
-    /// The tightest deadline.
+    /// The earliest deadline.
     pub deadline: Option<Instant>,
 }
 
 impl Urgency {
-    /// What a job asks for itself, known since `known`.
-    pub fn own(spec: &JobSpec, known: Instant) -> Urgency {
-        let due = |s| known.checked_add(Duration::try_from_secs_f64(s).ok()?);
-        Urgency { priority: spec.priority, deadline: spec.deadline_s.and_then(due) }
+    /// Returns the urgency that a job asks for itself; its deadline counts from `first_seen`.
+    pub fn own(spec: &JobSpec, first_seen: Instant) -> Urgency {
+        let deadline_at = |seconds| first_seen.checked_add(Duration::try_from_secs_f64(seconds).ok()?);
+        Urgency { priority: spec.priority, deadline: spec.deadline_s.and_then(deadline_at) }
     }
 
-    /// The more urgent of both, in each respect.
-    pub fn with(self, o: Urgency) -> Urgency {
-        let due = [self.deadline, o.deadline].into_iter().flatten().min();
-        Urgency { priority: self.priority.min(o.priority), deadline: due }
+    /// Returns the more urgent of both, in each respect.
+    pub fn with(self, other: Urgency) -> Urgency {
+        let deadline = [self.deadline, other.deadline].into_iter().flatten().min();
+        Urgency { priority: self.priority.min(other.priority), deadline }
     }
 }
