--- a/packages/core/src/cancellation/log.rs
+++ b/packages/core/src/cancellation/log.rs
@@ -69,7 +69,7 @@
     fn evict_oldest(&mut self) {
         let Some(evicted) = self.entries.pop_front() else { return };
         // The evicted job may have been cancelled a moment ago.  It must not look as old as
-        // this incarnation, or its user would be told too early.
+        // this incarnation, or the cancellation would be confirmed too early.
         let learned_at = self.learned.remove(&evicted.id).map(|learned| learned.at);
         self.unlisted_learned_by = self.unlisted_learned_by.max(learned_at);
         self.first_position += 1;
@@ -88,7 +88,7 @@
     }
 
     /// Returns for how long a job's cancellation has been known, at least; `None` if that
-    /// cannot be told.
+    /// is not known.
     pub(super) fn min_age(&self, id: &str, now: Instant) -> Option<Duration> {
         let learned_at = self.learned.get(id).map(|learned| learned.at).or(self.unlisted_learned_by);
         learned_at.map(|at| now.saturating_duration_since(at))
--- a/packages/core/src/cancellation/notices.rs
+++ b/packages/core/src/cancellation/notices.rs
@@ -19,7 +19,7 @@
     pub has_unacknowledged: bool,
 }
 
-/// Decides when a user may be told that a job is cancelled.
+/// Decides when a cancellation may be confirmed to its user.
 ///
 /// That is when no controller that does not know the cancellation can renew a lease for the
 /// job's tasks for longer than the time that is left.  It is so in any of these cases:
@@ -47,7 +47,7 @@
         CancellationNotices { peer_count, pending: BTreeMap::new(), settled: LruCache::new(settled_capacity) }
     }
 
-    /// Whether the user may be told that a job is cancelled.  If not, the cancellation becomes
+    /// Whether the cancellation of a job may be confirmed to its user.  If not, the cancellation becomes
     /// pending, and the peers are to be notified of it.
     pub fn may_confirm(&mut self, id: &Name, log: &CancellationLog, policy: &Policy, now: Instant) -> bool {
         if self.peer_count == 0 || self.settled.contains(id) {
@@ -66,7 +66,7 @@
     /// Those that the peer has not acknowledged come first: with more pending cancellations
     /// than one message holds, the acknowledged ones would otherwise keep them out for ever.
     pub fn for_peer(&mut self, peer: usize, log: &CancellationLog, policy: &Policy, now: Instant) -> PeerNotice {
-        // after `cancel` the user may be told anyway, and nobody waits for a peer
+        // after `cancel` the cancellation may be confirmed anyway, and nobody waits for a peer
         self.pending.retain(|id, _| log.min_age(id, now).is_some_and(|age| age < policy.cancel));
         let (unacknowledged, acknowledged): (Vec<_>, Vec<_>) =
             self.pending.iter().partition(|(_, acknowledged_by)| !acknowledged_by.contains(&peer));
--- a/packages/core/src/cancellation/renewal.rs
+++ b/packages/core/src/cancellation/renewal.rs
@@ -13,7 +13,7 @@
 ///
 /// With `notices_required`, every controller confirms cancellations through
 /// [`CancellationNotices`](super::CancellationNotices).  As long as a controller that renews
-/// leases may not know a cancellation, the user is then told of it no sooner than `cancel`
+/// leases may not know a cancellation, it is then confirmed no sooner than `cancel`
 /// after it was stored, and the window is longer by that time.
 pub fn renewal_window(policy: &Policy, notices_required: bool) -> Duration {
     let lease_expiry = policy.lease.mul_f64(1.0 + 2.0 * policy.drift) + policy.renew;
--- a/packages/core/src/cancellation/tests.rs
+++ b/packages/core/src/cancellation/tests.rs
@@ -260,7 +260,7 @@
     assert!(CancellationView::default().complete_as_of(no_peers).is_none(), "without peers only the watch counts");
 }
 
-/// A user is told when all peers know, when the leader finds no task left, or when every
+/// A cancellation is confirmed when all peers know, when the leader finds no task left, or when every
 /// controller that does not know has stopped renewing in time; never before.
 #[test]
 fn a_cancellation_is_confirmed_when_nobody_can_renew_unknowing() {
@@ -297,8 +297,8 @@
 }
 
 /// Guards against a burst: one-task jobs, four a second, a quarter of them cancelled.  An
-/// evicted id is as old as the newest evicted one, not as this incarnation; its user was told
-/// at once, with no peer asked.
+/// evicted id is as old as the newest evicted one, not as this incarnation; its user got
+/// the confirmation at once, with no peer asked.
 #[test]
 fn an_evicted_cancellation_is_not_as_old_as_the_incarnation() {
     let policy = default_policy();
--- a/packages/core/src/feature_gate.rs
+++ b/packages/core/src/feature_gate.rs
@@ -1,97 +1,98 @@
-//! What is on: a feature that an earlier version would misread is used only once
-//! every controller of the settings has shown that it has it.  Plain functions of
-//! what was shown and `now`; how it is shown is not known in here.
+//! Feature gates: a feature that an earlier version would misinterpret is enabled only once
+//! every configured controller has advertised that it supports it.  Plain functions of what
+//! was advertised and `now`; this module does not know how features are advertised.
 //!
-//! Once on, a feature stays on: what is stored from then on needs it.
+//! An enabled feature stays enabled, because what is stored from then on may depend on it.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
 
-/// Jobs that wait for others.
+/// Jobs may depend on other jobs.
 pub const JOB_DEPENDENCIES: &str = "chains";
 
-/// A withdrawal is told to its user once every controller that may renew a lease
-/// knows of it, or had its time (see `knowledge`); and a controller that is cut off
-/// raises the tokens of its zone's workers.
+/// A cancellation is confirmed to its user only once every controller that may renew a lease
+/// knows of it, or has had the time to stop renewing (see the module `cancellation`).  Also, a
+/// controller that is partitioned off raises the fencing tokens of its zone's workers.
 pub const CONFIRMED_CANCELLATIONS: &str = "told";
 
-/// Controllers that do not lead forward workers' reports.
+/// Controllers that do not lead forward workers' heartbeats to the leader.
 pub const FORWARDED_HEARTBEATS: &str = "reports";
 
-/// The features that this version has.
+/// The features that this version supports.
 pub const SUPPORTED: &[&str] = &[JOB_DEPENDENCIES, CONFIRMED_CANCELLATIONS, FORWARDED_HEARTBEATS];
 
-/// The stored record of what is on.
+/// The stored record of the enabled features.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FeatureGates {
-    /// Features.
+    /// The enabled features.
     #[serde(rename = "on")]
     pub enabled: Vec<String>,
-    /// The term in which the last one came on.
+    /// The leader term in which the last one was enabled.
     pub term: u64,
 }
 
-/// The next record of what is on, if there is more to come: what is on stays on, and
-/// what all have comes on.
-pub fn next_enabled(is_on: impl Fn(&str) -> bool, all_have: impl Fn(&str) -> bool) -> Option<Vec<String>> {
-    let more = SUPPORTED.iter().any(|f| !is_on(f) && all_have(f));
-    let on = SUPPORTED.iter().filter(|f| is_on(f) || all_have(f)).map(|f| (*f).to_owned());
-    more.then(|| on.collect())
+/// Returns the features to enable, if there is one to add: those that are enabled already, and
+/// those that all controllers support.
+pub fn next_enabled(is_enabled: impl Fn(&str) -> bool, all_have: impl Fn(&str) -> bool) -> Option<Vec<String>> {
+    let has_new = SUPPORTED.iter().any(|feature| !is_enabled(feature) && all_have(feature));
+    let enabled = SUPPORTED.iter().filter(|feature| is_enabled(feature) || all_have(feature));
+    has_new.then(|| enabled.map(|feature| (*feature).to_owned()).collect())
 }
 
-/// What a controller leaves in the store, on its lease.
+/// The record that a controller keeps in the store, attached to its lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The features that it has.
+    /// The features that it supports.
     #[serde(rename = "knows")]
     pub features: Vec<String>,
     /// Its version.
     pub version: String,
 }
 
-/// What was last shown of one controller.
+/// What one controller has last advertised.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AdvertisedFeatures {
-    /// Its features; none of a version before the gates.
+    /// The features that it supports; empty for a version that has no feature gates.
     pub features: Vec<String>,
-    /// Its version, if it said so.
+    /// Its version; empty if it is not known.
     pub version: String,
-    /// When.
+    /// When it advertised them.
     pub seen_at: Instant,
 }
 
-/// What the others have shown, by name.
+/// What the other controllers have advertised, by their names.
 #[derive(Debug, Default)]
 pub struct MemberFeatures(HashMap<String, AdvertisedFeatures>);
 
 impl MemberFeatures {
-    /// A controller has told what it has, itself or by its record.  What an
-    /// older word says does not count against a newer one.
-    pub fn record(&mut self, name: &str, s: AdvertisedFeatures) {
-        if self.0.get(name).is_none_or(|o| o.seen_at <= s.seen_at) {
-            self.0.insert(name.to_owned(), s);
+    /// Records what a controller has advertised, in a message or by its stored record.
+    /// Anything older than what is recorded already is ignored.
+    pub fn record(&mut self, name: &str, advertised: AdvertisedFeatures) {
+        if self.0.get(name).is_none_or(|recorded| recorded.seen_at <= advertised.seen_at) {
+            self.0.insert(name.to_owned(), advertised);
         }
     }
 
-    /// What was last shown of a controller.
+    /// Returns what a controller has last advertised.
     pub fn get(&self, name: &str) -> Option<&AdvertisedFeatures> {
         self.0.get(name)
     }
 
-    /// Whether each of these showed lately that it has a feature.  Who was not
-    /// heard of for longer may be another version by now.
+    /// Whether each of these controllers has advertised a feature within the last `max_age`.
+    /// A controller that has advertised nothing for longer may run another version by now.
     pub fn all_have<'a>(
         &self,
         mut names: impl Iterator<Item = &'a str>,
         feature: &str,
-        lately: Duration,
+        max_age: Duration,
         now: Instant,
     ) -> bool {
-        names.all(|n| {
-            let of = self.0.get(n).filter(|s| now.saturating_duration_since(s.seen_at) <= lately);
-            of.is_some_and(|s| s.features.iter().any(|k| k == feature))
+        names.all(|name| {
+            let Some(advertised) = self.0.get(name) else { return false };
+            let is_recent = now.saturating_duration_since(advertised.seen_at) <= max_age;
+            is_recent && advertised.features.iter().any(|supported| supported == feature)
         })
     }
 }
--- a/packages/core/src/heartbeat_forwarding.rs
+++ b/packages/core/src/heartbeat_forwarding.rs
@@ -1,12 +1,12 @@
-//! Reports that reach the leader through another controller: which controller a worker is sent
-//! to, what a controller that forwards reports sends on, and when.  Plain functions of state
-//! and `now`.
+//! Heartbeats that reach the leader through another controller: to which controller a worker
+//! is redirected, what a forwarding controller sends to the leader, and when forwarding is
+//! worthwhile.  Plain functions of state and `now`.
 //!
-//! The leader alone answers: a controller that forwards hands its answers to the workers, which
-//! drop what comes later than they wait.  So a forwarded report is one that took a longer way,
-//! and nobody but the leader needs to be entitled to anything.
+//! Only the leader replies to a heartbeat.  A forwarding controller passes the reply on to the
+//! worker, which ignores a reply that comes after its timeout.  A forwarded heartbeat is thus
+//! one that took a longer way, and no controller but the leader needs any authority.
 //!
-//! Must not know sockets, or how reports are batched.
+//! This module must not know sockets, or how heartbeats are batched.
 
 use std::collections::HashMap;
 use std::hash::BuildHasher;
@@ -17,7 +17,7 @@
 
 use crate::model::Name;
 
-/// A controller that takes workers' reports and forwards them.
+/// A controller that accepts workers' heartbeats and forwards them.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Forwarder<'a> {
     /// Its name.
@@ -26,107 +26,116 @@
     pub zone: &'a str,
 }
 
-/// The controller that a worker is sent to: one of its own zone if there is any, by rendezvous
-/// hashing.  Where a controller comes or goes only its own workers move.
-pub fn assigned_forwarder<'a>(machine: &str, zone: &str, all: &[Forwarder<'a>]) -> Option<&'a str> {
+/// Returns the name of the controller to which a worker is redirected, chosen by rendezvous
+/// hashing: one of the worker's zone if there is any.  When a controller is added or removed,
+/// only the workers of that controller move.  `None` if there is no forwarder.
+pub fn assigned_forwarder<'a>(machine: &str, zone: &str, forwarders: &[Forwarder<'a>]) -> Option<&'a str> {
     let hasher = FixedState::with_seed(0);
-    let weight = |f: &&Forwarder<'a>| hasher.hash_one((machine, f.name));
-    let near = all.iter().filter(|f| f.zone == zone).max_by_key(weight);
-    near.or_else(|| all.iter().max_by_key(weight)).map(|f| f.name)
+    let weight = |forwarder: &&Forwarder<'a>| hasher.hash_one((machine, forwarder.name));
+    let in_zone = forwarders.iter().filter(|forwarder| forwarder.zone == zone).max_by_key(weight);
+    in_zone.or_else(|| forwarders.iter().max_by_key(weight)).map(|forwarder| forwarder.name)
 }
 
-/// A report without news: it says what the report before it said.  The leader takes it only if
-/// that one is the last that it took of this machine, directly or not.
+/// A heartbeat whose content is that of an earlier one.  The leader accepts it only if the
+/// earlier one is the last that it accepted of this machine, forwarded or not.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UnchangedHeartbeat {
-    /// Machine.
+    /// The machine.
     pub machine: Name,
-    /// Its session.
+    /// Incarnation of the agent on the machine.
     pub incarnation: u64,
-    /// Number of this report.
+    /// Sequence number of this heartbeat.
     pub sequence: u64,
-    /// Number of the report whose content it repeats.
+    /// Sequence number of the heartbeat whose content it repeats.
     pub repeats_sequence: u64,
 }
 
-/// What is sent to the leader of a report.
+/// The form in which a heartbeat is forwarded to the leader.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ForwardedHeartbeat {
-    /// All of it.
+    /// With its whole content.
     Full,
-    /// That nothing has changed.
+    /// As a reference to an earlier heartbeat with the same content.
     UnchangedHeartbeat(UnchangedHeartbeat),
 }
 
-/// The last report of a machine that a leader took from here.
+/// The last heartbeat of a machine that a leader accepted through this controller.
 #[derive(Debug)]
 struct AcceptedHeartbeat {
-    report: Heartbeat,
+    heartbeat: Heartbeat,
+    /// Term of that leader.
     term: u64,
-    at: Instant,
+    accepted_at: Instant,
 }
 
-/// What a leader took of the reports that were forwarded from here.
+/// The heartbeats that a leader accepted through this controller, the last one of each machine.
 #[derive(Debug, Default)]
 pub struct HeartbeatForwarding {
-    taken: HashMap<Name, AcceptedHeartbeat>,
+    accepted: HashMap<Name, AcceptedHeartbeat>,
 }
 
 impl HeartbeatForwarding {
-    /// How a report is sent to the leader of this term.
-    pub fn message(&self, r: &Heartbeat, term: u64) -> ForwardedHeartbeat {
-        let known = self.taken.get(&r.machine).filter(|t| t.term == term);
-        match known.filter(|t| same_content(&t.report, r)) {
-            Some(t) => ForwardedHeartbeat::UnchangedHeartbeat(UnchangedHeartbeat {
-                machine: r.machine.clone(),
-                incarnation: r.incarnation,
-                sequence: r.sequence,
-                repeats_sequence: t.report.sequence,
+    /// Returns the form in which a heartbeat is forwarded to the leader of a term.
+    pub fn message(&self, heartbeat: &Heartbeat, term: u64) -> ForwardedHeartbeat {
+        let accepted = self.accepted.get(&heartbeat.machine).filter(|accepted| accepted.term == term);
+        match accepted.filter(|accepted| has_same_content(&accepted.heartbeat, heartbeat)) {
+            Some(accepted) => ForwardedHeartbeat::UnchangedHeartbeat(UnchangedHeartbeat {
+                machine: heartbeat.machine.clone(),
+                incarnation: heartbeat.incarnation,
+                sequence: heartbeat.sequence,
+                repeats_sequence: accepted.heartbeat.sequence,
             }),
             None => ForwardedHeartbeat::Full,
         }
     }
 
-    /// The leader of this term has taken a report.
-    pub fn mark_accepted(&mut self, report: Heartbeat, term: u64, now: Instant) {
-        let older =
-            |t: &AcceptedHeartbeat| (t.report.incarnation, t.report.sequence) > (report.incarnation, report.sequence);
-        if !self.taken.get(&report.machine).is_some_and(older) {
-            self.taken.insert(report.machine.clone(), AcceptedHeartbeat { report, term, at: now });
+    /// Notes that the leader of a term has accepted a heartbeat.  Replies may arrive out of
+    /// order: an older heartbeat does not replace a newer one.
+    pub fn mark_accepted(&mut self, heartbeat: Heartbeat, term: u64, now: Instant) {
+        let recorded = self.accepted.get(&heartbeat.machine).map(|accepted| &accepted.heartbeat);
+        let is_outdated = recorded.is_some_and(|recorded| {
+            (recorded.incarnation, recorded.sequence) > (heartbeat.incarnation, heartbeat.sequence)
+        });
+        if !is_outdated {
+            let machine = heartbeat.machine.clone();
+            self.accepted.insert(machine, AcceptedHeartbeat { heartbeat, term, accepted_at: now });
         }
     }
 
-    /// The leader wants a machine's reports in full again.
+    /// Forgets a machine, as the leader asks for: its next heartbeat is forwarded with its whole
+    /// content.
     pub fn forget(&mut self, machine: &str) {
-        self.taken.remove(machine);
+        self.accepted.remove(machine);
     }
 
-    /// Machines that have not reported here for so long report elsewhere.
-    pub fn evict_idle(&mut self, after: Duration, now: Instant) {
-        self.taken.retain(|_, t| now.saturating_duration_since(t.at) <= after);
+    /// Forgets the machines of which no heartbeat was accepted through this controller for
+    /// longer than `max_idle`.
+    pub fn evict_idle(&mut self, max_idle: Duration, now: Instant) {
+        self.accepted.retain(|_, accepted| now.saturating_duration_since(accepted.accepted_at) <= max_idle);
     }
 
-    /// Machines whose last report is kept.
+    /// Returns the number of machines whose last accepted heartbeat is kept.
     pub fn len(&self) -> usize {
-        self.taken.len()
+        self.accepted.len()
     }
 
-    /// Whether nothing is kept.
+    /// Whether no heartbeat is kept.
     pub fn is_empty(&self) -> bool {
-        self.taken.is_empty()
+        self.accepted.is_empty()
     }
 }
 
-/// Whether a report says what an earlier one said.
-fn same_content(earlier: &Heartbeat, r: &Heartbeat) -> bool {
-    r.sequence > earlier.sequence && *earlier == Heartbeat { sequence: earlier.sequence, ..r.clone() }
+/// Whether a heartbeat is newer than another one and has the same content.
+fn has_same_content(earlier: &Heartbeat, heartbeat: &Heartbeat) -> bool {
+    heartbeat.sequence > earlier.sequence && *earlier == Heartbeat { sequence: earlier.sequence, ..heartbeat.clone() }
 }
 
-/// Whether a leader of so many machines has the other controllers take their reports.  It goes
-/// on with that until there are markedly fewer.
-pub fn should_forward(machines: usize, from: usize, spread: bool) -> bool {
-    let back = from - from / 4;
-    machines > if spread { back } else { from }
+/// Whether a leader has the other controllers forward heartbeats.  Forwarding begins above
+/// `threshold` machines.  While it is in use (`is_forwarding`), it ends only a quarter below
+/// that, so that it does not alternate.
+pub fn should_forward(machines: usize, threshold: usize, is_forwarding: bool) -> bool {
+    let lower_threshold = threshold - threshold / 4;
+    machines > if is_forwarding { lower_threshold } else { threshold }
 }
 
 #[cfg(test)]
--- a/packages/core/src/key.rs
+++ b/packages/core/src/key.rs
@@ -1,34 +1,35 @@
-//! Keys of the stored layout.  The first part is the version of the layout;
-//! what lies below `w/` is watched by every controller, the rest only read by
-//! new leaders.
+//! Keys of the stored layout.  The first part is the version of the layout.  Every controller
+//! watches the keys below `w/`; the others are read by new leaders only.
 
 use coralnotch_wire::model::{JobOutcome, OutcomeRecord};
 use coralnotch_wire::state::{Txn, Write};
 
-/// Everything the controllers watch.
+/// Prefix of the keys that every controller watches.
 pub const WATCHED: &str = "c2/w/";
-/// Submissions.
+/// Prefix of the submitted jobs.
 pub const JOB: &str = "c2/w/job/";
-/// Final states.
+/// Prefix of the outcomes of jobs.
 pub const OUTCOME: &str = "c2/w/fate/";
-/// The leader, on its lease.
+/// The current leader, attached to its lease.
 pub const LEADER: &str = "c2/w/leader";
-/// The last term.
+/// The last leader term.
 pub const TERM: &str = "c2/p/term";
-/// What all controllers have, and what is therefore on.
+/// The enabled features, which all controllers support.
 pub const GATES: &str = "c2/w/gates";
-/// What each controller has, on its lease, until all is on.
+/// Prefix of the features that each controller supports, attached to its lease.  They are
+/// kept only until every feature is enabled.
 pub const MEMBER: &str = "c2/p/member/";
-/// Machine types as last seen.
+/// The machine types as last seen.
 pub const TYPES: &str = "c2/w/types";
-/// Starts and completed tasks.
+/// Prefix of the shards of started and completed tasks.
 pub const SHARD: &str = "c2/p/page/";
-/// Rentals asked for lately.
+/// Prefix of the recently requested rentals.
 pub const RENTAL: &str = "c2/p/rental/";
-/// The layout before this one, which this program does not read.
+/// Prefix of the previous layout, which this version does not read.
 pub const PREVIOUS_LAYOUT: &str = "c1/";
 
-/// A job's end, guarded on there being none: whoever comes first, it stays.
+/// Adds the outcome of a job to a transaction, with the precondition that the job has none: the
+/// first outcome that is stored is final.
 pub fn put_outcome(txn: &mut Txn, id: &str, outcome: JobOutcome) {
     let path = format!("{OUTCOME}{id}");
     txn.require(path.clone(), 0);
--- a/packages/core/src/user_request.rs
+++ b/packages/core/src/user_request.rs
@@ -1,7 +1,7 @@
-//! What a user may be told of a job, and what has to be asked before.  Plain state; it must
+//! What a reply to a user may say of a job, and what has to be asked before.  Plain state; it must
 //! not know how the store or a peer is reached, nor the format of the messages.
 //!
-//! Once any controller has told a user that a job is accepted, done or cancelled, no
+//! Once any controller has reported to a user that a job is accepted, done or cancelled, no
 //! controller may report an older state to a request that is sent later.  What is known
 //! locally is therefore enough only for what never changes, which is an outcome.  That a job
 //! is unfinished, or that nobody submitted it, has to come from the store, in a response to a
