--- a/packages/core/src/sim/request_history/evaluation.rs
+++ b/packages/core/src/sim/request_history/evaluation.rs
@@ -86,31 +86,36 @@
     pub(super) fn receive_reply(&mut self, pending: &PendingRequest, reply: Reply) {
         let said = match reply {
             Reply::RetryLater(_) => return,
-            Reply::Accepted | Reply::Unfinished => Said::Unfinished,
-            Reply::Ended(JobOutcome::Done) => Said::Done,
-            Reply::Ended(JobOutcome::Cancelled) => Said::Cancelled,
+            Reply::Accepted | Reply::Unfinished => ObservedState::Unfinished,
+            Reply::Ended(JobOutcome::Done) => ObservedState::Done,
+            Reply::Ended(JobOutcome::Cancelled) => ObservedState::Cancelled,
             Reply::NotFound if pending.kind == RequestKind::Submit => {
                 self.violations.push(format!("{}: a submission is answered with 404", pending.job));
-                Said::Never
+                ObservedState::NotAccepted
             }
-            Reply::NotFound | Reply::Unsatisfiable(_) => Said::Never,
+            Reply::NotFound | Reply::Unsatisfiable(_) => ObservedState::NotAccepted,
         };
         let stored = self.stored_status(&pending.job);
-        if said > stored || said >= Said::Done && said != stored {
+        if said > stored || said >= ObservedState::Done && said != stored {
             self.violations.push(format!("{} is reported as {said:?}, and stored as {stored:?}", pending.job));
         }
-        self.answers.push(Answer { id: pending.job.clone(), sent: pending.sent_at, had: self.now, said });
+        self.answers.push(Answer {
+            id: pending.job.clone(),
+            sent_at: pending.sent_at,
+            received_at: self.now,
+            state: said,
+        });
     }
 
     /// A job's status by the records of the state service.
-    fn stored_status(&self, job: &str) -> Said {
+    fn stored_status(&self, job: &str) -> ObservedState {
         if self.state_store.job(job).is_none() {
-            return Said::Never;
+            return ObservedState::NotAccepted;
         }
         match self.state_store.store.outcome(job) {
-            None => Said::Unfinished,
-            Some(JobOutcome::Done) => Said::Done,
-            Some(JobOutcome::Cancelled) => Said::Cancelled,
+            None => ObservedState::Unfinished,
+            Some(JobOutcome::Done) => ObservedState::Done,
+            Some(JobOutcome::Cancelled) => ObservedState::Cancelled,
         }
     }
 }
--- a/packages/core/src/sim/request_history/mod.rs
+++ b/packages/core/src/sim/request_history/mod.rs
@@ -29,7 +29,7 @@
     Confirmation, NextAction, Reply, RequestKind, StateView, StoreResult, UserRequest, Validation,
 };
 use controller::{ModelController, StoredJob, Submission, MAX_ENDED_JOBS};
-use coralnotch_wire::history::{older, Answer, Said};
+use coralnotch_wire::history::{find_stale_answers, Answer, ObservedState};
 use coralnotch_wire::state::WatchEvent;
 use coverage::Coverage;
 use defect::InjectedDefect;
@@ -115,7 +115,7 @@
                 self.write_burst(index);
             }
         }
-        self.violations.extend(older(&self.answers, &self.submitted_at));
+        self.violations.extend(find_stale_answers(&self.answers, &self.submitted_at));
         self.outage = false;
         (0..3).for_each(|index| self.check_open_jobs(index));
         self
--- a/packages/core/src/sim/request_history/tests.rs
+++ b/packages/core/src/sim/request_history/tests.rs
@@ -13,7 +13,7 @@
         let history = RequestHistory::new(seed, InjectedDefect::None).run(STEPS);
         assert!(history.violations.is_empty(), "seed {seed}: {:?}", history.violations);
         coverage += history.coverage;
-        history.answers.iter().for_each(|answer| answers[answer.said as usize] += 1);
+        history.answers.iter().for_each(|answer| answers[answer.state as usize] += 1);
     }
     // there was something to check, of each situation and of each kind of answer
     assert!(coverage.counts().iter().all(|count| *count > 100), "{coverage:?}");
--- a/src/peers/cancellation_notices.rs
+++ b/src/peers/cancellation_notices.rs
@@ -56,7 +56,7 @@
         loop {
             // registered before the state is read, so that no cancellation in between is missed
             let more = self.cancellation_to_notify.listen();
-            let PeerNotice { cancellations: cancellations, has_unacknowledged: has_new } = {
+            let PeerNotice { cancellations, has_unacknowledged: has_new } = {
                 let mut guard = self.lock();
                 let state = &mut *guard;
                 state.cancellation_notices.for_peer(index, &state.cancellations, &self.policy, Instant::now())
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -13,7 +13,7 @@
 use common::{small_job, test_dir, Cluster, ClusterConfig};
 use coralnotch::http::{self, Client};
 use coralnotch::model::{JobSpec, JobState, Name, Shape};
-use coralnotch_wire::history::{older, Answer, Said};
+use coralnotch_wire::history::{find_stale_answers, Answer, ObservedState};
 
 /// Limit of one request.
 const REQUEST_LIMIT: Duration = Duration::from_secs(5);
@@ -39,7 +39,7 @@
 
 impl Users {
     /// Sends a request on a new connection, so that the balancer picks the controller.
-    async fn request(&self, method: &str, path: &str, id: &Name, body: Option<&[u8]>) -> Option<Said> {
+    async fn request(&self, method: &str, path: &str, id: &Name, body: Option<&[u8]>) -> Option<ObservedState> {
         let sent = Instant::now();
         if method == "POST" && path == "/v2/runs" {
             self.lock().submitted.entry(id.clone()).or_insert(sent);
@@ -48,17 +48,17 @@
         let had = Instant::now();
         let said = match response {
             Ok((200 | 201, body)) => match &*http::decode::<JobState>(&body).ok()?.stage {
-                "done" => Said::Done,
-                "cancelled" => Said::Cancelled,
-                _ => Said::Unfinished,
+                "done" => ObservedState::Done,
+                "cancelled" => ObservedState::Cancelled,
+                _ => ObservedState::Unfinished,
             },
-            Ok((400 | 404 | 422, _)) => Said::Never,
+            Ok((400 | 404 | 422, _)) => ObservedState::NotAccepted,
             _ => {
                 self.lock().inconclusive += 1;
                 return None;
             }
         };
-        self.lock().answers.push(Answer { id: id.clone(), sent, had, said });
+        self.lock().answers.push(Answer { id: id.clone(), sent_at: sent, received_at: had, state: said });
         Some(said)
     }
 
@@ -66,15 +66,15 @@
         self.history.lock().expect("no panic")
     }
 
-    async fn query(&self, id: &Name) -> Option<Said> {
+    async fn query(&self, id: &Name) -> Option<ObservedState> {
         self.request("GET", &format!("/v2/runs/{id}"), id, None).await
     }
 
-    async fn submit(&self, spec: &JobSpec) -> Option<Said> {
+    async fn submit(&self, spec: &JobSpec) -> Option<ObservedState> {
         self.request("POST", "/v2/runs", &spec.id, Some(&http::encode(spec))).await
     }
 
-    async fn cancel(&self, id: &Name) -> Option<Said> {
+    async fn cancel(&self, id: &Name) -> Option<ObservedState> {
         self.request("POST", &format!("/v2/runs/{id}/withdraw"), id, None).await
     }
 
@@ -101,7 +101,7 @@
             self.query_concurrently(&spec).await;
         }
         while began.elapsed() < FINAL_LIMIT {
-            if self.query(&spec.id).await.is_some_and(|said| said >= Said::Done) {
+            if self.query(&spec.id).await.is_some_and(|said| said >= ObservedState::Done) {
                 self.query_concurrently(&spec).await;
                 // a cancellation after the final state must change nothing
                 self.cancel(&spec.id).await;
@@ -210,17 +210,19 @@
     let report = cluster.stop();
     let history = users.lock();
     assert_eq!(finished.iter().filter(|seen| !**seen).count(), 0, "jobs without a final answer");
-    let wrong = older(&history.answers, &history.submitted);
+    let wrong = find_stale_answers(&history.answers, &history.submitted);
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
-    let count = |said: Said| history.answers.iter().filter(|answer| answer.said == said).count();
+    let count = |said: ObservedState| history.answers.iter().filter(|answer| answer.state == said).count();
     for spec in &invalid {
         let mut answers = history.answers.iter().filter(|answer| answer.id == spec.id).peekable();
         assert!(answers.peek().is_some(), "{} has no answer", spec.id);
-        assert!(answers.all(|answer| answer.said == Said::Never), "{} was accepted", spec.id);
+        assert!(answers.all(|answer| answer.state == ObservedState::NotAccepted), "{} was accepted", spec.id);
     }
     // without enough answers of each kind the check above would show nothing
     assert!(
-        count(Said::Done) > 100 && count(Said::Cancelled) > 30 && count(Said::Unfinished) > 50,
+        count(ObservedState::Done) > 100
+            && count(ObservedState::Cancelled) > 30
+            && count(ObservedState::Unfinished) > 50,
         "{}",
         history.answers.len()
     );
