--- a/packages/wire/src/cloud.rs
+++ b/packages/wire/src/cloud.rs
@@ -1,59 +1,59 @@
-//! The cloud's interface: rentals, and the list of machines.
+//! Types of the cloud's interface: rental requests and the list of machines.
 
 use serde::{Deserialize, Serialize};
 
 use crate::model::Name;
 
-/// What the cloud's list says of a machine.
+/// State of a machine in the cloud's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// Not up yet.
+    /// It is booting.
     Booting,
-    /// Up.
+    /// It is up.
     Running,
-    /// Stopped on its own.
+    /// It has stopped unexpectedly.
     Failed,
 }
 
-/// A rental to ask for.  Its charter is used for nothing else, ever.
+/// A request to rent machines.  Its id makes it idempotent and is never used for another request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Rental {
-    /// Name of the request.
+    /// Id of the request.
     #[serde(rename = "charter")]
     pub request_id: Name,
-    /// Type.
+    /// Machine type.
     #[serde(rename = "hull")]
     pub kind: Name,
     /// Zone.
     #[serde(rename = "bay")]
     pub zone: Name,
-    /// Spot or ordinary.
+    /// Whether to rent spot machines.
     #[serde(rename = "driftwood")]
     pub spot: bool,
-    /// How many.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// A machine as listed.
+/// A machine in the list of the cloud.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
     /// Name.
     #[serde(rename = "nameId")]
     pub name: Name,
-    /// Type.
+    /// Machine type.
     #[serde(rename = "hull")]
     pub kind: Name,
     /// Zone.
     #[serde(rename = "bay")]
     pub zone: Name,
-    /// Spot or ordinary.
+    /// Whether it is a spot machine.
     #[serde(rename = "driftwood")]
     pub spot: bool,
     /// State.
     #[serde(rename = "stage")]
     pub state: MachineState,
-    /// Time since its rental.
+    /// Time since it was rented, in seconds.
     #[serde(rename = "heldS", default)]
     pub age_s: f64,
 }
--- a/packages/wire/src/example.rs
+++ b/packages/wire/src/example.rs
@@ -1,10 +1,10 @@
-//! A submission for tests and for trying things out.
+//! An example of a submission, for tests and benchmarks.
 
 use std::sync::Arc;
 
 use crate::model::*;
 
-/// An array of tasks of one core.
+/// Returns a job array whose tasks need one core each.
 pub fn spec(id: &str, tasks: u32) -> Arc<JobSpec> {
     Arc::new(JobSpec {
         id: id.into(),
--- a/packages/wire/src/http/client.rs
+++ b/packages/wire/src/http/client.rs
@@ -1,8 +1,8 @@
-//! Requests to others, over connections that are kept.
+//! The client: sends requests and reuses idle connections.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
-use std::sync::Mutex;
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 use smol::io::AsyncWriteExt;
@@ -10,15 +10,22 @@
 
 use super::{fill, fill_to, parse_response, within, Answer, Error, ANSWER_LIMIT, CHUNK};
 
-/// A client that keeps idle connections.
+/// A connection that waits to be reused.
+struct IdleConnection {
+    addr: SocketAddr,
+    stream: TcpStream,
+    idle_since: Instant,
+}
+
+/// A client that reuses idle connections.
 pub struct Client {
     /// The least recently used first.
-    idle: Mutex<VecDeque<(SocketAddr, TcpStream, Instant)>>,
-    most: usize,
+    idle: Mutex<VecDeque<IdleConnection>>,
+    max_idle: usize,
 }
 
-/// An idle connection older than this is not trusted any more.
-const KEEP_FOR: Duration = Duration::from_secs(20);
+/// An idle connection is not reused after this time.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(20);
 
 impl Default for Client {
     fn default() -> Self {
@@ -26,7 +33,7 @@
     }
 }
 
-/// The head of a request as this client sends it.
+/// Returns the head of a request as this client sends it.  `body` is the size of the body in bytes.
 pub fn request_head(addr: SocketAddr, method: &str, target: &str, body: usize) -> String {
     format!(
         "{method} {target} HTTP/1.1\r\nHost: {addr}\r\nContent-Type: application/msgpack\r\nContent-Length: {body}\r\n\r\n"
@@ -34,39 +41,45 @@
 }
 
 impl Client {
-    /// A client that keeps at most so many idle connections in all.
-    pub fn new(most: usize) -> Client {
-        Client { idle: Mutex::default(), most }
+    /// Creates a client that keeps at most `max_idle` idle connections, to all addresses together.
+    pub fn new(max_idle: usize) -> Client {
+        Client { idle: Mutex::default(), max_idle }
     }
 
-    fn idle(&self) -> std::sync::MutexGuard<'_, VecDeque<(SocketAddr, TcpStream, Instant)>> {
-        self.idle.lock().unwrap_or_else(|e| e.into_inner())
+    fn idle(&self) -> MutexGuard<'_, VecDeque<IdleConnection>> {
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Takes an idle connection to an address, if there is one.
     fn take(&self, addr: SocketAddr) -> Option<TcpStream> {
         let mut idle = self.idle();
-        while idle.front().is_some_and(|i| i.2.elapsed() >= KEEP_FOR) {
+        while idle.front().is_some_and(|connection| connection.idle_since.elapsed() >= MAX_IDLE_TIME) {
             idle.pop_front();
         }
-        let at = idle.iter().rposition(|i| i.0 == addr)?;
-        idle.remove(at).map(|i| i.1)
+        let position = idle.iter().rposition(|connection| connection.addr == addr)?;
+        idle.remove(position).map(|connection| connection.stream)
     }
 
-    fn keep(&self, addr: SocketAddr, s: TcpStream) {
+    /// Keeps a connection to be reused.
+    fn keep(&self, addr: SocketAddr, stream: TcpStream) {
         let mut idle = self.idle();
-        idle.push_back((addr, s, Instant::now()));
-        if idle.len() > self.most {
+        idle.push_back(IdleConnection { addr, stream, idle_since: Instant::now() });
+        if idle.len() > self.max_idle {
             idle.pop_front();
         }
     }
 
-    /// Drops what is idle to an address: after a failure there, the rest is
-    /// suspect too.
+    /// Drops the idle connections to an address: after a failure of one, the others are likely to
+    /// fail as well.
     fn forget(&self, addr: SocketAddr) {
-        self.idle().retain(|i| i.0 != addr);
+        self.idle().retain(|connection| connection.addr != addr);
     }
 
-    /// One request; an error means that nothing is known of its effect.
+    /// Sends a request and returns the status and the body of the response.  `limit` is the time
+    /// for the whole exchange.
+    ///
+    /// # Errors
+    /// After an error it is not known whether the request was carried out.
     pub async fn send(
         &self,
         addr: SocketAddr,
@@ -79,8 +92,10 @@
         Ok((answer.status, answer.body))
     }
 
-    /// One request, and all that its answer says; an error means that nothing
-    /// is known of its effect.
+    /// Sends a request and returns the whole response.  `limit` is the time for the whole exchange.
+    ///
+    /// # Errors
+    /// After an error it is not known whether the request was carried out.
     pub async fn exchange(
         &self,
         addr: SocketAddr,
@@ -94,28 +109,28 @@
         out.extend_from_slice(request_head(addr, method, target, body.len()).as_bytes());
         out.extend_from_slice(body);
         let result = within(limit, async {
-            let mut s = match self.take(addr) {
-                Some(s) => s,
+            let mut stream = match self.take(addr) {
+                Some(stream) => stream,
                 None => {
-                    let s = TcpStream::connect(addr).await?;
-                    let _ = s.set_nodelay(true);
-                    s
+                    let stream = TcpStream::connect(addr).await?;
+                    let _ = stream.set_nodelay(true);
+                    stream
                 }
             };
-            s.write_all(&out).await?;
+            stream.write_all(&out).await?;
             let mut buf = Vec::new();
             let head = loop {
-                fill(&mut s, &mut buf, CHUNK).await?;
-                if let Some(h) = parse_response(&buf)? {
-                    break h;
+                fill(&mut stream, &mut buf, CHUNK).await?;
+                if let Some(head) = parse_response(&buf)? {
+                    break head;
                 }
             };
             if head.chunked || head.body > ANSWER_LIMIT {
                 return Err(Error::Bad("answer too large or in chunks"));
             }
-            fill_to(&mut s, &mut buf, head.len + head.body).await?;
+            fill_to(&mut stream, &mut buf, head.len + head.body).await?;
             if !head.close && buf.len() == head.len + head.body {
-                self.keep(addr, s);
+                self.keep(addr, stream);
             }
             buf.drain(..head.len);
             buf.truncate(head.body);
--- a/packages/wire/src/http/conn/tests.rs
+++ b/packages/wire/src/http/conn/tests.rs
@@ -2,28 +2,27 @@
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use std::net::TcpListener;
 
-/// Before, a wait that ended in a read left its event behind, and each wait
-/// after it ended at once with nothing to read: two reads a request.
+/// Guards against a wait that left its event behind when it ended in a read: each later wait
+/// ended at once with nothing to read, which cost two reads per request.
 #[test]
-fn a_wait_ends_by_what_came_and_not_by_what_was_read() {
+fn a_wait_ends_only_when_something_new_has_arrived() {
     smol::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let mut peer = smol::net::TcpStream::connect(listener.local_addr().expect("bound")).await.expect("listens");
-        let all = Deadlines::new(Duration::from_secs(1));
-        let (s, _) = listener.accept().expect("it connected");
-        let mut conn = Conn::new(s, &all).expect("a socket");
+        let deadlines = Deadlines::new(Duration::from_secs(1));
+        let (stream, _) = listener.accept().expect("it connected");
+        let mut conn = Conn::new(stream, &deadlines).expect("a socket");
         let mut buf = [0; 8];
         for n in 0..3 {
-            // it waits, and only then something comes
+            // it waits, and only then something arrives
             let mut first = Box::pin(async {
                 if n > 0 {
                     conn.readable().await.expect("open");
-                    let mut s = match &conn.socket {
-                        Socket::Known(s) => s.get_ref(),
+                    let mut stream = match &conn.socket {
+                        Socket::Registered(connection) => connection.get_ref(),
                         _ => panic!("it has waited"),
                     };
-                    let there = s.read(&mut buf).expect("what ended the wait is there");
-                    return there;
+                    return stream.read(&mut buf).expect("what ended the wait has arrived");
                 }
                 conn.read(&mut buf).await.expect("open")
             });
@@ -31,8 +30,8 @@
             peer.write_all(b"ask").await.expect("open");
             assert_eq!(first.await, 3);
         }
-        assert_eq!((all.open(), all.waiting.borrow().len()), (1, 1));
+        assert_eq!((deadlines.open(), deadlines.waiting.borrow().len()), (1, 1));
         drop(conn);
-        assert_eq!((all.open(), all.waiting.borrow().len()), (0, 0));
+        assert_eq!((deadlines.open(), deadlines.waiting.borrow().len()), (0, 0));
     });
 }
--- a/packages/wire/src/http/mod.rs
+++ b/packages/wire/src/http/mod.rs
@@ -1,6 +1,6 @@
-//! HTTP/1.1 with MessagePack bodies: a small server and a client that keeps
-//! its connections.  Every read is bounded in time and size, so that slow,
-//! half-open or oversized peers cost little.
+//! HTTP/1.1 with MessagePack bodies: a small server, and a client that reuses connections.
+//! Every read is limited in time and size, so that slow, half-open or oversized connections cost
+//! little.
 
 mod client;
 mod conn;
@@ -17,19 +17,21 @@
 use serde::Serialize;
 use smol::io::{AsyncRead, AsyncReadExt};
 
-/// Largest request body that is taken, and largest answer to workers and users.
+/// Maximum size of a request body, and of a response to workers and users, in bytes.
 pub const BODY_LIMIT: usize = 64 * 1024;
-/// Largest answer the client accepts (lists and watches of the state service).
+/// Maximum size of a response body that the client accepts, in bytes; large enough for lists and
+/// watches of the state service.
 const ANSWER_LIMIT: usize = 8 * 1024 * 1024;
+/// Maximum size of the head of a message, in bytes.
 const HEAD_LIMIT: usize = 8 * 1024;
 
-/// Why a request got no usable answer.
+/// Why a request got no usable response.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The connection could not be made, or broke.
+    /// The connection could not be established, or broke.
     #[error("connection: {0}")]
     Io(#[from] std::io::Error),
-    /// No answer within the deadline; the request may still be carried out.
+    /// There was no response in time; the request may still be carried out.
     #[error("no answer in time")]
     Timeout,
     /// The peer sent something that is not HTTP or not MessagePack.
@@ -37,17 +39,21 @@
     Bad(&'static str),
 }
 
-/// Encodes a body.
+/// Encodes a body as a MessagePack map.  A value that cannot be encoded is logged, and the result
+/// is an empty map.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     rmp_serde::to_vec_named(value).unwrap_or_else(|e| {
-        tracing::error!("cannot encode a message: {e}");
+        tracing::error!(error = %e, "cannot encode a message");
         vec![0x80]
     })
 }
 
-/// Decodes a body that has to be one MessagePack map and nothing else.
+/// Decodes a body.
+///
+/// # Errors
+/// [`Error::Bad`] if the body is anything but one MessagePack map with the fields of `T`.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, Error> {
-    // a list would pass for a struct otherwise
+    // serde would accept a list for a struct as well
     match body.first() {
         Some(0x80..=0x8f | 0xde | 0xdf) => {}
         _ => return Err(Error::Bad("not a map")),
@@ -61,7 +67,7 @@
     Ok(value)
 }
 
-/// A request as the server hands it on.
+/// A request that the server has received.
 #[derive(Debug)]
 pub struct Request {
     /// The method, in capitals.
@@ -74,37 +80,39 @@
     pub body: Vec<u8>,
 }
 
-/// An answer.
+/// A response of the server.
 #[derive(Debug, Clone)]
 pub struct Response {
     /// The HTTP status.
     pub status: u16,
     /// The MessagePack body.
     pub body: Vec<u8>,
-    /// Seconds for `Retry-After`, where the peer should come back later.
+    /// Value of `Retry-After` in seconds, if the client should try again later.
     pub retry_after: Option<u32>,
-    /// The peer will not ask again for a while: where connections are scarce,
-    /// its own is closed with this answer.
+    /// Whether the client will send no other request for a while.  When connections are scarce,
+    /// its connection is closed after this response.
     pub seldom: bool,
 }
 
+/// The body of an error response.
 #[derive(Serialize)]
-struct Plain<'a> {
+struct ErrorBody<'a> {
     error: &'a str,
 }
 
 impl Response {
-    /// An answer with a body.
+    /// Creates a response with a body.
     pub fn new<T: Serialize>(status: u16, body: &T) -> Self {
         Response { status, body: encode(body), retry_after: None, seldom: false }
     }
-    /// A refusal with a short reason.
+    /// Creates an error response with a short reason; 429 and 503 ask the client to try again.
     pub fn refuse(status: u16, reason: &str) -> Self {
         let retry_after = matches!(status, 429 | 503).then_some(1);
-        Response { retry_after, ..Self::new(status, &Plain { error: reason }) }
+        Response { retry_after, ..Self::new(status, &ErrorBody { error: reason }) }
     }
 }
 
+/// Returns the reason phrase of a status.
 fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -123,6 +131,7 @@
     }
 }
 
+/// Waits for a result, at most for `limit`.
 async fn within<T>(limit: Duration, work: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
     or(work, async {
         smol::Timer::after(limit).await;
@@ -131,28 +140,28 @@
     .await
 }
 
-/// What the head of a message says.
+/// The head of a request or a response, parsed.
 #[derive(Debug, PartialEq)]
 pub struct Head {
-    /// Method and target of a request, or empty for an answer.
+    /// Method of a request; empty for a response.
     pub method: String,
-    /// The target as sent.
+    /// Target of a request as sent; empty for a response.
     pub target: String,
-    /// Status of an answer, 0 for a request.
+    /// Status of a response; 0 for a request.
     pub status: u16,
-    /// Bytes of the head.
+    /// Size of the head in bytes.
     pub len: usize,
-    /// Bytes of the body.
+    /// Size of the body in bytes.
     pub body: usize,
-    /// Whether the peer closes after this message.
+    /// Whether the sender closes the connection after this message.
     pub close: bool,
-    /// Whether the body comes in chunks, which nobody here sends.
+    /// Whether the body is chunked, which is not supported.
     pub chunked: bool,
     /// `Retry-After` as sent, in either of its forms.
     pub retry_after: Option<String>,
 }
 
-/// An answer as a client gets it.
+/// A response that the client has received.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
     /// The HTTP status.
@@ -163,40 +172,55 @@
     pub retry_after: Option<String>,
 }
 
-/// Length of the body, whether the peer closes, whether it sends chunks, and
-/// when to come back.
-type Fields = (usize, bool, bool, Option<String>);
+/// The header fields that matter here.
+struct HeaderFields {
+    /// Size of the body in bytes.
+    body: usize,
+    close: bool,
+    chunked: bool,
+    retry_after: Option<String>,
+}
 
-fn fields(headers: &[httparse::Header<'_>], http10: bool) -> Result<Fields, Error> {
-    let (mut body, mut close, mut chunked, mut retry_after) = (None, http10, false, None);
-    for h in headers {
-        if h.name.eq_ignore_ascii_case("content-length") {
-            let n: usize = std::str::from_utf8(h.value)
-                .ok()
-                .map(str::trim)
-                .filter(|v| !v.is_empty() && v.bytes().all(|b| b.is_ascii_digit()))
-                .and_then(|v| v.parse().ok())
-                .ok_or(Error::Bad("content-length"))?;
-            if body.is_some_and(|b| b != n) {
+fn parse_headers(headers: &[httparse::Header<'_>], http10: bool) -> Result<HeaderFields, Error> {
+    let mut body = None;
+    let mut fields = HeaderFields { body: 0, close: http10, chunked: false, retry_after: None };
+    for header in headers {
+        if header.name.eq_ignore_ascii_case("content-length") {
+            let length = parse_content_length(header.value).ok_or(Error::Bad("content-length"))?;
+            // two different lengths are a way to smuggle requests
+            if body.is_some_and(|earlier| earlier != length) {
                 return Err(Error::Bad("content-length twice"));
             }
-            body = Some(n);
-        } else if h.name.eq_ignore_ascii_case("connection") {
-            if h.value.eq_ignore_ascii_case(b"close") {
-                close = true;
-            } else if h.value.eq_ignore_ascii_case(b"keep-alive") {
-                close = false;
+            body = Some(length);
+        } else if header.name.eq_ignore_ascii_case("connection") {
+            if header.value.eq_ignore_ascii_case(b"close") {
+                fields.close = true;
+            } else if header.value.eq_ignore_ascii_case(b"keep-alive") {
+                fields.close = false;
             }
-        } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
-            chunked = true;
-        } else if h.name.eq_ignore_ascii_case("retry-after") {
-            retry_after = std::str::from_utf8(h.value).ok().map(|v| v.trim().to_owned());
+        } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
+            fields.chunked = true;
+        } else if header.name.eq_ignore_ascii_case("retry-after") {
+            fields.retry_after = std::str::from_utf8(header.value).ok().map(|value| value.trim().to_owned());
         }
     }
-    Ok((body.unwrap_or(0), close, chunked, retry_after))
+    fields.body = body.unwrap_or(0);
+    Ok(fields)
+}
+
+/// Parses a length of decimal digits only; the standard parser would accept a sign as well.
+fn parse_content_length(value: &[u8]) -> Option<usize> {
+    let digits = std::str::from_utf8(value).ok()?.trim();
+    if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
+        return None;
+    }
+    digits.parse().ok()
 }
 
-/// Reads the head of a request; `None` while it is incomplete.
+/// Parses the head of a request; `None` while it is incomplete.
+///
+/// # Errors
+/// [`Error::Bad`] if it is malformed or too long.
 pub fn parse_request(buf: &[u8]) -> Result<Option<Head>, Error> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut req = httparse::Request::new(&mut headers);
@@ -204,7 +228,8 @@
         httparse::Status::Partial if buf.len() > HEAD_LIMIT => Err(Error::Bad("head too long")),
         httparse::Status::Partial => Ok(None),
         httparse::Status::Complete(len) => {
-            let (body, close, chunked, retry_after) = fields(req.headers, req.version == Some(0))?;
+            let HeaderFields { body, close, chunked, retry_after } =
+                parse_headers(req.headers, req.version == Some(0))?;
             let method = req.method.unwrap_or_default().to_owned();
             let target = req.path.unwrap_or_default().to_owned();
             Ok(Some(Head { method, target, status: 0, len, body, close, chunked, retry_after }))
@@ -212,7 +237,10 @@
     }
 }
 
-/// Reads the head of an answer; `None` while it is incomplete.
+/// Parses the head of a response; `None` while it is incomplete.
+///
+/// # Errors
+/// [`Error::Bad`] if it is malformed or too long.
 pub fn parse_response(buf: &[u8]) -> Result<Option<Head>, Error> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut res = httparse::Response::new(&mut headers);
@@ -220,7 +248,8 @@
         httparse::Status::Partial if buf.len() > HEAD_LIMIT => Err(Error::Bad("head too long")),
         httparse::Status::Partial => Ok(None),
         httparse::Status::Complete(len) => {
-            let (body, close, chunked, retry_after) = fields(res.headers, res.version == Some(0))?;
+            let HeaderFields { body, close, chunked, retry_after } =
+                parse_headers(res.headers, res.version == Some(0))?;
             let status = res.code.unwrap_or(0);
             Ok(Some(Head {
                 method: String::new(),
@@ -236,11 +265,11 @@
     }
 }
 
-/// What is read at once where the length is not known yet; kept small, as
-/// every idle connection has it.
+/// Size of a read while the length of the message is not known yet, in bytes.  It is small
+/// because every idle connection has a buffer of this size.
 const CHUNK: usize = 2048;
 
-/// Reads some more, at most `most`.
+/// Reads once into the buffer, at most `most` bytes; an error at the end of the stream.
 async fn fill(s: &mut (impl AsyncRead + Unpin), buf: &mut Vec<u8>, most: usize) -> Result<(), Error> {
     let old = buf.len();
     buf.resize(old + most, 0);
@@ -252,7 +281,7 @@
     Ok(())
 }
 
-/// Reads until the buffer holds so much.
+/// Reads until the buffer holds `len` bytes.
 async fn fill_to(s: &mut (impl AsyncRead + Unpin), buf: &mut Vec<u8>, len: usize) -> Result<(), Error> {
     while buf.len() < len {
         fill(s, buf, len - buf.len()).await?;
--- a/packages/wire/src/http/server.rs
+++ b/packages/wire/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Requests of others: users, workers, and who else connects.
+//! The server: receives requests and sends responses.
 
 use std::future::Future;
 use std::rc::Rc;
@@ -11,16 +11,16 @@
 use super::conn::{Conn, Deadlines};
 use super::{fill, fill_to, parse_request, reason, Error, Request, Response, BODY_LIMIT, CHUNK};
 
-/// The head of an answer as this server sends it.
-pub fn response_head(r: &Response, close: bool) -> String {
+/// Returns the head of a response as this server sends it.
+pub fn response_head(response: &Response, close: bool) -> String {
     let mut head = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: application/msgpack\r\nContent-Length: {}\r\n",
-        r.status,
-        reason(r.status),
-        r.body.len()
+        response.status,
+        reason(response.status),
+        response.body.len()
     );
-    if let Some(s) = r.retry_after {
-        head += &format!("Retry-After: {s}\r\n");
+    if let Some(seconds) = response.retry_after {
+        head += &format!("Retry-After: {seconds}\r\n");
     }
     if close {
         head += "Connection: close\r\n";
@@ -29,32 +29,32 @@
     head
 }
 
-async fn send_response(s: &mut Conn, r: &Response, close: bool) -> Result<(), Error> {
-    let mut out = Vec::with_capacity(160 + r.body.len());
-    out.extend_from_slice(response_head(r, close).as_bytes());
-    out.extend_from_slice(&r.body);
-    s.write_all(&out).await?;
+async fn send_response(connection: &mut Conn, response: &Response, close: bool) -> Result<(), Error> {
+    let mut out = Vec::with_capacity(160 + response.body.len());
+    out.extend_from_slice(response_head(response, close).as_bytes());
+    out.extend_from_slice(&response.body);
+    connection.write_all(&out).await?;
     Ok(())
 }
 
-/// Bounds of the server.
+/// Limits of the server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
-    /// Connections open at once; further ones are closed at once.
+    /// Maximum number of open connections; further ones are closed at once.
     pub connections: usize,
-    /// From so many on, those whose peers ask seldom are closed as they are
-    /// answered: there may be more of them than connections, and each has to
-    /// get its turn.
+    /// From this number of open connections on, a connection whose client sends requests seldom
+    /// ([`Response::seldom`]) is closed after its response.  There may be more such clients than
+    /// connections, and each has to be served.
     pub scarce: usize,
     /// How long a connection may stay idle between requests.
     pub idle: Duration,
-    /// How long one request may take to arrive in full.
+    /// How long a request may take to arrive completely.
     pub arrive: Duration,
-    /// How long an answer is of any use to whoever asked.
+    /// How long after its request a response is still of use to the client.
     pub answer: Duration,
 }
 
-/// Serves connections until the listener fails, each in a task of its own.
+/// Accepts connections and serves each in a task of its own; never returns.
 pub async fn serve<H, F>(
     ex: Rc<smol::LocalExecutor<'static>>,
     listener: TcpListener,
@@ -69,10 +69,10 @@
     let listener: Arc<smol::Async<std::net::TcpListener>> = listener.into();
     loop {
         let stream = match listener.read_with(std::net::TcpListener::accept).await {
-            Ok((s, _)) => s,
+            Ok((stream, _)) => stream,
             Err(e) => {
-                // mostly out of sockets: let some close
-                tracing::error!("accept: {e}");
+                // mostly the process has no free sockets: wait until some are closed
+                tracing::error!(error = %e, "cannot accept a connection");
                 smol::Timer::after(Duration::from_millis(100)).await;
                 continue;
             }
@@ -80,71 +80,86 @@
         if deadlines.open() >= limits.connections {
             continue;
         }
-        // an answer is written at once and nothing follows it: nodelay would
-        // change nothing
-        let Ok(conn) = Conn::new(stream, &deadlines) else { continue };
+        // a response is written at once and nothing follows it, so nodelay would have no effect
+        let Ok(connection) = Conn::new(stream, &deadlines) else { continue };
         let handler = handler.clone();
         ex.spawn(async move {
-            if let Err(e) = connection(conn, limits, &*handler).await {
-                tracing::trace!("connection ends: {e}");
+            if let Err(e) = serve_connection(connection, limits, &*handler).await {
+                tracing::trace!(error = %e, "connection closed");
             }
         })
         .detach();
     }
 }
 
-async fn connection<H, F>(mut s: Conn, limits: ServerLimits, handler: &H) -> Result<(), Error>
+/// What arrived on a connection.
+enum Received {
+    /// A request; `close` if the client closes the connection after it.
+    Request { request: Request, close: bool },
+    /// Something else, which is answered with this error response.
+    Invalid(Response),
+}
+
+/// Reads the next request.  `buf` holds its beginning, and after it whatever followed it.
+async fn receive_request(connection: &mut Conn, buf: &mut Vec<u8>) -> Result<Received, Error> {
+    let head = loop {
+        match parse_request(buf) {
+            Ok(Some(head)) => break head,
+            Ok(None) => fill(connection, buf, CHUNK).await?,
+            Err(Error::Bad(reason)) => return Ok(Received::Invalid(Response::refuse(400, reason))),
+            Err(e) => return Err(e),
+        }
+    };
+    if head.chunked || head.body > BODY_LIMIT {
+        let status = if head.chunked { 400 } else { 413 };
+        return Ok(Received::Invalid(Response::refuse(status, "body too large or in chunks")));
+    }
+    fill_to(connection, buf, head.len + head.body).await?;
+    let body = buf[head.len..head.len + head.body].to_vec();
+    buf.drain(..head.len + head.body);
+    if buf.capacity() > BODY_LIMIT / 4 {
+        buf.shrink_to(CHUNK);
+    }
+    let (path, query) = head.target.split_once('?').unwrap_or((&head.target, ""));
+    let (path, query) = (path.to_owned(), query.to_owned());
+    Ok(Received::Request { request: Request { method: head.method, path, query, body }, close: head.close })
+}
+
+/// Serves one connection until it is closed.
+async fn serve_connection<H, F>(mut connection: Conn, limits: ServerLimits, handler: &H) -> Result<(), Error>
 where
     H: Fn(Request) -> F,
     F: Future<Output = Response>,
 {
     let mut buf = Vec::new();
-    let mut first = true;
+    let mut is_new = true;
     loop {
         if buf.is_empty() {
-            s.within(limits.idle);
-            // the next request is not there yet: no try that fails first.  On a
-            // new connection it mostly is, by the time that its turn comes
-            if !first {
-                s.readable().await?;
+            connection.within(limits.idle);
+            // The next request has usually not arrived yet, so a read would fail first.  On a new
+            // connection it usually has, by the time the connection is handled.
+            if !is_new {
+                connection.readable().await?;
             }
-            fill(&mut s, &mut buf, CHUNK).await?;
-            first = false;
+            fill(&mut connection, &mut buf, CHUNK).await?;
+            is_new = false;
         }
-        s.within(limits.arrive);
-        let head = loop {
-            match parse_request(&buf) {
-                Ok(Some(h)) => break h,
-                Ok(None) => fill(&mut s, &mut buf, CHUNK).await?,
-                Err(Error::Bad(why)) => return send_response(&mut s, &Response::refuse(400, why), true).await,
-                Err(e) => return Err(e),
-            }
+        connection.within(limits.arrive);
+        let (request, client_closes) = match receive_request(&mut connection, &mut buf).await? {
+            Received::Request { request, close } => (request, close),
+            Received::Invalid(response) => return send_response(&mut connection, &response, true).await,
         };
-        if head.chunked || head.body > BODY_LIMIT {
-            let status = if head.chunked { 400 } else { 413 };
-            let r = Response::refuse(status, "body too large or in chunks");
-            return send_response(&mut s, &r, true).await;
-        }
-        fill_to(&mut s, &mut buf, head.len + head.body).await?;
-        let body = buf[head.len..head.len + head.body].to_vec();
-        buf.drain(..head.len + head.body);
-        if buf.capacity() > BODY_LIMIT / 4 {
-            buf.shrink_to(CHUNK);
-        }
-        let (path, query) = head.target.split_once('?').unwrap_or((&head.target, ""));
-        let (path, query) = (path.to_owned(), query.to_owned());
-        s.unlimited();
-        let asked = Instant::now();
-        let r = handler(Request { method: head.method, path, query, body }).await;
-        // nobody waits so long.  An answer that is late because this process
-        // stood still may be older than what a sibling has said since: it is
-        // not sent
-        if asked.elapsed() > limits.answer {
+        connection.unlimited();
+        let received_at = Instant::now();
+        let response = handler(request).await;
+        // No client waits this long.  A response that is late because this process was stalled may
+        // be older than what another controller has reported since: it must not be sent.
+        if received_at.elapsed() > limits.answer {
             return Ok(());
         }
-        s.within(limits.arrive);
-        let close = head.close || r.seldom && s.open() >= limits.scarce;
-        send_response(&mut s, &r, close).await?;
+        connection.within(limits.arrive);
+        let close = client_closes || response.seldom && connection.open() >= limits.scarce;
+        send_response(&mut connection, &response, close).await?;
         if close {
             return Ok(());
         }
--- a/packages/wire/src/lib.rs
+++ b/packages/wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! The protocol: its types, and HTTP/1.1 with MessagePack as client and server.
-//! Decides nothing, and knows neither settings nor state.
+//! The protocol: its types, and an HTTP/1.1 client and server with MessagePack bodies.  This
+//! package makes no decisions and knows neither settings nor state.
 
 pub mod cloud;
 pub mod example;
--- a/packages/wire/src/model.rs
+++ b/packages/wire/src/model.rs
@@ -1,4 +1,5 @@
-//! The field's terms, and the wire's words at their edge.
+//! Jobs, tasks, resources and machine types.  The Rust names are the standard terms; the serde
+//! names are those of the protocol.
 
 mod job;
 mod machine_type;
@@ -14,18 +15,17 @@
 
 use std::sync::Arc;
 
-/// A name shared by many places.
+/// A name or id; clones share one allocation.
 pub type Name = Arc<str>;
 
-/// Values by name, with a seeded hash that is quicker than the standard one:
-/// a pass looks up the job of every task.
+/// Values by name, with a seeded hash that is faster than the standard one: a placement pass
+/// looks up the job of every task.
 pub type NameMap<V> = std::collections::HashMap<Name, V, foldhash::fast::RandomState>;
 
-/// Where a value stands in a short list; it is added if it is not there.
-/// The place of `x` in the list, where it is put if it is not there yet.
-pub fn index_of<T: PartialEq>(list: &mut Vec<T>, x: T) -> usize {
-    list.iter().position(|y| *y == x).unwrap_or_else(|| {
-        list.push(x);
+/// Returns the index of a value in a short list; the value is appended if it is not there.
+pub fn index_of<T: PartialEq>(list: &mut Vec<T>, value: T) -> usize {
+    list.iter().position(|present| *present == value).unwrap_or_else(|| {
+        list.push(value);
         list.len() - 1
     })
 }
--- a/packages/wire/src/model/job.rs
+++ b/packages/wire/src/model/job.rs
@@ -7,10 +7,10 @@
 /// The shape of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Shape {
-    /// Independent tasks, each runs to completion.
+    /// Independent tasks, each of which runs to completion.
     #[serde(rename = "batch")]
     Array,
-    /// All tasks at the same time, or none.
+    /// Tasks that run all at the same time or not at all.
     #[serde(rename = "group")]
     Gang,
     /// Replicas that run until the job is cancelled.
@@ -21,28 +21,28 @@
 /// Priority, the most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// Before everything.
+    /// Before all other jobs.
     #[serde(rename = "production")]
     Production,
-    /// Before ordinary work.
+    /// Before ordinary jobs.
     #[serde(rename = "high")]
     High,
-    /// Ordinary work.
+    /// Ordinary jobs.
     #[serde(rename = "normal")]
     Normal,
-    /// After everything.
+    /// After all other jobs.
     #[serde(rename = "best_effort")]
     Low,
 }
 
-/// A submission as users send it and as the store keeps it.
+/// A submitted job, as users send it and as the store keeps it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct JobSpec {
-    /// The job's id, chosen by its user.
+    /// Id, chosen by the user.
     #[serde(rename = "nameId")]
     pub id: Name,
-    /// Class, as the objectives name it.
+    /// Class, which selects the service-level objectives.
     #[serde(rename = "lane")]
     pub class: Name,
     /// Team.
@@ -56,73 +56,75 @@
     /// Number of tasks.
     #[serde(rename = "pieces")]
     pub tasks: u32,
-    /// Cores a task.
+    /// Cores per task.
     pub cpus: f64,
-    /// Accelerators a task.
+    /// Accelerators per task.
     #[serde(rename = "accelerators")]
     pub gpus: f64,
-    /// Memory a task.
+    /// Memory per task, in GB.
     #[serde(rename = "memGb")]
     pub memory: f64,
     /// Image.
     #[serde(rename = "bundle")]
     pub image: Name,
-    /// Resources of the image.
+    /// Size of the image, in GB.
     #[serde(rename = "sizeGb")]
     pub image_gb: f64,
-    /// Allowed machine types.
+    /// Allowed machine types; `None` allows all.
     #[serde(rename = "hulls", default)]
     pub types: Option<Vec<Name>>,
-    /// The only allowed zone.
+    /// The only allowed zone; `None` allows all.
     #[serde(rename = "bay", default)]
     pub zone: Option<Name>,
-    /// All tasks in one zone.
+    /// Whether all tasks have to run in one zone.
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, in one zone.
+    /// Whether at most half of the tasks, rounded up, may run in one zone.
     pub spread: bool,
-    /// Whether spot machines may be used.
+    /// Whether tasks may run on spot machines.
     #[serde(rename = "driftwood")]
     pub spot: bool,
-    /// The owner's estimate of a task's run time.
+    /// The user's estimate of a task's run time, in seconds.
     #[serde(rename = "expectS")]
     pub estimate_s: f64,
-    /// Interval of checkpoints, 0 for none.
+    /// Interval between checkpoints, in seconds; 0 for none.
     #[serde(rename = "markEveryS")]
     pub checkpoint_s: f64,
-    /// Time to save.
+    /// Time that a checkpoint takes, in seconds.
     #[serde(rename = "markTakesS")]
     pub save_s: f64,
-    /// When the job should be complete.
+    /// When the job should be done, in seconds after its submission.
     #[serde(rename = "dueS", default)]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts.  Without
-    /// any, the stored bytes are those of a version that knows of none.
+    /// Jobs that have to be done before any task of this one starts.  Without any, the field is
+    /// not stored, so that versions without job dependencies can read the record.
     #[serde(rename = "awaits", default, deserialize_with = "list_or_null", skip_serializing_if = "Vec::is_empty")]
     pub needs: Vec<Name>,
 }
 
-/// Null stands for an empty list; names come in their order, each once.
+/// Reads a list of names, or null for an empty list; of repeated names only the first is kept.
 fn list_or_null<'de, D: serde::Deserializer<'de>>(d: D) -> Result<Vec<Name>, D::Error> {
     let all = Option::<Vec<Name>>::deserialize(d)?.unwrap_or_default();
     let mut seen = std::collections::HashSet::new();
-    Ok(all.into_iter().filter(|n| seen.insert(n.clone())).collect())
+    Ok(all.into_iter().filter(|name| seen.insert(name.clone())).collect())
 }
 
-/// Most tasks of one job.
+/// Maximum number of tasks of a job.
 pub const MOST_TASKS: u32 = 100_000;
 
-/// Whether an id has the form the users keep to; only such ids become keys.
+/// Whether a job id has the form of the protocol: `j-` and 1 to 32 digits.  Only such ids become
+/// keys of the store.
 pub fn valid_id(id: &str) -> bool {
     id.strip_prefix("j-").is_some_and(|d| (1..=32).contains(&d.len()) && d.bytes().all(|b| b.is_ascii_digit()))
 }
 
 impl JobSpec {
-    /// What one task takes.
+    /// Returns the resources that one task needs.
     pub fn size(&self) -> Resources {
         Resources { cpus: self.cpus, gpus: self.gpus, memory: self.memory }
     }
 
-    /// What makes the submission malformed, if anything does.
+    /// Returns what makes the submission malformed, if anything does: the name of the field, or a
+    /// short text.
     pub fn validation_error(&self) -> Option<&'static str> {
         if !valid_id(&self.id) {
             return Some("nameId");
@@ -141,7 +143,7 @@
         None
     }
 
-    /// Most tasks of this job that may be in one zone.
+    /// Returns the maximum number of tasks of this job in one zone.
     pub fn zone_cap(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -150,7 +152,8 @@
         }
     }
 
-    /// Whether the job may use machines of this type, zone and kind at all.
+    /// Whether tasks of the job may run on machines of this type, in this zone, and on spot machines
+    /// if `spot`.
     pub fn allows(&self, kind: &Name, zone: &Name, spot: bool) -> bool {
         self.types.as_ref().is_none_or(|t| t.contains(kind))
             && self.zone.as_ref().is_none_or(|z| z == zone)
@@ -158,18 +161,18 @@
     }
 }
 
-/// How a job ended; created once and never changed.
+/// How a job has ended.  An outcome is stored once and never changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobOutcome {
-    /// All tasks completed.
+    /// All its tasks have completed.
     Done,
-    /// Its user withdrew it.
+    /// Its user has cancelled it, or a job that it depends on was cancelled.
     Cancelled,
 }
 
 impl JobOutcome {
-    /// The wire's word.
+    /// Returns the name of the outcome in the protocol.
     pub fn as_str(self) -> &'static str {
         match self {
             JobOutcome::Done => "done",
@@ -178,38 +181,38 @@
     }
 }
 
-/// The stored value of a job's end.
+/// The stored record of an outcome.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct OutcomeRecord {
-    /// How it ended.
+    /// The outcome.
     #[serde(rename = "fate")]
     pub outcome: JobOutcome,
 }
 
-/// A job's state as users see it.
+/// The state of a job as users see it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobState {
-    /// Job.
+    /// The job.
     #[serde(rename = "nameId")]
     pub id: Name,
     /// `pending`, `running`, `done` or `cancelled`.
     pub stage: String,
-    /// Completed tasks, for display.
+    /// Number of completed tasks, for display only.
     pub done: u32,
-    /// Running tasks, for display.
+    /// Number of running tasks, for display only.
     pub running: u32,
 }
 
-/// A job's state with what it has to do with other jobs, for people who ask why.
+/// The state of a job with its dependencies, to explain why it does not run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobExplanation {
-    /// Its state.
+    /// The state of the job.
     #[serde(flatten)]
     pub state: JobState,
-    /// Unfinished jobs that it waits for, as far as the controller knows.
+    /// Unfinished jobs that it depends on, as far as the controller knows.
     #[serde(rename = "awaits", default)]
     pub waits_for: Vec<Name>,
-    /// The cancelled job that it needs, if it is cancelled.
+    /// If the job is cancelled: a cancelled job that it depends on, if there is one.
     #[serde(rename = "cancelledWith", default)]
     pub cancelled_with: Option<Name>,
 }
--- a/packages/wire/src/model/machine_type.rs
+++ b/packages/wire/src/model/machine_type.rs
@@ -15,31 +15,31 @@
     /// Accelerators.
     #[serde(rename = "accelerators", default)]
     pub gpus: f64,
-    /// Memory.
+    /// Memory, in GB.
     #[serde(rename = "memGb")]
     pub memory: f64,
-    /// Room for images.
+    /// Space for cached images, in GB.
     #[serde(rename = "localGb", default)]
     pub cache_gb: f64,
-    /// How fast images arrive.
+    /// Rate at which images are pulled, in GB per second.
     #[serde(rename = "fetchGbPerS", default)]
     pub fetch_gb_per_s: f64,
-    /// Price an hour, ordinary.
+    /// Price per hour of an ordinary machine.
     #[serde(rename = "hourly", default)]
     pub price: f64,
-    /// Price an hour, spot.
+    /// Price per hour of a spot machine.
     #[serde(rename = "lowPrice", default)]
     pub spot_price: f64,
-    /// Usual time to boot.
+    /// Usual boot time, in seconds.
     #[serde(rename = "bootS", default)]
     pub boot_s: f64,
-    /// Zones that have it.
+    /// Zones in which the type is available.
     #[serde(rename = "bays", default)]
     pub zones: Vec<Name>,
 }
 
 impl MachineType {
-    /// What an empty machine of this type offers.
+    /// Returns the resources of an empty machine of this type.
     pub fn size(&self) -> Resources {
         Resources { cpus: self.cpus, gpus: self.gpus, memory: self.memory }
     }
--- a/packages/wire/src/model/resources.rs
+++ b/packages/wire/src/model/resources.rs
@@ -3,11 +3,11 @@
 /// What a task takes of a machine, or what is left of one.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Resources {
-    /// Cores.
+    /// Processor cores.
     pub cpus: f64,
     /// Accelerators.
     pub gpus: f64,
-    /// Memory.
+    /// Memory, in gigabytes.
     pub memory: f64,
 }
 
--- a/packages/wire/src/model/task.rs
+++ b/packages/wire/src/model/task.rs
@@ -11,7 +11,7 @@
 pub struct Task {
     /// The job.
     pub job: Name,
-    /// Its number.
+    /// Index of the task in its job, from 0.
     pub index: u32,
 }
 
@@ -22,9 +22,9 @@
 }
 
 impl Task {
-    /// Reads `j-000412/3`.
-    pub fn parse(s: &str) -> Option<Task> {
-        let (job, index) = s.split_once('/')?;
+    /// Parses the form of the protocol, such as `j-000412/3`; `None` if the text has another.
+    pub fn parse(text: &str) -> Option<Task> {
+        let (job, index) = text.split_once('/')?;
         if !valid_id(job) || index.is_empty() || !index.bytes().all(|b| b.is_ascii_digit()) {
             return None;
         }
@@ -33,14 +33,14 @@
 }
 
 impl Serialize for Task {
-    fn serialize<S: serde::Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
-        s.collect_str(self)
+    fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(self)
     }
 }
 
 impl<'de> Deserialize<'de> for Task {
-    fn deserialize<D: serde::Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        let s = std::borrow::Cow::<str>::deserialize(d)?;
-        Task::parse(&s).ok_or_else(|| serde::de::Error::custom("not a task"))
+    fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let text = std::borrow::Cow::<str>::deserialize(deserializer)?;
+        Task::parse(&text).ok_or_else(|| serde::de::Error::custom("not a task"))
     }
 }
--- a/packages/wire/src/model/tests.rs
+++ b/packages/wire/src/model/tests.rs
@@ -25,8 +25,8 @@
     fn needs_survive_the_wire(ids in prop::collection::vec(0u32..30, 0..12)) {
         let names: Vec<Name> = ids.iter().map(|n| format!("j-{n}").into()).collect();
         let plain = crate::example::spec("j-000001", 1);
-        let told = JobSpec { needs: names.clone(), ..(*plain).clone() };
-        let bytes = crate::http::encode(&told);
+        let with_needs = JobSpec { needs: names.clone(), ..(*plain).clone() };
+        let bytes = crate::http::encode(&with_needs);
         let back: JobSpec = crate::http::decode(&bytes).expect("our own bytes");
         let mut seen = std::collections::HashSet::new();
         let once: Vec<Name> = names.into_iter().filter(|n| seen.insert(n.clone())).collect();
--- a/packages/wire/src/workers.rs
+++ b/packages/wire/src/workers.rs
@@ -1,96 +1,95 @@
-//! Workers' reports and the commands that answer them.
+//! Workers' heartbeats and the commands in the replies to them.
 
 use serde::{Deserialize, Serialize};
 
 use crate::model::{Name, Task};
 
-/// A task as its worker reports it.
+/// The status of a task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// Task.
+    /// The task.
     #[serde(rename = "piece")]
     pub task: Task,
-    /// Attempt.
+    /// Attempt to which the status belongs.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// State.
+    /// Its state.
     #[serde(rename = "stage")]
     pub state: TaskState,
-    /// Why it ended.
+    /// Why it has exited, if it has.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<ExitCause>,
-    /// Its progress was saved.
+    /// Whether its progress was saved before it exited.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
-/// States of a task on its machine.
+/// State of a task on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// Waits for its image.
+    /// Its image is being pulled.
     Pulling,
-    /// Waits for its gang.
+    /// It waits for the other tasks of its gang.
     #[serde(rename = "gathering")]
     WaitingForGang,
-    /// Runs.
+    /// It runs.
     Running,
-    /// Saves.
+    /// It saves its progress.
     #[serde(rename = "flushing")]
     Checkpointing,
-    /// Ended.
+    /// It has exited.
     #[serde(rename = "ended")]
     Exited,
 }
 
-/// Why a task ended.
+/// Why a task has exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitCause {
-    /// Completed.
+    /// It has completed.
     #[serde(rename = "done")]
     Completed,
-    /// Stopped by command.
+    /// It was stopped by a command.
     #[serde(rename = "stopped")]
     StoppedByCommand,
-    /// Another task of the gang is gone.
+    /// Another task of its gang was lost.
     #[serde(rename = "mates_gone")]
     GangMemberLost,
     /// The gang was not complete in time.
     #[serde(rename = "alone")]
     GangTimeout,
-    /// Failed.
+    /// It has failed.
     #[serde(rename = "error")]
     Failed,
-    /// Refused: no room.
+    /// It was refused: the machine has not enough free resources.
     NoRoom,
-    /// Refused: here with another attempt.
+    /// It was refused: another attempt of it is on the machine.
     #[serde(rename = "busy")]
     AttemptConflict,
-    /// Refused: no such job.
+    /// It was refused: the job is not known.
     #[serde(rename = "no_such")]
     UnknownJob,
-    /// A cause this version does not know; the task has ended all the same.
+    /// A cause that this version does not know; the task has exited all the same.
     #[serde(other)]
     Unknown,
 }
 
-/// Where a report comes from: as much of it as a controller reads that sends its
-/// worker on.
+/// The part of a heartbeat that a controller reads to redirect its worker.
 #[derive(Debug, Deserialize)]
 pub struct HeartbeatOrigin {
-    /// Zone.
+    /// Zone of the machine.
     #[serde(rename = "bay")]
     pub zone: Name,
 }
 
-/// A report.
+/// A heartbeat of a worker with the status of its machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Machine.
+    /// The machine.
     #[serde(rename = "polyp")]
     pub machine: Name,
-    /// Its address.
+    /// Address of its worker.
     pub address: Name,
     /// Its type.
     #[serde(rename = "hull")]
@@ -98,86 +97,86 @@
     /// Its zone.
     #[serde(rename = "bay")]
     pub zone: Name,
-    /// Spot or ordinary.
+    /// Whether it is a spot machine.
     #[serde(rename = "driftwood")]
     pub spot: bool,
-    /// Session.
+    /// Incarnation of the worker.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// Number of the report.
+    /// Sequence number of the heartbeat.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// Highest token seen.
+    /// Highest fencing token that the worker has seen.
     #[serde(rename = "baton", default)]
     pub fencing_token: u64,
-    /// Seconds until the cloud takes the machine.
+    /// Time until the cloud reclaims the machine, in seconds, if it has announced that.
     #[serde(rename = "warningS", default)]
     pub reclaim_in_s: Option<f64>,
-    /// Tasks.
+    /// Status of its tasks.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// A command.
+/// A command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum Command {
-    /// Start.
+    /// Start a task.
     #[serde(rename = "run")]
     Start {
-        /// Task.
+        /// The task.
         #[serde(rename = "piece")]
         task: Task,
-        /// Attempt.
+        /// The attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
-    /// Stop.
+    /// Stop a task.
     #[serde(rename = "halt")]
     Stop {
-        /// Task.
+        /// The task.
         #[serde(rename = "piece")]
         task: Task,
-        /// Attempt.
+        /// The attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Time to save.
+        /// Time that the task has to save its progress, in seconds.
         #[serde(rename = "windDownS")]
         grace: f64,
     },
-    /// Forget an exited task.
+    /// Forget a task that has exited.
     #[serde(rename = "reap")]
     Acknowledge {
-        /// Task.
+        /// The task.
         #[serde(rename = "piece")]
         task: Task,
-        /// Attempt.
+        /// The attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
 }
 
-/// An answer to a report.
+/// The reply to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// Token.
+    /// Fencing token of the sender.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Commands, in order.
+    /// Commands in the order in which they are to be carried out.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// A direct command's body.
+/// The body of a request that sends commands to a worker directly.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DirectCommandBody {
-    /// Token.
+    /// Fencing token of the sender.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Session.
+    /// Incarnation of the worker for which the commands are meant.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// Commands, in order.
+    /// Commands in the order in which they are to be carried out.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
