--- a/packages/core/src/cluster/job.rs
+++ b/packages/core/src/cluster/job.rs
@@ -77,12 +77,39 @@
         }
     }
 
+    /// Whether its start may be sent to a worker of this incarnation: it is stored, was
+    /// decided for that incarnation by this leader, and is not to be stopped.
+    pub fn may_start(&self, incarnation: u64) -> bool {
+        self.phase == TaskPhase::Assigned
+            && self.stored
+            && !self.inherited
+            && self.stop_grace_s.is_none()
+            && self.incarnation == incarnation
+    }
+
     /// Whether it takes room, quota and its zone.
     pub fn occupies_resources(&self) -> bool {
         self.phase != TaskPhase::Completed
     }
 }
 
+/// The mean run time of completed tasks.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub struct RuntimeMean {
+    /// The mean, in seconds.
+    pub mean_s: f64,
+    /// How many tasks it is the mean of.
+    pub samples: u32,
+}
+
+impl RuntimeMean {
+    /// Adds the run time of one more task, in seconds.
+    pub fn add(&mut self, runtime_s: f64) {
+        self.samples += 1;
+        self.mean_s += (runtime_s - self.mean_s) / f64::from(self.samples);
+    }
+}
+
 /// A job with what the leader knows of its tasks.
 #[derive(Debug, Clone)]
 pub struct Job {
@@ -104,8 +131,8 @@
     pub attempt: u64,
     /// Machines where a task of it failed.
     pub failed_on: BTreeSet<Name>,
-    /// How long its completed tasks ran, on average, and how many they are.
-    pub ran: (f64, u32),
+    /// How long its completed tasks ran.
+    pub runtime: RuntimeMean,
     /// Since when it has been taken for broken, and what its probes came to.
     pub quarantine: Option<Quarantine>,
     /// Not placed before this.
@@ -135,7 +162,7 @@
             assignments: BTreeMap::new(),
             attempt: 0,
             failed_on: BTreeSet::new(),
-            ran: (0.0, 0),
+            runtime: RuntimeMean::default(),
             quarantine: None,
             not_before: None,
             first_seen: now,
@@ -199,6 +226,15 @@
         self.urgency.deadline.is_some() && !own
     }
 
+    /// Records that a task is, or may be, on a machine; it is pending no more.
+    pub(crate) fn record_assignment(&mut self, index: u32, machine: &Name) {
+        self.pending.remove(index);
+        let machines = self.assignments.entry(index).or_default();
+        if !machines.contains(machine) {
+            machines.push(machine.clone());
+        }
+    }
+
     /// Puts a task back into the queue if nothing keeps it from there.
     pub fn requeue(&mut self, index: u32) {
         if self.outcome.is_none()
--- a/packages/core/src/cluster/mod.rs
+++ b/packages/core/src/cluster/mod.rs
@@ -268,11 +268,7 @@
             // former leader may have had no time for either
             (place.stop_grace_s, place.stop_requested_at) = (Some(0.0), Some(now));
         }
-        job.pending.remove(s.task.index);
-        let list = job.assignments.entry(s.task.index).or_default();
-        if !list.contains(&s.machine) {
-            list.push(s.machine.clone());
-        }
+        job.record_assignment(s.task.index, &s.machine);
         if job.spec.shape == Shape::Gang {
             job.attempt = job.attempt.max(s.attempt);
         }
--- a/packages/core/src/workers/direct_commands.rs
+++ b/packages/core/src/workers/direct_commands.rs
@@ -1,91 +1,114 @@
-//! Commands that do not wait for the next report.
+//! Commands that are sent to workers directly, without waiting for their next heartbeat.
 
 use std::time::Instant;
 
-use super::replies::MOST_COMMANDS;
+use super::replies::MAX_COMMANDS;
 use super::{Command, DirectCommandBody, Heartbeat};
-use crate::cluster::{Cluster, TaskPhase};
+use crate::cluster::{Cluster, Machine, TaskPhase};
 use crate::model::*;
 
-/// A direct command on its way to a worker.
+/// A message with commands for one worker, sent directly.
 #[derive(Debug, Clone)]
 pub struct DirectCommand {
-    /// Machine.
+    /// The machine.
     pub machine: Name,
-    /// Its worker.
+    /// The address at which its worker accepts direct commands.
     pub address: std::net::SocketAddr,
-    /// What it says.
+    /// The body of the request.
     pub body: DirectCommandBody,
 }
 
 impl Cluster {
-    /// Commands that should not wait for the next report: stored starts and
-    /// new stops.  One call a machine at a time.
-    /// Those of the first `most` machines; the others' turn comes with the
-    /// next call.
+    /// Commands that should not wait for the next heartbeat: stored starts and new
+    /// stops, with at most one message in flight for each machine.  Messages for `most`
+    /// machines are taken; those of the others are left to the next call.
     pub fn take_direct_commands(&mut self, most: usize) -> Vec<DirectCommand> {
-        let base = self.base_token();
-        let mut calls = Vec::new();
-        while calls.len() < most {
+        let base_token = self.base_token();
+        let mut messages = Vec::new();
+        while messages.len() < most {
             let Some(name) = self.machines_to_command.pop_first() else { break };
-            let Some(m) = self.machines.get_mut(&name) else { continue };
-            let Some(address) = m.address else { continue };
-            // what can't be told now, the answer to the next report tells
-            if m.command_in_flight
-                || m.reply_pending
-                || m.removed_at.is_some()
-                || m.deletion_sent_at.is_some()
-                || m.in_doubt_token.is_some()
-                || m.last_heartbeat.is_none()
-            {
-                continue;
-            }
-            let token = base + m.fence_offset;
-            let (mut orders, mut starts) = (Vec::new(), false);
-            for (task, p) in m.tasks.iter_mut().filter(|(_, p)| !p.stop_sent && p.phase != TaskPhase::Assigned) {
-                if let Some(grace) = p.stop_grace_s {
-                    p.stop_sent = true;
-                    orders.push(Command::Stop { task: task.clone(), attempt: p.attempt, grace });
-                }
-            }
-            for (task, p) in m.tasks.iter_mut() {
-                let ready = p.phase == TaskPhase::Assigned && p.stored && !p.inherited && p.stop_grace_s.is_none();
-                if ready && p.start_sent_in.is_none() && p.incarnation == m.incarnation && orders.len() < MOST_COMMANDS
-                {
-                    p.start_sent_in = Some((m.incarnation, m.sequence));
-                    starts = true;
-                    orders.push(Command::Start { task: task.clone(), attempt: p.attempt });
-                }
-            }
-            if !orders.is_empty() {
-                m.command_in_flight = true;
-                if starts {
-                    m.in_doubt_token = Some(token);
-                    m.last_direct_fence = Some(m.fence_offset);
-                }
-                let body = DirectCommandBody { fencing_token: token, incarnation: m.incarnation, commands: orders };
-                calls.push(DirectCommand { machine: m.name.clone(), address, body });
-            }
+            let Some(machine) = self.machines.get_mut(&name) else { continue };
+            messages.extend(take_direct_command(machine, base_token));
         }
-        calls
+        messages
     }
 
-    /// A direct command was answered (with the worker's report), or not.
-    pub fn apply_direct_result(&mut self, d: &DirectCommand, answer: Option<&Heartbeat>, now: Instant) {
-        let Some(m) = self.machines.get_mut(&d.machine) else { return };
-        m.command_in_flight = false;
-        self.machines_to_command.insert(d.machine.clone());
-        match answer {
-            Some(r) => {
-                // carried out or refused, but nothing of it is under way
-                if m.in_doubt_token == Some(d.body.fencing_token) {
-                    m.in_doubt_token = None;
+    /// Applies the response to a direct command, which has the worker's heartbeat;
+    /// `response` is `None` if there was none.
+    pub fn apply_direct_result(&mut self, direct: &DirectCommand, response: Option<&Heartbeat>, now: Instant) {
+        let Some(machine) = self.machines.get_mut(&direct.machine) else { return };
+        machine.command_in_flight = false;
+        self.machines_to_command.insert(direct.machine.clone());
+        match response {
+            Some(heartbeat) => {
+                // carried out or refused: nothing of it is in flight any more
+                if machine.in_doubt_token == Some(direct.body.fencing_token) {
+                    machine.in_doubt_token = None;
                 }
-                self.apply_heartbeat(r, false, now);
+                self.apply_heartbeat(heartbeat, false, now);
             }
-            // it may be carried out minutes later: the next answers carry a
-            // higher token, and a report that shows it ends the doubt
-            None => m.fence_offset += 1,
+            // It may be carried out minutes later.  The next replies carry a higher
+            // token, and a heartbeat that shows this token ends the doubt.
+            None => machine.fence_offset += 1,
+        }
+    }
+}
+
+/// Whether a direct command may be sent to this machine now.  What may not be sent now
+/// is in the reply to the next heartbeat.
+fn may_send_directly(machine: &Machine) -> bool {
+    !machine.command_in_flight
+        && !machine.reply_pending
+        && machine.removed_at.is_none()
+        && machine.deletion_sent_at.is_none()
+        && machine.in_doubt_token.is_none()
+        && machine.last_heartbeat.is_some()
+}
+
+/// The message for a machine, marked as sent; `None` if nothing is to be sent or
+/// nothing may be sent now.
+fn take_direct_command(machine: &mut Machine, base_token: u64) -> Option<DirectCommand> {
+    let address = machine.address?;
+    if !may_send_directly(machine) {
+        return None;
+    }
+    let fencing_token = base_token + machine.fence_offset;
+    let mut commands = Vec::new();
+    take_stops(machine, &mut commands);
+    let stops = commands.len();
+    take_starts(machine, &mut commands);
+    if commands.is_empty() {
+        return None;
+    }
+    machine.command_in_flight = true;
+    if commands.len() > stops {
+        machine.in_doubt_token = Some(fencing_token);
+        machine.last_direct_fence = Some(machine.fence_offset);
+    }
+    let body = DirectCommandBody { fencing_token, incarnation: machine.incarnation, commands };
+    Some(DirectCommand { machine: machine.name.clone(), address, body })
+}
+
+/// Adds the stops that have not been sent yet.
+fn take_stops(machine: &mut Machine, commands: &mut Vec<Command>) {
+    for (task, assignment) in &mut machine.tasks {
+        if assignment.stop_sent || assignment.phase == TaskPhase::Assigned {
+            continue;
+        }
+        if let Some(grace) = assignment.stop_grace_s {
+            assignment.stop_sent = true;
+            commands.push(Command::Stop { task: task.clone(), attempt: assignment.attempt, grace });
+        }
+    }
+}
+
+/// Adds the starts that have not been sent yet, as far as there is room for them.
+fn take_starts(machine: &mut Machine, commands: &mut Vec<Command>) {
+    for (task, assignment) in &mut machine.tasks {
+        let unsent = assignment.start_sent_in.is_none() && assignment.may_start(machine.incarnation);
+        if unsent && commands.len() < MAX_COMMANDS {
+            assignment.start_sent_in = Some((machine.incarnation, machine.sequence));
+            commands.push(Command::Start { task: task.clone(), attempt: assignment.attempt });
         }
     }
 }
--- a/packages/core/src/workers/heartbeat.rs
+++ b/packages/core/src/workers/heartbeat.rs
@@ -1,131 +1,190 @@
-//! What a report changes in the leader's state.
+//! Application of workers' heartbeats to the leader's state.
 
+use std::collections::btree_map::Entry;
+use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use super::{Heartbeat, HeartbeatReply};
-use crate::cluster::{Cluster, Machine, TaskPhase};
+use crate::cluster::{Assignment, Cluster, Machine, TaskPhase};
 use crate::heartbeat_forwarding::UnchangedHeartbeat;
 use crate::model::*;
 
+/// Longest reclaim notice that is believed, in seconds.
+const MAX_RECLAIM_NOTICE_S: f64 = 3600.0;
+
+/// Which conclusions a heartbeat allows about assignments that it does not list.
+#[derive(Debug, Clone, Copy)]
+struct AbsenceEvidence {
+    /// It carries this term's token: no start of an earlier leader is on its way
+    /// to the worker any more.
+    current_term: bool,
+    /// No start that was sent can be carried out any more: the heartbeat closes the
+    /// previous reply, and no direct start is in doubt.
+    no_start_in_flight: bool,
+}
+
 impl Cluster {
-    /// Takes a report in.  `None`: the worker has seen a token above ours, so
-    /// this controller has no say any more; else whether the report is news.
+    /// Applies a heartbeat.  Returns `None` if the worker has seen a token of a later
+    /// term, so that this controller leads no more; otherwise whether the heartbeat
+    /// was newer than all that was applied before.
     ///
-    /// `closing`: it is a report proper, and no answer to an earlier one can
-    /// be carried out any more.  The report in the answer to a direct command
-    /// says nothing of that.
-    pub fn apply_heartbeat(&mut self, r: &Heartbeat, closing: bool, now: Instant) -> Option<bool> {
-        let token = self.base_token();
-        let mut raised = None;
-        if r.fencing_token > token + self.machines.get(&r.machine).map_or(0, |m| m.fence_offset) {
-            raised = Some(self.fence_offset_of(r.fencing_token)?);
-        }
-        let kind_size = self.types.get(&r.kind).map(|t| t.size());
-        let new = !self.machines.contains_key(&r.machine);
-        let m = self
-            .machines
-            .entry(r.machine.clone())
-            .or_insert_with(|| Machine::new(r.machine.clone(), r.kind.clone(), r.zone.clone(), r.spot, now));
-        if new {
-            tracing::info!("machine {} reports: {} in {}, spot {}", r.machine, r.kind, r.zone, r.spot);
-        }
-        if m.removed_at.is_some() || (r.incarnation, r.sequence) <= (m.incarnation, m.sequence) {
-            // old news, delivered late; its worker waits for no answer
+    /// `closing`: the worker sent it by itself, so that no reply to an earlier
+    /// heartbeat can be carried out any more.  The heartbeat in the response to a
+    /// direct command does not prove that.
+    pub fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, closing: bool, now: Instant) -> Option<bool> {
+        let raised_offset = self.raised_fence_offset(heartbeat)?;
+        let current_term = heartbeat.fencing_token >= self.base_token();
+        let size = self.types.get(&heartbeat.kind).map(|machine_type| machine_type.size());
+        let machine = get_or_register_machine(&mut self.machines, heartbeat, now);
+        if !is_newer(heartbeat, machine) {
+            // delivered late; its worker does not wait for a reply
             return Some(false);
         }
-        if m.last_heartbeat.is_none() {
-            self.queue_changed = true;
-        }
-        let session_changed = r.incarnation != m.incarnation;
-        (m.incarnation, m.sequence) = (r.incarnation, r.sequence);
-        m.highest_fencing_token = m.highest_fencing_token.max(r.fencing_token);
-        m.fence_offset = m.fence_offset.max(raised.unwrap_or(0));
-        m.last_heartbeat = Some(now);
-        m.address = r.address.parse().ok();
-        // direct starts of a lower token, or for an earlier session, are dead
-        if session_changed || m.in_doubt_token.is_some_and(|t| r.fencing_token > t) {
-            m.in_doubt_token = None;
+        let incarnation_changed = heartbeat.incarnation != machine.incarnation;
+        self.queue_changed |= machine.last_heartbeat.is_none();
+        record_heartbeat(machine, heartbeat, now);
+        machine.fence_offset = machine.fence_offset.max(raised_offset);
+        machine.size = size.unwrap_or(machine.size);
+        self.queue_changed |= update_reclaim_notice(machine, heartbeat, now);
+
+        let no_start_in_flight = closing && machine.in_doubt_token.is_none();
+        let absent = absent_tasks(machine, heartbeat, AbsenceEvidence { current_term, no_start_in_flight });
+        machine.exited.retain(|task, attempt| is_listed(heartbeat, task, *attempt));
+        for task in absent {
+            tracing::debug!(%task, machine = %heartbeat.machine, "task is no longer on its machine");
+            self.release_assignment(&heartbeat.machine, &task, now);
         }
-        let settled = closing && m.in_doubt_token.is_none();
-        if let Some(size) = kind_size {
-            m.size = size;
+        if incarnation_changed {
+            self.apply_machine_hints(&heartbeat.machine);
         }
-        match r.reclaim_in_s {
-            Some(s) if m.reclaim_at.is_none() => {
-                tracing::info!("machine {} is taken back in {s} s", r.machine);
-                m.reclaim_at = Some(now + Duration::from_secs_f64(s.clamp(0.0, 3600.0)));
-                self.queue_changed = true;
-            }
-            None => m.reclaim_at = None,
-            _ => {}
+        for status in &heartbeat.tasks {
+            self.apply_task_status(heartbeat, status, current_term, now);
         }
-        // a report under this term's token: no earlier leader's start is on
-        // its way to this worker any more
-        let fenced = r.fencing_token >= token;
-
-        // 1. what is placed here and not listed
-        let gone: Vec<Task> = m
-            .tasks
-            .iter()
-            .filter(|(task, p)| {
-                let listed = r.tasks.iter().any(|t| t.task == **task && t.attempt == p.attempt);
-                if listed {
-                    return false;
-                }
-                if p.incarnation < r.incarnation {
-                    return true; // an earlier session's tasks were killed
-                }
-                if !p.confirmed {
-                    return fenced;
-                }
-                match p.phase {
-                    // not sent yet, or not delivered: it is sent (again),
-                    // unless it is to stop, and then it is not there, if no
-                    // start can still arrive
-                    TaskPhase::Assigned => p.stop_grace_s.is_some() && settled,
-                    TaskPhase::Completed => false,
-                    _ => true,
-                }
-            })
-            .map(|(t, _)| t.clone())
-            .collect();
-        m.exited.retain(|task, e| r.tasks.iter().any(|t| t.task == *task && t.attempt == *e));
-        for t in gone {
-            tracing::debug!("{t} is not on {} any more", r.machine);
-            self.release_assignment(&r.machine, &t, now);
+        Some(true)
+    }
+
+    /// Applies a heartbeat that repeats the last one, and returns the reply; `None` if
+    /// the whole heartbeat is needed.
+    ///
+    /// It is accepted only if nothing arrived from this machine in between and nothing
+    /// on the machine is open: then the whole heartbeat would change nothing either.
+    pub fn apply_unchanged(&mut self, unchanged: &UnchangedHeartbeat, now: Instant) -> Option<HeartbeatReply> {
+        let fencing_token = self.fencing_token_for(&unchanged.machine);
+        let machine = self.machines.get_mut(&unchanged.machine)?;
+        let repeats_last = (machine.incarnation, machine.sequence)
+            == (unchanged.incarnation, unchanged.repeats_sequence)
+            && unchanged.sequence > unchanged.repeats_sequence;
+        if !repeats_last || machine.last_heartbeat.is_none() || !machine.is_settled() {
+            return None;
         }
-        // a start decided for the last session is for this one now
-        if session_changed {
-            let learned = self.machine_hints.remove(&r.machine);
-            if let Some(m) = self.machines.get_mut(&r.machine) {
-                m.images.clear();
-                if let Some(l) = learned {
-                    (m.speed, m.speed_samples, m.images) = (l.speed, l.speed_samples, l.images);
-                }
-            }
+        machine.sequence = unchanged.sequence;
+        machine.last_heartbeat = Some(now);
+        Some(HeartbeatReply { fencing_token, commands: Vec::new() })
+    }
+
+    /// The fence offset that the worker's token asks for, 0 if the token is not above
+    /// the machine's; `None` if the token belongs to a later term.
+    fn raised_fence_offset(&self, heartbeat: &Heartbeat) -> Option<u64> {
+        if heartbeat.fencing_token > self.fencing_token_for(&heartbeat.machine) {
+            self.fence_offset_of(heartbeat.fencing_token)
+        } else {
+            Some(0)
         }
+    }
 
-        // 2. what is listed
-        for t in &r.tasks {
-            self.apply_task_status(r, t, fenced, now);
+    /// Replaces what is known of a machine's speed and images by what the previous
+    /// leader had learned: a new incarnation of the worker has an empty image cache.
+    fn apply_machine_hints(&mut self, name: &Name) {
+        let hints = self.machine_hints.remove(name);
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        machine.images.clear();
+        if let Some(hints) = hints {
+            machine.speed = hints.speed;
+            machine.speed_samples = hints.speed_samples;
+            machine.images = hints.images;
         }
-        Some(true)
     }
+}
 
-    /// A report that repeats the last one, and its answer; `None`: the whole report is needed.
-    ///
-    /// It is taken only if nothing came of this machine in between and nothing on it is open:
-    /// then all of the report would change nothing either.
-    pub fn apply_unchanged(&mut self, u: &UnchangedHeartbeat, now: Instant) -> Option<HeartbeatReply> {
-        let token = self.fencing_token_for(&u.machine);
-        let m = self.machines.get_mut(&u.machine)?;
-        let last =
-            (m.incarnation, m.sequence) == (u.incarnation, u.repeats_sequence) && u.sequence > u.repeats_sequence;
-        if !last || m.last_heartbeat.is_none() || !m.is_settled() {
-            return None;
+/// The machine that a heartbeat comes from, registered if it is new.
+fn get_or_register_machine<'a>(
+    machines: &'a mut BTreeMap<Name, Machine>,
+    heartbeat: &Heartbeat,
+    now: Instant,
+) -> &'a mut Machine {
+    let Heartbeat { machine: name, kind, zone, spot, .. } = heartbeat;
+    match machines.entry(name.clone()) {
+        Entry::Occupied(known) => known.into_mut(),
+        Entry::Vacant(unknown) => {
+            tracing::info!(machine = %name, machine_type = %kind, %zone, spot, "machine registered");
+            unknown.insert(Machine::new(name.clone(), kind.clone(), zone.clone(), *spot, now))
         }
-        m.sequence = u.sequence;
-        m.last_heartbeat = Some(now);
-        Some(HeartbeatReply { fencing_token: token, commands: Vec::new() })
+    }
+}
+
+/// Whether a heartbeat is newer than the last one of a machine that still exists.
+fn is_newer(heartbeat: &Heartbeat, machine: &Machine) -> bool {
+    let order = (heartbeat.incarnation, heartbeat.sequence);
+    machine.removed_at.is_none() && order > (machine.incarnation, machine.sequence)
+}
+
+/// Records what a heartbeat says of the worker itself.
+fn record_heartbeat(machine: &mut Machine, heartbeat: &Heartbeat, now: Instant) {
+    // direct starts under a lower token, or for an earlier incarnation, are refused
+    let incarnation_changed = heartbeat.incarnation != machine.incarnation;
+    if incarnation_changed || machine.in_doubt_token.is_some_and(|token| heartbeat.fencing_token > token) {
+        machine.in_doubt_token = None;
+    }
+    machine.incarnation = heartbeat.incarnation;
+    machine.sequence = heartbeat.sequence;
+    machine.highest_fencing_token = machine.highest_fencing_token.max(heartbeat.fencing_token);
+    machine.last_heartbeat = Some(now);
+    machine.address = heartbeat.address.parse().ok();
+}
+
+/// Sets or clears the time at which the cloud reclaims the machine.  Returns whether
+/// the notice is new; a repeated notice does not move the time.
+fn update_reclaim_notice(machine: &mut Machine, heartbeat: &Heartbeat, now: Instant) -> bool {
+    let Some(seconds) = heartbeat.reclaim_in_s else {
+        machine.reclaim_at = None;
+        return false;
+    };
+    if machine.reclaim_at.is_some() {
+        return false;
+    }
+    tracing::info!(machine = %heartbeat.machine, seconds, "the cloud reclaims the machine");
+    machine.reclaim_at = Some(now + Duration::from_secs_f64(seconds.clamp(0.0, MAX_RECLAIM_NOTICE_S)));
+    true
+}
+
+/// The assigned tasks that are proved not to be on the machine.
+fn absent_tasks(machine: &Machine, heartbeat: &Heartbeat, evidence: AbsenceEvidence) -> Vec<Task> {
+    let assigned = machine.tasks.iter();
+    let unlisted = assigned.filter(|(task, assignment)| !is_listed(heartbeat, task, assignment.attempt));
+    let absent = unlisted.filter(|(_, assignment)| is_absent(assignment, heartbeat.incarnation, evidence));
+    absent.map(|(task, _)| task.clone()).collect()
+}
+
+/// Whether a heartbeat lists this attempt of a task.
+fn is_listed(heartbeat: &Heartbeat, task: &Task, attempt: u64) -> bool {
+    heartbeat.tasks.iter().any(|status| status.task == *task && status.attempt == attempt)
+}
+
+/// Whether an assignment that a heartbeat of this incarnation does not list is proved
+/// to be absent.
+fn is_absent(assignment: &Assignment, incarnation: u64, evidence: AbsenceEvidence) -> bool {
+    if assignment.incarnation < incarnation {
+        // the tasks of an earlier incarnation were killed
+        return true;
+    }
+    if !assignment.confirmed {
+        return evidence.current_term;
+    }
+    match assignment.phase {
+        // Not sent yet, or not delivered: the start is sent (again).  If the task is to
+        // stop, it is absent as soon as no start can arrive any more.
+        TaskPhase::Assigned => assignment.stop_grace_s.is_some() && evidence.no_start_in_flight,
+        TaskPhase::Completed => false,
+        TaskPhase::Pulling | TaskPhase::WaitingForGang | TaskPhase::Running | TaskPhase::Checkpointing => true,
     }
 }
--- a/packages/core/src/workers/mod.rs
+++ b/packages/core/src/workers/mod.rs
@@ -1,11 +1,11 @@
-//! Reports and the commands that answer them.
+//! Workers' heartbeats, and the commands that answer them.
 //!
-//! Commands in answers to reports are safe: a worker has one report in flight
-//! and drops answers that come late or for an earlier session, so its next
-//! report closes the answer before it.  DirectCommand commands are quicker but may be
-//! carried out minutes late: an unanswered start leaves its machine in doubt,
-//! and until a report shows a higher token, absence proves nothing there and
-//! nothing is reaped.
+//! Commands in the reply to a heartbeat are safe: a worker has one heartbeat in flight
+//! and drops replies that are late or belong to an earlier incarnation, so that its
+//! next heartbeat closes the reply before it.  Direct commands are quicker but may be
+//! carried out minutes late: a start without a response leaves its machine in doubt.
+//! Until a heartbeat shows a higher token, the absence of a task proves nothing there,
+//! and no exit is acknowledged.
 
 mod direct_commands;
 mod failures;
--- a/packages/core/src/workers/runtimes.rs
+++ b/packages/core/src/workers/runtimes.rs
@@ -1,43 +1,66 @@
-//! What completed tasks show of their machine's speed.
+//! Run times of completed tasks: how far estimates are off, and how fast machines are.
 
 use std::time::Instant;
 
 use crate::cluster::{Assignment, Cluster};
 use crate::model::*;
 
-/// Tasks of a job, and tasks on a machine, below which they say nothing.
-const SPEED_PRIOR: u32 = 4;
+/// Tasks at the usual speed that are assumed before the first observation, of a job
+/// and of a machine: a machine's first task would outweigh everything else otherwise.
+const PRIOR_SAMPLES: u32 = 4;
+/// Shortest estimate that is compared with a run time, in seconds.
+const MIN_ESTIMATE_S: f64 = 1.0;
+/// Weight of a new observation in the bias of a class.
+const BIAS_WEIGHT: f64 = 0.1;
+/// Least weight of a new observation in the speed of a machine.
+const MIN_SPEED_WEIGHT: f64 = 0.02;
+/// Bounds of the ratio of run time to estimate.
+const RATIO_BOUNDS: (f64, f64) = (0.05, 20.0);
+/// Bounds of the speed that one task shows.
+const SPEED_BOUNDS: (f64, f64) = (0.1, 10.0);
 
 impl Cluster {
-    /// A completed task tells of its machine's speed.  Only completed tasks
-    /// count, or an instantly failing machine would look fast.
-    pub(super) fn record_runtime(&mut self, machine: &Name, p: &Assignment, now: Instant) {
-        let Some(since) = p.running_since else { return };
-        let ran = now.duration_since(since).as_secs_f64();
-        if let Some(m) = self.machines.get_mut(machine) {
-            m.failed_jobs.clear();
+    /// Records the run time of a completed task.  Only completed tasks count, or a
+    /// machine that fails its tasks at once would look fast.
+    pub(super) fn record_runtime(&mut self, machine: &Name, assignment: &Assignment, now: Instant) {
+        let Some(since) = assignment.running_since else { return };
+        let runtime_s = now.duration_since(since).as_secs_f64();
+        if let Some(machine) = self.machines.get_mut(machine) {
+            machine.failed_jobs.clear();
         }
-        // short runs say little: the report interval blurs them
-        if p.spec.estimate_s < 1.0
-            || ran < self.policy.fresh.as_secs_f64()
-            || p.spec.shape == Shape::Gang && p.spec.tasks > 1
-        {
-            return;
+        if self.is_runtime_informative(&assignment.spec, runtime_s) {
+            self.update_runtime_bias(&assignment.spec, runtime_s);
+            self.update_machine_speed(machine, &assignment.spec, runtime_s);
         }
-        let ratio = (ran / p.spec.estimate_s).clamp(0.05, 20.0);
-        let bias = self.runtime_bias.entry(p.spec.class.clone()).or_insert(ratio);
-        *bias += (ratio - *bias) * 0.1;
-        // a machine is held against the tasks of the same job on others: what
-        // owners estimate is off by more than machines differ
-        let (Some(job), Some(m)) = (self.jobs.get_mut(&p.spec.id), self.machines.get_mut(machine)) else { return };
-        let (mean, n) = job.ran;
-        job.ran = (mean + (ran - mean) / f64::from(n + 1), n + 1);
-        if n >= SPEED_PRIOR {
-            // so many tasks at the usual speed are taken for granted, or a
-            // machine's first task would say more than all that it is
-            let relative = (mean / ran).clamp(0.1, 10.0);
-            m.speed_samples += 1;
-            m.speed += (relative - m.speed) * (1.0 / f64::from(SPEED_PRIOR + m.speed_samples)).max(0.02);
+    }
+
+    /// Whether a run time says enough: the heartbeat interval blurs short ones, and the
+    /// tasks of a gang wait for each other.
+    fn is_runtime_informative(&self, spec: &JobSpec, runtime_s: f64) -> bool {
+        let is_gang = spec.shape == Shape::Gang && spec.tasks > 1;
+        !(spec.estimate_s < MIN_ESTIMATE_S || runtime_s < self.policy.fresh.as_secs_f64() || is_gang)
+    }
+
+    /// Moves the bias of a class, the ratio of run time to estimate.
+    fn update_runtime_bias(&mut self, spec: &JobSpec, runtime_s: f64) {
+        let ratio = (runtime_s / spec.estimate_s).clamp(RATIO_BOUNDS.0, RATIO_BOUNDS.1);
+        let bias = self.runtime_bias.entry(spec.class.clone()).or_insert(ratio);
+        *bias += (ratio - *bias) * BIAS_WEIGHT;
+    }
+
+    /// Moves the speed of a machine.  It is compared with tasks of the same job on other
+    /// machines: the estimates of users are off by more than machines differ.
+    fn update_machine_speed(&mut self, name: &Name, spec: &JobSpec, runtime_s: f64) {
+        let Some(job) = self.jobs.get_mut(&spec.id) else { return };
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        let others = job.runtime;
+        job.runtime.add(runtime_s);
+        if others.samples < PRIOR_SAMPLES {
+            return;
         }
+        let speed = (others.mean_s / runtime_s).clamp(SPEED_BOUNDS.0, SPEED_BOUNDS.1);
+        machine.speed_samples += 1;
+        let weight = 1.0 / f64::from(PRIOR_SAMPLES + machine.speed_samples);
+        machine.speed += (speed - machine.speed) * weight.max(MIN_SPEED_WEIGHT);
     }
 }
