--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -1,5 +1,10 @@
+use std::collections::HashMap;
+use std::time::Instant;
+
 use super::*;
+use crate::cluster::Cluster;
 use crate::sim::{cluster, spec};
+use coralnotch_wire::state::{read_value, KeyValue, Write};
 use proptest::prelude::*;
 
 fn limits(page_bytes: usize) -> TxnLimits {
