--- a/packages/core/src/cluster/machine.rs
+++ b/packages/core/src/cluster/machine.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-use super::{Assignment, MachineState, TaskPhase};
+use super::{Assignment, MachineLocation, MachineState, TaskPhase};
 use crate::model::*;
 use crate::policy::Policy;
 
@@ -128,6 +128,11 @@
         }
     }
 
+    /// Its type, its zone, and whether it is a spot instance.
+    pub fn location(&self) -> MachineLocation {
+        MachineLocation { kind: self.kind.clone(), zone: self.zone.clone(), spot: self.spot }
+    }
+
     /// Room left, with all that may be present counted.
     pub fn free_resources(&self) -> Resources {
         let mut free = self.size;
--- a/packages/core/src/cluster/mod.rs
+++ b/packages/core/src/cluster/mod.rs
@@ -237,22 +237,23 @@
             }
         }
         for s in &page.starts {
-            if let Some((kind, zone, spot)) = machines.get(&s.machine) {
-                self.add_start(s, kind, zone, *spot, now);
+            if let Some(location) = machines.get(&s.machine) {
+                self.add_start(s, location, now);
             }
         }
         self.shards.insert(id, page);
     }
 
-    fn add_start(&mut self, s: &StartRecord, kind: &Name, zone: &Name, spot: bool, now: Instant) {
+    fn add_start(&mut self, s: &StartRecord, location: &MachineLocation, now: Instant) {
         let Some(job) = self.jobs.get_mut(&s.task.job) else {
             tracing::error!("a page names {}, whose job is unknown", s.task);
             return;
         };
+        let MachineLocation { kind, zone, spot } = location;
         let m = self
             .machines
             .entry(s.machine.clone())
-            .or_insert_with(|| Machine::new(s.machine.clone(), kind.clone(), zone.clone(), spot, now));
+            .or_insert_with(|| Machine::new(s.machine.clone(), kind.clone(), zone.clone(), *spot, now));
         if let Some(t) = self.types.get(kind) {
             m.size = t.size();
         }
--- a/packages/core/src/cluster/shard.rs
+++ b/packages/core/src/cluster/shard.rs
@@ -1,5 +1,6 @@
 //! Starts and completed tasks as pages of the store hold them.
 
+use super::Assignment;
 use crate::model::*;
 
 /// A start as pages keep it.
@@ -15,6 +16,14 @@
     pub incarnation: u64,
 }
 
+impl StartRecord {
+    /// Whether this is the start of an assignment of its task on its machine.  The same
+    /// attempt for another incarnation is another start.
+    pub fn is_of(&self, assignment: &Assignment) -> bool {
+        assignment.attempt == self.attempt && assignment.incarnation == self.incarnation
+    }
+}
+
 /// A page as last written.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PlacementShard {
@@ -26,8 +35,16 @@
     pub completed: Vec<(Name, Ranges)>,
 }
 
-/// What is known of a machine apart from its report.
-pub type MachineLocation = (Name, Name, bool);
+/// What is known of a machine apart from its heartbeats.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct MachineLocation {
+    /// Its type.
+    pub kind: Name,
+    /// Its zone.
+    pub zone: Name,
+    /// Whether it is a spot instance.
+    pub spot: bool,
+}
 
 /// The order in which starts are stored: by the turn of their jobs, then as
 /// they were decided.
--- a/packages/core/src/commit/apply.rs
+++ b/packages/core/src/commit/apply.rs
@@ -1,98 +1,112 @@
-//! What became of a transaction.
+//! Application of the result of a transaction.
 
 use std::time::Instant;
 
 use super::{read_shard, CommitBatch};
-use crate::cluster::{Cluster, PlacementShard, TaskPhase};
+use crate::cluster::{Cluster, PlacementShard, StartRecord, TaskPhase};
 use crate::key;
 use crate::model::*;
 use coralnotch_wire::state::{read_value, KeyValue};
 
 impl Cluster {
-    /// The transaction was carried out at this revision.  Returns the jobs
-    /// that ended by it.
-    pub fn apply_commit(&mut self, b: CommitBatch, revision: u64, now: Instant) -> Vec<(Name, JobOutcome)> {
-        for (_, s) in &b.starts {
-            let Some(m) = self.machines.get_mut(&s.machine) else { continue };
-            if let Some(p) =
-                m.tasks.get_mut(&s.task).filter(|p| p.attempt == s.attempt && p.incarnation == s.incarnation)
-            {
-                p.stored = true;
-                self.machines_to_command.insert(s.machine.clone());
-            }
+    /// Applies a transaction that succeeded at this revision.  Returns the jobs that it
+    /// ended.
+    pub fn apply_commit(&mut self, batch: CommitBatch, revision: u64, now: Instant) -> Vec<(Name, JobOutcome)> {
+        for (_, start) in &batch.starts {
+            self.mark_start_stored(start);
         }
-        for (id, ranges) in &b.done {
-            let Some(job) = self.jobs.get_mut(id) else { continue };
-            for n in ranges.iter() {
-                job.completed.insert(n);
-                job.completed_unstored.remove(n);
-            }
-            self.clear_completed(id, Some(ranges), now);
+        for (id, ranges) in &batch.completed {
+            self.mark_completed_stored(id, ranges, now);
         }
-        for (id, mut page) in b.pages {
-            page.revision = revision;
-            self.shards.insert(id, page);
+        for (id, mut shard) in batch.shards {
+            shard.revision = revision;
+            self.shards.insert(id, shard);
         }
-        if let Some((id, rest)) = b.divided {
-            self.shards.insert(id, rest);
+        if let Some((id, remainder)) = batch.split_remainder {
+            self.shards.insert(id, remainder);
         }
-        for (id, outcome) in &b.ends {
-            self.clear_completed(id, None, now);
+        for (id, outcome) in &batch.outcomes {
+            if let Some(job) = self.jobs.get(id) {
+                self.release_completed(job.placed_tasks(), now);
+            }
             self.set_outcome(id, *outcome, now);
         }
-        b.ends
+        batch.outcomes
+    }
+
+    /// Marks a start as stored, so that its command may be sent.
+    fn mark_start_stored(&mut self, start: &StartRecord) {
+        let Some(machine) = self.machines.get_mut(&start.machine) else { return };
+        let assignment = machine.tasks.get_mut(&start.task);
+        if let Some(assignment) = assignment.filter(|assignment| start.is_of(assignment)) {
+            assignment.stored = true;
+            self.machines_to_command.insert(start.machine.clone());
+        }
     }
 
-    /// Completed tasks whose completion is stored are off their machines, and
-    /// may be acknowledged there.
-    fn clear_completed(&mut self, id: &Name, which: Option<&Ranges>, now: Instant) {
-        let Some(job) = self.jobs.get(id) else { return };
-        let places: Vec<(Name, Task)> = match which {
-            None => job.placed_tasks(),
-            Some(r) => {
-                let at = |n| job.assignments.get(&n).into_iter().flatten().map(move |m| (m.clone(), n));
-                let task = |(m, index)| (m, Task { job: id.clone(), index });
-                r.iter().flat_map(at).map(task).collect()
+    /// Marks completed tasks of a job as stored, and releases them.
+    fn mark_completed_stored(&mut self, id: &Name, ranges: &Ranges, now: Instant) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let mut assigned = Vec::new();
+        for index in ranges.iter() {
+            job.completed.insert(index);
+            job.completed_unstored.remove(index);
+            for machine in job.assignments.get(&index).into_iter().flatten() {
+                assigned.push((machine.clone(), Task { job: id.clone(), index }));
             }
-        };
-        for (name, task) in places {
-            let place = self.machines.get(&name).and_then(|m| m.tasks.get(&task));
-            let Some(attempt) = place.filter(|p| p.phase == TaskPhase::Completed).map(|p| p.attempt) else { continue };
+        }
+        self.release_completed(assigned, now);
+    }
+
+    /// Releases those of these tasks that have completed, which is stored now: their
+    /// exits may be acknowledged.
+    fn release_completed(&mut self, assigned: Vec<(Name, Task)>, now: Instant) {
+        for (name, task) in assigned {
+            let assignment = self.machines.get(&name).and_then(|machine| machine.tasks.get(&task));
+            let completed = assignment.filter(|assignment| assignment.phase == TaskPhase::Completed);
+            let Some(attempt) = completed.map(|assignment| assignment.attempt) else { continue };
             self.release_assignment(&name, &task, now);
-            if let Some(m) = self.machines.get_mut(&name) {
-                m.exited.insert(task, attempt);
+            if let Some(machine) = self.machines.get_mut(&name) {
+                machine.exited.insert(task, attempt);
             }
         }
     }
 
-    /// The transaction was not, or may not have been, carried out: all of it
-    /// is to be written again.
-    pub fn restore_uncommitted(&mut self, b: CommitBatch) {
-        self.jobs_to_store.extend(b.done.into_iter().map(|d| d.0));
-        // those that end with a cancelled job are still known to
-        self.jobs_to_store.extend(b.ends.into_iter().filter(|e| e.1 == JobOutcome::Done).map(|e| e.0));
-        self.unstored_starts.extend(b.starts);
+    /// Takes back a transaction that did not, or may not have, succeeded: all of it is to
+    /// be written again.
+    pub fn restore_uncommitted(&mut self, batch: CommitBatch) {
+        self.jobs_to_store.extend(batch.completed.into_iter().map(|(id, _)| id));
+        // jobs that end with a cancelled job are found again by their dependency
+        let done = batch.outcomes.into_iter().filter(|(_, outcome)| *outcome == JobOutcome::Done);
+        self.jobs_to_store.extend(done.map(|(id, _)| id));
+        self.unstored_starts.extend(batch.starts);
     }
 
-    /// What a key in conflict really holds: an earlier transaction of ours in
-    /// doubt was carried out after all, or a user withdrew a job.
+    /// Applies what a conflicting key really holds: an earlier transaction of this leader
+    /// whose result was unknown succeeded after all, or a user cancelled a job.
     pub fn reconcile_key(&mut self, path: &str, item: Option<&KeyValue>, now: Instant) {
-        if let Some(id) = path.strip_prefix(key::SHARD).and_then(|p| p.parse().ok()) {
-            // only a try of our own, in doubt until now, can have written it: it
-            // may hold what this page never did, as one that divided another, and
-            // to write over that would lose starts
-            let stored = match item {
-                None => Some(PlacementShard::default()),
-                Some(i) => read_shard(path, i).map(|p| p.1),
-            };
-            if let Some(page) = stored {
-                self.shards.insert(id, page);
-            }
+        if let Some(id) = path.strip_prefix(key::SHARD).and_then(|number| number.parse().ok()) {
+            self.reconcile_shard(id, path, item);
         } else if let Some(id) = path.strip_prefix(key::OUTCOME) {
-            let outcome = item.and_then(|i| read_value::<OutcomeRecord>(path, i.value.clone()));
-            if let Some(f) = outcome {
-                self.set_outcome(id, f.outcome, now);
+            let record = item.and_then(|item| read_value::<OutcomeRecord>(path, item.value.clone()));
+            if let Some(record) = record {
+                self.set_outcome(id, record.outcome, now);
             }
         }
     }
+
+    /// Applies what the store has of a shard.
+    ///
+    /// Only a transaction of this leader can have written it, one whose result was unknown
+    /// until now.  The shard may hold what the leader's copy never did, as one that took
+    /// part of another does, and to overwrite that would lose starts.
+    fn reconcile_shard(&mut self, id: u32, path: &str, item: Option<&KeyValue>) {
+        let stored = match item {
+            None => Some(PlacementShard::default()),
+            Some(item) => read_shard(path, item).map(|stored| stored.shard),
+        };
+        if let Some(shard) = stored {
+            self.shards.insert(id, shard);
+        }
+    }
 }
--- a/packages/core/src/commit/mod.rs
+++ b/packages/core/src/commit/mod.rs
@@ -1,12 +1,12 @@
-//! Group commit: what the leader's state has that the store lacks, as one
-//! transaction at a time, built from the state itself.  A transaction that
-//! failed or stayed in doubt is simply built again from what then holds.
+//! Group commit: what the leader's state has and the store lacks is written in one
+//! transaction at a time, which is built from the state itself.  A transaction that
+//! failed, or whose result is unknown, is simply built again from the state at that time.
 //!
-//! The service counts changes by key, so starts and completed tasks of many
-//! machines and jobs share a *page*.  A transaction rewrites one page: what is
-//! still true of it, and all that is new.  Pages are taken in turn, so what
-//! is no longer true leaves the store by and by without a change of its own;
-//! until then it only makes a new leader count a place as uncertain.
+//! The store limits writes by key, so the starts and completed tasks of many machines and
+//! jobs share a *shard*.  A transaction rewrites one shard: what is still valid of it,
+//! and all that is new.  Shards are rewritten in rotation, so that entries that are no
+//! longer valid leave the store without a write of their own; until then they only make
+//! a new leader count an assignment as uncertain.
 
 mod apply;
 mod build;
@@ -14,7 +14,7 @@
 mod split;
 mod stored;
 
-pub use stored::{read_shard, shard_key, started_jobs, started_jobs_of_shard};
+pub use stored::{read_shard, shard_key, started_jobs, started_jobs_of_shard, StoredShard};
 
 use crate::cluster::{PlacementShard, QueueKey, StartRecord};
 use crate::key;
@@ -26,52 +26,56 @@
 pub struct TxnLimits {
     /// Puts and deletes.
     pub writes: usize,
-    /// Conditions.
+    /// Preconditions.
     pub preconditions: usize,
-    /// Bytes of a page, within the limit for a value.
+    /// Bytes of a shard, within the limit for a value.
     pub shard_bytes: usize,
     /// Bytes of any value.
     pub value_bytes: usize,
 }
 
 impl TxnLimits {
-    /// Three quarters of it, but room for an end and a page with a few starts.
+    /// Three quarters of these limits, but room for an outcome and a shard with a few
+    /// starts.
     pub fn reduced(self) -> TxnLimits {
-        let less = |n: usize, least: usize| (n / 4 * 3).max(least.min(n));
+        let reduce = |limit: usize, least: usize| (limit / 4 * 3).max(least.min(limit));
         TxnLimits {
-            writes: less(self.writes, 3),
-            preconditions: less(self.preconditions, 12),
-            shard_bytes: less(self.shard_bytes, 512),
-            value_bytes: less(self.value_bytes, 512),
+            writes: reduce(self.writes, 3),
+            preconditions: reduce(self.preconditions, 12),
+            shard_bytes: reduce(self.shard_bytes, 512),
+            value_bytes: reduce(self.value_bytes, 512),
         }
     }
 }
 
-/// A transaction and what its success means.
+/// A transaction, and what is to be applied when it has succeeded.
 #[derive(Debug, Default)]
 pub struct CommitBatch {
-    /// What is sent.
+    /// The transaction.
     pub txn: Txn,
-    /// Pages as it writes them.
-    pages: Vec<(u32, PlacementShard)>,
-    /// A page that others now hold a part of, with what is left to it.
-    divided: Option<(u32, PlacementShard)>,
-    /// The starts among the pages' that are new, with their turns.
+    /// Shards as it writes them, by number.
+    shards: Vec<(u32, PlacementShard)>,
+    /// An oversized shard that was split and is not written: what remains to it, as the
+    /// other shards now hold the rest.
+    split_remainder: Option<(u32, PlacementShard)>,
+    /// New starts in the shards, with their place in the queue.
     starts: Vec<(QueueKey, StartRecord)>,
-    /// The completed tasks that are new.
-    done: Vec<(Name, Ranges)>,
-    ends: Vec<(Name, JobOutcome)>,
+    /// New completed tasks in the shards, by job.
+    completed: Vec<(Name, Ranges)>,
+    /// Jobs that end.
+    outcomes: Vec<(Name, JobOutcome)>,
 }
 
 impl CommitBatch {
-    /// Whether one more change and its condition fit, with room left for a page.
-    fn room(&self, most: &TxnLimits) -> bool {
-        self.txn.writes.len() + 1 < most.writes && self.txn.preconditions.len() + 2 < most.preconditions
+    /// Whether one more write and its precondition fit, with room left for a shard.
+    fn has_room(&self, limits: &TxnLimits) -> bool {
+        self.txn.writes.len() + 1 < limits.writes && self.txn.preconditions.len() + 2 < limits.preconditions
     }
 
-    fn end(&mut self, id: Name, outcome: JobOutcome) {
+    /// Adds the outcome of a job.
+    fn add_outcome(&mut self, id: Name, outcome: JobOutcome) {
         key::put_outcome(&mut self.txn, &id, outcome);
-        self.ends.push((id, outcome));
+        self.outcomes.push((id, outcome));
     }
 }
 
--- a/packages/core/src/commit/split.rs
+++ b/packages/core/src/commit/split.rs
@@ -1,75 +1,131 @@
-//! Pages larger than a value may be.
+//! Splitting of shards that are larger than a value may be.
 
-use super::shard_size::{ShardBuilder, EMPTY};
+use super::shard_size::{OpenShard, ShardSize};
 use super::{shard_key, CommitBatch, TxnLimits};
-use crate::cluster::{Cluster, PlacementShard, StartRecord};
+use crate::cluster::{Cluster, MachineLocation, PlacementShard, StartRecord};
+use crate::model::*;
 use coralnotch_wire::state::Write;
 
-/// Most bytes that one transaction moves from a page that is too large; with all
-/// else it stays within the 64 KiB that the service takes.
-const MOST_DIVIDED: usize = 40 * 1024;
+/// Most bytes that one transaction moves from an oversized shard; with everything else it
+/// stays within the 64 KiB that the store accepts.
+const MAX_MOVED_BYTES: usize = 40 * 1024;
+
+/// Writes, each with its precondition, that the new parts leave free in a transaction: that
+/// of the shard with the new entries, and that of the split shard itself.
+const RESERVED_WRITES: usize = 2;
 
 impl Cluster {
-    /// Divides a page that a former version, or a former limit, let grow beyond
-    /// what a value may hold now: its entries go to new pages, as many as the
-    /// transaction takes, and what is left fits or waits for its next turn.
-    /// Until the page itself is written again it names some starts twice, which
-    /// does no harm: the same start of a task is the same start.
-    pub(super) fn divide(&mut self, b: &mut CommitBatch, id: u32, live: PlacementShard, most: &TxnLimits) {
-        let mut rest = PlacementShard { revision: live.revision, ..PlacementShard::default() };
-        let mut parts: Vec<PlacementShard> = vec![PlacementShard::default()];
-        let mut filling = ShardBuilder::new();
-        // one change is the ordinary page's, one this page's own
-        let room = most.writes.saturating_sub(b.txn.writes.len() + 2).min(MOST_DIVIDED / most.shard_bytes.max(1));
-        if b.divided.is_some() || room == 0 || most.preconditions < b.txn.preconditions.len() + room + 2 {
+    /// Splits a shard that a former version, or a former limit, let grow beyond what a
+    /// value may hold now.  Its entries go to new shards, as many as the transaction
+    /// takes; what is left fits, or waits until the shard is next in the rotation.
+    ///
+    /// Until the shard itself is written again, some starts are stored twice.  That is
+    /// harmless: the same start of a task is the same start.
+    pub(super) fn split_shard(&mut self, batch: &mut CommitBatch, oversized: OpenShard, limits: &TxnLimits) {
+        let free_writes = limits.writes.saturating_sub(batch.txn.writes.len() + RESERVED_WRITES);
+        let new_shards = free_writes.min(MAX_MOVED_BYTES / limits.shard_bytes.max(1));
+        let preconditions = batch.txn.preconditions.len() + new_shards + RESERVED_WRITES;
+        if batch.split_remainder.is_some() || new_shards == 0 || limits.preconditions < preconditions {
             return;
         }
-        let place =
-            |c: &Cluster, s: &StartRecord| c.machines.get(&s.machine).map(|m| (m.kind.clone(), m.zone.clone(), m.spot));
-        for s in live.starts {
-            let Some(at) = place(self, &s) else { continue };
-            if filling.bytes + filling.start(&s, &at) > most.shard_bytes && parts.len() <= room {
-                parts.push(PlacementShard::default());
-                filling = ShardBuilder::new();
-            }
-            if filling.bytes + filling.start(&s, &at) > most.shard_bytes {
-                rest.starts.push(s);
-                continue;
-            }
-            filling.add_start(&s, &at);
-            if let Some(p) = parts.last_mut() {
-                p.starts.push(s);
-            }
+        let OpenShard { id, shard, .. } = oversized;
+        let mut split = ShardSplit::new(shard.revision, new_shards + 1, limits.shard_bytes);
+        for start in shard.starts {
+            let Some(machine) = self.machines.get(&start.machine) else { continue };
+            split.add_start(start, &machine.location());
         }
-        for (job, mut ranges) in live.completed {
-            while !ranges.is_empty() {
-                let part = filling.fitting(&job, &ranges, most.shard_bytes);
-                if part.is_empty() {
-                    if parts.len() > room || filling.bytes == EMPTY {
-                        rest.completed.push((job, ranges));
-                        break;
-                    }
-                    parts.push(PlacementShard::default());
-                    filling = ShardBuilder::new();
-                    continue;
-                }
-                filling.add_done(&job, &part);
-                ranges = ranges.without_first_parts(part.parts());
-                if let Some(p) = parts.last_mut() {
-                    p.completed.push((job.clone(), part));
-                }
-            }
+        for (job, ranges) in shard.completed {
+            split.add_completed(&job, ranges);
+        }
+        self.write_split(batch, id, split);
+        tracing::info!(shard = id, parts = batch.shards.len(), "oversized shard split");
+    }
+
+    /// Adds the parts of a split shard to the transaction.  If nothing remains, the first
+    /// part replaces the shard itself.
+    fn write_split(&mut self, batch: &mut CommitBatch, id: u32, split: ShardSplit) {
+        let is_complete = split.is_complete();
+        let ShardSplit { full, last, remainder, .. } = split;
+        for (number, mut part) in full.into_iter().chain([last]).enumerate() {
+            let target = if number == 0 && is_complete { id } else { self.create_shard() };
+            part.revision = self.shards.get(&target).map_or(0, |shard| shard.revision);
+            batch.txn.require(shard_key(target), part.revision);
+            batch.txn.writes.push(Write::set(shard_key(target), &self.shard_record(&part)));
+            batch.shards.push((target, part));
+        }
+        batch.split_remainder = (!is_complete).then_some((id, remainder));
+    }
+}
+
+/// The parts into which a shard is split.
+struct ShardSplit {
+    /// Parts that take no more.
+    full: Vec<PlacementShard>,
+    /// The part that is being filled.
+    last: PlacementShard,
+    /// The size of the part that is being filled.
+    size: ShardSize,
+    /// Entries that found no room in any part.
+    remainder: PlacementShard,
+    max_parts: usize,
+    max_bytes: usize,
+}
+
+impl ShardSplit {
+    /// An empty split of a shard that was last written at `revision`, into `max_parts`
+    /// parts of `max_bytes` bytes each.
+    fn new(revision: u64, max_parts: usize, max_bytes: usize) -> ShardSplit {
+        ShardSplit {
+            full: Vec::new(),
+            last: PlacementShard::default(),
+            size: ShardSize::new(),
+            remainder: PlacementShard { revision, ..PlacementShard::default() },
+            max_parts,
+            max_bytes,
         }
-        let whole = rest.starts.is_empty() && rest.completed.is_empty();
-        for (n, mut part) in parts.into_iter().enumerate() {
-            // what is whole has its first part in the old place
-            let to = if n == 0 && whole { id } else { self.new_page() };
-            part.revision = self.shards.get(&to).map_or(0, |p| p.revision);
-            b.txn.require(shard_key(to), part.revision);
-            b.txn.writes.push(Write::set(shard_key(to), &self.page_record(&part)));
-            b.pages.push((to, part));
+    }
+
+    /// Whether all entries found room.
+    fn is_complete(&self) -> bool {
+        self.remainder.starts.is_empty() && self.remainder.completed.is_empty()
+    }
+
+    /// Whether another part may be begun.
+    fn may_begin_part(&self) -> bool {
+        self.full.len() + 1 < self.max_parts
+    }
+
+    /// Begins another part.
+    fn begin_part(&mut self) {
+        self.full.push(std::mem::take(&mut self.last));
+        self.size = ShardSize::new();
+    }
+
+    fn add_start(&mut self, start: StartRecord, location: &MachineLocation) {
+        if !self.size.has_room_for(&start, location, self.max_bytes) && self.may_begin_part() {
+            self.begin_part();
+        }
+        if !self.size.has_room_for(&start, location, self.max_bytes) {
+            self.remainder.starts.push(start);
+            return;
+        }
+        self.size.add_start(&start, location);
+        self.last.starts.push(start);
+    }
+
+    fn add_completed(&mut self, job: &Name, mut ranges: Ranges) {
+        while !ranges.is_empty() {
+            let fitting = self.size.fitting_ranges(job, &ranges, self.max_bytes);
+            if !fitting.is_empty() {
+                self.size.add_completed(job, &fitting);
+                ranges = ranges.without_first_parts(fitting.parts());
+                self.last.completed.push((job.clone(), fitting));
+            } else if self.may_begin_part() && !self.size.is_empty() {
+                self.begin_part();
+            } else {
+                self.remainder.completed.push((job.clone(), ranges));
+                return;
+            }
         }
-        b.divided = (!whole).then_some((id, rest));
-        tracing::info!("page {id} is larger than a value may be: divided into {}", b.pages.len());
     }
 }
--- a/packages/core/src/commit/stored.rs
+++ b/packages/core/src/commit/stored.rs
@@ -1,4 +1,4 @@
-//! The stored form of a page.
+//! The stored form of a shard.
 
 use std::collections::{HashMap, HashSet};
 
@@ -9,75 +9,101 @@
 use crate::model::*;
 use coralnotch_wire::state::{read_value, KeyValue};
 
-/// Task, attempt, machine (as an index) and session of a start.
+/// A start: index of the task, attempt, position of the machine, incarnation.
 type StoredStart = (u32, u64, usize, u64);
 
-/// The stored form: names once, the rest by number.
+/// A location: machine type, zone, and whether the machines are spot instances.
+type StoredLocation = (Name, Name, bool);
+
+/// The record of a shard.  Each name is stored once and referred to by its position.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct ShardRecord {
-    pools: Vec<(Name, Name, bool)>,
+    #[serde(rename = "pools")]
+    locations: Vec<StoredLocation>,
+    /// Machines, with the positions of their locations.
     machines: Vec<(Name, usize)>,
-    /// By job.
+    /// Starts by job.
     starts: Vec<(Name, Vec<StoredStart>)>,
-    done: Vec<(Name, Ranges)>,
+    /// Completed tasks by job.
+    #[serde(rename = "done")]
+    completed: Vec<(Name, Ranges)>,
+}
+
+/// A shard as the store has it.
+#[derive(Debug, Clone, PartialEq)]
+pub struct StoredShard {
+    /// Its number.
+    pub id: u32,
+    /// Its starts and completed tasks.
+    pub shard: PlacementShard,
+    /// The locations of the machines that its starts name.
+    pub locations: HashMap<Name, MachineLocation>,
 }
 
-/// Turns a stored page into starts, with type, zone and kind of each machine.
-pub fn read_shard(path: &str, item: &KeyValue) -> Option<(u32, PlacementShard, HashMap<Name, MachineLocation>)> {
+/// The key of a shard.
+pub fn shard_key(id: u32) -> String {
+    format!("{}{id}", key::SHARD)
+}
+
+/// Reads a shard from the value of a key; `None` if it is not one, or is malformed.
+pub fn read_shard(path: &str, item: &KeyValue) -> Option<StoredShard> {
     let id = path.strip_prefix(key::SHARD)?.parse().ok()?;
-    let r: ShardRecord = read_value(path, item.value.clone())?;
-    let mut places = HashMap::new();
-    for (name, pool) in &r.machines {
-        places.insert(name.clone(), r.pools.get(*pool)?.clone());
+    let record: ShardRecord = read_value(path, item.value.clone())?;
+    let mut locations = HashMap::new();
+    for (name, position) in &record.machines {
+        let (kind, zone, spot) = record.locations.get(*position)?.clone();
+        locations.insert(name.clone(), MachineLocation { kind, zone, spot });
     }
     let mut starts = Vec::new();
-    for (job, list) in r.starts {
-        for (index, attempt, machine, session) in list {
-            let machine = r.machines.get(machine)?.0.clone();
-            starts.push(StartRecord { machine, task: Task { job: job.clone(), index }, attempt, incarnation: session });
+    for (job, stored_starts) in record.starts {
+        for (index, attempt, machine, incarnation) in stored_starts {
+            let machine = record.machines.get(machine)?.0.clone();
+            let task = Task { job: job.clone(), index };
+            starts.push(StartRecord { machine, task, attempt, incarnation });
         }
     }
-    Some((id, PlacementShard { revision: item.revision, starts, completed: r.done }, places))
+    let shard = PlacementShard { revision: item.revision, starts, completed: record.completed };
+    Some(StoredShard { id, shard, locations })
 }
 
-/// The jobs that a stored page names as started.
+/// The jobs that a stored shard names as started.
 pub fn started_jobs_of_shard(item: &KeyValue) -> Vec<Name> {
-    let r: Option<ShardRecord> = read_value(&item.key, item.value.clone());
-    r.map(|r| r.starts.into_iter().map(|s| s.0).collect()).unwrap_or_default()
-}
-
-/// The jobs that have begun, as far as pages tell: no start is stored before the
-/// ends of all that its job needs, so they wait for nothing.
-pub fn started_jobs<'a>(pages: impl Iterator<Item = &'a PlacementShard>) -> HashSet<Name> {
-    let of = |p: &'a PlacementShard| p.starts.iter().map(|s| &s.task.job).chain(p.completed.iter().map(|d| &d.0));
-    pages.flat_map(of).cloned().collect()
+    let record: Option<ShardRecord> = read_value(&item.key, item.value.clone());
+    record.map(|record| record.starts.into_iter().map(|(job, _)| job).collect()).unwrap_or_default()
 }
 
-/// The key of a page.
-pub fn shard_key(id: u32) -> String {
-    format!("{}{id}", key::SHARD)
+/// The jobs that have started, as far as shards show: no start is stored before the
+/// outcomes of all that its job needs, so these jobs wait for no other.
+pub fn started_jobs<'a>(shards: impl Iterator<Item = &'a PlacementShard>) -> HashSet<Name> {
+    let jobs = |shard: &'a PlacementShard| {
+        let started = shard.starts.iter().map(|start| &start.task.job);
+        started.chain(shard.completed.iter().map(|(job, _)| job))
+    };
+    shards.flat_map(jobs).cloned().collect()
 }
 
 impl Cluster {
-    pub(super) fn page_record(&self, page: &PlacementShard) -> ShardRecord {
-        let mut r = ShardRecord::default();
+    /// The record of a shard.  Starts on machines that are not known any more are left
+    /// out.
+    pub(super) fn shard_record(&self, shard: &PlacementShard) -> ShardRecord {
+        let mut record = ShardRecord::default();
         let mut machines: HashMap<&Name, usize> = HashMap::new();
         let mut jobs: HashMap<&Name, usize> = HashMap::new();
-        for s in &page.starts {
-            let Some(m) = self.machines.get(&s.machine) else { continue };
-            let machine = *machines.entry(&s.machine).or_insert_with(|| {
-                let pool = (m.kind.clone(), m.zone.clone(), m.spot);
-                let pool = index_of(&mut r.pools, pool);
-                r.machines.push((s.machine.clone(), pool));
-                r.machines.len() - 1
+        for start in &shard.starts {
+            let Some(machine) = self.machines.get(&start.machine) else { continue };
+            let machine = *machines.entry(&start.machine).or_insert_with(|| {
+                let location = (machine.kind.clone(), machine.zone.clone(), machine.spot);
+                let location = index_of(&mut record.locations, location);
+                record.machines.push((start.machine.clone(), location));
+                record.machines.len() - 1
             });
-            let job = *jobs.entry(&s.task.job).or_insert_with(|| {
-                r.starts.push((s.task.job.clone(), Vec::new()));
-                r.starts.len() - 1
+            let job = *jobs.entry(&start.task.job).or_insert_with(|| {
+                record.starts.push((start.task.job.clone(), Vec::new()));
+                record.starts.len() - 1
             });
-            r.starts[job].1.push((s.task.index, s.attempt, machine, s.incarnation));
+            record.starts[job].1.push((start.task.index, start.attempt, machine, start.incarnation));
         }
-        r.done.clone_from(&page.completed);
-        r
+        record.completed.clone_from(&shard.completed);
+        record
     }
 }
--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::cluster::{Machine, PlacementShard, StartRecord, TaskPhase};
+use crate::cluster::{Machine, MachineLocation, PlacementShard, StartRecord, TaskPhase};
 use crate::policy::Policy;
 use crate::sim::{cluster, spec};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -11,7 +11,7 @@
     let mut places = HashMap::new();
     for i in 0..machines {
         let machine: Name = format!("i-{zone}{i:04}").into();
-        places.insert(machine.clone(), ("t".into(), zone.into(), false));
+        places.insert(machine.clone(), MachineLocation { kind: "t".into(), zone: zone.into(), spot: false });
         page.starts.push(StartRecord {
             machine,
             task: Task { job: job.into(), index: i as u32 },
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -109,7 +109,7 @@
 /// the room is used at once.
 #[test]
 fn places_of_a_cancelled_job_count_until_there_is_a_proof() {
-    use crate::cluster::{PlacementShard, StartRecord, TeamLimit};
+    use crate::cluster::{MachineLocation, PlacementShard, StartRecord, TeamLimit};
     let now = Instant::now();
     let most = Resources { cpus: 4.0, gpus: 0.0, memory: 0.0 };
     let old: Name = "i-9".into();
@@ -125,7 +125,8 @@
             incarnation: 1,
         };
         let page = PlacementShard { revision: 1, starts: (0..4).map(start).collect(), completed: vec![] };
-        let at = std::collections::HashMap::from([(old.clone(), ("t".into(), "z1".into(), false))]);
+        let location = MachineLocation { kind: "t".into(), zone: "z1".into(), spot: false };
+        let at = std::collections::HashMap::from([(old.clone(), location)]);
         c.add_shard(0, page, &at, now);
         up(&mut c, "i-0", now);
         c.add_job(spec("j-2", 4), 2, None, now);
@@ -183,12 +184,11 @@
     let limits = TxnLimits { writes: 8, preconditions: 32, shard_bytes: 4096, value_bytes: 4096 };
     let batch = c.next_commit(9, &limits).expect("a start is to be stored");
     let Some(Write::Set { set, data, .. }) = batch.txn.writes.first().cloned() else { panic!("a page") };
-    let (id, page, at) =
-        read_shard(&set, &KeyValue { key: set.clone(), value: data, revision: 11 }).expect("our own page");
+    let stored = read_shard(&set, &KeyValue { key: set.clone(), value: data, revision: 11 }).expect("our own page");
     // the next leader: no list has the machine, and it was never heard
     let mut next = cluster(5, now);
     next.add_job(spec("j-1", 1), 1, None, now);
-    next.add_shard(id, page, &at, now);
+    next.add_shard(stored.id, stored.shard, &stored.locations, now);
     next.apply_machine_list(&[], now);
     next.run_placement_pass(now);
     let m = &next.machines["i-7"];
--- a/packages/core/src/sim/election.rs
+++ b/packages/core/src/sim/election.rs
@@ -135,7 +135,7 @@
         let paths = self.state_store.kv.keys().filter(|path| path.starts_with(key::SHARD));
         let entries = paths.filter_map(|path| self.state_store.entry(path));
         let shards: Vec<_> = entries.map(|entry| read_shard(&entry.key, &entry).expect("our own shard")).collect();
-        let started = started_jobs(shards.iter().map(|shard| &shard.1));
+        let started = started_jobs(shards.iter().map(|shard| &shard.shard));
         for SubmittedJob { spec, revision } in self.jobs.values() {
             // outcomes are known only of jobs that a shard names
             match (self.state_store.outcome(&spec.id), started.contains(&spec.id)) {
@@ -147,8 +147,8 @@
                 _ => {}
             }
         }
-        for (id, shard, machines) in shards {
-            cluster.add_shard(id, shard, &machines, now);
+        for StoredShard { id, shard, locations } in shards {
+            cluster.add_shard(id, shard, &locations, now);
         }
     }
 
--- a/packages/core/src/sim/mod.rs
+++ b/packages/core/src/sim/mod.rs
@@ -35,7 +35,7 @@
 use crate::cluster::ListedMachine;
 use crate::cluster::{Cluster, MachineState, TeamLimit};
 use crate::commit::TxnLimits;
-use crate::commit::{read_shard, started_jobs, CommitBatch};
+use crate::commit::{read_shard, started_jobs, CommitBatch, StoredShard};
 use crate::config::Config;
 use crate::heartbeat_forwarding::{ForwardedHeartbeat, HeartbeatForwarding};
 use crate::key;
--- a/packages/core/src/workers/tests.rs
+++ b/packages/core/src/workers/tests.rs
@@ -4,7 +4,7 @@
 
 use super::failures::CORDONED_FOR_FAILURES;
 use super::*;
-use crate::cluster::{raise_token, Cluster, Machine, PlacementShard, StartRecord};
+use crate::cluster::{raise_token, Cluster, Machine, MachineLocation, PlacementShard, StartRecord};
 use crate::model::*;
 use crate::sim::{cluster, report, spec};
 
@@ -20,6 +20,11 @@
     TaskStatus { task, attempt, state, cause, saved: None }
 }
 
+/// The location of a machine of the tests.
+fn location() -> MachineLocation {
+    MachineLocation { kind: "t".into(), zone: "z0".into(), spot: false }
+}
+
 fn machine_name(number: usize) -> Name {
     format!("i-{number:04}").into()
 }
@@ -202,7 +207,7 @@
         c.add_started_job(spec("j-1", 1), 1, None, now);
         let attempt = (4 << 24) + 7;
         let machine: Name = "i-1".into();
-        let locations = HashMap::from([(machine.clone(), ("t".into(), "z0".into(), false))]);
+        let locations = HashMap::from([(machine.clone(), location())]);
         for (shard, incarnation) in (0..).zip(order) {
             let task = Task { job: "j-1".into(), index: 0 };
             let start = StartRecord { machine: machine.clone(), task, attempt, incarnation };
@@ -237,7 +242,7 @@
     c.add_started_job(Arc::new(gang), 2, None, now);
     let start = |job| StartRecord { machine: MACHINE.into(), task: only_task(job), attempt: ATTEMPT, incarnation: 1 };
     let shard = PlacementShard { revision: 1, starts: vec![start("j-1"), start("j-2")], completed: vec![] };
-    let locations = HashMap::from([(MACHINE.into(), ("t".into(), "z0".into(), false))]);
+    let locations = HashMap::from([(MACHINE.into(), location())]);
     c.add_shard(0, shard, &locations, now);
     c
 }
--- a/src/leader/load.rs
+++ b/src/leader/load.rs
@@ -6,8 +6,7 @@
 use futures_util::future::join;
 use futures_util::stream::{self, StreamExt};
 
-use crate::cluster::{MachineLocation, PlacementShard};
-use crate::commit::read_shard;
+use crate::commit::{read_shard, StoredShard};
 use crate::controller::Controller;
 use crate::job_index::OpenJob;
 use crate::leadership::lease::LeaderLease;
@@ -33,14 +32,6 @@
     pub(super) ended_jobs: HashMap<Name, StoredJob>,
 }
 
-/// A shard of placements as stored.
-pub(super) struct StoredShard {
-    pub(super) id: u32,
-    pub(super) shard: PlacementShard,
-    /// Where the machines are that the shard names.
-    pub(super) machines: HashMap<Name, MachineLocation>,
-}
-
 /// A job that was read one by one.
 pub(super) enum StoredJob {
     /// Its record, and its outcome if it has ended.
@@ -98,11 +89,7 @@
         let reads = join(self.store.list(key::SHARD), self.store.list(key::RENTAL));
         let polls = timed(self.policy.renew, self.poll_all_peers(true));
         let ((shards, rentals), _) = join(reads, polls).await;
-        let read = |item: KeyValue| {
-            let (id, shard, machines) = read_shard(&item.key, &item)?;
-            Some(StoredShard { id, shard, machines })
-        };
-        let shards = shards?.into_iter().filter_map(read).collect();
+        let shards = shards?.into_iter().filter_map(|item| read_shard(&item.key, &item)).collect();
         Ok(StoredCluster { shards, rentals: rentals?, ended_jobs: HashMap::new() })
     }
 
--- a/src/leader/takeover.rs
+++ b/src/leader/takeover.rs
@@ -115,7 +115,7 @@
 
 fn add_shards_and_rentals(cluster: &mut Cluster, stored: StoredCluster, now: Instant) {
     for shard in stored.shards {
-        cluster.add_shard(shard.id, shard.shard, &shard.machines, now);
+        cluster.add_shard(shard.id, shard.shard, &shard.locations, now);
     }
     for item in stored.rentals {
         if let Some(rentals) = read_value::<Vec<Rental>>(&item.key, item.value) {
--- a/src/leader/takeover/tests.rs
+++ b/src/leader/takeover/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::cluster::{PlacementShard, StartRecord};
+use crate::cluster::{MachineLocation, PlacementShard, StartRecord};
+use crate::commit::StoredShard;
 use crate::config::Config;
 use crate::job_index::OpenJob;
-use crate::leader::load::StoredShard;
 use crate::policy::Policy;
 use crate::state_store::client::StoreError;
 use coralnotch_policy::example::SETTINGS;
@@ -27,8 +27,9 @@
 fn stored_starts(jobs: &[&str]) -> StoredCluster {
     let starts = jobs.iter().map(|job| start(job)).collect();
     let shard = PlacementShard { revision: 3, starts, completed: Vec::new() };
-    let machines = HashMap::from([("i-1".into(), ("t".into(), "z0".into(), false))]);
-    StoredCluster { shards: vec![StoredShard { id: 0, shard, machines }], ..StoredCluster::default() }
+    let location = MachineLocation { kind: "t".into(), zone: "z0".into(), spot: false };
+    let locations = HashMap::from([("i-1".into(), location)]);
+    StoredCluster { shards: vec![StoredShard { id: 0, shard, locations }], ..StoredCluster::default() }
 }
 
 /// What the watch shows just before a leader takes over is in its state, and what it shows just
