--- a/packages/core/src/cluster/admission.rs
+++ b/packages/core/src/cluster/admission.rs
@@ -1,4 +1,4 @@
-//! Jobs enter the queue.
+//! Admission of jobs to the queue, once all that they need is done.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -8,56 +8,56 @@
 use crate::model::*;
 
 impl Cluster {
-    /// A job as the store has it.  One that needs others enters the queue only
-    /// when the store has their ends.
-    pub fn add_job(&mut self, spec: Arc<JobSpec>, stamp: u64, outcome: Option<JobOutcome>, now: Instant) {
+    /// Adds a job as the store has it; `revision` is that of its record.  A job that needs
+    /// others enters the queue only when the store has their outcomes.
+    pub fn add_job(&mut self, spec: Arc<JobSpec>, revision: u64, outcome: Option<JobOutcome>, now: Instant) {
         if self.jobs.contains_key(&spec.id) {
             return;
         }
         if outcome.is_none() && !spec.needs.is_empty() {
-            let look = |n: &Name| match self.jobs.get(n) {
-                Some(j) => j.outcome.map_or(DependencyStatus::Open, DependencyStatus::Ended),
+            let status_of = |id: &Name| match self.jobs.get(id) {
+                Some(job) => job.outcome.map_or(DependencyStatus::Open, DependencyStatus::Ended),
                 None => DependencyStatus::Unknown,
             };
-            if self.dependency.block(&spec, stamp, now, look) {
+            if self.dependency.block(&spec, revision, now, status_of) {
                 self.update_urgencies();
                 return;
             }
         }
-        self.add_started_job(spec, stamp, outcome, now);
+        self.add_started_job(spec, revision, outcome, now);
     }
 
-    /// A job that may start, or has: a start on record, or a task that a worker
-    /// reports, shows that all it needs was done before.
-    pub fn add_started_job(&mut self, spec: Arc<JobSpec>, stamp: u64, outcome: Option<JobOutcome>, now: Instant) {
+    /// Adds a job that may start, or has started: a start on record, or a task that a
+    /// worker reports, shows that all the job needs was done before.
+    pub fn add_started_job(&mut self, spec: Arc<JobSpec>, revision: u64, outcome: Option<JobOutcome>, now: Instant) {
         if self.jobs.contains_key(&spec.id) {
             return;
         }
         self.dependency.unblock(&spec.id);
-        // one that is over and still on record tells its end as well: taken for
-        // known only, it was never asked about, and what needs it waited for ever
-        let free = match outcome {
+        // The outcome of a job that is over and still on record counts as well.  When such
+        // a job was only marked as known, the store was never asked for its outcome, and
+        // what needs it was blocked for ever.
+        let released = match outcome {
             Some(outcome) => self.dependency.apply_outcome(&spec.id, outcome),
             None => Vec::new(),
         };
         self.dependency.mark_known(&spec.id);
-        let mut job = Job::new(spec, stamp, outcome, now);
+        let mut job = Job::new(spec, revision, outcome, now);
         job.urgency = self.dependency.urgency(&job.spec.id, Urgency::own(&job.spec, now));
         self.jobs.insert(job.spec.id.clone(), job);
-        for h in free {
-            self.release_blocked_job(h);
+        for blocked in released {
+            self.release_blocked_job(blocked);
         }
         self.update_urgencies();
         self.queue_changed = true;
     }
 
-    /// A job that waited for others enters the queue, with the arrival that it
-    /// has had all the time.
-    pub(crate) fn release_blocked_job(&mut self, h: BlockedJob) {
-        self.add_started_job(h.spec, h.revision, None, h.first_seen);
+    /// Adds a job that waited for others to the queue, with its original time of arrival.
+    pub(crate) fn release_blocked_job(&mut self, blocked: BlockedJob) {
+        self.add_started_job(blocked.spec, blocked.revision, None, blocked.first_seen);
     }
 
-    /// Jobs take over what those that need them make of them.
+    /// Updates the urgency of jobs from that of the jobs that need them.
     pub(super) fn update_urgencies(&mut self) {
         for id in self.dependency.take_changed() {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
--- a/packages/core/src/cluster/assignments.rs
+++ b/packages/core/src/cluster/assignments.rs
@@ -1,81 +1,87 @@
-//! Starts, stops and releases of tasks.
+//! Assignments of tasks to machines: start, stop and release.
 
 use std::time::Instant;
 
-use super::{Assignment, Cluster, StartRecord, TaskPhase};
+use super::{Assignment, Cluster, QueueKey, StartRecord, TaskPhase};
 use crate::model::*;
 
 impl Cluster {
-    /// Decides a start.  The command leaves only after the record is stored.
+    /// Assigns a pending task to a machine; the start is sent only after its record is
+    /// stored.  Returns false if the task is not pending or the machine is unknown.
     pub fn assign(&mut self, task: &Task, machine: &Name, attempt: u64, now: Instant) -> bool {
-        let (Some(job), Some(m)) = (self.jobs.get_mut(&task.job), self.machines.get_mut(machine)) else {
-            return false;
-        };
+        let Some(job) = self.jobs.get_mut(&task.job) else { return false };
+        let Some(assigned_machine) = self.machines.get_mut(machine) else { return false };
         if job.outcome.is_some() || !job.pending.remove(task.index) {
             return false;
         }
         job.assignments.entry(task.index).or_default().push(machine.clone());
-        m.tasks.insert(task.clone(), Assignment::new(job.spec.clone(), attempt, m.incarnation, now));
-        m.idle_since = None;
-        let session = m.incarnation;
+        let incarnation = assigned_machine.incarnation;
+        let assignment = Assignment::new(job.spec.clone(), attempt, incarnation, now);
+        assigned_machine.tasks.insert(task.clone(), assignment);
+        assigned_machine.idle_since = None;
         self.placement_waits.push(now.duration_since(job.first_seen));
-        self.queue_start_record(task, machine, attempt, session);
+        self.queue_start_record(task, machine, attempt, incarnation);
         true
     }
 
-    /// A start, or what turned up without one, is to be stored.
-    pub fn queue_start_record(&mut self, task: &Task, machine: &Name, attempt: u64, session: u64) {
+    /// Queues the record of a start to be stored, also of a task that was found running
+    /// without one.
+    pub fn queue_start_record(&mut self, task: &Task, machine: &Name, attempt: u64, incarnation: u64) {
         let Some(job) = self.jobs.get(&task.job) else { return };
         self.next_queue_sequence += 1;
-        let start = StartRecord { machine: machine.clone(), task: task.clone(), attempt, incarnation: session };
-        self.unstored_starts.insert((job.queue_priority(), self.next_queue_sequence), start);
+        let key = QueueKey { priority: job.queue_priority(), sequence: self.next_queue_sequence };
+        let start = StartRecord { machine: machine.clone(), task: task.clone(), attempt, incarnation };
+        self.unstored_starts.insert(key, start);
     }
 
-    /// Whether nothing of a job that is over is on any machine, or may still get onto
-    /// one: what was ever started counts until it is proved to be gone.
+    /// Whether no task of a job that is over is on any machine, or may still get onto one:
+    /// what was ever started counts until it is proved to be absent.
     pub fn has_no_task_of(&self, id: &str) -> bool {
-        self.jobs.get(id).is_none_or(|j| j.outcome.is_some() && j.assignments.is_empty())
+        self.jobs.get(id).is_none_or(|job| job.outcome.is_some() && job.assignments.is_empty())
+    }
+
+    /// Requests the stop of an assigned task, with `grace` seconds to save its progress.
+    /// The stop is repeated until the task is gone.
+    pub fn request_stop(&mut self, machine: &Name, task: &Task, grace: f64, now: Instant) {
+        let assignment = self.machines.get_mut(machine).and_then(|machine| machine.tasks.get_mut(task));
+        let Some(assignment) = assignment else { return };
+        if assignment.phase == TaskPhase::Completed {
+            return;
+        }
+        if assignment.stop_grace_s.is_none_or(|requested| grace < requested) {
+            assignment.stop_grace_s = Some(grace);
+            assignment.stop_sent = false;
+        }
+        assignment.stop_requested_at.get_or_insert(now);
+        self.machines_to_command.insert(machine.clone());
     }
 
-    /// A placed task is proved to be off its machine.
+    /// Releases an assignment whose task is proved to be absent from its machine; the task
+    /// is queued again unless it is over.
     pub fn release_assignment(&mut self, machine: &Name, task: &Task, now: Instant) {
-        let Some(m) = self.machines.get_mut(machine) else { return };
-        if m.tasks.remove(task).is_none() {
+        let Some(released_machine) = self.machines.get_mut(machine) else { return };
+        if released_machine.tasks.remove(task).is_none() {
             return;
         }
-        if m.tasks.is_empty() {
-            m.idle_since = Some(now);
+        if released_machine.tasks.is_empty() {
+            released_machine.idle_since = Some(now);
         }
         self.queue_changed = true;
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        if let Some(list) = job.assignments.get_mut(&task.index) {
-            list.retain(|n| n != machine);
-            if list.is_empty() {
+        if let Some(machines) = job.assignments.get_mut(&task.index) {
+            machines.retain(|name| name != machine);
+            if machines.is_empty() {
                 job.assignments.remove(&task.index);
             }
         }
         job.requeue(task.index);
     }
 
-    /// Everything on a machine is proved to be gone.
-    pub fn release_all_assignments(&mut self, machine: &Name, now: Instant) {
-        let Some(m) = self.machines.get(machine) else { return };
-        for task in m.tasks.keys().cloned().collect::<Vec<_>>() {
-            self.release_assignment(machine, &task, now);
+    /// Releases all assignments of a machine on which everything is proved to be absent.
+    pub fn release_all_assignments(&mut self, name: &Name, now: Instant) {
+        let Some(machine) = self.machines.get(name) else { return };
+        for task in machine.tasks.keys().cloned().collect::<Vec<_>>() {
+            self.release_assignment(name, &task, now);
         }
     }
-
-    /// Decides a stop; it is repeated until the task is gone.
-    pub fn request_stop(&mut self, machine: &Name, task: &Task, grace: f64, now: Instant) {
-        let Some(p) = self.machines.get_mut(machine).and_then(|m| m.tasks.get_mut(task)) else { return };
-        if p.phase == TaskPhase::Completed {
-            return;
-        }
-        if p.stop_grace_s.is_none_or(|g| grace < g) {
-            p.stop_grace_s = Some(grace);
-            p.stop_sent = false;
-        }
-        p.stop_requested_at.get_or_insert(now);
-        self.machines_to_command.insert(machine.clone());
-    }
 }
--- a/packages/core/src/cluster/completion.rs
+++ b/packages/core/src/cluster/completion.rs
@@ -1,40 +1,42 @@
-//! Ends of tasks and jobs.
+//! Completion of tasks and jobs.
 
 use std::time::Instant;
 
-use super::{Cluster, TaskPhase};
+use super::{Assignment, Cluster, TaskPhase};
 use crate::model::*;
 
 impl Cluster {
-    /// A task has completed; the store has still to learn of it.  A gang's
-    /// tasks complete together.
+    /// Marks a task as completed, which is still to be stored.  A gang's tasks complete
+    /// together.
     pub fn mark_completed(&mut self, task: &Task, now: Instant) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         if job.outcome.is_some() || job.spec.shape == Shape::Service || task.index >= job.spec.tasks {
             return;
         }
-        let all = if job.spec.shape == Shape::Gang { 0..job.spec.tasks } else { task.index..task.index + 1 };
-        for n in all {
-            if !job.completed.contains(n) && job.completed_unstored.insert(n) {
-                job.pending.remove(n);
+        let is_gang = job.spec.shape == Shape::Gang;
+        let completed = if is_gang { 0..job.spec.tasks } else { task.index..task.index + 1 };
+        for index in completed {
+            if !job.completed.contains(index) && job.completed_unstored.insert(index) {
+                job.pending.remove(index);
             }
         }
         self.jobs_to_store.insert(task.job.clone());
         job.quarantine = None;
         job.not_before = None;
-        // a copy that may be elsewhere is of no use any more; but tasks of a
-        // completed gang end by themselves at the same moment
-        if job.spec.shape != Shape::Gang {
-            for m in job.assignments.get(&task.index).cloned().unwrap_or_default() {
-                self.request_stop(&m, task, 0.0, now);
+        // A copy that may be on another machine is of no use any more; but the tasks of a
+        // completed gang end by themselves at the same time.
+        if !is_gang {
+            for machine in job.assignments.get(&task.index).cloned().unwrap_or_default() {
+                self.request_stop(&machine, task, 0.0, now);
             }
         }
     }
 
-    /// A job's end, as the store has it.
+    /// Sets the outcome of a job, as the store has it.  Its tasks are stopped, and what
+    /// needs the job is released.
     pub fn set_outcome(&mut self, id: &str, outcome: JobOutcome, now: Instant) {
-        for h in self.dependency.apply_outcome(id, outcome) {
-            self.release_blocked_job(h);
+        for blocked in self.dependency.apply_outcome(id, outcome) {
+            self.release_blocked_job(blocked);
         }
         self.update_urgencies();
         let Some(job) = self.jobs.get_mut(id) else { return };
@@ -45,18 +47,18 @@
         job.pending = Ranges::default();
         job.completed_unstored = Ranges::default();
         self.queue_changed = true;
-        for (m, t) in job.placed_tasks() {
-            let unsent = self
-                .machines
-                .get(&m)
-                .and_then(|m| m.tasks.get(&t))
-                .is_some_and(|p| p.start_sent_in.is_none() && !p.inherited && p.phase == TaskPhase::Assigned);
-            if unsent {
-                // its command never left
-                self.release_assignment(&m, &t, now);
+        for (machine, task) in job.placed_tasks() {
+            let assignment = self.machines.get(&machine).and_then(|machine| machine.tasks.get(&task));
+            if assignment.is_some_and(was_never_sent) {
+                self.release_assignment(&machine, &task, now);
             } else {
-                self.request_stop(&m, &t, 0.0, now);
+                self.request_stop(&machine, &task, 0.0, now);
             }
         }
     }
 }
+
+/// Whether the start of an assignment was never sent to its machine.
+fn was_never_sent(assignment: &Assignment) -> bool {
+    assignment.start_sent_in.is_none() && !assignment.inherited && assignment.phase == TaskPhase::Assigned
+}
--- a/packages/core/src/cluster/job.rs
+++ b/packages/core/src/cluster/job.rs
@@ -1,4 +1,4 @@
-//! Jobs, and the tasks of theirs that are or may be somewhere.
+//! Jobs, and the assignments of their tasks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,20 +7,20 @@
 use crate::dependency::Urgency;
 use crate::model::*;
 
-/// What a placed task is doing, as far as its machine has said.
+/// The phase of an assigned task, as far as its machine has reported it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskPhase {
-    /// Decided; the machine has not shown it yet.
+    /// The start is decided; the machine has not reported the task yet.
     Assigned,
-    /// Waits for its image.
+    /// It waits for its image.
     Pulling,
-    /// Waits for its gang.
+    /// It waits for its gang.
     WaitingForGang,
-    /// Runs.
+    /// It runs.
     Running,
-    /// Saves.
+    /// It saves its progress.
     Checkpointing,
-    /// Completed, which is not stored yet.
+    /// It has completed, which is not stored yet.
     Completed,
 }
 
@@ -31,27 +31,27 @@
     pub spec: Arc<JobSpec>,
     /// The attempt.
     pub attempt: u64,
-    /// The worker's session the start is for.
+    /// The incarnation of the worker that the start is for.
     pub incarnation: u64,
-    /// What it does.
+    /// Its phase.
     pub phase: TaskPhase,
-    /// The start is in the store; only then may the command leave.
+    /// The start is in the store; only then may it be sent.
     pub stored: bool,
-    /// Order of the report whose answer last carried the start.
+    /// Incarnation and sequence of the heartbeat after which the start was last sent.
     pub start_sent_in: Option<(u64, u64)>,
-    /// The stop has been sent directly; answers to reports repeat it.
+    /// The stop has been sent directly; replies to heartbeats repeat it.
     pub stop_sent: bool,
-    /// Stop it, with this grace.
+    /// It is to stop, with this grace in seconds.
     pub stop_grace_s: Option<f64>,
-    /// When the stop was decided.
+    /// When the stop was requested.
     pub stop_requested_at: Option<Instant>,
-    /// Placed by an earlier leader and not yet confirmed: only a report under
-    /// this term's token says anything of its absence.
+    /// Assigned by an earlier leader and not listed in a heartbeat since: only a heartbeat
+    /// under this term's token proves its absence.
     pub inherited: bool,
-    /// A report under this term's token has listed it, or this leader decided it.  Until
-    /// then reports may be of any age, and prove nothing of it.
+    /// A heartbeat under this term's token has listed it, or this leader decided it.  Until
+    /// then heartbeats may be of any age, and prove nothing about it.
     pub confirmed: bool,
-    /// When it was placed, or first seen.
+    /// When it was assigned, or first seen.
     pub assigned_at: Instant,
     /// When it was first seen running.
     pub running_since: Option<Instant>,
@@ -59,11 +59,11 @@
 
 impl Assignment {
     /// A start that was just decided.
-    pub fn new(spec: Arc<JobSpec>, attempt: u64, session: u64, now: Instant) -> Assignment {
+    pub fn new(spec: Arc<JobSpec>, attempt: u64, incarnation: u64, now: Instant) -> Assignment {
         Assignment {
             spec,
             attempt,
-            incarnation: session,
+            incarnation,
             phase: TaskPhase::Assigned,
             stored: false,
             start_sent_in: None,
@@ -87,12 +87,30 @@
             && self.incarnation == incarnation
     }
 
-    /// Whether it takes room, quota and its zone.
+    /// Whether it was listed in the last heartbeat of its machine, is stored, and is to
+    /// continue.
+    pub fn is_settled(&self) -> bool {
+        let is_listed = matches!(self.phase, TaskPhase::Pulling | TaskPhase::WaitingForGang | TaskPhase::Running);
+        is_listed && self.stored && self.confirmed && !self.inherited && self.stop_grace_s.is_none()
+    }
+
+    /// Whether it counts against its machine, its team's quota and its zone.
     pub fn occupies_resources(&self) -> bool {
         self.phase != TaskPhase::Completed
     }
 }
 
+/// The position of a job in the queue, the first in order first.  Work is preempted only for
+/// work of an earlier position: with one order for the queue and for preemption, nothing is
+/// stopped for work that is then stopped for it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct QueuePriority {
+    /// The job is neither within its team's guarantee nor production.
+    pub is_beyond_guarantee: bool,
+    /// The priority.
+    pub priority: Priority,
+}
+
 /// The mean run time of completed tasks.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RuntimeMean {
@@ -110,55 +128,55 @@
     }
 }
 
-/// A job with what the leader knows of its tasks.
+/// A job, with what the leader knows of its tasks.
 #[derive(Debug, Clone)]
 pub struct Job {
     /// The submission.
     pub spec: Arc<JobSpec>,
-    /// Stamp of the record: the order of arrival.
+    /// Revision of its record, which is the order of arrival.
     pub revision: u64,
-    /// Its end.
+    /// Its outcome, once it is over.
     pub outcome: Option<JobOutcome>,
-    /// Completed and stored.
+    /// Tasks that have completed, which is stored.
     pub completed: Ranges,
-    /// Completed, not stored yet.
+    /// Tasks that have completed, which is not stored yet.
     pub completed_unstored: Ranges,
-    /// Neither done nor placed.
+    /// Tasks that are neither completed nor assigned.
     pub pending: Ranges,
-    /// Where its tasks may be; mostly one machine a task.
+    /// Machines on which its tasks are or may be, mostly one for each task.
     pub assignments: BTreeMap<u32, Vec<Name>>,
-    /// Attempt of the gang.
+    /// The attempt of a gang.
     pub attempt: u64,
     /// Machines where a task of it failed.
     pub failed_on: BTreeSet<Name>,
     /// How long its completed tasks ran.
     pub runtime: RuntimeMean,
-    /// Since when it has been taken for broken, and what its probes came to.
+    /// Set while the job is taken to be faulty.
     pub quarantine: Option<Quarantine>,
-    /// Not placed before this.
+    /// No task of it is assigned before this.
     pub not_before: Option<Instant>,
-    /// When this leader first knew of it.
+    /// When this leader first knew the job.
     pub first_seen: Instant,
-    /// It lies within its team's guarantee, as of the last pass.
+    /// It is within its team's guarantee, as of the last pass.
     pub guaranteed: bool,
-    /// How urgent it is, for itself and for those that wait for it.
+    /// The urgency of the job itself and of those that wait for it.
     pub urgency: Urgency,
-    /// Why it waits, for people.
+    /// Why it waits, as users see it.
     pub pending_reason: &'static str,
 }
 
 impl Job {
-    /// A job nothing of which has run.
-    pub fn new(spec: Arc<JobSpec>, stamp: u64, outcome: Option<JobOutcome>, now: Instant) -> Job {
+    /// A job of which no task has run.
+    pub fn new(spec: Arc<JobSpec>, revision: u64, outcome: Option<JobOutcome>, now: Instant) -> Job {
         let urgency = Urgency::own(&spec, now);
-        let todo = if outcome.is_some() { Ranges::default() } else { Ranges::span(0, spec.tasks) };
+        let pending = if outcome.is_some() { Ranges::default() } else { Ranges::span(0, spec.tasks) };
         Job {
             spec,
-            revision: stamp,
+            revision,
             outcome,
             completed: Ranges::default(),
             completed_unstored: Ranges::default(),
-            pending: todo,
+            pending,
             assignments: BTreeMap::new(),
             attempt: 0,
             failed_on: BTreeSet::new(),
@@ -172,58 +190,57 @@
         }
     }
 
-    /// A task of it completed, so that it is no mistake.
+    /// Whether any task of it has completed, so that the job is not faulty.
     pub fn has_completed_task(&self) -> bool {
         !self.completed.is_empty() || !self.completed_unstored.is_empty()
     }
 
-    /// How many of its waiting tasks count: for the load, the dry run and the
-    /// fleet.  Of a job that seems broken, a probe at a time; a gang has no
-    /// smaller probe than itself.
+    /// How many of its pending tasks count, for the load, the dry run and the size of the
+    /// fleet.  Of a quarantined job one probe at a time counts; a gang has no smaller probe
+    /// than itself.
     pub fn waiting_tasks(&self) -> u32 {
-        let waiting = self.pending.len();
+        let pending = self.pending.len();
         match self.quarantine {
-            Some(_) if self.spec.shape != Shape::Gang => waiting.min(u32::from(self.assignments.is_empty())),
-            _ => waiting,
+            Some(_) if self.spec.shape != Shape::Gang => pending.min(u32::from(self.assignments.is_empty())),
+            _ => pending,
         }
     }
 
-    /// One more than the last task that was ever placed, as far as is known:
-    /// what waits below it was lost or gave way, and has waited its turn.
+    /// The task after the last one that was ever assigned, as far as is known.  Pending
+    /// tasks below it were lost or preempted, and have waited in the queue already.
     pub fn first_never_placed(&self) -> u32 {
-        let placed = self.assignments.last_key_value().map(|p| *p.0);
-        [placed, self.completed.last(), self.completed_unstored.last()].into_iter().flatten().max().map_or(0, |n| n + 1)
+        let assigned = self.assignments.last_key_value().map(|(index, _)| *index);
+        let last = [assigned, self.completed.last(), self.completed_unstored.last()].into_iter().flatten().max();
+        last.map_or(0, |index| index + 1)
     }
 
-    /// All its tasks completed, but its end is not stored.
+    /// Whether all its tasks have completed, and its outcome is not stored yet.
     pub fn is_completing(&self) -> bool {
         self.outcome.is_none()
             && self.spec.shape != Shape::Service
             && self.completed.len() + self.completed_unstored.len() >= self.spec.tasks
     }
 
-    /// Its tasks that are or may be somewhere, with their machines.
+    /// Its assigned tasks, with their machines.
     pub fn placed_tasks(&self) -> Vec<(Name, Task)> {
-        let task = |i: &u32| Task { job: self.spec.id.clone(), index: *i };
-        self.assignments.iter().flat_map(|(i, l)| l.iter().map(move |m| (m.clone(), task(i)))).collect()
+        let task = |index: u32| Task { job: self.spec.id.clone(), index };
+        let assignments = self.assignments.iter();
+        assignments.flat_map(|(index, machines)| machines.iter().map(move |m| (m.clone(), task(*index)))).collect()
     }
 
-    /// A job's turn.  Work gives way only to an earlier turn: with one order for
-    /// the queue and for giving way, nothing is stopped for work that is then
-    /// stopped for it.
-    ///
-    /// The rank is the highest of its own and of those that wait for it.
-    pub fn queue_priority(&self) -> (bool, Priority) {
-        let rank = self.urgency.priority;
-        (!self.guaranteed && rank != Priority::Production, rank)
+    /// Its position in the queue.  The priority in it is the highest of the job's own and
+    /// of those that wait for it.
+    pub fn queue_priority(&self) -> QueuePriority {
+        let priority = self.urgency.priority;
+        QueuePriority { is_beyond_guarantee: !self.guaranteed && priority != Priority::Production, priority }
     }
 
-    /// Part of a chain that has a deadline: it needs others, or others wait for
-    /// it, and one of them is due.
+    /// Whether it is part of a chain of dependencies that has a deadline: it needs other
+    /// jobs, or others need it, and one of them has a deadline.
     pub fn has_deadline_in_chain(&self) -> bool {
-        let own =
-            self.spec.needs.is_empty() && self.urgency.deadline == Urgency::own(&self.spec, self.first_seen).deadline;
-        self.urgency.deadline.is_some() && !own
+        let own_deadline = Urgency::own(&self.spec, self.first_seen).deadline;
+        let is_own = self.spec.needs.is_empty() && self.urgency.deadline == own_deadline;
+        self.urgency.deadline.is_some() && !is_own
     }
 
     /// Records that a task is, or may be, on a machine; it is pending no more.
@@ -235,7 +252,7 @@
         }
     }
 
-    /// Puts a task back into the queue if nothing keeps it from there.
+    /// Queues a task again, unless its job is over or the task is assigned or completed.
     pub fn requeue(&mut self, index: u32) {
         if self.outcome.is_none()
             && index < self.spec.tasks
@@ -248,35 +265,35 @@
     }
 }
 
-/// A job that seems to be broken: submitted with a mistake, it fails on every
-/// machine until its user withdraws it.
+/// The quarantine of a job that seems to be faulty: submitted with a mistake, it fails on
+/// every machine until its user cancels it.  It runs one task at a time, as a probe.
 #[derive(Debug, Clone, Copy)]
 pub struct Quarantine {
-    /// When the last probe was free to start: failures of what had been
-    /// started before say nothing new.
+    /// When the last probe was allowed to start: failures of tasks that were assigned
+    /// before prove nothing new.
     pub since: Instant,
-    /// Probes that failed.
+    /// How many probes have failed.
     pub probes: u32,
 }
 
-/// Tasks that found no machine: what the fleet should grow by.
+/// Tasks for which there is no machine: what the fleet should scale out by.
 #[derive(Debug, Clone)]
 pub struct UnmetDemand {
     /// Their job.
     pub spec: Arc<JobSpec>,
-    /// How many.
+    /// How many tasks.
     pub count: u32,
-    /// Tasks of the job that are or may be in each zone already.
+    /// How many tasks of the job are assigned in each zone already.
     pub zones: BTreeMap<Name, u32>,
 }
 
 /// Whether one more task of the job may be in this zone.
 pub fn zone_allows(spec: &JobSpec, zone: &Name, zones: &BTreeMap<Name, u32>) -> bool {
-    if spec.one_zone && zones.iter().any(|(z, n)| *n > 0 && z != zone) {
+    if spec.one_zone && zones.iter().any(|(other, tasks)| *tasks > 0 && other != zone) {
         return false;
     }
     zones.get(zone).copied().unwrap_or(0) < spec.zone_cap()
 }
 
-/// Why a job that fails everywhere waits.
+/// Why a quarantined job waits.
 pub const QUARANTINED: &str = "its tasks fail everywhere";
--- a/packages/core/src/cluster/liveness.rs
+++ b/packages/core/src/cluster/liveness.rs
@@ -1,39 +1,51 @@
-//! How long machines are silent, and what is forgotten.
+//! How long machines have been unresponsive, and what may be forgotten.
 
 use std::time::{Duration, Instant};
 
 use super::{Cluster, Machine};
 
 impl Cluster {
-    /// Machines that there are, up or not.
+    /// How many machines there are, up or not.
     pub fn machine_count(&self) -> usize {
-        self.machines.values().filter(|m| m.removed_at.is_none()).count()
+        self.machines.values().filter(|machine| machine.removed_at.is_none()).count()
     }
 
-    /// For how long a machine has been silent.  In a zone without a controller,
-    /// of one that has not reported in this term, what the previous leader told
-    /// counts, once those that can report have had the time to.  Elsewhere it
-    /// does not: a controller in a cut zone hears machines that the previous leader
-    /// did not, and a new leader once gave up two hundred of them as the cut
-    /// healed.  A gap of this controller's own counts for nothing.
-    pub fn time_since_heartbeat(&self, m: &Machine, now: Instant) -> Duration {
-        let alone = !self.zones_with_controller.contains(&m.zone);
-        let told = || self.machine_hints.get(&m.name).filter(|_| alone).and_then(|l| l.last_heartbeat);
-        let own = self.resumed_at > self.term_started_at;
-        let waited = now.duration_since(self.term_started_at.max(self.resumed_at)) > self.policy.missed;
-        let since = match m.last_heartbeat {
-            Some(t) => t.max(self.resumed_at),
-            None if waited && !own => told().unwrap_or(self.term_started_at.max(m.first_seen)),
-            None => self.term_started_at.max(m.first_seen).max(self.resumed_at),
+    /// The time since a machine's last heartbeat.  A stall of this controller counts for
+    /// nothing.
+    ///
+    /// In a zone without a controller, for a machine that has sent no heartbeat in this
+    /// term, the last heartbeat that the previous leader knew of counts, once machines
+    /// that can send one have had the time to.  Elsewhere it does not: a controller in a
+    /// partitioned zone receives heartbeats that the previous leader did not, and a new
+    /// leader once gave up two hundred machines as a partition healed.
+    pub fn time_since_heartbeat(&self, machine: &Machine, now: Instant) -> Duration {
+        let earliest = self.term_started_at.max(machine.first_seen);
+        let has_stalled = self.resumed_at > self.term_started_at;
+        let listening_since = self.term_started_at.max(self.resumed_at);
+        let could_have_reported = now.duration_since(listening_since) > self.policy.missed;
+        let since = match machine.last_heartbeat {
+            Some(heartbeat) => heartbeat.max(self.resumed_at),
+            None if could_have_reported && !has_stalled => {
+                self.heartbeat_known_to_previous_leader(machine).unwrap_or(earliest)
+            }
+            None => earliest.max(self.resumed_at),
         };
         now.saturating_duration_since(since)
     }
 
-    /// Forgets jobs that are over and nowhere any more, and machines long
-    /// gone whose record is gone too.
+    /// The last heartbeat that the previous leader knew of, if it may be relied upon.
+    fn heartbeat_known_to_previous_leader(&self, machine: &Machine) -> Option<Instant> {
+        if self.zones_with_controller.contains(&machine.zone) {
+            return None;
+        }
+        self.machine_hints.get(&machine.name)?.last_heartbeat
+    }
+
+    /// Forgets jobs that are over and have no task on any machine, and machines that were
+    /// removed so long ago that no late heartbeat of theirs can arrive.
     pub fn collect_garbage(&mut self, now: Instant) {
-        let keep = self.policy.tombstone;
-        self.machines.retain(|_, m| m.removed_at.is_none_or(|t| now.duration_since(t) < keep));
-        self.jobs.retain(|_, j| j.outcome.is_none() || !j.assignments.is_empty());
+        let tombstone = self.policy.tombstone;
+        self.machines.retain(|_, machine| machine.removed_at.is_none_or(|at| now.duration_since(at) < tombstone));
+        self.jobs.retain(|_, job| job.outcome.is_none() || !job.assignments.is_empty());
     }
 }
--- a/packages/core/src/cluster/machine.rs
+++ b/packages/core/src/cluster/machine.rs
@@ -1,97 +1,94 @@
-//! Machines as the leader knows them.
+//! Machines, as the leader knows them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-use super::{Assignment, MachineLocation, MachineState, TaskPhase};
+use super::{Assignment, MachineLocation, MachineState};
 use crate::model::*;
 use crate::policy::Policy;
 
 /// A machine.
 #[derive(Debug, Clone)]
 pub struct Machine {
-    /// Name.
+    /// Its name.
     pub name: Name,
-    /// Type.
+    /// Its type.
     pub kind: Name,
-    /// Zone.
+    /// Its zone.
     pub zone: Name,
-    /// Spot or ordinary.
+    /// Whether it is a spot instance.
     pub spot: bool,
-    /// What it offers when empty; nothing while its type is unknown.
+    /// Its resources; nothing while its type is unknown.
     pub size: Resources,
-    /// The worker's session, 0 before its first report in this term.
+    /// The incarnation of its worker, 0 before the first heartbeat in this term.
     pub incarnation: u64,
-    /// Number of the newest report.
+    /// Sequence number of the newest heartbeat.
     pub sequence: u64,
-    /// Highest token it has seen.
+    /// Highest token that the worker has seen.
     pub highest_fencing_token: u64,
-    /// Its newest report in this term.
+    /// When the newest heartbeat in this term arrived.
     pub last_heartbeat: Option<Instant>,
-    /// When the cloud takes it away.
+    /// When the cloud reclaims it.
     pub reclaim_at: Option<Instant>,
-    /// What is, or may be, on it.
+    /// Tasks that are, or may be, on it.
     pub tasks: BTreeMap<Task, Assignment>,
-    /// Exited tasks to be reaped, with their attempts.  A page may go on
-    /// naming them: a new leader starts nothing that it finds on record, so a
-    /// reap can't be followed by the same start.
+    /// Exited tasks to be acknowledged, with their attempts.  A shard may still name them:
+    /// a new leader starts nothing that it finds on record, so that an acknowledgement
+    /// cannot be followed by the same start.
     pub exited: BTreeMap<Task, u64>,
-    /// As listed.
+    /// Its state in the last list of the cloud.
     pub state: Option<MachineState>,
-    /// When it was last seen in a list, and when first known.
+    /// When it was last in a list of the cloud.
     pub last_listed: Option<Instant>,
-    /// When this leader first knew of it.
+    /// When this leader first knew the machine.
     pub first_seen: Instant,
     /// When it was rented, as far as known.
     pub rented_at: Instant,
-    /// Nothing more is placed here, and why.
+    /// Why it is cordoned, if it is: no more tasks are assigned to it.
     pub cordon_reason: Option<&'static str>,
-    /// A deletion was sent: it may vanish at any time from now.
+    /// When its deletion was sent: it may be gone at any time from then on.
     pub deletion_sent_at: Option<Instant>,
     /// Since when it has been empty.
     pub idle_since: Option<Instant>,
-    /// Images it holds, the most recently used last.
+    /// Images in its cache with their size in GB, the most recently used last.
     pub images: Vec<(Name, f64)>,
-    /// Jobs that failed here and nowhere else.
+    /// Jobs whose failures are held against this machine.
     pub failed_jobs: BTreeSet<Name>,
-    /// Not used before this, after a failure.
+    /// After a failure: no task is assigned to it before this.
     pub cooldown_until: Option<Instant>,
-    /// Its speed, as observed, and by how many tasks.
+    /// Its speed as observed, 1 for the usual speed.
     pub speed: f64,
-    /// Tasks observed.
+    /// How many tasks its speed was observed by.
     pub speed_samples: u32,
-    /// Where its worker takes direct commands.
+    /// The address at which its worker accepts direct commands.
     pub address: Option<std::net::SocketAddr>,
-    /// Its own part of the token; raising it kills every command in flight.
+    /// The offset of its token from the term's lowest.  Raising it makes the worker refuse
+    /// every command in flight.
     pub fence_offset: u64,
-    /// The fence under which a start last left for it directly.
+    /// The fence offset under which a start was last sent directly.
     pub last_direct_fence: Option<u64>,
-    /// Token of direct starts that were not answered (yet): they may be
-    /// carried out at any time until the worker has seen a higher token.
+    /// Token of direct starts without a response (yet): they may be carried out at any time
+    /// until the worker has seen a higher token.
     pub in_doubt_token: Option<u64>,
-    /// A direct command is under way.
+    /// A direct command is in flight.
     pub command_in_flight: bool,
-    /// An answer to its report waits for the store and will carry commands.
+    /// A reply to its heartbeat waits for the store, and will carry commands.
     pub reply_pending: bool,
-    /// Proved to be gone.  The entry stays for a while, so that a report
-    /// delivered late does not bring the machine back.
+    /// When it was proved to be gone.  The entry stays for a while, so that a heartbeat
+    /// delivered late does not register the machine again.
     pub removed_at: Option<Instant>,
 }
 
 impl Machine {
-    /// Whether nothing is to be told to its worker, and nothing is awaited from it: all that is
-    /// on it was listed by its last report and is to go on.
+    /// Whether there is no command for its worker and no response awaited from it: all its
+    /// tasks were listed in its last heartbeat and are to continue.
     pub fn is_settled(&self) -> bool {
-        let settled = |p: &Assignment| {
-            let listed = matches!(p.phase, TaskPhase::Pulling | TaskPhase::WaitingForGang | TaskPhase::Running);
-            listed && p.stored && p.confirmed && !p.inherited && p.stop_grace_s.is_none()
-        };
-        let open = self.removed_at.is_some() || self.deletion_sent_at.is_some() || self.reclaim_at.is_some();
-        let awaited = self.in_doubt_token.is_some() || self.command_in_flight || !self.exited.is_empty();
-        !open && !awaited && self.tasks.values().all(settled)
+        let is_leaving = self.removed_at.is_some() || self.deletion_sent_at.is_some() || self.reclaim_at.is_some();
+        let is_awaited = self.in_doubt_token.is_some() || self.command_in_flight || !self.exited.is_empty();
+        !is_leaving && !is_awaited && self.tasks.values().all(Assignment::is_settled)
     }
 
-    /// A machine of which little is known.
+    /// A machine that has sent no heartbeat yet.
     pub fn new(name: Name, kind: Name, zone: Name, spot: bool, now: Instant) -> Machine {
         Machine {
             name,
@@ -133,16 +130,16 @@
         MachineLocation { kind: self.kind.clone(), zone: self.zone.clone(), spot: self.spot }
     }
 
-    /// Room left, with all that may be present counted.
+    /// Resources left, with all that may be present counted.
     pub fn free_resources(&self) -> Resources {
         let mut free = self.size;
-        for p in self.tasks.values().filter(|p| p.occupies_resources()) {
-            free.subtract(&p.spec.size());
+        for assignment in self.tasks.values().filter(|assignment| assignment.occupies_resources()) {
+            free.subtract(&assignment.spec.size());
         }
         free
     }
 
-    /// Whether tasks may be placed here now.
+    /// Whether tasks may be assigned to it now.
     pub fn is_schedulable(&self, now: Instant, policy: &Policy) -> bool {
         self.incarnation > 0
             && self.removed_at.is_none()
@@ -150,35 +147,36 @@
             && self.deletion_sent_at.is_none()
             && self.reclaim_at.is_none()
             && self.state != Some(MachineState::Failed)
-            && self.last_heartbeat.is_some_and(|t| now.duration_since(t) < policy.fresh)
-            && self.cooldown_until.is_none_or(|t| t <= now)
+            && self.last_heartbeat.is_some_and(|at| now.duration_since(at) < policy.fresh)
+            && self.cooldown_until.is_none_or(|until| until <= now)
             && self.tasks.len() + self.exited.len() < policy.most_tasks
     }
 
-    /// Whether it holds an image.
+    /// Whether an image is in its cache.
     pub fn has_image(&self, image: &str) -> bool {
-        self.images.iter().any(|(n, _)| &**n == image)
+        self.images.iter().any(|(name, _)| &**name == image)
     }
 
-    /// An image was used: it becomes the most recent, the oldest make room.
+    /// Makes an image the most recently used.  The least recently used are evicted when the
+    /// cache exceeds `cache_gb`.
     pub fn use_image(&mut self, image: &Name, gb: f64, cache_gb: f64) {
-        self.images.retain(|(n, _)| n != image);
+        self.images.retain(|(name, _)| name != image);
         self.images.push((image.clone(), gb));
-        while self.images.len() > 1 && self.images.iter().map(|i| i.1).sum::<f64>() > cache_gb {
+        while self.images.len() > 1 && self.images.iter().map(|(_, gb)| gb).sum::<f64>() > cache_gb {
             self.images.remove(0);
         }
     }
 }
 
-/// What was learned of a machine; a hint for the next leader.
+/// What the previous leader had learned of a machine.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct MachineHints {
-    /// Its speed, as observed, and by how many tasks.
+    /// Its speed as observed, 1 for the usual speed.
     pub speed: f64,
-    /// Tasks observed.
+    /// How many tasks its speed was observed by.
     pub speed_samples: u32,
-    /// Images it holds, the most recently used last.
+    /// Images in its cache with their size in GB, the most recently used last.
     pub images: Vec<(Name, f64)>,
-    /// Its last report, as far as the previous leader had told.
+    /// When its last heartbeat arrived, as far as the previous leader knew.
     pub last_heartbeat: Option<Instant>,
 }
--- a/packages/core/src/cluster/mod.rs
+++ b/packages/core/src/cluster/mod.rs
@@ -1,9 +1,9 @@
-//! What the leader knows of jobs and machines, and the steps that change it.
-//! Everything here is a plain function of state and `now`.
+//! The leader's state, and the operations that change it.  Everything here is a plain
+//! function of the state and `now`.
 //!
-//! A task is *placed* from when a start is decided until its absence is
-//! proved.  What is uncertain counts as present: a placed task is never
-//! queued, uses its team's limit and its zone, and holds its machine's room.
+//! A task is *assigned* from the decision to start it until its absence is proved.  What
+//! is uncertain counts as present: an assigned task is never queued, uses its team's
+//! limit and its zone, and occupies its machine's resources.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -32,14 +32,14 @@
 use crate::model::*;
 use crate::policy::Policy;
 
-/// Everything a leader knows.
+/// The state of a leader.
 #[derive(Debug)]
 pub struct Cluster {
-    /// The term; it makes tokens, attempts and charters unique.
+    /// The term; it makes tokens, attempts and rental requests unique.
     pub term: u64,
     next_attempt: u64,
-    /// Jobs that are not over, or still have tasks somewhere; those that wait
-    /// for others are not among them yet.
+    /// Jobs that are not over, or still have tasks on machines.  Jobs that wait for others
+    /// are not among them yet.
     pub jobs: NameMap<Job>,
     /// Jobs that wait for others.
     pub dependency: DependencyGraph,
@@ -49,38 +49,39 @@
     pub types: BTreeMap<Name, MachineType>,
     /// The policy.
     pub policy: Arc<Policy>,
-    /// Time within which tasks of a class should start.
+    /// Service-level objective for the start of tasks, in seconds, by class.
     pub start_objectives: HashMap<Name, f64>,
-    /// Teams' limits.
+    /// Quotas of teams.
     pub teams: HashMap<Name, TeamLimit>,
-    /// Zones with a controller inside, which renews the leases there when the
-    /// zone is cut off.
+    /// Zones with a controller inside, which renews the leases there when the zone is
+    /// partitioned.
     pub zones_with_controller: BTreeSet<Name>,
-    /// When this leader began.
+    /// When this leader's term began.
     pub term_started_at: Instant,
-    /// Since when this controller has not stood still; no silence of others
-    /// counts from before.
+    /// When this controller last resumed after a stall.  The time without heartbeats counts
+    /// from then at the earliest.
     pub resumed_at: Instant,
-    /// Rentals and what comes of them.
+    /// Rentals of machines.
     pub fleet: Fleet,
     /// Ratio of run time to estimate, by class.
     pub runtime_bias: HashMap<Name, f64>,
     /// Something changed that placement should look at.
     pub queue_changed: bool,
-    /// Starts to be stored.
+    /// Starts to be stored, in the order of the queue.
     pub unstored_starts: BTreeMap<QueueKey, StartRecord>,
     next_queue_sequence: u64,
-    /// Jobs with completed tasks, or an end, to be stored.
+    /// Jobs with completed tasks, or an outcome, to be stored.
     pub jobs_to_store: BTreeSet<Name>,
-    /// What the store holds of starts and completed tasks.
+    /// Shards as the store has them, by number.
     pub shards: BTreeMap<u32, PlacementShard>,
-    /// The page whose turn it is to be rewritten.
+    /// The number from which on the rotation of shards continues.
     pub next_shard: u32,
-    /// Machines that there may be something to tell.
+    /// Machines for which there may be direct commands.
     pub machines_to_command: BTreeSet<Name>,
-    /// What the previous leader had learned of machines that have not reported yet.
+    /// What the previous leader had learned of machines that have sent no heartbeat in this
+    /// term.
     pub machine_hints: HashMap<Name, MachineHints>,
-    /// How long the tasks placed in the last pass had waited.
+    /// How long the tasks assigned in the last pass had waited.
     pub placement_waits: Vec<Duration>,
 }
 
--- a/packages/core/src/cluster/recovery.rs
+++ b/packages/core/src/cluster/recovery.rs
@@ -1,4 +1,4 @@
-//! What a new leader reads of starts and completed tasks.
+//! Recovery of assignments by a new leader, from the shards in the store.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -7,62 +7,74 @@
 use crate::model::*;
 
 impl Cluster {
-    /// A stored page, read by a new leader: all of its starts are uncertain.
+    /// Adds a shard that a new leader has read, with the locations of the machines that it
+    /// names.  All of its starts are uncertain.
     pub fn add_shard(
         &mut self,
         id: u32,
-        page: PlacementShard,
-        machines: &HashMap<Name, MachineLocation>,
+        shard: PlacementShard,
+        locations: &HashMap<Name, MachineLocation>,
         now: Instant,
     ) {
-        for (job, ranges) in &page.completed {
-            let Some(j) = self.jobs.get_mut(job) else { continue };
-            for n in ranges.iter().take_while(|n| *n < j.spec.tasks) {
-                j.completed.insert(n);
-                j.pending.remove(n);
-            }
-            if j.is_completing() {
-                self.jobs_to_store.insert(job.clone());
-            }
+        for (job, ranges) in &shard.completed {
+            self.add_stored_completion(job, ranges);
         }
-        for s in &page.starts {
-            if let Some(location) = machines.get(&s.machine) {
-                self.add_start(s, location, now);
+        for start in &shard.starts {
+            if let Some(location) = locations.get(&start.machine) {
+                self.add_stored_start(start, location, now);
             }
         }
-        self.shards.insert(id, page);
+        self.shards.insert(id, shard);
+    }
+
+    /// Adds completed tasks of a job.
+    fn add_stored_completion(&mut self, id: &Name, ranges: &Ranges) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        for index in ranges.iter().take_while(|index| *index < job.spec.tasks) {
+            job.completed.insert(index);
+            job.pending.remove(index);
+        }
+        if job.is_completing() {
+            self.jobs_to_store.insert(id.clone());
+        }
     }
 
-    fn add_start(&mut self, s: &StartRecord, location: &MachineLocation, now: Instant) {
-        let Some(job) = self.jobs.get_mut(&s.task.job) else {
-            tracing::error!("a page names {}, whose job is unknown", s.task);
+    /// Adds a start of an earlier leader.
+    fn add_stored_start(&mut self, start: &StartRecord, location: &MachineLocation, now: Instant) {
+        let Some(job) = self.jobs.get_mut(&start.task.job) else {
+            tracing::error!(task = %start.task, "shard has a start of an unknown job");
             return;
         };
         let MachineLocation { kind, zone, spot } = location;
-        let m = self
+        let machine = self
             .machines
-            .entry(s.machine.clone())
-            .or_insert_with(|| Machine::new(s.machine.clone(), kind.clone(), zone.clone(), *spot, now));
-        if let Some(t) = self.types.get(kind) {
-            m.size = t.size();
+            .entry(start.machine.clone())
+            .or_insert_with(|| Machine::new(start.machine.clone(), kind.clone(), zone.clone(), *spot, now));
+        if let Some(machine_type) = self.types.get(kind) {
+            machine.size = machine_type.size();
         }
-        // pages may still name an earlier start of the same task here, also of the same
-        // attempt: a gang that lost its places with a worker's session gets them again
-        if m.tasks.get(&s.task).is_some_and(|p| (p.attempt, p.incarnation) >= (s.attempt, s.incarnation)) {
+        // Shards may still have an earlier start of the same task here, also of the same
+        // attempt: a gang that lost its assignments with a worker's incarnation gets them
+        // again under the same attempt.
+        let order = (start.attempt, start.incarnation);
+        if machine.tasks.get(&start.task).is_some_and(|known| (known.attempt, known.incarnation) >= order) {
             return;
         }
-        let mut place = Assignment::new(job.spec.clone(), s.attempt, s.incarnation, now);
-        (place.stored, place.inherited, place.confirmed) = (true, true, false);
+        let mut assignment = Assignment::new(job.spec.clone(), start.attempt, start.incarnation, now);
+        assignment.stored = true;
+        assignment.inherited = true;
+        assignment.confirmed = false;
         if job.outcome.is_some() {
-            // a stop is due, and if its machine stays silent, a deletion: the
-            // former leader may have had no time for either
-            (place.stop_grace_s, place.stop_requested_at) = (Some(0.0), Some(now));
+            // A stop is due, and if its machine does not answer, a deletion: the former
+            // leader may have had no time for either.
+            assignment.stop_grace_s = Some(0.0);
+            assignment.stop_requested_at = Some(now);
         }
-        job.record_assignment(s.task.index, &s.machine);
+        job.record_assignment(start.task.index, &start.machine);
         if job.spec.shape == Shape::Gang {
-            job.attempt = job.attempt.max(s.attempt);
+            job.attempt = job.attempt.max(start.attempt);
         }
-        m.tasks.insert(s.task.clone(), place);
-        m.idle_since = None;
+        machine.tasks.insert(start.task.clone(), assignment);
+        machine.idle_since = None;
     }
 }
--- a/packages/core/src/cluster/shard.rs
+++ b/packages/core/src/cluster/shard.rs
@@ -1,18 +1,18 @@
-//! Starts and completed tasks as pages of the store hold them.
+//! Starts and completed tasks, as shards of the store hold them.
 
-use super::Assignment;
+use super::{Assignment, QueuePriority};
 use crate::model::*;
 
-/// A start as pages keep it.
+/// The record of a start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StartRecord {
-    /// Machine.
+    /// The machine.
     pub machine: Name,
-    /// Task.
+    /// The task.
     pub task: Task,
-    /// Attempt.
+    /// The attempt.
     pub attempt: u64,
-    /// The worker's session that the start is for.
+    /// The incarnation of the worker that the start is for.
     pub incarnation: u64,
 }
 
@@ -24,10 +24,10 @@
     }
 }
 
-/// A page as last written.
+/// A shard as last written.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PlacementShard {
-    /// Stamp of its key, 0 if it is not there.
+    /// Revision of its key, 0 if the key is absent.
     pub revision: u64,
     /// Starts.
     pub starts: Vec<StartRecord>,
@@ -46,6 +46,12 @@
     pub spot: bool,
 }
 
-/// The order in which starts are stored: by the turn of their jobs, then as
-/// they were decided.
-pub type QueueKey = ((bool, Priority), u64);
+/// The order in which starts are stored: by the priority of their jobs, then as they were
+/// decided.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct QueueKey {
+    /// Priority of the job.
+    pub priority: QueuePriority,
+    /// Number of the decision.
+    pub sequence: u64,
+}
--- a/packages/core/src/commit/mod.rs
+++ b/packages/core/src/commit/mod.rs
@@ -58,7 +58,7 @@
     /// An oversized shard that was split and is not written: what remains to it, as the
     /// other shards now hold the rest.
     split_remainder: Option<(u32, PlacementShard)>,
-    /// New starts in the shards, with their place in the queue.
+    /// New starts in the shards, with their position in the queue.
     starts: Vec<(QueueKey, StartRecord)>,
     /// New completed tasks in the shards, by job.
     completed: Vec<(Name, Ranges)>,
--- a/packages/core/src/placement/pass.rs
+++ b/packages/core/src/placement/pass.rs
@@ -7,7 +7,7 @@
 
 use super::tai2::{variance, Candidate, Classes, How, Picks, Weather};
 use super::{gives_way, loss, Entry};
-use crate::cluster::{Assignment, Cluster, Job, Machine, TaskPhase};
+use crate::cluster::{Assignment, Cluster, Job, Machine, QueuePriority, TaskPhase};
 use crate::model::*;
 
 /// A machine as a pass sees it.
@@ -30,7 +30,7 @@
     /// Tasks that may yet be added.
     room: usize,
     /// The latest turn that work here can have; none without work.
-    latest: Option<(bool, Priority)>,
+    latest: Option<QueuePriority>,
     /// Images that starts of this pass will fetch.
     fetches: Vec<(&'a Name, f64)>,
     /// Its tier has changed for the job that asks now: `moved` has it.
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::cluster::{Machine, MachineState};
+use crate::cluster::{Machine, MachineState, QueuePriority};
 use crate::sim::{cluster, report, spec};
 use std::sync::Arc;
 use std::time::Duration;
@@ -60,7 +60,8 @@
     c.add_job(Arc::new(low("j-4")), 4, None, now);
     let last = JobSpec { needs: vec!["j-2".into()], priority: Priority::High, deadline_s: Some(60.0), ..low("j-3") };
     c.add_job(Arc::new(last), 3, None, now);
-    assert_eq!(c.jobs["j-2"].queue_priority(), (true, Priority::High));
+    let beyond_guarantee = |priority| QueuePriority { is_beyond_guarantee: true, priority };
+    assert_eq!(c.jobs["j-2"].queue_priority(), beyond_guarantee(Priority::High));
     c.run_placement_pass(now);
     let at = |c: &Cluster, id: &str| c.jobs.get(id).and_then(|j| Some(j.assignments.get(&0)?[0].clone()));
     assert_eq!(at(&c, "j-2").as_deref(), Some("i-1"), "under the deadline of the last");
@@ -68,7 +69,7 @@
     assert_eq!(at(&c, "j-3"), None);
     // the last is cancelled: what it needs is as urgent as it was by itself
     c.set_outcome("j-3", JobOutcome::Cancelled, now);
-    assert_eq!(c.jobs["j-2"].queue_priority(), (true, Priority::Low));
+    assert_eq!(c.jobs["j-2"].queue_priority(), beyond_guarantee(Priority::Low));
     c.set_outcome("j-2", JobOutcome::Done, now);
     assert!(c.dependency.is_empty());
 }
--- a/packages/core/src/workers/tests.rs
+++ b/packages/core/src/workers/tests.rs
@@ -120,7 +120,7 @@
 }
 
 /// A job submitted with a mistake costs single probes, at growing intervals, and neither
-/// machines nor rentals nor the place of other jobs in the queue.
+/// machines nor rentals nor the position of other jobs in the queue.
 #[test]
 fn a_broken_job_is_reduced_to_single_probes() {
     let mut f = Fixture::new(6);
