--- a/packages/emulator/src/scale/control.rs
+++ b/packages/emulator/src/scale/control.rs
@@ -1,4 +1,4 @@
-//! What the processes of a scale run say to each other: typed messages over HTTP.
+//! Messages between the processes of a scale run, over HTTP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,9 +9,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::environment::Traffic;
+use crate::error::Error;
 
-/// How long one message may take.
-const LIMIT: Duration = Duration::from_secs(10);
+/// Limit of one message.
+const MESSAGE_LIMIT: Duration = Duration::from_secs(10);
 
 /// Paths of the control interface.
 pub mod path {
@@ -19,9 +20,9 @@
     pub const STATS: &str = "/stats";
     /// Job descriptions for the workers.
     pub const UPLOAD: &str = "/upload";
-    /// Machines that came up or went, told by the cloud to the workers.
+    /// Machine events, which the cloud sends to the workers.
     pub const MACHINES: &str = "/machines";
-    /// Machines that the cloud is to let die.
+    /// Machines that the cloud lets die.
     pub const KILL: &str = "/kill";
     /// A zone that fails, or is back.
     pub const ZONE: &str = "/zone";
@@ -45,7 +46,7 @@
     pub kind: Name,
     /// Its zone.
     pub zone: Name,
-    /// Spot or ordinary.
+    /// Whether it is a spot instance.
     pub spot: bool,
 }
 
@@ -97,15 +98,15 @@
     pub machines: u64,
     /// Tasks that run.
     pub running: u64,
-    /// ... of services.
+    /// Those of them that are replicas of services.
     pub replicas: u64,
     /// Tasks that began to run.
     pub started: u64,
-    /// Tasks killed by the lease of their worker.
+    /// Tasks that were killed because the lease of their worker expired.
     pub killed: u64,
-    /// Rules that were seen broken.
+    /// Violations of the protocol, a line each.
     pub broken: Vec<String>,
-    /// Timed jobs that began since this was last asked for.
+    /// Timed jobs that began since these figures were last taken.
     pub begun: Vec<Begun>,
     /// Messages and bytes between workers and controllers.
     pub traffic: Traffic,
@@ -131,31 +132,62 @@
     pub rented: u64,
 }
 
-/// One message; an error says what went wrong in words.
+/// Why a message had no usable answer.
+#[derive(Debug, thiserror::Error)]
+#[error("{path} at {address}: {problem}")]
+pub struct ControlError {
+    /// Path of the message.
+    pub path: &'static str,
+    /// Address of the process.
+    pub address: SocketAddr,
+    /// What went wrong.
+    #[source]
+    pub problem: ControlProblem,
+}
+
+/// What went wrong with a message.
+#[derive(Debug, thiserror::Error)]
+pub enum ControlProblem {
+    /// The answer's status was not 200.
+    #[error("status {0}")]
+    Status(u16),
+    /// There was no answer, or one that cannot be read.
+    #[error("{0}")]
+    Http(#[from] http::Error),
+}
+
+impl From<ControlError> for Error {
+    fn from(error: ControlError) -> Error {
+        Error::Failed(error.to_string())
+    }
+}
+
+/// Sends a message and returns its answer.
 pub async fn send<Q: Serialize, A: DeserializeOwned>(
     client: &Client,
-    to: SocketAddr,
-    path: &str,
+    address: SocketAddr,
+    path: &'static str,
     message: &Q,
-) -> Result<A, String> {
-    exchange(client, to, "POST", path, Some(&http::encode(message))).await
+) -> Result<A, ControlError> {
+    exchange(client, address, "POST", path, Some(&http::encode(message))).await
 }
 
-/// Asks for the figures of a process.
-pub async fn stats<A: DeserializeOwned>(client: &Client, of: SocketAddr) -> Result<A, String> {
-    exchange(client, of, "GET", path::STATS, None).await
+/// Gets the figures of a process.
+pub async fn stats<A: DeserializeOwned>(client: &Client, address: SocketAddr) -> Result<A, ControlError> {
+    exchange(client, address, "GET", path::STATS, None).await
 }
 
 async fn exchange<A: DeserializeOwned>(
     client: &Client,
-    to: SocketAddr,
+    address: SocketAddr,
     method: &str,
-    path: &str,
+    path: &'static str,
     body: Option<&[u8]>,
-) -> Result<A, String> {
-    match client.send(to, method, path, body, LIMIT).await {
-        Ok((200, body)) => http::decode(&body).map_err(|e| format!("{path} at {to}: {e}")),
-        Ok((status, _)) => Err(format!("{path} at {to}: status {status}")),
-        Err(e) => Err(format!("{path} at {to}: {e}")),
-    }
+) -> Result<A, ControlError> {
+    let answer = match client.send(address, method, path, body, MESSAGE_LIMIT).await {
+        Ok((200, body)) => http::decode(&body).map_err(ControlProblem::Http),
+        Ok((status, _)) => Err(ControlProblem::Status(status)),
+        Err(error) => Err(ControlProblem::Http(error)),
+    };
+    answer.map_err(|problem| ControlError { path, address, problem })
 }
--- a/packages/emulator/src/scale/process.rs
+++ b/packages/emulator/src/scale/process.rs
@@ -1,6 +1,6 @@
-//! Processes of a run: starting them, what they use, ending them.
+//! The processes of a scale run: starting and killing them, and measuring what they use.
 
-use std::io::{BufRead, BufReader};
+use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStdout, Command, Stdio};
@@ -10,30 +10,45 @@
 
 use super::result::Usage;
 use super::role::Role;
-use crate::error::Error;
+use crate::error::{Error, IoContext};
 
 const MEGABYTE: f64 = 1024.0 * 1024.0;
+/// Cores are measured over longer intervals than this, as processor time is counted in ticks.
+const MIN_SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
+
+/// Why a role did not get ready.
+#[derive(Debug, thiserror::Error)]
+enum ReadyError {
+    #[error("nothing to read from")]
+    NoOutput,
+    #[error("{0}")]
+    Read(#[from] io::Error),
+    #[error("it said {0:?}")]
+    Unexpected(String),
+    #[error("no address: {0}")]
+    Address(String),
+}
 
-/// A process of a run; it ends with this.
+/// A process of a run; it is killed when this is dropped.
 pub struct Running {
     child: Child,
     meter: Meter,
 }
 
 impl Running {
-    /// Starts a role in a process of its own; what it printed when it was ready.
+    /// Starts a role in a process of its own; returns the addresses at which it listens.
     pub fn start(role: &Role, dir: &Path, name: &str) -> Result<(Running, Vec<SocketAddr>), Error> {
         let (mut child, out) = Self::spawn(role, dir, name, Stdio::piped())?;
         let ready = match out {
             Some(out) => read_ready(out),
-            None => Err("nothing to read from".to_owned()),
+            None => Err(ReadyError::NoOutput),
         };
         match ready {
             Ok(addresses) => Ok((Running { meter: Meter::new(child.id()), child }, addresses)),
-            Err(why) => {
+            Err(reason) => {
                 let _ = child.kill();
                 let _ = child.wait();
-                Err(Error::Failed(format!("{name} did not get ready: {why}; see {}", dir.display())))
+                Err(Error::Failed(format!("{name} did not get ready: {reason}; see {}", dir.display())))
             }
         }
     }
@@ -45,31 +60,30 @@
     }
 
     fn spawn(role: &Role, dir: &Path, name: &str, out: Stdio) -> Result<(Child, Option<ChildStdout>), Error> {
-        let io = |what: &str, error| Error::Io { what: what.to_owned(), error };
-        let program = std::env::current_exe().map_err(|e| io("this program", e))?;
+        let program = std::env::current_exe().context("this program")?;
         let log: PathBuf = dir.join(format!("{name}.log"));
         let open = std::fs::OpenOptions::new().create(true).append(true).open(&log);
-        let log = open.map_err(|e| io(&log.display().to_string(), e))?;
-        let text = serde_json::to_string(role).map_err(|e| Error::Failed(format!("{name}: {e}")))?;
+        let log = open.context(log.display().to_string())?;
+        let text = serde_json::to_string(role).map_err(|error| Error::Failed(format!("{name}: {error}")))?;
         let mut command = Command::new(program);
         command.arg("scale-role").arg(text).arg("--parent").arg(std::process::id().to_string());
-        let mut child = command.stdin(Stdio::null()).stdout(out).stderr(log).spawn().map_err(|e| io(name, e))?;
+        let mut child = command.stdin(Stdio::null()).stdout(out).stderr(log).spawn().context(name)?;
         let out = child.stdout.take();
         Ok((child, out))
     }
 
-    /// Ends it at once.
+    /// Kills it.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Why it ended, if it did.
+    /// Its exit status, if it has ended.
     pub fn ended(&mut self) -> Option<String> {
         self.child.try_wait().ok().flatten().map(|s| s.to_string())
     }
 
-    /// What it used, to be read again and again.
+    /// Measures what it uses.
     pub fn meter(&mut self) -> &mut Meter {
         &mut self.meter
     }
@@ -81,79 +95,107 @@
     }
 }
 
-/// The line by which a role tells where it listens.
-fn read_ready(out: ChildStdout) -> Result<Vec<SocketAddr>, String> {
+/// Reads the line in which a role says where it listens.
+fn read_ready(out: ChildStdout) -> Result<Vec<SocketAddr>, ReadyError> {
     let mut line = String::new();
-    BufReader::new(out).read_line(&mut line).map_err(|e| e.to_string())?;
-    let list = line.trim().strip_prefix("ready ").ok_or_else(|| format!("it said {line:?}"))?;
-    list.split(' ').map(|a| a.parse().map_err(|_| format!("no address: {a}"))).collect()
+    BufReader::new(out).read_line(&mut line)?;
+    let Some(list) = line.trim().strip_prefix("ready ") else { return Err(ReadyError::Unexpected(line)) };
+    list.split(' ').map(|text| text.parse().map_err(|_| ReadyError::Address(text.to_owned()))).collect()
 }
 
-/// What a process used since a phase began.
-pub struct Meter {
-    id: u32,
-    /// Processor time at the begin, and at the last sample.
-    first: (Instant, f64),
-    last: (Instant, f64),
-    cores_most: f64,
+/// Processor time of a process at one moment.
+#[derive(Debug, Clone, Copy)]
+struct ProcessorSample {
+    at: Instant,
+    /// Processor time since the start of the process, in seconds.
+    processor_s: f64,
+}
+
+impl ProcessorSample {
+    fn now(processor_s: f64) -> ProcessorSample {
+        ProcessorSample { at: Instant::now(), processor_s }
+    }
+
+    /// Cores used between an earlier sample and this one, over at least `min_s` seconds.
+    fn cores_since(&self, earlier: &ProcessorSample, min_s: f64) -> f64 {
+        (self.processor_s - earlier.processor_s) / self.at.duration_since(earlier.at).as_secs_f64().max(min_s)
+    }
+}
+
+/// What the operating system says of a process.
+struct ProcessStat {
+    /// Processor time since its start, in seconds.
+    processor_s: f64,
     memory_mb: f64,
 }
 
+/// Measures what a process uses in a phase.
+pub struct Meter {
+    process_id: u32,
+    /// At the beginning of the phase.
+    first: ProcessorSample,
+    /// At the last interval whose cores were measured.
+    last: ProcessorSample,
+    max_cores: f64,
+    max_memory_mb: f64,
+}
+
 impl Meter {
-    /// Of the process with this id.
-    pub fn new(id: u32) -> Meter {
-        let now = (Instant::now(), 0.0);
-        Meter { id, first: now, last: now, cores_most: 0.0, memory_mb: 0.0 }
+    /// Creates a meter of the process with this id.
+    pub fn new(process_id: u32) -> Meter {
+        let now = ProcessorSample::now(0.0);
+        Meter { process_id, first: now, last: now, max_cores: 0.0, max_memory_mb: 0.0 }
     }
 
-    fn stat(&self) -> Option<(f64, f64)> {
-        let stat = ProcFs::new(i32::try_from(self.id).ok()?).ok()?.stat().ok()?;
+    fn stat(&self) -> Option<ProcessStat> {
+        let stat = ProcFs::new(i32::try_from(self.process_id).ok()?).ok()?.stat().ok()?;
         let ticks = procfs::ticks_per_second() as f64;
-        let memory = stat.rss as f64 * procfs::page_size() as f64 / MEGABYTE;
-        Some(((stat.utime + stat.stime) as f64 / ticks, memory))
+        let memory_mb = stat.rss as f64 * procfs::page_size() as f64 / MEGABYTE;
+        Some(ProcessStat { processor_s: (stat.utime + stat.stime) as f64 / ticks, memory_mb })
     }
 
-    /// A phase begins.
+    /// Begins a phase.
     pub fn begin(&mut self) {
-        let Some((spent, memory)) = self.stat() else { return };
-        self.first = (Instant::now(), spent);
+        let Some(stat) = self.stat() else { return };
+        self.first = ProcessorSample::now(stat.processor_s);
         self.last = self.first;
-        (self.cores_most, self.memory_mb) = (0.0, memory);
+        self.max_cores = 0.0;
+        self.max_memory_mb = stat.memory_mb;
     }
 
-    /// Notes what was used since the last sample; the memory held now, in MB.
+    /// Records what was used since the last sample; returns the memory held now, in MB.
     pub fn sample(&mut self) -> f64 {
-        let Some((spent, memory)) = self.stat() else { return 0.0 };
-        let now = Instant::now();
-        let since = now.duration_since(self.last.0);
-        if since > Duration::from_millis(500) {
-            self.cores_most = self.cores_most.max((spent - self.last.1) / since.as_secs_f64());
-            self.last = (now, spent);
+        let Some(stat) = self.stat() else { return 0.0 };
+        let now = ProcessorSample::now(stat.processor_s);
+        if now.at.duration_since(self.last.at) > MIN_SAMPLE_INTERVAL {
+            self.max_cores = self.max_cores.max(now.cores_since(&self.last, 0.0));
+            self.last = now;
         }
-        self.memory_mb = self.memory_mb.max(memory);
-        memory
+        self.max_memory_mb = self.max_memory_mb.max(stat.memory_mb);
+        stat.memory_mb
     }
 
     /// What was used since the phase began.
     pub fn used(&mut self) -> Usage {
         self.sample();
-        let Some((spent, _)) = self.stat() else { return Usage::default() };
-        let seconds = self.first.0.elapsed().as_secs_f64().max(1e-3);
-        let cores = (spent - self.first.1) / seconds;
-        let files = ProcFs::new(self.id as i32).and_then(|p| p.fd_count()).unwrap_or(0);
-        Usage { processes: 1, cores, cores_most: self.cores_most.max(cores), memory_mb: self.memory_mb, files }
+        let Some(stat) = self.stat() else { return Usage::default() };
+        let cores = ProcessorSample::now(stat.processor_s).cores_since(&self.first, 1e-3);
+        let files = ProcFs::new(self.process_id as i32).and_then(|process| process.fd_count()).unwrap_or(0);
+        let (cores_most, memory_mb) = (self.max_cores.max(cores), self.max_memory_mb);
+        Usage { processes: 1, cores, cores_most, memory_mb, files }
     }
 }
 
-/// Several processes of one role together.
-pub fn together(all: impl IntoIterator<Item = Usage>) -> Usage {
+/// Combines the usage of processes of one role: the mean of their cores, and the greatest of the
+/// other figures.
+pub fn together(usages: impl IntoIterator<Item = Usage>) -> Usage {
     let mut sum = Usage::default();
-    for u in all {
-        sum.processes += u.processes;
-        sum.cores += u.cores;
-        sum.cores_most = sum.cores_most.max(u.cores_most);
-        sum.memory_mb = sum.memory_mb.max(u.memory_mb);
-        sum.files = sum.files.max(u.files);
+    for usage in usages {
+        sum.processes += usage.processes;
+        sum.cores += usage.cores;
+        sum.cores_most = sum.cores_most.max(usage.cores_most);
+        sum.memory_mb = sum.memory_mb.max(usage.memory_mb);
+        sum.files = sum.files.max(usage.files);
     }
     sum.cores /= sum.processes.max(1) as f64;
     sum
--- a/packages/emulator/src/scale/region.rs
+++ b/packages/emulator/src/scale/region.rs
@@ -137,7 +137,7 @@
     pub async fn kill_machines(&self, count: usize) -> Result<usize, Error> {
         let kill = control::Kill { count };
         let answer = control::send(&self.client, self.cloud_control, control::path::KILL, &kill).await;
-        answer.map(|done: Done| done.machines).map_err(Error::Failed)
+        answer.map(|done: Done| done.machines).map_err(Error::from)
     }
 
     /// Lets a zone fail with its machines and controllers.
@@ -157,6 +157,6 @@
     async fn change_zone(&self, zone: &Name, closed: bool) -> Result<(), Error> {
         let change = control::ZoneChange { zone: zone.clone(), closed };
         let answer = control::send(&self.client, self.cloud_control, control::path::ZONE, &change).await;
-        answer.map(|_: Done| ()).map_err(Error::Failed)
+        answer.map(|_: Done| ()).map_err(Error::from)
     }
 }
--- a/packages/emulator/src/scale/region/measurement.rs
+++ b/packages/emulator/src/scale/region/measurement.rs
@@ -58,7 +58,7 @@
 impl Region {
     /// The workers' figures now; the timed starts among them are taken.
     pub async fn worker_stats(&self) -> Result<WorkerStats, Error> {
-        control::stats(&self.client, self.workers_control).await.map_err(Error::Failed)
+        Ok(control::stats(&self.client, self.workers_control).await?)
     }
 
     /// All figures now.
@@ -66,7 +66,7 @@
         Ok(Snapshot {
             leader: self.leader().await,
             workers: self.worker_stats().await?,
-            state: control::stats(&self.client, self.state_control).await.map_err(Error::Failed)?,
+            state: control::stats(&self.client, self.state_control).await?,
             user_requests: self.users.requests.get(),
         })
     }
