--- a/packages/emulator/src/capacity/mod.rs
+++ b/packages/emulator/src/capacity/mod.rs
@@ -22,7 +22,7 @@
 /// Phases in which load and processor belong together: nothing fails in them.
 const QUIET_PHASES: [&str; 3] = ["steady", "peak", "after the peak"];
 
-/// What the command is told.
+/// Options of `coralnotch-emulator capacity`.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
     /// Directory with the results.
--- a/packages/emulator/src/faults/plan.rs
+++ b/packages/emulator/src/faults/plan.rs
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Notes a problem; returns what stands for the value.
+    /// Notes a problem; returns the replacement of the value.
     fn reject<T: Default>(&mut self, problem: FaultProblem) -> T {
         self.problems.push(problem);
         T::default()
