--- a/packages/core/src/cluster/rental.rs
+++ b/packages/core/src/cluster/rental.rs
@@ -1,76 +1,130 @@
-//! Rentals, and what the leader remembers of its dealings with the cloud.
+//! Rentals, and what the leader remembers of its requests to the cloud.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
 pub use coralnotch_wire::cloud::{ListedMachine, MachineState, Rental};
 
+use super::Machine;
 use crate::model::*;
 use crate::policy::Policy;
 use coralnotch_wire::state::{Txn, Write};
 
-/// A kind of machine in a zone.
-pub type MachinePool = (Name, Name, bool);
+/// Machines that the cloud rents alike: of one type, in one zone, spot or ordinary.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct MachinePool {
+    /// Machine type.
+    pub kind: Name,
+    /// Zone.
+    pub zone: Name,
+    /// Spot or ordinary.
+    pub spot: bool,
+}
+
+impl MachinePool {
+    /// The pool that a rental asks.
+    pub fn of_rental(rental: &Rental) -> MachinePool {
+        MachinePool { kind: rental.kind.clone(), zone: rental.zone.clone(), spot: rental.spot }
+    }
+
+    /// The pool that a machine came from.
+    pub fn of_machine(machine: &Machine) -> MachinePool {
+        MachinePool { kind: machine.kind.clone(), zone: machine.zone.clone(), spot: machine.spot }
+    }
+}
 
-/// How many times what it begins with a leader may learn to hear.  A calm fleet
-/// tells nothing of the seconds after a restart, when all workers come at once: a
-/// leader that had grown to all that it heard lost its tasks then.
-const MOST_LEARNED: f64 = 1.15;
+/// A part of the cluster that may be cut off from this controller.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(crate) enum PartitionScope {
+    /// All machines.
+    Cluster,
+    /// The machines of a zone.
+    Zone(Name),
+}
+
+/// How many times its initial value the heartbeat capacity may reach.  A calm fleet
+/// shows nothing of the seconds after a restart, when all workers register at once: a
+/// leader whose capacity had grown with its load lost its tasks then.
+const MAX_CAPACITY_GROWTH: f64 = 1.15;
+/// The heartbeat capacity never falls below its initial value divided by this.
+const MIN_CAPACITY_DIVISOR: f64 = 2.0;
+/// Part of the heartbeat capacity that must be in use for it to grow.
+const CAPACITY_IN_USE: f64 = 0.95;
+/// Within how many worker leases the heartbeat capacity may double, or halve.
+const LEASES_PER_ADAPTATION: f64 = 4.0;
+
+/// How many machines' heartbeats the leader can process.
+#[derive(Debug, Clone, Copy)]
+pub struct HeartbeatCapacity {
+    /// Machines; adapted in small steps, and so no whole number.
+    pub machines: f64,
+    /// When it was last adapted.
+    pub adapted_at: Instant,
+}
 
-/// What the leader remembers of its dealings with the cloud.
+/// A rental in a stored record.
+#[derive(Debug, Clone)]
+pub struct RecordedRental {
+    /// Its idempotency key.
+    pub request_id: Name,
+    /// When the cloud answered it; `None` while it is open.
+    pub answered_at: Option<Instant>,
+}
+
+/// What the leader remembers of its requests to the cloud.
 #[derive(Debug, Default)]
 pub struct Fleet {
-    /// Number of the last rental asked for.
+    /// Number of the last rental requested.
     pub(crate) next_request_id: u64,
-    /// Pools without capacity, and until when they are not asked.
+    /// Pools without capacity, each with the time until which it is not asked.
     pub exhausted_pools: HashMap<MachinePool, Instant>,
-    /// Rentals under way or in doubt; in doubt they are asked again under the
-    /// same charter.
+    /// Rentals that the cloud has not answered.  They are requested again with the
+    /// same request id, and so rent nothing twice.
     pub open_rentals: Vec<Rental>,
-    /// Records of rentals in the store, each with its charters and when they
-    /// were answered.
-    pub records: BTreeMap<String, Vec<(Name, Option<Instant>)>>,
+    /// Records of rentals in the state store, by key.
+    pub records: BTreeMap<String, Vec<RecordedRental>>,
     next_record: u64,
-    /// When the last whole list arrived.
+    /// When the last whole list of machines arrived.
     pub last_full_list: Option<Instant>,
-    /// Zones that seem to be cut off: many of their machines are silent, or
-    /// were until lately.
+    /// Zones that seem to be partitioned: many of their machines miss their
+    /// heartbeats, or did until lately.
     pub partitioned_zones: HashSet<Name>,
-    /// When a zone, or all of them, last seemed so; at most one entry a zone.
-    pub(crate) last_seen_partitioned: HashMap<Option<Name>, Instant>,
-    /// How many machines the leader can listen to, as it has learned, and when
-    /// it last did.
-    pub heartbeat_capacity: Option<(f64, Instant)>,
+    /// When a zone, or the whole cluster, last seemed to be partitioned; at most one
+    /// entry each.
+    pub(crate) last_seen_partitioned: HashMap<PartitionScope, Instant>,
+    /// How many machines' heartbeats the leader can process, as measured; `None` before
+    /// the first measurement.
+    pub heartbeat_capacity: Option<HeartbeatCapacity>,
 }
 
-/// What became of a try to put rentals on record.
+/// Outcome of one attempt to store a record of rentals.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RecordAttempt {
-    /// It was carried out.
+    /// The transaction was committed.
     Done,
-    /// These keys were not as expected.
+    /// The preconditions on these keys did not hold.
     Conflict(Vec<String>),
-    /// No answer: it may have been carried out, or may be later.
+    /// No answer: the transaction may have been committed, or may be later.
     Doubt,
-    /// It was not carried out.
+    /// The transaction was not committed.
     Refused,
 }
 
-/// Rentals on their way onto the record, under one key that no other record ever has.
-/// They are asked for once they are on record, and not before.
+/// A record of rentals that is being stored, under a key that no other record ever has.
+/// The rentals are requested once their record is stored, and not before.
 #[derive(Debug)]
 pub struct RentalRecording {
-    /// The key.
+    /// Key of the record.
     pub key: String,
-    /// What is to be on record.
+    /// Its rentals.
     pub rentals: Vec<Rental>,
-    /// A try got no answer.
-    doubted: bool,
+    /// An attempt got no answer.
+    may_be_stored: bool,
 }
 
 impl RentalRecording {
-    /// The transaction, the same at each try: whatever of it comes late finds the key
-    /// there, or another leader.
+    /// The transaction, the same at each attempt: one that is carried out late finds the
+    /// key present, or another leader, and changes nothing.
     pub fn txn(&self, leader: u64) -> Txn {
         let mut txn = Txn { preconditions: vec![], writes: vec![Write::set(self.key.clone(), &self.rentals)] };
         txn.require(crate::key::LEADER, leader);
@@ -78,16 +132,16 @@
         txn
     }
 
-    /// Whether they are on record after a try, or `None` if it is to be tried again: what
-    /// stays in doubt may be carried out yet, and a next leader would find a record of what
-    /// was planned anew.
+    /// Whether the record is stored after an attempt, or `None` if the attempt is to be
+    /// repeated: a transaction in doubt may be committed yet, and a next leader would find a
+    /// record of what had been planned anew.
     pub fn apply_attempt(&mut self, outcome: &RecordAttempt) -> Option<bool> {
         match outcome {
             RecordAttempt::Done => Some(true),
-            // its key is this record's alone
-            RecordAttempt::Conflict(keys) if self.doubted && *keys == [self.key.as_str()] => Some(true),
+            // no other record has this key: an earlier attempt was committed
+            RecordAttempt::Conflict(keys) if self.may_be_stored && *keys == [self.key.as_str()] => Some(true),
             RecordAttempt::Doubt => {
-                self.doubted = true;
+                self.may_be_stored = true;
                 None
             }
             RecordAttempt::Conflict(_) | RecordAttempt::Refused => Some(false),
@@ -96,76 +150,83 @@
 }
 
 impl Fleet {
-    /// What of these rentals has to be put on record in this term; nothing if all are.
+    /// Begins a record of those rentals that no record has yet; `None` if all are recorded.
     pub fn begin_recording(&mut self, rentals: &[Rental], term: u64) -> Option<RentalRecording> {
         let rentals = self.unrecorded(rentals);
-        (!rentals.is_empty()).then(|| RentalRecording { key: self.record_key(term), rentals, doubted: false })
+        if rentals.is_empty() {
+            return None;
+        }
+        Some(RentalRecording { key: self.new_record_key(term), rentals, may_be_stored: false })
     }
 
-    /// Those of these rentals that are not on record yet.
+    /// Those of the rentals that no record has yet.
     pub(crate) fn unrecorded(&self, rentals: &[Rental]) -> Vec<Rental> {
-        let on = |c: &Name| self.records.values().flatten().any(|r| r.0 == *c);
-        rentals.iter().filter(|r| !on(&r.request_id)).cloned().collect()
+        let is_recorded = |id: &Name| self.records.values().flatten().any(|recorded| recorded.request_id == *id);
+        rentals.iter().filter(|rental| !is_recorded(&rental.request_id)).cloned().collect()
     }
 
-    /// A key for a new record, never used before: one that stayed in doubt may
-    /// be written yet, and must not replace another.
-    pub(crate) fn record_key(&mut self, term: u64) -> String {
+    /// A key for a new record that was never used before: a record in doubt may be written
+    /// yet, and must not replace another.
+    pub(crate) fn new_record_key(&mut self, term: u64) -> String {
         self.next_record += 1;
         format!("{}{term}-{}", crate::key::RENTAL, self.next_record)
     }
 
-    /// These rentals are on record.
+    /// Notes that a record of these rentals is stored.
     pub fn mark_recorded(&mut self, key: String, rentals: &[Rental]) {
-        self.records.insert(key, rentals.iter().map(|r| (r.request_id.clone(), None)).collect());
+        let open = |rental: &Rental| RecordedRental { request_id: rental.request_id.clone(), answered_at: None };
+        self.records.insert(key, rentals.iter().map(open).collect());
     }
 
-    /// A previous leader's record.  What it asked for is asked for again under the
-    /// same charter: that rents nothing twice, and tells what was rented.
+    /// Takes over a previous leader's record.  Its rentals are requested again with the
+    /// same request ids: that rents nothing twice, and returns what was rented.
     pub fn inherit(&mut self, key: String, rentals: Vec<Rental>) {
         self.mark_recorded(key, &rentals);
-        for r in rentals {
-            if !self.open_rentals.iter().any(|o| o.request_id == r.request_id) {
-                self.open_rentals.push(r);
+        for rental in rentals {
+            if !self.open_rentals.iter().any(|open| open.request_id == rental.request_id) {
+                self.open_rentals.push(rental);
             }
         }
     }
 
-    /// The cloud has answered a rental, one way or the other.
-    pub fn mark_answered(&mut self, charter: &Name, now: Instant) {
-        self.open_rentals.retain(|o| o.request_id != *charter);
-        for r in self.records.values_mut().flatten().filter(|r| r.0 == *charter) {
-            r.1.get_or_insert(now);
+    /// Notes that the cloud has answered a rental, with machines or without.
+    pub fn mark_answered(&mut self, request_id: &Name, now: Instant) {
+        self.open_rentals.retain(|open| open.request_id != *request_id);
+        for recorded in self.records.values_mut().flatten().filter(|r| r.request_id == *request_id) {
+            recorded.answered_at.get_or_insert(now);
         }
     }
 
-    /// Records of which nothing is to be learned any more: all was answered so
-    /// long ago that a list has it.
+    /// Keys of at most `most` records that are of no more use: all of their rentals were
+    /// answered more than `kept` ago, so that the list of machines has what they rented.
     pub fn expired_records(&self, kept: Duration, most: usize, now: Instant) -> Vec<String> {
-        let over = |r: &(Name, Option<Instant>)| r.1.is_some_and(|t| now.duration_since(t) > kept);
-        self.records.iter().filter(|(_, l)| l.iter().all(over)).map(|(k, _)| k.clone()).take(most).collect()
+        let is_expired = |rental: &RecordedRental| rental.answered_at.is_some_and(|at| now.duration_since(at) > kept);
+        let expired = self.records.iter().filter(|(_, rentals)| rentals.iter().all(is_expired));
+        expired.map(|(key, _)| key.clone()).take(most).collect()
     }
 
-    /// Learns how many machines the leader can listen to, from how long requests
-    /// wait for their turn: fewer, down to half of what the policy begins with,
-    /// while they wait for longer than `lag_most`; more, while a fleet of that size
-    /// is heard without a wait, up to [`MOST_LEARNED`] of it.  Within four leases
-    /// it may double, or halve.
-    pub fn adapt_heartbeat_capacity(&mut self, lag: Duration, here: usize, policy: &Policy, now: Instant) {
-        let begin = policy.most_machines as f64;
-        let (mut hears, last) = self.heartbeat_capacity.unwrap_or((begin, now));
-        let step = now.saturating_duration_since(last).as_secs_f64() / (policy.lease_over.as_secs_f64() * 4.0);
+    /// Adapts the heartbeat capacity to how long requests wait to be served.  It shrinks,
+    /// down to half of its initial value, while they wait for longer than `lag_most`; it
+    /// grows, up to [`MAX_CAPACITY_GROWTH`] times its initial value, while `machines`
+    /// nearly use it up and their heartbeats hardly wait.
+    pub fn adapt_heartbeat_capacity(&mut self, lag: Duration, machines: usize, policy: &Policy, now: Instant) {
+        let initial = policy.most_machines as f64;
+        let previous = self.heartbeat_capacity.unwrap_or(HeartbeatCapacity { machines: initial, adapted_at: now });
+        let elapsed_s = now.saturating_duration_since(previous.adapted_at).as_secs_f64();
+        let step = elapsed_s / (policy.lease_over.as_secs_f64() * LEASES_PER_ADAPTATION);
+        let mut capacity = previous.machines;
         if lag > policy.lag_most {
-            hears *= 1.0 - step.min(0.5);
-        } else if lag < policy.lag_most / 4 && here as f64 > hears * 0.95 {
-            hears = hears.max(here as f64) * (1.0 + step.min(1.0));
+            capacity *= 1.0 - step.min(0.5);
+        } else if lag < policy.lag_most / 4 && machines as f64 > capacity * CAPACITY_IN_USE {
+            capacity = capacity.max(machines as f64) * (1.0 + step.min(1.0));
         }
-        self.heartbeat_capacity = Some((hears.clamp(begin / 2.0, begin * MOST_LEARNED), now));
+        let bounded = capacity.clamp(initial / MIN_CAPACITY_DIVISOR, initial * MAX_CAPACITY_GROWTH);
+        self.heartbeat_capacity = Some(HeartbeatCapacity { machines: bounded, adapted_at: now });
     }
 
     /// The most machines there should be.
     pub fn machine_limit(&self, policy: &Policy) -> usize {
-        self.heartbeat_capacity.map_or(policy.most_machines, |h| h.0 as usize)
+        self.heartbeat_capacity.map_or(policy.most_machines, |capacity| capacity.machines as usize)
     }
 }
 
--- a/packages/core/src/cluster/rental/tests.rs
+++ b/packages/core/src/cluster/rental/tests.rs
@@ -1,111 +1,116 @@
 use super::*;
 
 /// Seen at four times the size: a fleet as large as a fixed time for each
-/// report would allow was more than the leader heard, and it lost its tasks;
-/// a smaller bound for all left a third of a quieter day's machines unrented.
+/// heartbeat would allow was more than the leader could process, and it lost its
+/// tasks; a smaller bound for all left a third of a quieter day's machines unrented.
 #[test]
-fn a_leader_learns_how_many_machines_it_hears() {
+fn a_leader_adapts_its_heartbeat_capacity() {
     let mut policy = Policy::clone(&crate::sim::cluster(1, Instant::now()).policy);
     policy.most_machines = 1000;
-    let (mut f, mut now, high) = (Fleet::default(), Instant::now(), policy.lag_most * 2);
-    assert_eq!(f.machine_limit(&policy), 1000);
-    let mut plans = |f: &mut Fleet, n: u32, lag: Duration, here: fn(usize) -> usize| {
-        for _ in 0..n {
+    let (mut fleet, mut now, high) = (Fleet::default(), Instant::now(), policy.lag_most * 2);
+    assert_eq!(fleet.machine_limit(&policy), 1000);
+    let mut adapt = |fleet: &mut Fleet, times: u32, lag: Duration, machines: fn(usize) -> usize| {
+        for _ in 0..times {
             now += Duration::from_millis(500);
-            let here = here(f.machine_limit(&policy));
-            f.adapt_heartbeat_capacity(lag, here, &policy, now);
+            let machines = machines(fleet.machine_limit(&policy));
+            fleet.adapt_heartbeat_capacity(lag, machines, &policy, now);
         }
-        f.machine_limit(&policy)
+        fleet.machine_limit(&policy)
     };
-    // what it has not been shown to hear it does not count on
-    assert_eq!(plans(&mut f, 100, Duration::ZERO, |_| 500), 1000);
-    let more = plans(&mut f, 100, Duration::ZERO, |most| most);
+    // capacity that has not been in use is not counted on
+    assert_eq!(adapt(&mut fleet, 100, Duration::ZERO, |_| 500), 1000);
+    let more = adapt(&mut fleet, 100, Duration::ZERO, |most| most);
     assert_eq!(more, 1150);
-    let fewer = plans(&mut f, 40, high, |most| most);
+    let fewer = adapt(&mut fleet, 40, high, |most| most);
     assert!(fewer < more, "{fewer}");
-    assert_eq!(plans(&mut f, 2000, high, |_| 4000), 500);
+    assert_eq!(adapt(&mut fleet, 2000, high, |_| 4000), 500);
 }
 
-/// What happens to a try to put rentals on record.
+/// What happens to an attempt to store a record of rentals.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Luck {
+enum WriteOutcome {
     Answered,
-    /// Carried out, and the answer is lost.
-    Lost,
-    /// No answer, and carried out after all that follows.
-    Late,
+    /// Committed, and the answer is lost.
+    AnswerLost,
+    /// No answer, and committed after all that follows.
+    Delayed,
     Refused,
 }
 
-fn luck() -> impl proptest::strategy::Strategy<Value = Luck> {
+fn write_outcome() -> impl proptest::strategy::Strategy<Value = WriteOutcome> {
     use proptest::prelude::*;
-    prop_oneof![4 => Just(Luck::Answered), 2 => Just(Luck::Lost), 2 => Just(Luck::Late), 1 => Just(Luck::Refused)]
+    prop_oneof![
+        4 => Just(WriteOutcome::Answered),
+        2 => Just(WriteOutcome::AnswerLost),
+        2 => Just(WriteOutcome::Delayed),
+        1 => Just(WriteOutcome::Refused),
+    ]
 }
 
 proptest::proptest! {
-    /// The record of a rental, with answers lost, writes that come late and leaders that
-    /// end at any of it: what was asked for is on record until a leader knows the answer,
-    /// no key holds two records, no charter is ever asked for with another content, and a
-    /// late write of an earlier term does nothing.
+    /// Records of rentals, with answers lost, writes that come late and leaders that end
+    /// at any point: a requested rental is recorded until a leader knows the answer, no key
+    /// holds two records, no request id is ever used with another content, and a late write
+    /// of an earlier term does nothing.
     #[test]
     fn what_is_asked_for_is_on_record(steps in proptest::collection::vec(
-        (luck(), luck(), luck(), 0u8..6), 1..40,
+        (write_outcome(), write_outcome(), write_outcome(), 0u8..6), 1..40,
     )) {
         use crate::sim::Records;
         use proptest::prelude::*;
         let now = Instant::now();
-        let (mut store, mut term, mut fleet, mut charter) = (Records::default(), 1, Fleet::default(), 0);
+        let (mut store, mut term, mut fleet, mut request) = (Records::default(), 1, Fleet::default(), 0);
         store.leads(term);
         let mut late: Vec<Txn> = Vec::new();
-        // what the cloud was asked, and what a leader has heard the answer of
-        let (mut asked, mut heard): (BTreeMap<Name, Rental>, HashSet<Name>) = Default::default();
+        // the rentals that the cloud was asked for, and those that a leader has the answer of
+        let (mut requested, mut answered): (BTreeMap<Name, Rental>, HashSet<Name>) = Default::default();
         for (one, two, three, then) in steps {
-            charter += 1;
+            request += 1;
             let wants = [Rental {
-                request_id: format!("{term}-{charter}").into(),
+                request_id: format!("{term}-{request}").into(),
                 kind: "t".into(),
                 zone: "a".into(),
                 spot: false,
-                count: charter,
+                count: request,
             }];
             if let Some(mut r) = fleet.begin_recording(&wants, term) {
                 prop_assert!(!store.has(&r.key) || late.is_empty(), "the key is new");
-                let (mut on, leader) = (None, store.leader());
+                let (mut stored, leader) = (None, store.leader());
                 if then == 3 {
-                    // another leads meanwhile, and this one has not heard of it
+                    // another leads meanwhile, and this one does not know yet
                     store.leads(term);
                 }
-                for luck in [one, two, three] {
+                for outcome in [one, two, three] {
                     let txn = r.txn(leader);
-                    let tried = match luck {
-                        Luck::Answered => match store.apply(&txn) {
+                    let tried = match outcome {
+                        WriteOutcome::Answered => match store.apply(&txn) {
                             Ok(_) => RecordAttempt::Done,
                             Err(keys) => RecordAttempt::Conflict(keys),
                         },
-                        Luck::Lost => {
+                        WriteOutcome::AnswerLost => {
                             let _ = store.apply(&txn);
                             RecordAttempt::Doubt
                         }
-                        Luck::Late => {
+                        WriteOutcome::Delayed => {
                             late.push(txn);
                             RecordAttempt::Doubt
                         }
-                        Luck::Refused => RecordAttempt::Refused,
+                        WriteOutcome::Refused => RecordAttempt::Refused,
                     };
-                    on = r.apply_attempt(&tried);
-                    if on.is_some() {
+                    stored = r.apply_attempt(&tried);
+                    if stored.is_some() {
                         break;
                     }
                 }
-                if on == Some(true) {
-                    prop_assert!(store.has(&r.key), "called on record, and is not");
+                if stored == Some(true) {
+                    prop_assert!(store.has(&r.key), "called stored, and is not");
                     fleet.mark_recorded(r.key.clone(), &r.rentals);
                     for rental in &r.rentals {
-                        let before = asked.insert(rental.request_id.clone(), rental.clone());
+                        let before = requested.insert(rental.request_id.clone(), rental.clone());
                         prop_assert!(before.is_none_or(|b| b == *rental), "asked for with another content");
                         if then % 2 == 0 {
                             fleet.mark_answered(&rental.request_id, now);
-                            heard.insert(rental.request_id.clone());
+                            answered.insert(rental.request_id.clone());
                         }
                     }
                 }
@@ -116,8 +121,8 @@
                 store.leads(term);
                 fleet = Fleet::default();
                 store.rentals().into_iter().for_each(|(key, rentals)| fleet.inherit(key, rentals));
-                for charter in asked.keys().filter(|c| !heard.contains(*c)) {
-                    prop_assert!(fleet.open_rentals.iter().any(|o| o.request_id == *charter), "{charter} is forgotten");
+                for request in requested.keys().filter(|c| !answered.contains(*c)) {
+                    prop_assert!(fleet.open_rentals.iter().any(|o| o.request_id == *request), "{request} is forgotten");
                 }
             }
             if then == 4 {
--- a/packages/core/src/fleet/consolidation.rs
+++ b/packages/core/src/fleet/consolidation.rs
@@ -1,103 +1,151 @@
-//! Replicas are packed on fewer machines.
+//! Consolidation: replicas are packed on fewer machines, and the machines that
+//! become empty are returned.
 
 use std::time::Instant;
 
-use super::Guarantees;
+use super::demand::MAX_TASKS_COUNTED;
+use super::headroom::{without_memory, Guarantees};
+use super::scale_in::DEFAULT_BOOT_S;
 use crate::cluster::{Assignment, Cluster, Job, Machine, TaskPhase};
 use crate::model::*;
 
+/// Cordon reason of a machine whose replicas move to others.
+const CONSOLIDATED: &str = "consolidated";
+
+/// A machine that may take replicas, with the room that is left on it.
+struct MoveTarget<'a> {
+    machine: &'a Machine,
+    free: Resources,
+}
+
+fn is_replica(task: &Assignment) -> bool {
+    task.spec.shape == Shape::Service
+}
+
 impl Cluster {
-    /// When short work is through, its replicas sit a few to a machine, and
-    /// would keep half-empty ordinary machines for as long as they live.  A few
-    /// at a time move to where their image is, in their zone, on machines that
-    /// hold no fewer; the machine they leave is drained, and so returned.
-    pub(super) fn consolidate(&mut self, g: &Guarantees, now: Instant) {
-        let p = self.policy.clone();
-        // a cloud that does not answer takes nothing back: a drained machine
-        // would only be lost
-        let cloud = self.fleet.last_full_list.is_some_and(|t| now.duration_since(t) < p.fresh);
-        if !cloud
-            || now.duration_since(self.term_started_at.max(self.resumed_at)) < p.settled
-            || !self.fleet.partitioned_zones.is_empty()
-        {
+    /// Cordons the machine with the fewest replicas if others can take them.
+    ///
+    /// When short work is through, its replicas are left a few to a machine, and
+    /// would keep half-empty ordinary machines for as long as they live.  A few at a
+    /// time move to where their image is, in their zone, on machines that hold no
+    /// fewer; the machine they leave is drained, and so returned.
+    pub(super) fn consolidate_replicas(&mut self, guarantees: &Guarantees, now: Instant) {
+        if !self.may_consolidate(now) {
+            return;
+        }
+        let Some(replicas) = self.count_replicas() else { return };
+        let allowed_down = ((replicas.total as f64 * self.policy.move_share) as usize).max(1);
+        let Some(source) = self.sparsest_machine(now) else { return };
+        let moving = source.tasks.len();
+        if replicas.down + moving > allowed_down.max(moving) || !self.may_lose(source, guarantees, now) {
             return;
         }
-        // replicas that are down for a move, or wait, and those that are not
-        let (mut down, mut replicas) = (0, 0);
-        for j in self.jobs.values().filter(|j| j.outcome.is_none() && j.waiting_tasks() > 0) {
-            if j.spec.shape != Shape::Service {
-                return; // there is work for the room
+        if !self.fits_on_others(source, now) {
+            return;
+        }
+        let name = source.name.clone();
+        tracing::info!(machine = %name, replicas = moving, "cordoning machine: its replicas fit on others");
+        if let Some(machine) = self.machines.get_mut(&name) {
+            machine.cordon_reason = Some(CONSOLIDATED);
+        }
+    }
+
+    /// Whether replicas may be moved at all now.
+    fn may_consolidate(&self, now: Instant) -> bool {
+        // a cloud that does not answer takes nothing back: a drained machine would
+        // only be lost
+        let cloud_answers = self.fleet.last_full_list.is_some_and(|at| now.duration_since(at) < self.policy.fresh);
+        cloud_answers
+            && now.duration_since(self.term_started_at.max(self.resumed_at)) >= self.policy.settled
+            && self.fleet.partitioned_zones.is_empty()
+    }
+
+    /// Counts the replicas; `None` where other work waits for room.
+    fn count_replicas(&self) -> Option<ReplicaCounts> {
+        let mut counts = ReplicaCounts::default();
+        for job in self.jobs.values().filter(|job| job.outcome.is_none() && job.waiting_tasks() > 0) {
+            if job.spec.shape != Shape::Service {
+                return None;
             }
-            down += j.waiting_tasks() as usize;
+            counts.down += job.waiting_tasks() as usize;
         }
-        let service = |p: &Assignment| p.spec.shape == Shape::Service;
-        for place in self.machines.values().flat_map(|m| m.tasks.values()).filter(|p| service(p)) {
-            replicas += 1;
-            down += usize::from(place.stop_grace_s.is_some());
+        let tasks = self.machines.values().flat_map(|machine| machine.tasks.values());
+        for replica in tasks.filter(|task| is_replica(task)) {
+            counts.total += 1;
+            counts.down += usize::from(replica.stop_grace_s.is_some());
         }
-        let most = ((replicas as f64 * p.move_share) as usize).max(1);
-        let settled = |t: &Assignment| {
-            let since = t.running_since.filter(|_| t.phase == TaskPhase::Running && t.stop_grace_s.is_none());
-            since.is_some_and(|s| now.duration_since(s) > p.settled)
+        Some(counts)
+    }
+
+    /// The ordinary machine with the fewest tasks, all of them replicas that have run
+    /// for a while.
+    fn sparsest_machine(&self, now: Instant) -> Option<&Machine> {
+        let has_settled = |task: &Assignment| {
+            let is_running = task.phase == TaskPhase::Running && task.stop_grace_s.is_none();
+            let since = task.running_since.filter(|_| is_running);
+            since.is_some_and(|since| now.duration_since(since) > self.policy.settled)
         };
-        let movable = |m: &&Machine| {
-            m.is_schedulable(now, &p)
-                && !m.spot
-                && !m.tasks.is_empty()
-                && m.tasks.values().all(|t| service(t) && settled(t))
+        let may_be_emptied = |machine: &&Machine| {
+            machine.is_schedulable(now, &self.policy)
+                && !machine.spot
+                && !machine.tasks.is_empty()
+                && machine.tasks.values().all(|task| is_replica(task) && has_settled(task))
         };
-        let Some(from) = self.machines.values().filter(movable).min_by_key(|m| m.tasks.len()) else { return };
-        let used = from.tasks.len();
-        if down + used > most.max(used) || !self.room_without(g, from, now) {
-            return;
-        }
-        let mut others: Vec<(&Machine, Resources)> = self
+        self.machines.values().filter(may_be_emptied).min_by_key(|machine| machine.tasks.len())
+    }
+
+    /// Whether all tasks of a machine fit on machines of its zone that have their
+    /// image and hold no fewer replicas.
+    fn fits_on_others(&self, source: &Machine, now: Instant) -> bool {
+        let mut targets: Vec<MoveTarget> = self
             .machines
             .values()
-            .filter(|m| m.name != from.name && m.zone == from.zone && m.is_schedulable(now, &p))
-            .filter(|m| m.tasks.values().filter(|t| service(t)).count() >= used)
-            .map(|m| (m, m.free_resources()))
+            .filter(|m| m.name != source.name && m.zone == source.zone && m.is_schedulable(now, &self.policy))
+            .filter(|m| m.tasks.values().filter(|task| is_replica(task)).count() >= source.tasks.len())
+            .map(|machine| MoveTarget { machine, free: machine.free_resources() })
             .collect();
-        for t in from.tasks.values() {
-            let size = t.spec.size();
-            let fits = |o: &&mut (&Machine, Resources)| {
-                o.1.fits(&size) && o.0.has_image(&t.spec.image) && t.spec.allows(&o.0.kind, &o.0.zone, o.0.spot)
+        for task in source.tasks.values() {
+            let (spec, size) = (&task.spec, task.spec.size());
+            let fits = |target: &&mut MoveTarget| {
+                let machine = target.machine;
+                target.free.fits(&size)
+                    && machine.has_image(&spec.image)
+                    && spec.allows(&machine.kind, &machine.zone, machine.spot)
             };
-            let Some(o) = others.iter_mut().find(fits) else { return };
-            o.1.subtract(&size);
-        }
-        let name = from.name.clone();
-        tracing::info!("machine {name} is emptied: its {used} replicas fit on others");
-        if let Some(m) = self.machines.get_mut(&name) {
-            m.cordon_reason = Some("is emptied");
+            let Some(target) = targets.iter_mut().find(fits) else { return false };
+            target.free.subtract(&size);
         }
+        true
     }
 
-    /// Whether enough room would be left without a machine whose tasks go to
-    /// others: for guarantees, and for what is likely to come of classes that
-    /// should start sooner than a machine boots.
-    pub(super) fn room_without(&self, g: &Guarantees, m: &Machine, now: Instant) -> bool {
-        let bare = |size: &Resources| Resources { memory: 0.0, ..*size };
-        let (mut spare, mut free) = (Resources::default(), self.free_room(now));
-        for m in self
-            .machines
-            .values()
-            .filter(|m| m.removed_at.is_none() && m.deletion_sent_at.is_none() && m.cordon_reason.is_none())
-        {
-            spare.add(&m.size);
-        }
-        spare.subtract(&self.kept(g));
-        free.subtract(&self.headroom_size(g));
-        let boot = self.types.get(&m.kind).map_or(60.0, |t| t.boot_s);
-        let urgent = |spec: std::sync::Arc<JobSpec>| {
-            let lately = |j: &&Job| {
-                j.spec.class == spec.class && now.duration_since(j.first_seen).as_secs_f64() < self.policy.horizon_s
+    /// Whether enough room would be left without a machine whose tasks move to
+    /// others: for guarantees, and for what is likely to come of classes that should
+    /// start sooner than a machine boots.
+    fn may_lose(&self, machine: &Machine, guarantees: &Guarantees, now: Instant) -> bool {
+        let spare = self.capacity_beyond_guarantees(guarantees);
+        let free = self.free_beyond_headroom(guarantees, now);
+        let size = without_memory(&machine.size);
+        let boot_s = self.types.get(&machine.kind).map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
+        let horizon_s = self.policy.horizon_s;
+        let keeps_room_for = |spec: &JobSpec| {
+            let is_recent = |job: &&Job| {
+                job.spec.class == spec.class && now.duration_since(job.first_seen).as_secs_f64() < horizon_s
             };
-            let came: u32 = self.jobs.values().filter(lately).map(|j| j.spec.tasks).sum();
-            let likely = f64::from(came) * 2.0 * boot / self.policy.horizon_s;
-            let room = self.all_ready_room(&spec, now).saturating_sub(m.size.count_fitting(&spec.size(), 1000));
-            room as f64 >= likely.max(self.policy.urgent_room as f64)
+            let arrived: u32 = self.jobs.values().filter(is_recent).map(|job| job.spec.tasks).sum();
+            let expected = f64::from(arrived) * 2.0 * boot_s / horizon_s;
+            let lost = machine.size.count_fitting(&spec.size(), MAX_TASKS_COUNTED);
+            let room = self.startable_tasks(spec, now).saturating_sub(lost);
+            room as f64 >= expected.max(self.policy.urgent_room as f64)
         };
-        spare.fits(&bare(&m.size)) && bare(&free).fits(&bare(&m.size)) && self.urgent().into_iter().all(urgent)
+        spare.fits(&size)
+            && without_memory(&free).fits(&size)
+            && self.urgent_class_samples().iter().all(|spec| keeps_room_for(spec))
     }
 }
+
+/// All replicas, and those that are down for a move or wait.
+#[derive(Debug, Default)]
+struct ReplicaCounts {
+    total: usize,
+    down: usize,
+}
--- a/packages/core/src/fleet/demand.rs
+++ b/packages/core/src/fleet/demand.rs
@@ -1,65 +1,96 @@
-//! Classes whose tasks should start sooner than a machine boots.
+//! Demand that is expected: job classes whose start objective is shorter than a
+//! machine takes to boot need their room before their tasks are submitted.
 
 use std::collections::HashSet;
+use std::sync::Arc;
 use std::time::Instant;
 
-use crate::cluster::{Cluster, Job, Machine};
+use crate::cluster::{Cluster, Job, Machine, UnmetDemand};
 use crate::model::*;
 
+/// Most tasks that are counted on one machine.
+pub(super) const MAX_TASKS_COUNTED: usize = 1000;
+
 impl Cluster {
-    /// One job of each class whose tasks should start sooner than a machine
-    /// boots: room for the next ones has to be there before they come.
-    pub(super) fn urgent(&self) -> Vec<std::sync::Arc<JobSpec>> {
-        let boot = self.types.values().map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
+    /// Shortest boot time of all machine types, in seconds; infinite while no
+    /// type is known.
+    fn shortest_boot_s(&self) -> f64 {
+        self.types.values().map(|machine_type| machine_type.boot_s).fold(f64::INFINITY, f64::min)
+    }
+
+    /// The newest job of each class whose start objective is shorter than any
+    /// machine's boot: it stands for those that are likely to come.
+    pub(super) fn urgent_class_samples(&self) -> Vec<Arc<JobSpec>> {
+        let boot_s = self.shortest_boot_s();
         let newest = |class: &Name| {
-            let of = self.jobs.values().filter(|j| j.outcome.is_none() && j.spec.class == *class);
-            of.max_by_key(|j| j.revision).map(|j| j.spec.clone())
+            let of_class = self.jobs.values().filter(|job| job.outcome.is_none() && job.spec.class == *class);
+            of_class.max_by_key(|job| job.revision).map(|job| job.spec.clone())
         };
-        self.start_objectives.iter().filter(|(_, aim)| **aim < boot).filter_map(|(class, _)| newest(class)).collect()
+        let urgent = self.start_objectives.iter().filter(|(_, objective_s)| **objective_s < boot_s);
+        urgent.filter_map(|(class, _)| newest(class)).collect()
     }
 
-    /// How many tasks of a job a machine could take at once, counting what
-    /// would give way to them.
-    pub(super) fn ready_room(&self, m: &Machine, spec: &JobSpec, now: Instant) -> usize {
-        if !m.is_schedulable(now, &self.policy) || !spec.allows(&m.kind, &m.zone, m.spot) {
+    /// How many tasks of a job could start on a machine at once, counting the room
+    /// of tasks that they may preempt.
+    fn startable_tasks_on(&self, machine: &Machine, spec: &JobSpec, now: Instant) -> usize {
+        if !machine.is_schedulable(now, &self.policy) || !spec.allows(&machine.kind, &machine.zone, machine.spot) {
             return 0;
         }
-        let mut room = m.free_resources();
-        for p in m.tasks.values().filter(|p| p.occupies_resources() && p.spec.priority > spec.priority) {
-            room.add(&p.spec.size());
+        let mut room = machine.free_resources();
+        let preemptible =
+            machine.tasks.values().filter(|task| task.occupies_resources() && task.spec.priority > spec.priority);
+        for task in preemptible {
+            room.add(&task.spec.size());
         }
-        room.count_fitting(&spec.size(), 1000)
+        room.count_fitting(&spec.size(), MAX_TASKS_COUNTED)
+    }
+
+    /// How many tasks of a job could start at once on all machines.
+    pub(super) fn startable_tasks(&self, spec: &JobSpec, now: Instant) -> usize {
+        self.machines.values().map(|machine| self.startable_tasks_on(machine, spec, now)).sum()
     }
 
     /// How many tasks of a job's class are likely to come while a machine boots, by
-    /// what has come lately.  What was there when this leader began tells nothing:
-    /// it may have come over any time.
-    pub(super) fn likely(&self, spec: &JobSpec, now: Instant) -> f64 {
-        let boot = self.types.values().map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
-        let from = self.term_started_at + self.policy.ttl;
-        let since = |t: Instant| now.saturating_duration_since(t).as_secs_f64();
-        let window = since(from).min(self.policy.horizon_s);
-        if window < boot / 2.0 || !boot.is_finite() {
+    /// the recent arrival rate.  Jobs that were there when this leader began are not
+    /// counted: they may have come over any time.
+    fn expected_arrivals(&self, spec: &JobSpec, now: Instant) -> f64 {
+        let boot_s = self.shortest_boot_s();
+        let observed_from = self.term_started_at + self.policy.ttl;
+        let seconds_since = |instant: Instant| now.saturating_duration_since(instant).as_secs_f64();
+        let window_s = seconds_since(observed_from).min(self.policy.horizon_s);
+        if window_s < boot_s / 2.0 || !boot_s.is_finite() {
             return 0.0;
         }
-        let lately = |j: &&Job| j.spec.class == spec.class && j.first_seen > from && since(j.first_seen) < window;
-        let came: u32 = self.jobs.values().filter(lately).map(|j| j.spec.tasks).sum();
-        f64::from(came) * boot / window
+        let is_recent = |job: &&Job| {
+            job.spec.class == spec.class && job.first_seen > observed_from && seconds_since(job.first_seen) < window_s
+        };
+        let arrived: u32 = self.jobs.values().filter(is_recent).map(|job| job.spec.tasks).sum();
+        f64::from(arrived) * boot_s / window_s
     }
 
-    pub(super) fn all_ready_room(&self, spec: &JobSpec, now: Instant) -> usize {
-        self.machines.values().map(|m| self.ready_room(m, spec, now)).sum()
+    /// Tasks of urgent classes that are expected and would find no room, one
+    /// entry a class.
+    pub(super) fn expected_demand(&self, now: Instant) -> impl Iterator<Item = UnmetDemand> + '_ {
+        self.urgent_class_samples().into_iter().map(move |spec| {
+            let room = self.startable_tasks(&spec, now);
+            let expected = self.expected_arrivals(&spec, now).ceil() as usize;
+            let count = expected.max(self.policy.urgent_room).saturating_sub(room).min(u32::MAX as usize) as u32;
+            // the entry stands for several jobs: the share of a zone that one job
+            // may use does not bound it
+            let spec = Arc::new(JobSpec { tasks: count.max(spec.tasks), ..(*spec).clone() });
+            UnmetDemand { spec, count, zones: Default::default() }
+        })
     }
 
     /// Idle machines without which an urgent class would lack room.
-    pub(super) fn needed_idle(&self, now: Instant) -> HashSet<Name> {
+    pub(super) fn idle_machines_needed(&self, now: Instant) -> HashSet<Name> {
         let mut needed = HashSet::new();
-        for spec in self.urgent() {
-            let mut room = self.all_ready_room(&spec, now);
-            for m in self.machines.values().filter(|m| m.tasks.is_empty()) {
-                let here = self.ready_room(m, &spec, now);
+        for spec in self.urgent_class_samples() {
+            let mut room = self.startable_tasks(&spec, now);
+            for machine in self.machines.values().filter(|machine| machine.tasks.is_empty()) {
+                let here = self.startable_tasks_on(machine, &spec, now);
                 if here > 0 && room < self.policy.urgent_room + here {
-                    needed.insert(m.name.clone());
+                    needed.insert(machine.name.clone());
                 } else {
                     room -= here;
                 }
--- a/packages/core/src/fleet/headroom.rs
+++ b/packages/core/src/fleet/headroom.rs
@@ -1,92 +1,91 @@
-//! Room that is kept for what teams are guaranteed.
+//! Capacity that is kept for the teams' guarantees.
 
-use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
 
-use crate::cluster::{Cluster, MachinePool, TeamLimit};
+use crate::cluster::{Cluster, TeamLimit};
 use crate::model::*;
 
-/// What all teams are guaranteed, and what those teams use or wait for.
+/// The guarantees of all teams, and what those teams use or wait for.
 #[derive(Debug, Default)]
 pub(super) struct Guarantees {
-    all: Resources,
-    drawn: Resources,
+    guaranteed: Resources,
+    demanded: Resources,
 }
 
 impl Guarantees {
-    /// A share of the guarantees, but no more than a multiple of what is drawn
-    /// on: a guarantee that nobody draws on keeps no machine.
-    fn part(&self, share: f64, multiple: f64) -> Resources {
-        let part = |g: f64, u: f64| (g * share).min(u * multiple);
-        let (all, drawn) = (&self.all, &self.drawn);
-        Resources { cpus: part(all.cpus, drawn.cpus), gpus: part(all.gpus, drawn.gpus), memory: 0.0 }
+    /// A share of the guarantees, but no more than a multiple of what the teams
+    /// demand: a guarantee that nobody uses keeps no machine.
+    fn scaled(&self, share: f64, multiple: f64) -> Resources {
+        let part = |guaranteed: f64, demanded: f64| (guaranteed * share).min(demanded * multiple);
+        let (guaranteed, demanded) = (&self.guaranteed, &self.demanded);
+        Resources {
+            cpus: part(guaranteed.cpus, demanded.cpus),
+            gpus: part(guaranteed.gpus, demanded.gpus),
+            memory: 0.0,
+        }
     }
 }
 
+/// A size without its memory: guarantees are in cores and GPUs only.
+pub(super) fn without_memory(size: &Resources) -> Resources {
+    Resources { memory: 0.0, ..*size }
+}
+
 impl Cluster {
-    /// What the teams are guaranteed and what they draw on.  Reckoned once a
-    /// plan, as it looks at every task.
-    pub(super) fn guarantees(&self) -> Guarantees {
-        let mut g = Guarantees::default();
-        let given = |t: &TeamLimit| t.guarantee.cpus > 0.0 || t.guarantee.gpus > 0.0;
-        if !self.teams.values().any(given) {
-            return g;
+    /// Sums up the guarantees and the demand on them.  Called once per plan, as
+    /// it looks at every task.
+    pub(super) fn sum_guarantees(&self) -> Guarantees {
+        let mut sum = Guarantees::default();
+        let has_guarantee = |team: &TeamLimit| team.guarantee.cpus > 0.0 || team.guarantee.gpus > 0.0;
+        if !self.teams.values().any(has_guarantee) {
+            return sum;
         }
-        let mut usage = self.team_usage();
-        for j in self.jobs.values().filter(|j| j.outcome.is_none()) {
-            let waits = j.spec.size().scaled(f64::from(j.waiting_tasks()));
-            usage.entry(j.spec.team.clone()).or_default().add(&waits);
+        let mut demand = self.team_usage();
+        for job in self.jobs.values().filter(|job| job.outcome.is_none()) {
+            let waiting = job.spec.size().scaled(f64::from(job.waiting_tasks()));
+            demand.entry(job.spec.team.clone()).or_default().add(&waiting);
         }
-        for (name, t) in self.teams.iter().filter(|(_, t)| given(t)) {
-            g.all.add(&t.guarantee);
-            g.drawn.add(&usage.get(name).copied().unwrap_or_default());
+        for (name, team) in self.teams.iter().filter(|(_, team)| has_guarantee(team)) {
+            sum.guaranteed.add(&team.guarantee);
+            sum.demanded.add(&demand.get(name).copied().unwrap_or_default());
         }
-        g
-    }
-
-    pub(super) fn kept(&self, g: &Guarantees) -> Resources {
-        g.part(self.policy.kept_share, self.policy.kept_multiple)
+        sum
     }
 
-    pub(super) fn headroom_size(&self, g: &Guarantees) -> Resources {
-        g.part(self.policy.headroom_share, self.policy.headroom_multiple)
+    /// Free room that is to be there at any time, so that what comes next within
+    /// a guarantee need not wait for a machine to boot.
+    pub(super) fn headroom(&self, guarantees: &Guarantees) -> Resources {
+        guarantees.scaled(self.policy.headroom_share, self.policy.headroom_multiple)
     }
 
-    /// Room on machines that can be used now.
-    pub(super) fn free_room(&self, now: Instant) -> Resources {
+    /// Room on schedulable machines.
+    pub(super) fn free_capacity(&self, now: Instant) -> Resources {
         let mut free = Resources::default();
-        for m in self.machines.values().filter(|m| m.is_schedulable(now, &self.policy)) {
-            free.add(&m.free_resources());
+        for machine in self.machines.values().filter(|machine| machine.is_schedulable(now, &self.policy)) {
+            free.add(&machine.free_resources());
         }
         free
     }
 
-    /// Rents ahead where teams have guarantees: what comes next within them
-    /// should not have to wait for a boot.
-    pub(super) fn headroom(
-        &self,
-        g: &Guarantees,
-        coming: &mut Vec<(MachinePool, Resources)>,
-        new: &mut BTreeMap<MachinePool, u32>,
-        per_zone: &mut HashMap<Name, usize>,
-        now: Instant,
-    ) {
-        let Resources { cpus, gpus, .. } = self.headroom_size(g);
-        let mut free = self.free_room(now);
-        for (_, size) in coming.iter() {
-            free.add(size);
-        }
-        // the cheapest way to what is missing
-        while free.cpus + 1e-6 < cpus || free.gpus + 1e-6 < gpus {
-            let unit = |t: &MachineType| match gpus > 0.0 {
-                true => (t.cpus > 0.0 && t.gpus > 0.0).then_some(t.gpus),
-                false => (t.cpus > 0.0).then_some(t.cpus),
-            };
-            let Some((pool, size)) = self.cheapest(per_zone, now, unit, |_| true) else { break };
-            free.add(&size);
-            *per_zone.entry(pool.1.clone()).or_default() += 1;
-            *new.entry(pool.clone()).or_insert(0) += 1;
-            coming.push((pool, size));
+    /// Free capacity beyond the headroom.  Nothing is returned to the cloud that
+    /// would have to be rented again at once.
+    pub(super) fn free_beyond_headroom(&self, guarantees: &Guarantees, now: Instant) -> Resources {
+        let mut free = self.free_capacity(now);
+        free.subtract(&self.headroom(guarantees));
+        free
+    }
+
+    /// Size of all machines that stay, beyond the share of the guarantees that is
+    /// always kept.
+    pub(super) fn capacity_beyond_guarantees(&self, guarantees: &Guarantees) -> Resources {
+        let mut spare = Resources::default();
+        let remaining = self.machines.values().filter(|machine| {
+            machine.removed_at.is_none() && machine.deletion_sent_at.is_none() && machine.cordon_reason.is_none()
+        });
+        for machine in remaining {
+            spare.add(&machine.size);
         }
+        spare.subtract(&guarantees.scaled(self.policy.kept_share, self.policy.kept_multiple));
+        spare
     }
 }
--- a/packages/core/src/fleet/machine_list.rs
+++ b/packages/core/src/fleet/machine_list.rs
@@ -1,85 +1,99 @@
-//! What the cloud says of machines, taken into the leader's state.
+//! Reconciliation of the leader's machines with what the cloud answers: its
+//! types, its list of machines, rentals and deletions.
 
 use std::time::{Duration, Instant};
 
 use crate::cluster::{Cluster, ListedMachine, Machine, MachinePool, MachineState, Rental};
 use crate::model::*;
 
+/// Longest age of a listed machine that is taken as it is, in seconds.
+const MAX_LISTED_AGE_S: f64 = 1e6;
+
 impl Cluster {
-    /// Types as the cloud gives them.
+    /// Takes in the machine types that the cloud offers.
     pub fn set_types(&mut self, types: &[MachineType]) {
-        for t in types {
-            self.types.insert(t.name.clone(), t.clone());
+        for machine_type in types {
+            self.types.insert(machine_type.name.clone(), machine_type.clone());
         }
-        for m in self.machines.values_mut() {
-            if let Some(t) = self.types.get(&m.kind) {
-                m.size = t.size();
+        for machine in self.machines.values_mut() {
+            if let Some(machine_type) = self.types.get(&machine.kind) {
+                machine.size = machine_type.size();
             }
         }
         self.queue_changed = true;
     }
 
-    /// A whole list of the cloud's.  Absence from it proves nothing: lists
-    /// lag and go backwards.
+    /// Takes in a whole list of the cloud's machines.  A machine's absence from it
+    /// proves nothing: lists lag, and may be older than an earlier one.
     pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Instant) {
-        for l in list {
+        for listed in list {
             let types = &self.types;
-            let new = !self.machines.contains_key(&l.name);
-            let m = self.machines.entry(l.name.clone()).or_insert_with(|| {
-                let mut m = Machine::new(l.name.clone(), l.kind.clone(), l.zone.clone(), l.spot, now);
-                m.size = types.get(&l.kind).map(|t| t.size()).unwrap_or_default();
-                m
+            let is_new = !self.machines.contains_key(&listed.name);
+            let machine = self.machines.entry(listed.name.clone()).or_insert_with(|| {
+                let (name, kind, zone) = (listed.name.clone(), listed.kind.clone(), listed.zone.clone());
+                let mut machine = Machine::new(name, kind, zone, listed.spot, now);
+                machine.size = types.get(&listed.kind).map(|machine_type| machine_type.size()).unwrap_or_default();
+                machine
             });
-            if new {
+            if is_new {
                 tracing::info!(
-                    "machine {} is listed: {} in {}, spot {}, {:?}",
-                    l.name,
-                    l.kind,
-                    l.zone,
-                    l.spot,
-                    l.state
+                    machine = %listed.name,
+                    kind = %listed.kind,
+                    zone = %listed.zone,
+                    spot = listed.spot,
+                    state = ?listed.state,
+                    "machine listed"
                 );
-                let held = Duration::from_secs_f64(l.age_s.clamp(0.0, 1e6));
-                m.rented_at = now.checked_sub(held).unwrap_or(now);
+                let age = Duration::from_secs_f64(listed.age_s.clamp(0.0, MAX_LISTED_AGE_S));
+                machine.rented_at = now.checked_sub(age).unwrap_or(now);
             }
-            m.last_listed = Some(now);
-            if m.state != Some(MachineState::Failed) {
-                m.state = Some(l.state);
+            machine.last_listed = Some(now);
+            if machine.state != Some(MachineState::Failed) {
+                machine.state = Some(listed.state);
             }
         }
         self.fleet.last_full_list = Some(now);
     }
 
-    /// Names the cloud rented to us.
-    pub fn apply_rental(&mut self, r: &Rental, names: &[Name], now: Instant) {
-        self.fleet.mark_answered(&r.request_id, now);
-        tracing::info!("rented {} of {} {} in {}, spot {}: {names:?}", names.len(), r.count, r.kind, r.zone, r.spot);
-        if (names.len() as u32) < r.count {
-            self.mark_pool_exhausted(&(r.kind.clone(), r.zone.clone(), r.spot), now);
+    /// Takes in the machines that the cloud gave for a rental.  Fewer than asked for
+    /// means that the pool has no capacity left.
+    pub fn apply_rental(&mut self, rental: &Rental, names: &[Name], now: Instant) {
+        self.fleet.mark_answered(&rental.request_id, now);
+        tracing::info!(
+            rented = names.len(),
+            requested = rental.count,
+            kind = %rental.kind,
+            zone = %rental.zone,
+            spot = rental.spot,
+            machines = ?names,
+            "machines rented"
+        );
+        if (names.len() as u32) < rental.count {
+            self.mark_pool_exhausted(rental, now);
         }
-        for n in names {
-            let size = self.types.get(&r.kind).map(|t| t.size()).unwrap_or_default();
-            let m = self
-                .machines
-                .entry(n.clone())
-                .or_insert_with(|| Machine::new(n.clone(), r.kind.clone(), r.zone.clone(), r.spot, now));
-            m.size = size;
+        for name in names {
+            let size = self.types.get(&rental.kind).map(|machine_type| machine_type.size()).unwrap_or_default();
+            let machine = self.machines.entry(name.clone()).or_insert_with(|| {
+                Machine::new(name.clone(), rental.kind.clone(), rental.zone.clone(), rental.spot, now)
+            });
+            machine.size = size;
         }
     }
 
-    /// The cloud has none of these.
-    pub fn mark_pool_exhausted(&mut self, pool: &MachinePool, now: Instant) {
-        self.fleet.exhausted_pools.insert(pool.clone(), now + self.policy.capacity_rest);
+    /// The cloud has no machine for this rental: its pool is not asked for a while.
+    pub fn mark_pool_exhausted(&mut self, rental: &Rental, now: Instant) {
+        self.fleet.exhausted_pools.insert(MachinePool::of_rental(rental), now + self.policy.capacity_rest);
     }
 
-    /// The cloud's 200 to a deletion: the machines and all on them are gone.
+    /// The cloud has confirmed a deletion: the machines are gone, and all tasks on
+    /// them.
     pub fn apply_deletion(&mut self, names: &[Name], now: Instant) {
-        for n in names {
-            self.release_all_assignments(n, now);
-            if let Some(m) = self.machines.get_mut(n) {
-                tracing::info!("machine {n} is gone");
-                m.removed_at.get_or_insert(now);
-                m.exited.clear();
+        for name in names {
+            self.release_all_assignments(name, now);
+            if let Some(machine) = self.machines.get_mut(name) {
+                tracing::info!(machine = %name, "machine deleted");
+                machine.removed_at.get_or_insert(now);
+                machine.exited.clear();
             }
         }
         self.queue_changed = true;
--- a/packages/core/src/fleet/mod.rs
+++ b/packages/core/src/fleet/mod.rs
@@ -1,5 +1,7 @@
-//! The cloud: what to rent and what to return, decided as a plain function of
-//! what is known; the driver carries it out.
+//! Fleet size: which machines to rent from the cloud and which to return.
+//!
+//! Each plan is a plain function of the leader's state and `now`; the cloud
+//! driver of the daemon carries it out.
 
 mod consolidation;
 mod demand;
@@ -12,9 +14,8 @@
 
 use crate::cluster::{Cluster, Rental, UnmetDemand};
 use crate::model::*;
-use headroom::Guarantees;
 
-/// What to do now.
+/// Requests to send to the cloud now.
 #[derive(Debug, Default)]
 pub struct FleetPlan {
     /// Machines to delete.
@@ -24,16 +25,16 @@
 }
 
 impl Cluster {
-    /// What to rent and what to return.  Also stops what has to leave its
-    /// machine.
-    pub fn plan_fleet(&mut self, wants: &[UnmetDemand], now: Instant) -> FleetPlan {
+    /// Plans rentals and deletions for the demand that the last placement pass
+    /// could not meet.  Also stops tasks that have to leave their machine.
+    pub fn plan_fleet(&mut self, unmet_demand: &[UnmetDemand], now: Instant) -> FleetPlan {
         let mut plan = FleetPlan::default();
-        let g = self.guarantees();
-        self.plan_scale_in(&g, &mut plan, now);
-        if wants.is_empty() {
-            self.consolidate(&g, now);
+        let guarantees = self.sum_guarantees();
+        self.plan_scale_in(&guarantees, &mut plan, now);
+        if unmet_demand.is_empty() {
+            self.consolidate_replicas(&guarantees, now);
         }
-        self.plan_scale_out(wants, &g, &mut plan, now);
+        self.plan_scale_out(unmet_demand, &guarantees, &mut plan, now);
         plan
     }
 }
--- a/src/leader/fleet.rs
+++ b/src/leader/fleet.rs
@@ -120,5 +120,5 @@
 /// The cloud will not serve the rental: its pool is not asked for a while.
 fn apply_refused_rental(cluster: &mut Cluster, rental: &Rental, now: Instant) {
     cluster.fleet.mark_answered(&rental.request_id, now);
-    cluster.mark_pool_exhausted(&(rental.kind.clone(), rental.zone.clone(), rental.spot), now);
+    cluster.mark_pool_exhausted(rental, now);
 }
