--- a/packages/core/src/placement/tai2.rs
+++ b/packages/core/src/placement/tai2.rs
@@ -5,23 +5,11 @@
 //! takes equal tasks of the queue together.  The tests hold it against a
 //! plain reading of the paper.
 
-use std::collections::BTreeMap;
-
+pub use super::candidate::{leftover, Candidate};
+pub use super::dry_run::dry_run;
+pub use super::machine_classes::Classes;
 use crate::model::Resources;
 
-/// A machine as the switch sees it.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Candidate {
-    /// Which machine.
-    pub at: usize,
-    /// Room left before the task.
-    pub free: Resources,
-    /// What it offers when empty.
-    pub whole: Resources,
-    /// Its speed.
-    pub speed: f64,
-}
-
 /// How a machine was chosen.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum How {
@@ -33,14 +21,6 @@
     Ai2(f64),
 }
 
-/// Room left after the task, as the sum of free fractions.
-pub fn leftover(free: &Resources, whole: &Resources, task: &Resources) -> f64 {
-    let part = |f: f64, t: f64, w: f64| if w > 0.0 { (f - t) / w } else { 0.0 };
-    part(free.cpus, task.cpus, whole.cpus)
-        + part(free.gpus, task.gpus, whole.gpus)
-        + part(free.memory, task.memory, whole.memory)
-}
-
 /// Both picks among the machines shown so far, all of which hold the task.
 #[derive(Debug, Default)]
 pub struct Picks {
@@ -106,104 +86,6 @@
     speeds.map(|s| (s - mean).powi(2)).sum::<f64>() / n as f64
 }
 
-/// Machines by what is free on them.  Best-fit cannot tell two of a class
-/// apart, so a dry run looks at classes, of which there are few, however many
-/// the machines.
-#[derive(Debug, Default)]
-pub struct Classes(BTreeMap<[u64; 6], Class>);
-
-#[derive(Debug)]
-struct Class {
-    free: Resources,
-    whole: Resources,
-    /// Speeds, by the machines' places in the picture.
-    members: BTreeMap<usize, f64>,
-}
-
-impl Classes {
-    fn key(c: &Candidate) -> [u64; 6] {
-        let (f, w) = (&c.free, &c.whole);
-        [f.cpus, f.gpus, f.memory, w.cpus, w.gpus, w.memory].map(f64::to_bits)
-    }
-    /// Adds a machine.
-    pub fn add(&mut self, c: &Candidate) {
-        let new = || Class { free: c.free, whole: c.whole, members: BTreeMap::new() };
-        self.0.entry(Self::key(c)).or_insert_with(new).members.insert(c.at, c.speed);
-    }
-    /// Removes a machine, which has to be as it was when it was added.
-    pub fn remove(&mut self, c: &Candidate) {
-        let key = Self::key(c);
-        let Some(class) = self.0.get_mut(&key) else { return };
-        class.members.remove(&c.at);
-        if class.members.is_empty() {
-            self.0.remove(&key);
-        }
-    }
-    /// How many classes there are.
-    pub fn len(&self) -> usize {
-        self.0.len()
-    }
-    /// Whether there are no machines.
-    pub fn is_empty(&self) -> bool {
-        self.0.is_empty()
-    }
-}
-
-/// Speed times size of what a dry run places: the head where it was picked,
-/// then later tasks best-fit until one fits nowhere.
-///
-/// A machine that is the best fit for a task stays so for equal ones, as what
-/// is left of it only shrinks: one scan serves for as many as it holds.
-pub fn dry_run(all: &Classes, head: &Resources, at: usize, later: &[(Resources, usize)]) -> f64 {
-    // machines that the run has changed, and the others in their classes
-    let mut changed: Vec<Candidate> = Vec::new();
-    let mut rest: Vec<_> = Vec::with_capacity(all.len());
-    let mut sum = 0.0;
-    for c in all.0.values() {
-        if let Some(speed) = c.members.get(&at) {
-            let mut free = c.free;
-            free.subtract(head);
-            sum += speed * head.cpus;
-            changed.push(Candidate { at, free, whole: c.whole, speed: *speed });
-        }
-        rest.push((c, c.members.iter().filter(|m| *m.0 != at).peekable()));
-    }
-    for (task, count) in later {
-        let mut left = *count;
-        while left > 0 {
-            let mut best: Option<(f64, usize, bool, usize)> = None;
-            let mut show = |room: f64, at: usize, fresh: bool, i: usize| {
-                let before = best.is_none_or(|b| room.total_cmp(&b.0).then(at.cmp(&b.1)).is_lt());
-                if before {
-                    best = Some((room, at, fresh, i));
-                }
-            };
-            for (i, (c, members)) in rest.iter_mut().enumerate().filter(|(_, r)| r.0.free.fits(task)) {
-                if let Some((at, _)) = members.peek() {
-                    show(leftover(&c.free, &c.whole, task), **at, true, i);
-                }
-            }
-            for (i, o) in changed.iter().enumerate().filter(|(_, o)| o.free.fits(task)) {
-                show(leftover(&o.free, &o.whole, task), o.at, false, i);
-            }
-            let Some((_, _, fresh, mut i)) = best else { return sum };
-            if fresh {
-                let (c, members) = &mut rest[i];
-                let Some((at, speed)) = members.next() else { return sum };
-                changed.push(Candidate { at: *at, free: c.free, whole: c.whole, speed: *speed });
-                i = changed.len() - 1;
-            }
-            let o = &mut changed[i];
-            while left > 0 && o.free.fits(task) {
-                o.free.subtract(task);
-                sum += o.speed * task.cpus;
-                left -= 1;
-            }
-        }
-    }
-    sum
-}
-
 /// What the switch looks at.
 #[derive(Debug, Clone, Copy)]
 pub struct Weather {
