--- a/packages/core/src/fleet/demand.rs
+++ b/packages/core/src/fleet/demand.rs
@@ -19,7 +19,7 @@
     }
 
     /// The newest job of each class whose start objective is shorter than any
-    /// machine's boot: it stands for those that are likely to come.
+    /// machine's boot: it represents those that are likely to come.
     pub(super) fn urgent_class_samples(&self) -> Vec<Arc<JobSpec>> {
         let boot_s = self.shortest_boot_s();
         let newest = |class: &Name| {
@@ -75,7 +75,7 @@
             let room = self.startable_tasks(&spec, now);
             let expected = self.expected_arrivals(&spec, now).ceil() as usize;
             let count = expected.max(self.policy.urgent_room).saturating_sub(room).min(u32::MAX as usize) as u32;
-            // the entry stands for several jobs: the share of a zone that one job
+            // the entry represents several jobs: the share of a zone that one job
             // may use does not bound it
             let spec = Arc::new(JobSpec { tasks: count.max(spec.tasks), ..(*spec).clone() });
             UnmetDemand { spec, count, zones: Default::default() }
--- a/packages/core/src/fleet/scale_in.rs
+++ b/packages/core/src/fleet/scale_in.rs
@@ -1,7 +1,7 @@
 //! Scale-in: which machines are returned to the cloud, and which tasks have to
 //! leave their machine before.
 
-use std::collections::{BTreeMap, HashMap, HashSet};
+use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
 use super::headroom::{without_memory, Guarantees};
@@ -77,7 +77,7 @@
     policy: &'a Policy,
     types: &'a BTreeMap<Name, MachineType>,
     jobs: &'a NameMap<Job>,
-    zones_with_controller: &'a std::collections::BTreeSet<Name>,
+    zones_with_controller: &'a BTreeSet<Name>,
     partitioned_zones: &'a HashSet<Name>,
     cluster_is_partitioned: bool,
     last_full_list: Option<Instant>,
@@ -187,7 +187,7 @@
         policy.idle.max(Duration::from_secs_f64(image_worth_s.min(policy.idle_most)))
     }
 
-    /// Whether tasks of a cancelled job were told to stop and have not.  Stops of a
+    /// Whether tasks of a cancelled job were requested to stop and have not.  Stops of a
     /// cancelled job are pursued to the end, at once where no command arrives.
     fn runs_cancelled_job(&self, machine: &Machine, unreported: Duration) -> bool {
         let deadline = if unreported > self.policy.missed {
@@ -252,7 +252,7 @@
             }
         }
         for (machine, task) in moves {
-            self.stop_to_move(&machine, &task, now);
+            self.evict_task(&machine, &task, now);
         }
     }
 
@@ -290,8 +290,8 @@
     }
 }
 
-/// Puts a machine into the deletion request, unless that is full: then its turn comes
-/// with the next plan.
+/// Puts a machine into the deletion request, unless that is full: then it is
+/// left to a later plan.
 fn request_deletion(machine: &mut Machine, reason: DeletionReason, plan: &mut FleetPlan, now: Instant) {
     if machine.deletion_sent_at.is_none() {
         let reason = reason.as_str();
--- a/packages/core/src/fleet/scale_out.rs
+++ b/packages/core/src/fleet/scale_out.rs
@@ -145,7 +145,7 @@
         machines_per_zone
     }
 
-    /// Running tasks of arrays that are not told to stop.
+    /// Running tasks of arrays without a stop request.
     fn count_array_slots(&self) -> f64 {
         let tasks = self.machines.values().flat_map(|machine| machine.tasks.values());
         tasks
--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -257,7 +257,7 @@
 }
 
 /// Replicas leave a machine that holds few for fuller ones, one machine at a
-/// time in a small fleet, and only if all of them have a place where their
+/// time in a small fleet, and only if all of them fit where their
 /// image is; nothing moves while other work waits for room.
 #[test]
 fn sparse_machines_are_cordoned_and_no_others() {
--- a/packages/core/src/placement/candidate.rs
+++ b/packages/core/src/placement/candidate.rs
@@ -1,24 +1,25 @@
-//! A machine as the switch sees it.
+//! A machine as the placement switch sees it, and the best-fit measure.
 
 use crate::model::Resources;
 
-/// A machine as the switch sees it.
+/// A machine that may take a task.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// Which machine.
+    /// Index of the machine in the pass.
     pub at: usize,
-    /// Room left before the task.
+    /// Resources that are free before the task.
     pub free: Resources,
-    /// What it offers when empty.
+    /// Resources of the empty machine.
     pub whole: Resources,
-    /// Its speed.
+    /// Relative speed.
     pub speed: f64,
 }
 
-/// Room left after the task, as the sum of free fractions.
+/// Resources left after a task, as the sum of free fractions; best-fit takes the
+/// machine with the least.
 pub fn leftover(free: &Resources, whole: &Resources, task: &Resources) -> f64 {
-    let part = |f: f64, t: f64, w: f64| if w > 0.0 { (f - t) / w } else { 0.0 };
-    part(free.cpus, task.cpus, whole.cpus)
-        + part(free.gpus, task.gpus, whole.gpus)
-        + part(free.memory, task.memory, whole.memory)
+    let fraction = |free: f64, task: f64, whole: f64| if whole > 0.0 { (free - task) / whole } else { 0.0 };
+    fraction(free.cpus, task.cpus, whole.cpus)
+        + fraction(free.gpus, task.gpus, whole.gpus)
+        + fraction(free.memory, task.memory, whole.memory)
 }
--- a/packages/core/src/placement/image_wait.rs
+++ b/packages/core/src/placement/image_wait.rs
@@ -1,38 +1,61 @@
-//! How long a task waits for its image.
+//! How long a task waits for its image on a machine.
 
-use super::pass::{Ask, Pass};
+use std::time::Instant;
+
+use super::machine_slot::MachineSlot;
+use super::pass::{Pass, PlacementRequest};
 use crate::cluster::{Assignment, TaskPhase};
 use crate::model::*;
 
+/// Lowest fetch rate that is assumed, in GB per second.
+const MIN_FETCH_GB_PER_S: f64 = 1e-3;
+
+/// The wait for an image.
+#[derive(Clone, Copy)]
+pub(super) struct ImageWait {
+    /// Estimated time until the machine has the image.
+    pub(super) seconds: f64,
+    /// The machine is fetching it already.
+    pub(super) is_fetching: bool,
+}
+
 impl<'a> Pass<'a> {
-    /// How long a task would wait for its image on a machine, and whether the
-    /// machine is fetching it already.
-    pub fn image_wait(&mut self, ask: &Ask<'a>, slot: usize) -> (f64, bool) {
-        if let Some(w) = self.waits[ask.image][slot] {
-            return w;
+    /// How long a task of the job would wait for its image on a machine.  Estimated once
+    /// for each image and machine, until another fetch begins there.
+    pub(super) fn image_wait(&mut self, request: &PlacementRequest<'a>, slot: usize) -> ImageWait {
+        if let Some(wait) = self.image_waits[request.image][slot] {
+            return wait;
         }
-        let (spec, s) = (&ask.job.spec, &self.slots[slot]);
-        let w = if s.m.has_image(&spec.image) {
-            (0.0, false)
+        let (spec, machine_slot) = (&request.job.spec, &self.slots[slot]);
+        let wait = if machine_slot.machine.has_image(&spec.image) {
+            ImageWait { seconds: 0.0, is_fetching: false }
         } else {
-            let rate = self.c.types.get(&s.m.kind).map_or(0.0, |t| t.fetch_gb_per_s).max(1e-3);
-            let fetching =
-                |p: &&Assignment| p.occupies_resources() && matches!(p.phase, TaskPhase::Assigned | TaskPhase::Pulling);
-            let mut began = s.fetches.iter().any(|f| f.0 == &spec.image).then_some(self.now);
-            // fetches at the same time share the rate
-            let mut others: Vec<(&Name, f64)> = s.fetches.iter().filter(|f| f.0 != &spec.image).copied().collect();
-            for p in s.m.tasks.values().filter(fetching) {
-                if p.spec.image == spec.image {
-                    began = Some(began.map_or(p.assigned_at, |b| b.min(p.assigned_at)));
-                } else if !s.m.has_image(&p.spec.image) && !others.iter().any(|o| *o.0 == p.spec.image) {
-                    others.push((&p.spec.image, p.spec.image_gb));
-                }
-            }
-            let whole = (spec.image_gb + others.iter().map(|o| o.1).sum::<f64>()) / rate;
-            let left = began.map_or(whole, |t| (whole - self.now.duration_since(t).as_secs_f64()).max(0.0));
-            (left, began.is_some())
+            let machine_type = self.cluster.types.get(&machine_slot.machine.kind);
+            let fetch_gb_per_s = machine_type.map_or(0.0, |t| t.fetch_gb_per_s).max(MIN_FETCH_GB_PER_S);
+            estimate_fetch(spec, machine_slot, fetch_gb_per_s, self.now)
         };
-        self.waits[ask.image][slot] = Some(w);
-        w
+        self.image_waits[request.image][slot] = Some(wait);
+        wait
+    }
+}
+
+/// The wait for an image that a machine does not have.
+fn estimate_fetch(spec: &JobSpec, slot: &MachineSlot, fetch_gb_per_s: f64, now: Instant) -> ImageWait {
+    let may_fetch = |task: &&Assignment| {
+        task.occupies_resources() && matches!(task.phase, TaskPhase::Assigned | TaskPhase::Pulling)
+    };
+    let mut began = slot.fetches.iter().any(|fetch| fetch.0 == &spec.image).then_some(now);
+    // fetches at the same time share the rate
+    let mut others: Vec<(&Name, f64)> = slot.fetches.iter().filter(|fetch| fetch.0 != &spec.image).copied().collect();
+    for task in slot.machine.tasks.values().filter(may_fetch) {
+        let image = &task.spec.image;
+        if *image == spec.image {
+            began = Some(began.map_or(task.assigned_at, |earliest| earliest.min(task.assigned_at)));
+        } else if !slot.machine.has_image(image) && !others.iter().any(|other| other.0 == image) {
+            others.push((image, task.spec.image_gb));
+        }
     }
+    let whole_s = (spec.image_gb + others.iter().map(|other| other.1).sum::<f64>()) / fetch_gb_per_s;
+    let remaining_s = began.map_or(whole_s, |began| (whole_s - now.duration_since(began).as_secs_f64()).max(0.0));
+    ImageWait { seconds: remaining_s, is_fetching: began.is_some() }
 }
--- a/packages/core/src/placement/limits.rs
+++ b/packages/core/src/placement/limits.rs
@@ -1,61 +1,66 @@
-//! Limits of zones and teams.
+//! Limits that a job's tasks keep: those of its zones, and its team's quota.
 
 use std::collections::BTreeMap;
 
-use super::pass::{Ask, Pass};
+use super::pass::{Pass, PlacementRequest};
 use crate::model::*;
 
-impl<'a> Pass<'a> {
-    /// Tasks of a job that are or may be in each zone.  Only where the job
-    /// cares for zones.
-    pub fn zones_of(&self, ask: &Ask) -> Vec<u32> {
-        let mut zones = vec![0; self.zones.len()];
-        if !ask.job.spec.one_zone && !ask.job.spec.spread {
-            return zones;
+impl Pass<'_> {
+    /// Counts the tasks of a job that are or may be in each zone, by the index of the
+    /// zone.  All zero where the job does not care for zones.
+    pub(super) fn tasks_per_zone(&self, request: &PlacementRequest) -> Vec<u32> {
+        let mut tasks_per_zone = vec![0; self.zones.len()];
+        if !request.job.spec.one_zone && !request.job.spec.spread {
+            return tasks_per_zone;
         }
-        for (name, task) in ask.job.placed_tasks() {
+        for (name, task) in request.job.placed_tasks() {
+            let Some(machine) = self.cluster.machines.get(&name) else { continue };
             // exited tasks are off their machine
-            let Some(m) = self.c.machines.get(&name) else { continue };
-            if m.tasks.get(&task).is_some_and(|p| p.occupies_resources()) {
-                if let Some(z) = self.zones.iter().position(|z| **z == m.zone) {
-                    zones[z] += 1;
+            if machine.tasks.get(&task).is_some_and(|task| task.occupies_resources()) {
+                if let Some(zone) = self.zones.iter().position(|zone| **zone == machine.zone) {
+                    tasks_per_zone[zone] += 1;
                 }
             }
         }
-        zones
+        tasks_per_zone
     }
 
-    pub fn by_name(&self, zones: &[u32]) -> BTreeMap<Name, u32> {
-        zones.iter().zip(&self.zones).filter(|(n, _)| **n > 0).map(|(n, z)| ((*z).clone(), *n)).collect()
+    /// Zones with tasks, by name.
+    pub(super) fn zones_by_name(&self, tasks_per_zone: &[u32]) -> BTreeMap<Name, u32> {
+        let zones = tasks_per_zone.iter().zip(&self.zones).filter(|(tasks, _)| **tasks > 0);
+        zones.map(|(tasks, zone)| ((*zone).clone(), *tasks)).collect()
     }
 
-    pub fn zone_ok(&self, ask: &Ask, zones: &[u32], slot: usize) -> bool {
-        let spec = &ask.job.spec;
-        let z = self.slots[slot].zone;
-        if spec.one_zone && zones.iter().enumerate().any(|(o, n)| *n > 0 && o != z) {
+    /// Whether one more task of the job may be in the zone of a slot.
+    pub(super) fn may_use_zone(&self, request: &PlacementRequest, tasks_per_zone: &[u32], slot: usize) -> bool {
+        let spec = &request.job.spec;
+        let zone = self.slots[slot].zone;
+        let is_elsewhere = |(other, tasks): (usize, &u32)| *tasks > 0 && other != zone;
+        if spec.one_zone && tasks_per_zone.iter().enumerate().any(is_elsewhere) {
             return false;
         }
-        zones[z] < spec.zone_cap()
+        tasks_per_zone[zone] < spec.zone_cap()
     }
 
-    /// Whether the team's limit lets `n` more tasks run.
-    pub fn allows(&self, ask: &Ask, n: u32) -> bool {
-        let Some(limit) = self.c.teams.get(&ask.job.spec.team) else { return true };
-        let used = self.used.get(&ask.job.spec.team).copied().unwrap_or_default();
-        limit.allows(&used, &ask.size.scaled(f64::from(n)))
+    /// Whether the team's limit lets `count` more tasks of the job run.
+    pub(super) fn is_within_team_limit(&self, request: &PlacementRequest, count: u32) -> bool {
+        let Some(limit) = self.cluster.teams.get(&request.job.spec.team) else { return true };
+        let used = self.used.get(&request.job.spec.team).copied().unwrap_or_default();
+        limit.allows(&used, &request.size.scaled(f64::from(count)))
     }
 
-    /// How many of so many tasks the team's limit lets run.
-    pub fn room_in_limit(&self, ask: &Ask, most: u32) -> u32 {
-        let team = &ask.job.spec.team;
-        let Some(limit) = self.c.teams.get(team) else { return most };
+    /// How many of `count` tasks of the job the team's limit lets run.
+    pub(super) fn count_within_team_limit(&self, request: &PlacementRequest, count: u32) -> u32 {
+        let team = &request.job.spec.team;
+        let Some(limit) = self.cluster.teams.get(team) else { return count };
         let used = self.used.get(team).copied().unwrap_or_default();
-        let part = |most: f64, used: f64| if most > 0.0 { most - used } else { f64::INFINITY };
-        let left = Resources {
-            cpus: part(limit.limit.cpus, used.cpus),
-            gpus: part(limit.limit.gpus, used.gpus),
+        // a limit of 0 is none
+        let remaining = |limit: f64, used: f64| if limit > 0.0 { limit - used } else { f64::INFINITY };
+        let remaining = Resources {
+            cpus: remaining(limit.limit.cpus, used.cpus),
+            gpus: remaining(limit.limit.gpus, used.gpus),
             memory: f64::INFINITY,
         };
-        left.count_fitting(&ask.size, most as usize) as u32
+        remaining.count_fitting(&request.size, count as usize) as u32
     }
 }
--- a/packages/core/src/placement/mod.rs
+++ b/packages/core/src/placement/mod.rs
@@ -1,9 +1,15 @@
-//! The queue: who is next, where it may go, where it goes, and what has to
-//! make room.  The ordinary path is the design's: the head by rank and
-//! arrival, both picks, the threshold switch with AI2 ([`tai2`]).
+//! Placement: which waiting tasks start, on which machines, and what is preempted for
+//! them.
 //!
-//! A pass decides everything on a picture of the machines ([`pass`]) and only
-//! then changes the state.
+//! The ordinary path is the design's.  The head of the arrival-ordered queue ([`queue`])
+//! is placed first.  Among the machines that fit and start it soonest ([`ranking`]), the
+//! paper's switch takes the best fit or the fastest by the variance of the machines'
+//! speeds and the load of queued to free cores, and AI2's lookahead over the waiting
+//! queue decides where these disagree ([`tai2`]).  A head that finds no room reserves or
+//! preempts it ([`preemption`]); later tasks may pass it.
+//!
+//! A pass decides everything on its own view of the machines ([`pass`]) and only then
+//! changes the state.
 
 mod candidate;
 mod dry_run;
@@ -22,106 +28,153 @@
 
 use std::time::Instant;
 
-use crate::cluster::{Cluster, UnmetDemand};
+use crate::cluster::{Cluster, Job, UnmetDemand, QUARANTINED};
 use crate::model::*;
-use pass::Pass;
+use pass::{Pass, PlacementRequest};
+use preemption::WaitLimits;
 use queue::lookahead;
 
-/// Starts of one job: which task on which machine.
+/// An array makes room for at most this part of the tasks of a dry run at once.
+const ARRAY_RESERVATION_DIVISOR: u32 = 4;
+
+/// Starts of one job.
 struct Start {
     job: Name,
+    /// Indices of the tasks, with their machines.
     tasks: Vec<(u32, Name)>,
-    /// The attempt of a gang that has not started yet and is completed.
+    /// The attempt of a gang that has not started yet and is completed by these tasks.
     attempt: Option<u64>,
 }
 
-/// What a pass comes to.
+/// A task that is stopped to make room.
+struct Preemption {
+    machine: Name,
+    task: Task,
+}
+
+/// Why a job waits.
+struct PendingReason {
+    job: Name,
+    reason: &'static str,
+}
+
+/// Tasks of a job that found no room.
+struct BlockedTasks {
+    count: u32,
+    /// Tasks of the job that are or may be in each zone, by the index of the zone.
+    zones: Vec<u32>,
+}
+
+/// What a pass has decided.
 #[derive(Default)]
-struct Decisions {
+struct PlacementDecisions {
     starts: Vec<Start>,
-    /// Tasks that give way, and to whom.
-    stops: Vec<(Name, Task)>,
-    /// Why a job waits.
-    whys: Vec<(Name, &'static str)>,
-    wants: Vec<UnmetDemand>,
-    /// The end of the queue was not reached.
-    unfinished: bool,
+    preemptions: Vec<Preemption>,
+    pending_reasons: Vec<PendingReason>,
+    unmet_demand: Vec<UnmetDemand>,
+    /// The pass ended before the end of the queue.
+    is_unfinished: bool,
+}
+
+impl PlacementDecisions {
+    fn set_pending_reason(&mut self, job: &Job, reason: &'static str) {
+        self.pending_reasons.push(PendingReason { job: job.spec.id.clone(), reason });
+    }
 }
 
 impl Cluster {
-    /// One pass over the queue.  Decides starts and stops, and returns what
-    /// found no place.
+    /// Runs one pass over the queue.  Decides starts and preemptions, and returns the
+    /// tasks that found no machine.
     pub fn run_placement_pass(&mut self, now: Instant) -> Vec<UnmetDemand> {
         self.queue_changed = false;
         self.placement_waits.clear();
         self.mark_guaranteed();
-        let d = self.decide(now);
-        self.queue_changed |= d.unfinished;
-        for (id, why) in d.whys {
-            if let Some(j) = self.jobs.get_mut(&id) {
-                j.pending_reason = why;
+        let decisions = self.decide_placement(now);
+        self.queue_changed |= decisions.is_unfinished;
+        for PendingReason { job, reason } in decisions.pending_reasons {
+            if let Some(job) = self.jobs.get_mut(&job) {
+                job.pending_reason = reason;
             }
         }
-        for s in d.starts {
-            let gang = self.jobs.get(&s.job).is_some_and(|j| j.spec.shape == Shape::Gang);
-            // all tasks of a gang share an attempt
-            let shared = gang.then(|| s.attempt.unwrap_or_else(|| self.new_attempt()));
-            if let (Some(attempt), Some(j)) = (shared, self.jobs.get_mut(&s.job)) {
-                j.attempt = attempt;
-            }
-            for (index, machine) in s.tasks {
-                let attempt = shared.unwrap_or_else(|| self.new_attempt());
-                self.assign(&Task { job: s.job.clone(), index }, &machine, attempt, now);
-            }
+        for start in decisions.starts {
+            self.apply_start(start, now);
+        }
+        for Preemption { machine, task } in decisions.preemptions {
+            self.evict_task(&machine, &task, now);
+        }
+        decisions.unmet_demand
+    }
+
+    /// Assigns the tasks of a start; all tasks of a gang share an attempt.
+    fn apply_start(&mut self, start: Start, now: Instant) {
+        let is_gang = self.jobs.get(&start.job).is_some_and(|job| job.spec.shape == Shape::Gang);
+        let shared_attempt = is_gang.then(|| start.attempt.unwrap_or_else(|| self.new_attempt()));
+        if let (Some(attempt), Some(job)) = (shared_attempt, self.jobs.get_mut(&start.job)) {
+            job.attempt = attempt;
         }
-        for (machine, task) in d.stops {
-            self.stop_to_move(&machine, &task, now);
+        for (index, machine) in start.tasks {
+            let attempt = shared_attempt.unwrap_or_else(|| self.new_attempt());
+            self.assign(&Task { job: start.job.clone(), index }, &machine, attempt, now);
         }
-        d.wants
     }
 
-    fn decide(&self, now: Instant) -> Decisions {
-        let mut out = Decisions::default();
+    /// Decides a pass without changing the state.
+    fn decide_placement(&self, now: Instant) -> PlacementDecisions {
+        let mut decisions = PlacementDecisions::default();
         let queue = self.ordered_queue(now);
         let mut pass = Pass::new(self, &queue, now);
-        let mut head_holds = false;
-        for (at, entry) in queue.iter().enumerate() {
-            // a pass that takes too long keeps the leader from its lease: what
-            // is left of the queue is the next one's
-            if pass.looks > self.policy.pass_looks {
-                out.unfinished = true;
+        let mut has_reserved_for_head = false;
+        for (position, entry) in queue.iter().enumerate() {
+            // a pass that takes too long keeps the leader from its lease: the rest of the
+            // queue is left to the next one
+            if pass.examined > self.policy.pass_looks {
+                decisions.is_unfinished = true;
                 break;
             }
-            let job = entry.job;
-            let ask = pass.ask(job);
-            let later = || lookahead(&queue[at..], self.policy.dry_run_tasks);
-            let blocked = match job.spec.shape {
-                Shape::Gang => self.place_gang(&ask, &mut pass, later, &mut out),
-                _ => self.place_each(&ask, *entry, &mut pass, later, &mut out),
+            let request = pass.begin_request(entry.job);
+            let later = || lookahead(&queue[position..], self.policy.dry_run_tasks);
+            let blocked = match entry.job.spec.shape {
+                Shape::Gang => self.place_gang(&request, &mut pass, later, &mut decisions),
+                _ => self.place_single_tasks(&request, *entry, &mut pass, later, &mut decisions),
             };
-            let Some((count, zones)) = blocked else { continue };
-            if job.quarantine.is_some() {
-                // nobody gives way to a probe, nothing is held or rented for it
-                out.whys.push((job.spec.id.clone(), crate::cluster::QUARANTINED));
-                continue;
+            if let Some(blocked) = blocked {
+                self.make_room(&request, blocked, &mut pass, &mut has_reserved_for_head, &mut decisions);
             }
-            // no room: hold what is being freed, or make room
-            let most = match job.spec.shape {
-                Shape::Array => count.min(self.policy.dry_run_tasks as u32 / 4),
-                _ => count,
-            };
-            let held = self.hold_or_preempt(&ask, most, &zones, &mut pass, (f64::INFINITY, f64::INFINITY), &mut out);
-            if held < most && !head_holds {
-                // a blocked head keeps its turn: the room that it will fit
-                // into first is not given to later tasks
-                head_holds = true;
-                pass.hold_first(&ask, &zones);
-            }
-            let why = if held > 0 { "room is being made" } else { "no machine has room" };
-            out.whys.push((job.spec.id.clone(), why));
-            out.wants.push(UnmetDemand { spec: job.spec.clone(), count, zones: pass.by_name(&zones) });
         }
-        out
+        decisions
+    }
+
+    /// For tasks that found no room: reserves what is being freed, or preempts.
+    fn make_room<'a>(
+        &self,
+        request: &PlacementRequest<'a>,
+        blocked: BlockedTasks,
+        pass: &mut Pass<'a>,
+        has_reserved_for_head: &mut bool,
+        decisions: &mut PlacementDecisions,
+    ) {
+        let job = request.job;
+        if job.quarantine.is_some() {
+            // nothing is preempted, reserved or rented for the probe of a broken job
+            decisions.set_pending_reason(job, QUARANTINED);
+            return;
+        }
+        let BlockedTasks { count, zones } = blocked;
+        let wanted = match job.spec.shape {
+            Shape::Array => count.min(self.policy.dry_run_tasks as u32 / ARRAY_RESERVATION_DIVISOR),
+            _ => count,
+        };
+        let reserved = self.reserve_or_preempt(request, wanted, &zones, pass, WaitLimits::UNLIMITED, decisions);
+        if reserved < wanted && !*has_reserved_for_head {
+            // a blocked head keeps its position: the room that it will fit into first is
+            // not given to later tasks
+            *has_reserved_for_head = true;
+            pass.reserve_for_head(request, &zones);
+        }
+        let reason = if reserved > 0 { "room is being made" } else { "no machine has room" };
+        decisions.set_pending_reason(job, reason);
+        let zones = pass.zones_by_name(&zones);
+        decisions.unmet_demand.push(UnmetDemand { spec: job.spec.clone(), count, zones });
     }
 }
 
--- a/packages/core/src/placement/pass.rs
+++ b/packages/core/src/placement/pass.rs
@@ -1,246 +1,244 @@
-//! The picture that a pass decides on: the usable machines with what is free,
-//! what soon will be, and what may make room.  It is made once a pass and
-//! brought forward with every decision; nothing here changes the state.
+//! The state of one placement pass: the usable machines with what is free, what will be
+//! free after stops, and what may be preempted.  It is made once a pass and brought
+//! forward with every decision; nothing here changes the leader's state.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Instant;
 
-use super::machine_slot::Slot;
-use super::preemption_cost::Hopeless;
-use super::queue::Entry;
-use super::ranking::Tier;
-use super::tai2::{variance, Candidate, Classes, How, Weather};
+use super::image_wait::ImageWait;
+use super::machine_slot::{MachineSlot, SlotLocation};
+use super::preemption_cost::Unplaceable;
+use super::queue::QueueEntry;
+use super::ranking::RankedSlot;
+use super::tai2::{variance, Candidate, MachineClasses, Selection, SwitchInputs};
 use crate::cluster::{Cluster, Job};
 use crate::model::*;
 
-/// A job that asks for room.
-pub(super) struct Ask<'a> {
-    pub job: &'a Job,
-    pub size: Resources,
-    /// Which pools it may use.
-    pub(super) allowed: Vec<bool>,
-    /// Its image, as an index.
+/// Slots are pruned after this many times as many were examined as are open.
+const EXAMINED_UNTIL_PRUNED: usize = 8;
+
+/// A job whose tasks are to be placed.
+pub(super) struct PlacementRequest<'a> {
+    pub(super) job: &'a Job,
+    /// Size of each task.
+    pub(super) size: Resources,
+    /// Which pools it may use, by the index of the pool.
+    pub(super) allowed_pools: Vec<bool>,
+    /// Index of its image.
     pub(super) image: usize,
 }
 
+/// Type, zone and kind of a machine, borrowed from it.
+type PoolRef<'a> = (&'a Name, &'a Name, bool);
+
+/// A placement pass.
 pub(super) struct Pass<'a> {
-    pub(super) c: &'a Cluster,
+    pub(super) cluster: &'a Cluster,
     pub(super) now: Instant,
-    pub slots: Vec<Slot<'a>>,
-    pub(super) pools: Vec<(&'a Name, &'a Name, bool)>,
+    pub(super) slots: Vec<MachineSlot<'a>>,
+    pools: Vec<PoolRef<'a>>,
     pub(super) zones: Vec<&'a Name>,
     /// Slots that might hold some queued task.
-    pub(super) open: Vec<usize>,
-    /// The same by what is free on them, once a dry run has asked for it.
-    pub(super) classes: Option<Classes>,
+    pub(super) open_slots: Vec<usize>,
+    /// The open slots by what is free on them, once a dry run has needed it.
+    pub(super) classes: Option<MachineClasses>,
     /// The smallest queued task in each respect.
-    pub(super) least: Resources,
-    /// Looks when `open` was last gone through.
-    pub(super) pruned: usize,
-    /// What teams use; left empty where no team has a limit or a guarantee.
+    smallest_task: Resources,
+    /// Value of `examined` when the open slots were last pruned.
+    pruned_at: usize,
+    /// What teams use; empty where no team has a limit or a guarantee.
     pub(super) used: NameMap<Resources>,
-    pub(super) variance: f64,
-    pub(super) free_cpus: f64,
-    pub(super) waiting: f64,
-    pub(super) images: HashMap<&'a Name, usize>,
-    /// Waits for each image by slot, as far as worked out; and whether it is
-    /// being fetched.
-    pub(super) waits: Vec<Vec<Option<(f64, bool)>>>,
-    /// Where tasks of the job that asks now fit, the best tier first.  Gone
-    /// through once for all of its tasks: while it asks, room only comes back
-    /// where it was taken on trial.
-    pub(super) fits: Option<Vec<(Tier, usize)>>,
-    /// Of these, those whose tier its own starts have changed.
-    pub(super) moved: Vec<(Tier, usize)>,
-    /// Tasks that this pass stops.
+    speed_variance: f64,
+    free_cpus: f64,
+    queued_cpus: f64,
+    images: HashMap<&'a Name, usize>,
+    /// Waits for each image by slot, as far as estimated.
+    pub(super) image_waits: Vec<Vec<Option<ImageWait>>>,
+    /// Where tasks of the job that is being placed fit, the best tier first.  Ranked once
+    /// for all of its tasks: meanwhile, room only comes back where it was taken on trial.
+    pub(super) ranked_slots: Option<Vec<RankedSlot>>,
+    /// Of these, the slots whose tier the job's own starts have changed.
+    pub(super) reranked_slots: Vec<RankedSlot>,
+    /// Tasks that this pass stops, with their machines.
     pub(super) stopped: HashSet<(&'a Name, &'a Task)>,
-    /// Machines looked at so far: what a pass costs.
-    pub looks: usize,
-    /// What asked for room that nothing can make: the next ones like it need
-    /// not look again, as a pass only takes room away.
-    pub(super) hopeless: Vec<Hopeless<'a>>,
+    /// Machines examined so far: what the pass has cost.
+    pub(super) examined: usize,
+    /// Jobs that nothing can make room for: the next ones like them need not look again,
+    /// as a pass only takes room away.
+    pub(super) unplaceable: Vec<Unplaceable<'a>>,
+}
+
+/// The smallest of all queued tasks in each respect.
+fn smallest_task(queue: &[QueueEntry]) -> Resources {
+    let infinite = Resources { cpus: f64::INFINITY, gpus: f64::INFINITY, memory: f64::INFINITY };
+    queue.iter().map(|entry| entry.job.spec.size()).fold(infinite, |a, b| Resources {
+        cpus: a.cpus.min(b.cpus),
+        gpus: a.gpus.min(b.gpus),
+        memory: a.memory.min(b.memory),
+    })
 }
 
 impl<'a> Pass<'a> {
-    pub fn new(c: &'a Cluster, queue: &[Entry<'a>], now: Instant) -> Pass<'a> {
+    /// Begins a pass over the queue.
+    pub(super) fn new(cluster: &'a Cluster, queue: &[QueueEntry<'a>], now: Instant) -> Pass<'a> {
         let (mut pools, mut zones, mut slots) = (Vec::new(), Vec::new(), Vec::new());
-        for m in c.machines.values() {
-            let zone = index_of(&mut zones, &m.zone);
-            if !m.is_schedulable(now, &c.policy) || m.size.cpus <= 0.0 {
+        for machine in cluster.machines.values() {
+            let zone = index_of(&mut zones, &machine.zone);
+            if !machine.is_schedulable(now, &cluster.policy) || machine.size.cpus <= 0.0 {
                 continue;
             }
-            let pool = index_of(&mut pools, (&m.kind, &m.zone, m.spot));
-            let (mut free, mut soon, mut stopping, mut latest) = (m.size, m.size, false, None);
-            let mut lasting = m.size;
-            for p in m.tasks.values().filter(|p| p.occupies_resources()) {
-                free.subtract(&p.spec.size());
-                if p.spec.shape == Shape::Service {
-                    lasting.subtract(&p.spec.size());
-                }
-                if p.stop_grace_s.is_some() {
-                    stopping = true;
-                } else {
-                    soon.subtract(&p.spec.size());
-                    if let Some(of) = c.jobs.get(&p.spec.id).filter(|_| !p.inherited) {
-                        latest = latest.max(Some(of.queue_priority()));
-                    }
-                }
-            }
-            let room = c.policy.most_tasks - (m.tasks.len() + m.exited.len());
-            slots.push(Slot {
-                m,
-                pool,
-                zone,
-                free,
-                soon,
-                stopping,
-                lasting,
-                room,
-                latest,
-                fetches: Vec::new(),
-                moved: false,
-            });
+            let pool = index_of(&mut pools, (&machine.kind, &machine.zone, machine.spot));
+            slots.push(MachineSlot::new(machine, SlotLocation { pool, zone }, cluster));
         }
-        let inf = Resources { cpus: f64::INFINITY, gpus: f64::INFINITY, memory: f64::INFINITY };
-        let least = queue.iter().map(|e| e.job.spec.size()).fold(inf, |a, b| Resources {
-            cpus: a.cpus.min(b.cpus),
-            gpus: a.gpus.min(b.gpus),
-            memory: a.memory.min(b.memory),
-        });
-        let open = (0..slots.len()).filter(|i| slots[*i].free.fits(&least)).collect();
+        let smallest_task = smallest_task(queue);
+        let open_slots = (0..slots.len()).filter(|slot| slots[*slot].free.fits(&smallest_task)).collect();
         Pass {
-            c,
+            cluster,
             now,
             pools,
             zones,
-            open,
+            open_slots,
             classes: None,
-            least,
-            pruned: 0,
-            used: if c.has_limits() { c.team_usage() } else { NameMap::default() },
-            variance: variance(slots.iter().map(|s| s.m.speed)),
-            free_cpus: slots.iter().map(|s| s.free.cpus.max(0.0)).sum(),
-            waiting: queue.iter().map(|e| e.job.spec.cpus * f64::from(e.count)).sum(),
+            smallest_task,
+            pruned_at: 0,
+            used: if cluster.has_limits() { cluster.team_usage() } else { NameMap::default() },
+            speed_variance: variance(slots.iter().map(|slot| slot.machine.speed)),
+            free_cpus: slots.iter().map(|slot| slot.free.cpus.max(0.0)).sum(),
+            queued_cpus: queue.iter().map(|entry| entry.job.spec.cpus * f64::from(entry.count)).sum(),
             images: HashMap::new(),
-            waits: Vec::new(),
-            fits: None,
-            moved: Vec::new(),
+            image_waits: Vec::new(),
+            ranked_slots: None,
+            reranked_slots: Vec::new(),
             stopped: HashSet::new(),
-            looks: 0,
-            hopeless: Vec::new(),
+            examined: 0,
+            unplaceable: Vec::new(),
             slots,
         }
     }
 
-    /// Leaves out machines that this pass has filled, now and then: between two
-    /// jobs, when nothing is taken on trial.
-    pub(super) fn prune(&mut self) {
-        if self.looks - self.pruned > self.open.len() * 8 {
-            let (slots, least) = (&self.slots, self.least);
-            self.open.retain(|i| slots[*i].room > 0 && slots[*i].free.fits(&least));
-            self.pruned = self.looks;
+    /// Leaves out machines that this pass has filled, now and then: between two jobs,
+    /// when nothing is taken on trial.
+    fn prune_open_slots(&mut self) {
+        if self.examined - self.pruned_at > self.open_slots.len() * EXAMINED_UNTIL_PRUNED {
+            let (slots, smallest) = (&self.slots, self.smallest_task);
+            self.open_slots.retain(|slot| slots[*slot].open_task_slots > 0 && slots[*slot].free.fits(&smallest));
+            self.pruned_at = self.examined;
         }
     }
 
-    pub fn ask(&mut self, job: &'a Job) -> Ask<'a> {
-        self.prune();
-        self.fits = None;
-        for (_, i) in self.moved.drain(..) {
-            self.slots[i].moved = false;
+    /// Begins to place tasks of a job.
+    pub(super) fn begin_request(&mut self, job: &'a Job) -> PlacementRequest<'a> {
+        self.prune_open_slots();
+        self.ranked_slots = None;
+        for reranked in self.reranked_slots.drain(..) {
+            self.slots[reranked.slot].is_reranked = false;
         }
         let spec = &job.spec;
-        let next = self.images.len();
-        let image = *self.images.entry(&spec.image).or_insert(next);
-        if image == self.waits.len() {
-            self.waits.push(vec![None; self.slots.len()]);
+        let next_image = self.images.len();
+        let image = *self.images.entry(&spec.image).or_insert(next_image);
+        if image == self.image_waits.len() {
+            self.image_waits.push(vec![None; self.slots.len()]);
         }
-        let allowed = self.pools.iter().map(|(kind, zone, spot)| spec.allows(kind, zone, *spot)).collect();
-        Ask { job, size: spec.size(), allowed, image }
+        let allowed_pools = self.pools.iter().map(|(kind, zone, spot)| spec.allows(kind, zone, *spot)).collect();
+        PlacementRequest { job, size: spec.size(), allowed_pools, image }
     }
 
-    pub(super) fn weather(&self) -> Weather {
-        Weather {
-            variance: self.variance,
-            load: self.waiting / self.free_cpus.max(1.0),
-            variance_threshold: self.c.policy.variance_threshold,
-            load_threshold: self.c.policy.load_threshold,
+    /// What the paper's switch goes by at this point of the pass.
+    pub(super) fn switch_inputs(&self) -> SwitchInputs {
+        SwitchInputs {
+            variance: self.speed_variance,
+            load: self.queued_cpus / self.free_cpus.max(1.0),
+            variance_threshold: self.cluster.policy.variance_threshold,
+            load_threshold: self.cluster.policy.load_threshold,
         }
     }
 
+    /// A slot as the switch sees it.
     pub(super) fn candidate(&self, at: usize) -> Candidate {
-        let s = &self.slots[at];
-        Candidate { at, free: s.free, whole: s.m.size, speed: s.m.speed }
+        let slot = &self.slots[at];
+        Candidate { at, free: slot.free, whole: slot.machine.size, speed: slot.machine.speed }
     }
 
-    /// Changes the free room of a slot, and the sum over all with it.
-    pub(super) fn free_changes(&mut self, slot: usize, change: impl FnOnce(&mut Resources)) {
+    /// Changes the free room of a slot, with the sum over all slots and their classes.
+    pub(super) fn update_free(&mut self, slot: usize, change: impl FnOnce(&mut Resources)) {
         let before = self.candidate(slot);
         let free = &mut self.slots[slot].free;
         self.free_cpus -= free.cpus.max(0.0);
         change(free);
         self.free_cpus += free.cpus.max(0.0);
         let after = self.candidate(slot);
-        if let Some(all) = self.classes.as_mut() {
-            all.remove(&before);
-            all.add(&after);
+        if let Some(classes) = self.classes.as_mut() {
+            classes.remove(&before);
+            classes.add(&after);
         }
     }
 
-    /// Takes room away.
-    pub fn take(&mut self, slot: usize, size: &Resources) {
-        self.free_changes(slot, |free| free.subtract(size));
-        let s = &mut self.slots[slot];
-        s.soon.subtract(size);
-        s.room = s.room.saturating_sub(1);
+    /// Takes the room of a task.
+    pub(super) fn take_room(&mut self, slot: usize, size: &Resources) {
+        self.update_free(slot, |free| free.subtract(size));
+        let slot = &mut self.slots[slot];
+        slot.free_after_stops.subtract(size);
+        slot.open_task_slots = slot.open_task_slots.saturating_sub(1);
     }
 
-    /// Undoes [`Pass::take`].
-    pub fn give_back(&mut self, slot: usize, size: &Resources) {
-        self.free_changes(slot, |free| free.add(size));
-        let s = &mut self.slots[slot];
-        s.soon.add(size);
-        s.room += 1;
+    /// Undoes [`Pass::take_room`].
+    pub(super) fn return_room(&mut self, slot: usize, size: &Resources) {
+        self.update_free(slot, |free| free.add(size));
+        let slot = &mut self.slots[slot];
+        slot.free_after_stops.add(size);
+        slot.open_task_slots += 1;
     }
 
-    /// A task is started here.
-    pub fn start(&mut self, ask: &Ask<'a>, slot: usize) {
-        self.take(slot, &ask.size);
-        if ask.job.spec.shape == Shape::Service {
-            self.slots[slot].lasting.subtract(&ask.size);
+    /// Takes the room of a task that is started, counts it for its team, and the fetch of
+    /// its image for the machine.
+    pub(super) fn start_task(&mut self, request: &PlacementRequest<'a>, slot: usize) {
+        self.take_room(slot, &request.size);
+        let spec = &request.job.spec;
+        if spec.shape == Shape::Service {
+            self.slots[slot].free_of_replicas.subtract(&request.size);
         }
-        self.used.entry(ask.job.spec.team.clone()).or_default().add(&ask.size);
-        let s = &mut self.slots[slot];
-        let spec = &ask.job.spec;
-        if !s.m.has_image(&spec.image) && !s.fetches.iter().any(|f| f.0 == &spec.image) {
-            s.fetches.push((&spec.image, spec.image_gb));
-            for w in &mut self.waits {
-                w[slot] = None;
-            }
-            let tier = self.tier(ask, slot);
-            match self.moved.iter_mut().find(|m| m.1 == slot) {
-                Some(m) => m.0 = tier,
-                None => {
-                    self.slots[slot].moved = true;
-                    self.moved.push((tier, slot));
-                }
+        self.used.entry(spec.team.clone()).or_default().add(&request.size);
+        let machine_slot = &mut self.slots[slot];
+        let is_fetched = machine_slot.fetches.iter().any(|fetch| fetch.0 == &spec.image);
+        if machine_slot.machine.has_image(&spec.image) || is_fetched {
+            return;
+        }
+        machine_slot.fetches.push((&spec.image, spec.image_gb));
+        for waits in &mut self.image_waits {
+            waits[slot] = None;
+        }
+        self.rerank(request, slot);
+    }
+
+    /// Keeps the changed tier of a slot for the job that is being placed.
+    fn rerank(&mut self, request: &PlacementRequest<'a>, slot: usize) {
+        let tier = self.tier(request, slot);
+        match self.reranked_slots.iter_mut().find(|reranked| reranked.slot == slot) {
+            Some(reranked) => reranked.tier = tier,
+            None => {
+                self.slots[slot].is_reranked = true;
+                self.reranked_slots.push(RankedSlot { tier, slot });
             }
         }
     }
 
-    /// Why a task goes where it does, for people.
-    pub fn explain(&self, ask: &Ask, index: u32, slot: usize, how: How, image: f64) {
+    /// Logs why a task starts where it does.
+    pub(super) fn log_start(&self, request: &PlacementRequest, index: u32, selection: Selection, image_wait_s: f64) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
-        let (spec, w) = (&ask.job.spec, self.weather());
+        let (spec, inputs) = (&request.job.spec, self.switch_inputs());
         tracing::debug!(
-            "{}/{index} ({}) goes to {} after {:.1} s: {how:?}, variance {:.3}, load {:.2}; image in {image:.0} s",
-            spec.id,
-            spec.class,
-            self.slots[slot].m.name,
-            self.now.duration_since(ask.job.first_seen).as_secs_f64(),
-            w.variance,
-            w.load,
+            job = %spec.id,
+            index,
+            class = %spec.class,
+            machine = %self.slots[selection.at].machine.name,
+            waited_s = self.now.duration_since(request.job.first_seen).as_secs_f64(),
+            policy = ?selection.policy,
+            variance = inputs.variance,
+            load = inputs.load,
+            image_wait_s,
+            "task assigned"
         );
     }
 }
--- a/packages/core/src/placement/queue.rs
+++ b/packages/core/src/placement/queue.rs
@@ -1,116 +1,125 @@
-//! The order in which waiting tasks are placed.
+//! The arrival-ordered queue of waiting tasks.
 
 use std::time::Instant;
 
-use super::preemption::within;
+use super::preemption::is_within_guarantee;
+use super::tai2::TaskRun;
 use crate::cluster::{Cluster, Job};
 use crate::model::*;
 
-/// A place in the queue: a job, and those of its waiting tasks whose turn it is.
+/// An entry of the queue: waiting tasks of a job that are placed one after another.
 #[derive(Clone, Copy)]
-pub(super) struct Entry<'a> {
+pub(super) struct QueueEntry<'a> {
     pub(super) job: &'a Job,
-    /// Tasks from here on.
-    pub(super) from: u32,
-    /// So many of them.
+    /// Lowest task index of the entry.
+    first_task: u32,
+    /// Number of tasks.
     pub(super) count: u32,
-    /// They were placed before.
-    pub(super) again: bool,
+    /// The tasks were placed before and lost.
+    is_requeued: bool,
 }
 
-impl<'a> Entry<'a> {
-    /// What waits of a job.  Tasks of an array that were lost or gave way had
-    /// their turn once: they do not wait again behind all that came since.
-    /// Where zones matter the job stays whole, as they are counted by job.
-    pub(super) fn of(job: &'a Job) -> impl Iterator<Item = Entry<'a>> {
-        let (all, begun) = (job.waiting_tasks(), job.first_never_placed());
-        let whole = job.spec.shape != Shape::Array || job.spec.one_zone || job.spec.spread || job.quarantine.is_some();
-        let again = if whole { 0 } else { job.pending.below(begun) };
-        let fresh = Entry { job, from: if again > 0 { begun } else { 0 }, count: all - again, again: false };
-        [Entry { job, from: 0, count: again, again: true }, fresh].into_iter().filter(|e| e.count > 0)
+impl<'a> QueueEntry<'a> {
+    /// The entries of a job.  Tasks of an array that were lost or preempted have waited
+    /// once: they do not wait again behind all that came since.  Where zones matter the
+    /// job stays whole, as they are counted by job.
+    fn entries_of(job: &'a Job) -> impl Iterator<Item = QueueEntry<'a>> {
+        let (waiting, never_placed) = (job.waiting_tasks(), job.first_never_placed());
+        let stays_whole =
+            job.spec.shape != Shape::Array || job.spec.one_zone || job.spec.spread || job.quarantine.is_some();
+        let requeued = if stays_whole { 0 } else { job.pending.below(never_placed) };
+        let lost = QueueEntry { job, first_task: 0, count: requeued, is_requeued: true };
+        let first_new = if requeued > 0 { never_placed } else { 0 };
+        let new = QueueEntry { job, first_task: first_new, count: waiting - requeued, is_requeued: false };
+        [lost, new].into_iter().filter(|entry| entry.count > 0)
     }
 
+    /// Indices of the tasks.
     pub(super) fn tasks(&self) -> impl Iterator<Item = u32> + 'a {
-        let from = self.from;
-        self.job.pending.iter().skip_while(move |n| *n < from).take(self.count as usize)
+        let first = self.first_task;
+        self.job.pending.iter().skip_while(move |index| *index < first).take(self.count as usize)
     }
 }
 
 impl Cluster {
-    /// Marks the jobs that are within their team's guarantee: those that fit
-    /// into it along with all that the team submitted before and is not over.
+    /// Marks the jobs that are within their team's guarantee: those that fit into it
+    /// along with all earlier jobs of the team that are not over.
     pub(super) fn mark_guaranteed(&mut self) {
-        if !self.teams.values().any(|t| t.guarantee.cpus > 0.0 || t.guarantee.gpus > 0.0) {
+        if !self.teams.values().any(|team| team.guarantee.cpus > 0.0 || team.guarantee.gpus > 0.0) {
             return;
         }
-        let mut open: Vec<&mut Job> = self.jobs.values_mut().filter(|j| j.outcome.is_none()).collect();
+        let mut open: Vec<&mut Job> = self.jobs.values_mut().filter(|job| job.outcome.is_none()).collect();
         open.sort_by(|a, b| (a.revision, &a.spec.id).cmp(&(b.revision, &b.spec.id)));
         let mut used: NameMap<Resources> = NameMap::default();
-        for j in open {
-            let limit = self.teams.get(&j.spec.team).copied().unwrap_or_default();
-            let team = used.entry(j.spec.team.clone()).or_default();
-            let left = f64::from(j.spec.tasks - j.completed.len().min(j.spec.tasks));
-            team.add(&j.spec.size().scaled(left));
-            j.guaranteed = within(&limit.guarantee, team);
+        for job in open {
+            let limit = self.teams.get(&job.spec.team).copied().unwrap_or_default();
+            let team_usage = used.entry(job.spec.team.clone()).or_default();
+            let unfinished = f64::from(job.spec.tasks - job.completed.len().min(job.spec.tasks));
+            team_usage.add(&job.spec.size().scaled(unfinished));
+            job.guaranteed = is_within_guarantee(&limit.guarantee, team_usage);
         }
     }
 
-    /// The queue: production and work within its team's guarantee first, by
-    /// rank, then as it arrived.
-    pub(super) fn ordered_queue(&self, now: Instant) -> Vec<Entry<'_>> {
-        let waits = |j: &&Job| j.outcome.is_none() && j.waiting_tasks() > 0 && j.not_before.is_none_or(|t| t <= now);
-        let entries = self.jobs.values().filter(waits).flat_map(Entry::of);
-        let mut q: Vec<(f64, Entry)> = entries.map(|e| (self.arrival(&e), e)).collect();
-        q.sort_by(|(at, a), (bt, b)| {
+    /// The queue: production and work within its team's guarantee first, by priority,
+    /// then in the order of arrival.
+    pub(super) fn ordered_queue(&self, now: Instant) -> Vec<QueueEntry<'_>> {
+        let is_waiting = |job: &&Job| {
+            job.outcome.is_none() && job.waiting_tasks() > 0 && job.not_before.is_none_or(|from| from <= now)
+        };
+        let entries = self.jobs.values().filter(is_waiting).flat_map(QueueEntry::entries_of);
+        let mut queue: Vec<(f64, QueueEntry)> = entries.map(|entry| (self.arrival_s(&entry), entry)).collect();
+        queue.sort_by(|(a_arrival, a), (b_arrival, b)| {
             let (a, b) = (a.job, b.job);
             (a.queue_priority().cmp(&b.queue_priority()))
-                .then(at.total_cmp(bt))
+                .then(a_arrival.total_cmp(b_arrival))
                 .then((a.revision, &a.spec.id).cmp(&(b.revision, &b.spec.id)))
         });
-        q.into_iter().map(|(_, e)| e).collect()
+        queue.into_iter().map(|(_, entry)| entry).collect()
     }
 
-    /// When the next task of a job counts as arrived, in seconds.  The tasks
-    /// of an array count as arriving one after another, or one large array
-    /// would keep all that come after it waiting until it is through; and
-    /// earlier by the time they take, for a long task that starts late makes
-    /// its job late.
-    pub(super) fn arrival(&self, e: &Entry) -> f64 {
-        let j = e.job;
-        let known = j.first_seen.saturating_duration_since(self.term_started_at).as_secs_f64();
-        if j.spec.shape != Shape::Array {
-            return known;
+    /// When the next task of an entry counts as arrived, in seconds since the leader
+    /// began.  The tasks of an array count as arriving one after another, or one large
+    /// array would keep all that come after it waiting until it is through; and earlier
+    /// by the time they run, for a long task that starts late makes its job late.
+    fn arrival_s(&self, entry: &QueueEntry) -> f64 {
+        let job = entry.job;
+        let first_seen_s = job.first_seen.saturating_duration_since(self.term_started_at).as_secs_f64();
+        if job.spec.shape != Shape::Array {
+            return first_seen_s;
         }
-        let started = if e.again { 0.0 } else { f64::from(j.spec.tasks - j.pending.len().min(j.spec.tasks)) };
-        let bias = self.runtime_bias.get(&j.spec.class).copied().unwrap_or(1.0);
-        known + started * self.policy.task_spacing_s - j.spec.estimate_s * bias
+        let started = match entry.is_requeued {
+            true => 0.0,
+            false => f64::from(job.spec.tasks - job.pending.len().min(job.spec.tasks)),
+        };
+        let bias = self.runtime_bias.get(&job.spec.class).copied().unwrap_or(1.0);
+        first_seen_s + started * self.policy.task_spacing_s - job.spec.estimate_s * bias
     }
 
-    /// How soon a job's tasks should start, if anything is said of it.
-    pub fn wait_aim(&self, j: &Job) -> Option<f64> {
-        let aims = [
-            self.start_objectives.get(&j.spec.class).copied(),
-            // the users of a service feel every second without a replica
-            (j.spec.shape == Shape::Service).then_some(self.policy.fetch_grain_s),
-            j.guaranteed.then_some(self.policy.guarantee_wait_s),
+    /// How soon a job's tasks should start, in seconds, if it has such an objective.
+    pub fn start_objective_s(&self, job: &Job) -> Option<f64> {
+        let objectives = [
+            self.start_objectives.get(&job.spec.class).copied(),
+            // the users of a service notice every second without a replica
+            (job.spec.shape == Shape::Service).then_some(self.policy.fetch_grain_s),
+            job.guaranteed.then_some(self.policy.guarantee_wait_s),
         ];
-        aims.into_iter().flatten().min_by(f64::total_cmp)
+        objectives.into_iter().flatten().min_by(f64::total_cmp)
     }
 }
 
-/// Sizes of the next tasks behind the head as runs of equal ones, for the dry
-/// run: a hundred thousand tasks are one run.
-pub(super) fn lookahead(queue: &[Entry], most: usize) -> Vec<(Resources, usize)> {
-    let mut runs: Vec<(Resources, usize)> = Vec::new();
-    let mut left = most;
-    for (i, e) in queue.iter().enumerate() {
-        let j = e.job;
-        let n = (e.count as usize).saturating_sub(usize::from(i == 0)).min(left);
-        if n > 0 {
-            runs.push((j.spec.size(), n));
+/// Sizes of at most `limit` tasks behind the head of a queue, for the dry run: a hundred
+/// thousand equal tasks are one run.
+pub(super) fn lookahead(queue: &[QueueEntry], limit: usize) -> Vec<TaskRun> {
+    let mut runs: Vec<TaskRun> = Vec::new();
+    let mut remaining = limit;
+    for (position, entry) in queue.iter().enumerate() {
+        let head = usize::from(position == 0);
+        let count = (entry.count as usize).saturating_sub(head).min(remaining);
+        if count > 0 {
+            runs.push(TaskRun { size: entry.job.spec.size(), count });
         }
-        left -= n;
-        if left == 0 {
+        remaining -= count;
+        if remaining == 0 {
             break;
         }
     }
--- a/packages/core/src/placement/single_tasks.rs
+++ b/packages/core/src/placement/single_tasks.rs
@@ -1,55 +1,58 @@
-//! Placement of tasks that start one by one.
+//! Placement of tasks that start one by one: those of arrays and services.
 
-use super::pass::{Ask, Pass};
-use super::queue::Entry;
-use super::{Decisions, Start};
+use super::pass::{Pass, PlacementRequest};
+use super::preemption::WaitLimits;
+use super::queue::QueueEntry;
+use super::tai2::TaskRun;
+use super::{BlockedTasks, PlacementDecisions, Start};
 use crate::cluster::Cluster;
 use crate::model::*;
 
 impl Cluster {
-    /// Places tasks of an array or service one by one.  Returns how many
-    /// found no room, and where the job's tasks are by zone; `None` if room
-    /// is not what they lack.
-    pub(super) fn place_each<'a>(
+    /// Places tasks of an array or service one by one.  Returns those that found no
+    /// room; `None` if room is not what they lack.
+    pub(super) fn place_single_tasks<'a>(
         &self,
-        ask: &Ask<'a>,
-        entry: Entry<'a>,
+        request: &PlacementRequest<'a>,
+        entry: QueueEntry<'a>,
         pass: &mut Pass<'a>,
-        later: impl Fn() -> Vec<(Resources, usize)>,
-        out: &mut Decisions,
-    ) -> Option<(u32, Vec<u32>)> {
-        let job = ask.job;
-        let mut zones = pass.zones_of(ask);
-        let aim = self.wait_aim(job);
+        later: impl Fn() -> Vec<TaskRun>,
+        decisions: &mut PlacementDecisions,
+    ) -> Option<BlockedTasks> {
+        let job = request.job;
+        let mut zones = pass.tasks_per_zone(request);
+        let objective_s = self.start_objective_s(job);
         let mut tasks: Vec<(u32, Name)> = Vec::new();
-        let mut blocked = false;
+        let mut is_blocked = false;
         for index in entry.tasks() {
-            if !pass.allows(ask, 1) {
-                out.whys.push((job.spec.id.clone(), "its team is at its limit"));
+            if !pass.is_within_team_limit(request, 1) {
+                decisions.set_pending_reason(job, "its team is at its limit");
                 break;
             }
-            let Some((slot, how)) = pass.choose(ask, &zones, None, &later) else {
-                blocked = true;
+            let Some(selection) = pass.select_slot(request, &zones, None, &later) else {
+                is_blocked = true;
                 break;
             };
-            // fetching the image would make it late: rather take room, if that
-            // may be, where the image is
-            let wait = pass.image_wait(ask, slot).0;
-            if job.quarantine.is_none() && aim.is_some_and(|aim| wait > aim) {
-                let limits = (aim.unwrap_or(wait), wait);
-                if self.hold_or_preempt(ask, 1, &zones, pass, limits, out) == 1 {
+            let slot = selection.at;
+            // fetching the image would make the task late: rather preempt, if it may,
+            // where the image is
+            let image_wait_s = pass.image_wait(request, slot).seconds;
+            let late_for = objective_s.filter(|objective_s| job.quarantine.is_none() && image_wait_s > *objective_s);
+            if let Some(objective_s) = late_for {
+                let limits = WaitLimits { image_s: objective_s, save_s: image_wait_s };
+                if self.reserve_or_preempt(request, 1, &zones, pass, limits, decisions) == 1 {
                     continue;
                 }
             }
-            pass.explain(ask, index, slot, how, wait);
-            pass.start(ask, slot);
+            pass.log_start(request, index, selection, image_wait_s);
+            pass.start_task(request, slot);
             zones[pass.slots[slot].zone] += 1;
-            tasks.push((index, pass.slots[slot].m.name.clone()));
+            tasks.push((index, pass.slots[slot].machine.name.clone()));
         }
-        let left = entry.count - tasks.len() as u32;
+        let unplaced = entry.count - tasks.len() as u32;
         if !tasks.is_empty() {
-            out.starts.push(Start { job: job.spec.id.clone(), tasks, attempt: None });
+            decisions.starts.push(Start { job: job.spec.id.clone(), tasks, attempt: None });
         }
-        blocked.then(|| (pass.room_in_limit(ask, left), zones))
+        is_blocked.then(|| BlockedTasks { count: pass.count_within_team_limit(request, unplaced), zones })
     }
 }
--- a/packages/core/src/placement/tai2/tests.rs
+++ b/packages/core/src/placement/tai2/tests.rs
@@ -1,70 +1,78 @@
 use super::*;
 use proptest::prelude::*;
 
-/// The paper read plainly, for comparison.
-fn plain(
+/// The paper's decision, computed plainly for comparison.
+fn decide_plainly(
     fitting: &[Candidate],
     all: &[Candidate],
     head: &Resources,
     later: &[Resources],
-    w: &Weather,
-) -> Option<(usize, How)> {
+    inputs: &SwitchInputs,
+) -> Option<Selection> {
     fn best_fit(options: &[Candidate], task: &Resources) -> Option<Candidate> {
         let fits = options.iter().filter(|o| o.free.fits(task));
         let room = |o: &Candidate| leftover(&o.free, &o.whole, task);
         fits.min_by(|a, b| room(a).total_cmp(&room(b))).copied()
     }
-    let run = |at: usize| {
-        let mut options = all.to_vec();
-        let first = options.iter_mut().find(|o| o.at == at).expect("it is among all");
+    let capacity_with = |at: usize| {
+        let mut machines = all.to_vec();
+        let first = machines.iter_mut().find(|machine| machine.at == at).expect("it is among all");
         first.free.subtract(head);
-        let mut sum = first.speed * head.cpus;
+        let mut capacity = first.speed * head.cpus;
         for task in later {
-            let Some(at) = best_fit(&options, task).map(|o| o.at) else { break };
-            let o = options.iter_mut().find(|o| o.at == at).expect("found just now");
-            o.free.subtract(task);
-            sum += o.speed * task.cpus;
+            let Some(at) = best_fit(&machines, task).map(|o| o.at) else { break };
+            let machine = machines.iter_mut().find(|machine| machine.at == at).expect("found just now");
+            machine.free.subtract(task);
+            capacity += machine.speed * task.cpus;
         }
-        sum
+        capacity
     };
-    let bf = best_fit(fitting, head)?;
+    let best_fit_machine = best_fit(fitting, head)?;
     let fits = fitting.iter().filter(|o| o.free.fits(head));
-    let ff = *fits.min_by(|a, b| {
+    let fastest = *fits.min_by(|a, b| {
         let room = |o: &Candidate| leftover(&o.free, &o.whole, head);
         b.speed.total_cmp(&a.speed).then(room(a).total_cmp(&room(b)))
     })?;
-    match (w.variance >= w.variance_threshold, w.load >= w.load_threshold) {
-        (false, true) => return Some((bf.at, How::BestFit)),
-        (true, false) => return Some((ff.at, How::FastestFirst)),
-        _ if bf.at == ff.at => return Some((bf.at, How::Ai2(1.0))),
-        _ if later.is_empty() && ff.speed > bf.speed => return Some((ff.at, How::Ai2(ff.speed / bf.speed))),
-        _ if later.is_empty() => return Some((bf.at, How::Ai2(1.0))),
+    let select = |machine: Candidate, policy| Some(Selection { at: machine.at, policy });
+    match (inputs.variance >= inputs.variance_threshold, inputs.load >= inputs.load_threshold) {
+        (false, true) => return select(best_fit_machine, SelectionPolicy::BestFit),
+        (true, false) => return select(fastest, SelectionPolicy::FastestFirst),
+        _ if best_fit_machine.at == fastest.at => return select(best_fit_machine, SelectionPolicy::Ai2 { score: 1.0 }),
+        _ if later.is_empty() && fastest.speed > best_fit_machine.speed => {
+            return select(fastest, SelectionPolicy::Ai2 { score: fastest.speed / best_fit_machine.speed })
+        }
+        _ if later.is_empty() => return select(best_fit_machine, SelectionPolicy::Ai2 { score: 1.0 }),
         _ => {}
     }
-    let (cf, cb) = (run(ff.at), run(bf.at));
-    let score = if cb > 0.0 && bf.speed > 0.0 { ff.speed / bf.speed * cf / cb } else { 1.0 };
-    Some((if score > 1.0 { ff.at } else { bf.at }, How::Ai2(score)))
+    let (fastest_capacity, best_fit_capacity) = (capacity_with(fastest.at), capacity_with(best_fit_machine.at));
+    let score = if best_fit_capacity > 0.0 && best_fit_machine.speed > 0.0 {
+        fastest.speed / best_fit_machine.speed * fastest_capacity / best_fit_capacity
+    } else {
+        1.0
+    };
+    select(if score > 1.0 { fastest } else { best_fit_machine }, SelectionPolicy::Ai2 { score })
 }
 
-fn pick(
+fn decide(
     fitting: &[Candidate],
     all: &[Candidate],
     head: &Resources,
     later: &[Resources],
-    w: &Weather,
-) -> Option<(usize, How)> {
-    let mut picks = Picks::default();
+    inputs: &SwitchInputs,
+) -> Option<Selection> {
+    let mut candidates = CandidatePair::default();
     for c in fitting.iter().filter(|c| c.free.fits(head)) {
-        picks.show(*c, head);
+        candidates.consider(*c, head);
     }
-    let runs: Vec<(Resources, usize)> = later.chunk_by(|a, b| a == b).map(|c| (c[0], c.len())).collect();
-    let mut classes = Classes::default();
+    let runs: Vec<TaskRun> =
+        later.chunk_by(|a, b| a == b).map(|run| TaskRun { size: run[0], count: run.len() }).collect();
+    let mut classes = MachineClasses::default();
     all.iter().for_each(|c| classes.add(c));
     // what comes and goes leaves no trace
     let other = Candidate { at: usize::MAX, speed: 9.0, ..all[0] };
     classes.add(&other);
     classes.remove(&other);
-    picks.decide(head, w, &classes, &runs)
+    candidates.decide(head, inputs, &classes, &runs)
 }
 
 fn size(cpus: f64) -> Resources {
@@ -73,14 +81,14 @@
 fn machine(at: usize, free: f64, speed: f64) -> Candidate {
     Candidate { at, free: size(free), whole: size(8.0), speed }
 }
-fn weather(variance: f64, load: f64) -> Weather {
-    Weather { variance, load, variance_threshold: 0.05, load_threshold: 1.0 }
+fn inputs(variance: f64, load: f64) -> SwitchInputs {
+    SwitchInputs { variance, load, variance_threshold: 0.05, load_threshold: 1.0 }
 }
 
 proptest! {
-    /// The quick way decides as the plain one does.
+    /// One scan and dry runs on classes decide as the plain computation does.
     #[test]
-    fn the_quick_way_is_the_papers(
+    fn decisions_are_those_of_a_plain_reading_of_the_paper(
         machines in prop::collection::vec((0u32..9, 0u32..5, 1u32..4, any::<bool>()), 1..14),
         head in (1u32..5, 0u32..3),
         later in prop::collection::vec((1u32..5, 0u32..3, 1usize..5), 0..6),
@@ -101,13 +109,15 @@
         let fitting: Vec<Candidate> = all.iter().filter(|c| machines[c.at].3).copied().collect();
         let later: Vec<Resources> =
             later.iter().flat_map(|(c, g, n)| std::iter::repeat_n(sized(*c, *g), *n)).collect();
-        let (head, w) = (sized(head.0, head.1), weather(variance, load));
-        let (quick, plain) = (pick(&fitting, &all, &head, &later, &w), plain(&fitting, &all, &head, &later, &w));
-        prop_assert_eq!(quick.map(|q| q.0), plain.map(|p| p.0));
-        if let (Some((_, How::Ai2(a))), Some((_, How::Ai2(b)))) = (quick, plain) {
+        let (head, inputs) = (sized(head.0, head.1), inputs(variance, load));
+        let (quick, plain) = (decide(&fitting, &all, &head, &later, &inputs), decide_plainly(&fitting, &all, &head, &later, &inputs));
+        prop_assert_eq!(quick.map(|q| q.at), plain.map(|p| p.at));
+        if let (Some(SelectionPolicy::Ai2 { score: a }), Some(SelectionPolicy::Ai2 { score: b })) =
+            (quick.map(|q| q.policy), plain.map(|p| p.policy))
+        {
             prop_assert!((a - b).abs() < 1e-9);
         } else {
-            prop_assert_eq!(quick.map(|q| q.1), plain.map(|p| p.1));
+            prop_assert_eq!(quick.map(|q| q.policy), plain.map(|p| p.policy));
         }
     }
 }
@@ -118,13 +128,13 @@
 fn the_switch_goes_by_variance_and_load() {
     let m = [machine(0, 2.0, 1.0), machine(1, 8.0, 1.5)];
     let head = size(2.0);
-    let at = |v, l, later: &[Resources]| pick(&m, &m, &head, later, &weather(v, l));
-    assert_eq!(at(0.0, 2.0, &[]), Some((0, How::BestFit)));
-    assert_eq!(at(0.05, 0.99, &[]), Some((1, How::FastestFirst)));
+    let at = |v, l, later: &[Resources]| decide(&m, &m, &head, later, &inputs(v, l));
+    assert_eq!(at(0.0, 2.0, &[]), Some(Selection { at: 0, policy: SelectionPolicy::BestFit }));
+    assert_eq!(at(0.05, 0.99, &[]), Some(Selection { at: 1, policy: SelectionPolicy::FastestFirst }));
     // empty queue: the fastest only if it is faster
-    assert_eq!(at(0.05, 1.0, &[]), Some((1, How::Ai2(1.5))));
+    assert_eq!(at(0.05, 1.0, &[]), Some(Selection { at: 1, policy: SelectionPolicy::Ai2 { score: 1.5 } }));
     let even = [machine(0, 2.0, 1.0), machine(1, 8.0, 1.0)];
-    assert_eq!(pick(&even, &even, &head, &[], &weather(0.0, 0.0)).map(|(o, _)| o), Some(0));
+    assert_eq!(decide(&even, &even, &head, &[], &inputs(0.0, 0.0)).map(|selection| selection.at), Some(0));
 }
 
 /// Score by hand.  Later task of 8 cores: with best-fit the head (2) sits
@@ -134,9 +144,9 @@
 #[test]
 fn ai2_keeps_best_fit_when_the_lookahead_loses() {
     let m = [machine(0, 2.0, 1.0), machine(1, 8.0, 1.5)];
-    let (o, how) = pick(&m, &m, &size(2.0), &[size(8.0)], &weather(0.06, 5.0)).unwrap();
-    assert_eq!(o, 0);
-    assert!(matches!(how, How::Ai2(s) if (s - 1.5 * 3.0 / 14.0).abs() < 1e-9));
+    let Selection { at, policy } = decide(&m, &m, &size(2.0), &[size(8.0)], &inputs(0.06, 5.0)).unwrap();
+    assert_eq!(at, 0);
+    assert!(matches!(policy, SelectionPolicy::Ai2 { score } if (score - 1.5 * 3.0 / 14.0).abs() < 1e-9));
 }
 
 /// Later task of 2 cores: best-fit 2*1 + 2*1.5 = 5; fastest-first 2*1.5 +
@@ -144,13 +154,13 @@
 #[test]
 fn ai2_takes_the_fastest_when_nothing_is_lost() {
     let m = [machine(0, 2.0, 1.0), machine(1, 8.0, 1.5)];
-    let (o, how) = pick(&m, &m, &size(2.0), &[size(2.0)], &weather(0.06, 5.0)).unwrap();
-    assert_eq!(o, 1);
-    assert!(matches!(how, How::Ai2(s) if (s - 1.5).abs() < 1e-9));
+    let Selection { at, policy } = decide(&m, &m, &size(2.0), &[size(2.0)], &inputs(0.06, 5.0)).unwrap();
+    assert_eq!(at, 1);
+    assert!(matches!(policy, SelectionPolicy::Ai2 { score } if (score - 1.5).abs() < 1e-9));
 }
 
 #[test]
-fn variance_is_the_population_s() {
+fn variance_is_that_of_the_population() {
     assert_eq!(variance([1.0, 1.0].into_iter()), 0.0);
     assert!((variance([1.0, 2.0].into_iter()) - 0.25).abs() < 1e-12);
     assert_eq!(variance(std::iter::empty()), 0.0);
