--- a/packages/core/src/placement/gang.rs
+++ b/packages/core/src/placement/gang.rs
@@ -3,7 +3,7 @@
 use super::pass::{Pass, PlacementRequest};
 use super::preemption::WaitLimits;
 use super::tai2::{Selection, TaskRun};
-use super::{BlockedTasks, PlacementDecisions, Start};
+use super::{BlockedTasks, PlacementDecisions, Start, TaskStart};
 use crate::cluster::{Assignment, Cluster, Job, TaskPhase};
 
 /// Machines for all tasks of a gang.
@@ -53,7 +53,7 @@
             let image_wait_s = pass.image_wait(request, selection.at).seconds;
             pass.log_start(request, index, selection, image_wait_s);
             pass.start_task(request, selection.at);
-            tasks.push((index, pass.slots[selection.at].machine.name.clone()));
+            tasks.push(TaskStart { index, machine: pass.slots[selection.at].machine.name.clone() });
         }
         let attempt = (!present.is_empty()).then_some(job.attempt);
         decisions.starts.push(Start { job: job.spec.id.clone(), tasks, attempt });
--- a/packages/core/src/placement/image_wait.rs
+++ b/packages/core/src/placement/image_wait.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use super::machine_slot::MachineSlot;
+use super::machine_slot::{ImageFetch, MachineSlot};
 use super::pass::{Pass, PlacementRequest};
 use crate::cluster::{Assignment, TaskPhase};
 use crate::model::*;
@@ -44,18 +44,19 @@
     let may_fetch = |task: &&Assignment| {
         task.occupies_resources() && matches!(task.phase, TaskPhase::Assigned | TaskPhase::Pulling)
     };
-    let mut began = slot.fetches.iter().any(|fetch| fetch.0 == &spec.image).then_some(now);
+    let mut began = slot.fetches.iter().any(|fetch| *fetch.image == spec.image).then_some(now);
     // fetches at the same time share the rate
-    let mut others: Vec<(&Name, f64)> = slot.fetches.iter().filter(|fetch| fetch.0 != &spec.image).copied().collect();
+    let other_fetches = slot.fetches.iter().filter(|fetch| *fetch.image != spec.image);
+    let mut others: Vec<ImageFetch> = other_fetches.copied().collect();
     for task in slot.machine.tasks.values().filter(may_fetch) {
         let image = &task.spec.image;
         if *image == spec.image {
             began = Some(began.map_or(task.assigned_at, |earliest| earliest.min(task.assigned_at)));
-        } else if !slot.machine.has_image(image) && !others.iter().any(|other| other.0 == image) {
-            others.push((image, task.spec.image_gb));
+        } else if !slot.machine.has_image(image) && !others.iter().any(|other| other.image == image) {
+            others.push(ImageFetch { image, size_gb: task.spec.image_gb });
         }
     }
-    let whole_s = (spec.image_gb + others.iter().map(|other| other.1).sum::<f64>()) / fetch_gb_per_s;
+    let whole_s = (spec.image_gb + others.iter().map(|other| other.size_gb).sum::<f64>()) / fetch_gb_per_s;
     let remaining_s = began.map_or(whole_s, |began| (whole_s - now.duration_since(began).as_secs_f64()).max(0.0));
     ImageWait { seconds: remaining_s, is_fetching: began.is_some() }
 }
--- a/packages/core/src/placement/machine_slot.rs
+++ b/packages/core/src/placement/machine_slot.rs
@@ -9,6 +9,13 @@
     pub(super) zone: usize,
 }
 
+/// An image that a machine fetches.
+#[derive(Clone, Copy)]
+pub(super) struct ImageFetch<'a> {
+    pub(super) image: &'a Name,
+    pub(super) size_gb: f64,
+}
+
 /// A machine that tasks may be placed on, with what is free there.
 pub(super) struct MachineSlot<'a> {
     pub(super) machine: &'a Machine,
@@ -31,8 +38,8 @@
     /// The priority that comes last in the queue among the tasks here; `None` without
     /// tasks that could be preempted.
     pub(super) last_priority: Option<QueuePriority>,
-    /// Images that tasks of this pass will fetch, with their size in GB.
-    pub(super) fetches: Vec<(&'a Name, f64)>,
+    /// Images that tasks of this pass will fetch.
+    pub(super) fetches: Vec<ImageFetch<'a>>,
     /// Its tier has changed for the job that is being placed: the pass keeps it apart.
     pub(super) is_reranked: bool,
 }
--- a/packages/core/src/placement/mod.rs
+++ b/packages/core/src/placement/mod.rs
@@ -37,11 +37,16 @@
 /// An array makes room for at most this part of the tasks of a dry run at once.
 const ARRAY_RESERVATION_DIVISOR: u32 = 4;
 
+/// A task, by its index in the job, and the machine where it starts.
+struct TaskStart {
+    index: u32,
+    machine: Name,
+}
+
 /// Starts of one job.
 struct Start {
     job: Name,
-    /// Indices of the tasks, with their machines.
-    tasks: Vec<(u32, Name)>,
+    tasks: Vec<TaskStart>,
     /// The attempt of a gang that has not started yet and is completed by these tasks.
     attempt: Option<u64>,
 }
@@ -112,7 +117,7 @@
         if let (Some(attempt), Some(job)) = (shared_attempt, self.jobs.get_mut(&start.job)) {
             job.attempt = attempt;
         }
-        for (index, machine) in start.tasks {
+        for TaskStart { index, machine } in start.tasks {
             let attempt = shared_attempt.unwrap_or_else(|| self.new_attempt());
             self.assign(&Task { job: start.job.clone(), index }, &machine, attempt, now);
         }
--- a/packages/core/src/placement/pass.rs
+++ b/packages/core/src/placement/pass.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use super::image_wait::ImageWait;
-use super::machine_slot::{MachineSlot, SlotLocation};
+use super::machine_slot::{ImageFetch, MachineSlot, SlotLocation};
 use super::preemption_cost::Unplaceable;
 use super::queue::QueueEntry;
 use super::ranking::RankedSlot;
@@ -28,8 +28,13 @@
     pub(super) image: usize,
 }
 
-/// Type, zone and kind of a machine, borrowed from it.
-type PoolRef<'a> = (&'a Name, &'a Name, bool);
+/// The pool of a machine, borrowed from it.
+#[derive(PartialEq)]
+struct PoolRef<'a> {
+    kind: &'a Name,
+    zone: &'a Name,
+    spot: bool,
+}
 
 /// A placement pass.
 pub(super) struct Pass<'a> {
@@ -87,7 +92,7 @@
             if !machine.is_schedulable(now, &cluster.policy) || machine.size.cpus <= 0.0 {
                 continue;
             }
-            let pool = index_of(&mut pools, (&machine.kind, &machine.zone, machine.spot));
+            let pool = index_of(&mut pools, PoolRef { kind: &machine.kind, zone: &machine.zone, spot: machine.spot });
             slots.push(MachineSlot::new(machine, SlotLocation { pool, zone }, cluster));
         }
         let smallest_task = smallest_task(queue);
@@ -139,7 +144,7 @@
         if image == self.image_waits.len() {
             self.image_waits.push(vec![None; self.slots.len()]);
         }
-        let allowed_pools = self.pools.iter().map(|(kind, zone, spot)| spec.allows(kind, zone, *spot)).collect();
+        let allowed_pools = self.pools.iter().map(|pool| spec.allows(pool.kind, pool.zone, pool.spot)).collect();
         PlacementRequest { job, size: spec.size(), allowed_pools, image }
     }
 
@@ -199,11 +204,11 @@
         }
         self.used.entry(spec.team.clone()).or_default().add(&request.size);
         let machine_slot = &mut self.slots[slot];
-        let is_fetched = machine_slot.fetches.iter().any(|fetch| fetch.0 == &spec.image);
+        let is_fetched = machine_slot.fetches.iter().any(|fetch| *fetch.image == spec.image);
         if machine_slot.machine.has_image(&spec.image) || is_fetched {
             return;
         }
-        machine_slot.fetches.push((&spec.image, spec.image_gb));
+        machine_slot.fetches.push(ImageFetch { image: &spec.image, size_gb: spec.image_gb });
         for waits in &mut self.image_waits {
             waits[slot] = None;
         }
--- a/packages/core/src/placement/single_tasks.rs
+++ b/packages/core/src/placement/single_tasks.rs
@@ -4,9 +4,8 @@
 use super::preemption::WaitLimits;
 use super::queue::QueueEntry;
 use super::tai2::TaskRun;
-use super::{BlockedTasks, PlacementDecisions, Start};
+use super::{BlockedTasks, PlacementDecisions, Start, TaskStart};
 use crate::cluster::Cluster;
-use crate::model::*;
 
 impl Cluster {
     /// Places tasks of an array or service one by one.  Returns those that found no
@@ -22,7 +21,7 @@
         let job = request.job;
         let mut zones = pass.tasks_per_zone(request);
         let objective_s = self.start_objective_s(job);
-        let mut tasks: Vec<(u32, Name)> = Vec::new();
+        let mut tasks: Vec<TaskStart> = Vec::new();
         let mut is_blocked = false;
         for index in entry.tasks() {
             if !pass.is_within_team_limit(request, 1) {
@@ -47,7 +46,7 @@
             pass.log_start(request, index, selection, image_wait_s);
             pass.start_task(request, slot);
             zones[pass.slots[slot].zone] += 1;
-            tasks.push((index, pass.slots[slot].machine.name.clone()));
+            tasks.push(TaskStart { index, machine: pass.slots[slot].machine.name.clone() });
         }
         let unplaced = entry.count - tasks.len() as u32;
         if !tasks.is_empty() {
--- a/packages/core/src/placement/tai2/tests.rs
+++ b/packages/core/src/placement/tai2/tests.rs
@@ -110,7 +110,8 @@
         let later: Vec<Resources> =
             later.iter().flat_map(|(c, g, n)| std::iter::repeat_n(sized(*c, *g), *n)).collect();
         let (head, inputs) = (sized(head.0, head.1), inputs(variance, load));
-        let (quick, plain) = (decide(&fitting, &all, &head, &later, &inputs), decide_plainly(&fitting, &all, &head, &later, &inputs));
+        let quick = decide(&fitting, &all, &head, &later, &inputs);
+        let plain = decide_plainly(&fitting, &all, &head, &later, &inputs);
         prop_assert_eq!(quick.map(|q| q.at), plain.map(|p| p.at));
         if let (Some(SelectionPolicy::Ai2 { score: a }), Some(SelectionPolicy::Ai2 { score: b })) =
             (quick.map(|q| q.policy), plain.map(|p| p.policy))
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -46,7 +46,8 @@
 }
 
 /// A chain under a deadline mostly lost a task with a spot machine. Its tasks take
-/// the room that ordinary machines have left, and its priority is the highest of its jobs that wait for it.
+/// the room that ordinary machines have left, and a job's priority is the highest of its
+/// own and of those that wait for it.
 #[test]
 fn chains_keep_to_ordinary_machines_and_the_highest_priority() {
     let now = Instant::now();
