--- a/tests/architecture.rs
+++ b/tests/architecture.rs
@@ -178,3 +178,44 @@
         }
     }
 }
+
+/// The words in backquotes of a page.
+fn quoted(page: &str) -> impl Iterator<Item = &str> {
+    page.lines().flat_map(|line| line.split('`').skip(1).step_by(2))
+}
+
+/// Whether a word is the name of a function of the code, as the page writes them.
+fn is_function_name(word: &str) -> bool {
+    word.contains('_') && word.chars().all(|c| c.is_ascii_lowercase() || c == '_')
+}
+
+/// The page names files, functions and types that exist.
+#[test]
+fn the_architecture_page_is_true_to_the_code() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let mut files = Vec::new();
+    sources(&root.join("src"), &mut files);
+    sources(&root.join("packages"), &mut files);
+    let code: String = files
+        .iter()
+        .filter(|f| f.extension().is_some_and(|e| e == "rs" || e == "policy"))
+        .map(|f| fs::read_to_string(f).expect("a source file"))
+        .collect();
+    let page = fs::read_to_string(root.join("docs/architecture.md")).expect("the page");
+    let (mut paths, mut names) = (0, 0);
+    for word in quoted(&page) {
+        let file = word.starts_with("src/") || word.starts_with("packages/") || word.starts_with("tests/");
+        if file {
+            paths += 1;
+            assert!(root.join(word).exists(), "there is no {word}");
+            continue;
+        }
+        let name = word.rsplit("::").next().unwrap_or(word);
+        if is_function_name(name) {
+            names += 1;
+            let known = [format!("fn {name}"), format!("mod {name}"), format!("{name}:"), format!("{name} =")];
+            assert!(known.iter().any(|k| code.contains(k.as_str())), "the code has no {word}");
+        }
+    }
+    assert!(paths > 20 && names > 40, "{paths} paths and {names} names are too few");
+}
