--- a/packages/client/examples/nightly.rs
+++ b/packages/client/examples/nightly.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use coralnotch_client::{fresh_id, BlockingClient, Error as ClientError, Final, Settings};
+use coralnotch_client::{fresh_id, BlockingClient, Error as ClientError, FinalAnswer, Settings};
 use coralnotch_wire::model::{JobSpec, Priority, Shape};
 
 fn job(tasks: u32) -> Result<JobSpec, Box<dyn Error>> {
@@ -55,9 +55,9 @@
             }
         };
         match &answer {
-            Final::Done => println!("{} is done", handle.id()),
-            Final::Cancelled => println!("{} is cancelled", handle.id()),
-            Final::Refused { status, reason } => println!("{} is refused: {status} {reason}", handle.id()),
+            FinalAnswer::Done => println!("{} is done", handle.id()),
+            FinalAnswer::Cancelled => println!("{} is cancelled", handle.id()),
+            FinalAnswer::Refused { status, reason } => println!("{} is refused: {status} {reason}", handle.id()),
         }
         // the answer was acted on: later runs of this program do not get it again
         client.take(handle)?;
--- a/packages/client/src/blocking.rs
+++ b/packages/client/src/blocking.rs
@@ -6,7 +6,7 @@
 
 use crate::client::{Client, JobHandle};
 use crate::error::Error;
-use crate::model::Final;
+use crate::model::FinalAnswer;
 use crate::settings::Settings;
 
 /// A client whose calls block.
@@ -36,7 +36,7 @@
 
     /// Waits for a job's final answer, at most for `timeout`;
     /// [`Error::Deadline`] says that it is not known yet.
-    pub fn wait(&self, job: &JobHandle, timeout: Duration) -> Result<Final, Error> {
+    pub fn wait(&self, job: &JobHandle, timeout: Duration) -> Result<FinalAnswer, Error> {
         match Instant::now().checked_add(timeout) {
             Some(deadline) => smol::block_on(job.wait_until(deadline)),
             None => smol::block_on(job.wait()),
@@ -49,7 +49,7 @@
     }
 
     /// Takes a job's final answer, see [`JobHandle::take`].
-    pub fn take(&self, job: JobHandle) -> Result<Final, Error> {
+    pub fn take(&self, job: JobHandle) -> Result<FinalAnswer, Error> {
         smol::block_on(job.take())
     }
 
--- a/packages/client/src/client/handle.rs
+++ b/packages/client/src/client/handle.rs
@@ -7,7 +7,7 @@
 
 use super::Client;
 use crate::error::Error;
-use crate::model::{Final, Progress};
+use crate::model::{FinalAnswer, Progress};
 
 /// A job that a client pursues.  Clones are handles of the same job.
 #[derive(Clone)]
@@ -29,7 +29,7 @@
     }
 
     /// The final answer, once it is recorded.
-    pub fn answer(&self) -> Option<Final> {
+    pub fn answer(&self) -> Option<FinalAnswer> {
         let state = self.client.shared.lock();
         state.jobs.get(&self.id).and_then(|tracked| tracked.job.answer().cloned())
     }
@@ -40,7 +40,7 @@
     /// # Errors
     ///
     /// [`Error::Closed`] if the client is closed, or the answer has been taken.
-    pub async fn wait(&self) -> Result<Final, Error> {
+    pub async fn wait(&self) -> Result<FinalAnswer, Error> {
         loop {
             // listens before it looks, so that no notification is lost
             let job_ended = self.client.shared.job_ended.listen();
@@ -63,7 +63,7 @@
     ///
     /// [`Error::Deadline`] says that the answer is not known yet, never that the
     /// job failed: the client keeps pursuing it.
-    pub async fn wait_until(&self, deadline: Instant) -> Result<Final, Error> {
+    pub async fn wait_until(&self, deadline: Instant) -> Result<FinalAnswer, Error> {
         let timeout = async {
             smol::Timer::at(deadline).await;
             Err(Error::Deadline { id: self.id.to_string() })
@@ -101,7 +101,7 @@
     ///
     /// Those of [`JobHandle::wait`], and [`Error::Journal`] if the record can't
     /// be removed; the job is kept then.
-    pub async fn take(self) -> Result<Final, Error> {
+    pub async fn take(self) -> Result<FinalAnswer, Error> {
         let answer = self.wait().await?;
         if let Some(journal) = self.client.shared.journal.clone() {
             let id = self.id.clone();
--- a/packages/client/src/job.rs
+++ b/packages/client/src/job.rs
@@ -6,7 +6,7 @@
 
 use coralnotch_wire::model::{JobSpec, JobState, Shape};
 
-use crate::model::{Action, Final, JobRecord, Outcome, Progress, Transition};
+use crate::model::{Action, FinalAnswer, JobRecord, Outcome, Progress, Transition};
 use crate::retry::Backoff;
 
 /// When jobs are retried and queried.
@@ -34,7 +34,7 @@
     accepted_at: Option<Instant>,
     cancel_requested: bool,
     /// The final answer, recorded or not.
-    answer: Option<Final>,
+    answer: Option<FinalAnswer>,
     /// Whether the final answer is in the journal.
     is_recorded: bool,
     progress: Progress,
@@ -87,12 +87,12 @@
     }
 
     /// The final answer, once it is recorded; it never changes.
-    pub fn answer(&self) -> Option<&Final> {
+    pub fn answer(&self) -> Option<&FinalAnswer> {
         self.answer.as_ref().filter(|_| self.is_recorded)
     }
 
     /// The final answer that is still to be recorded.
-    pub fn unrecorded_answer(&self) -> Option<&Final> {
+    pub fn unrecorded_answer(&self) -> Option<&FinalAnswer> {
         self.answer.as_ref().filter(|_| !self.is_recorded)
     }
 
@@ -165,7 +165,7 @@
         match outcome {
             Outcome::State(state) => self.apply_state(action, &state, timing, jitter, now),
             Outcome::Refused { status, reason } if action == Action::Submit && self.accepted_at.is_none() => {
-                self.end_with(Final::Refused { status, reason }, now)
+                self.end_with(FinalAnswer::Refused { status, reason }, now)
             }
             Outcome::RetryLater(least_delay) => {
                 self.schedule_retry(least_delay, timing, jitter, now);
@@ -191,8 +191,8 @@
         let is_newly_accepted = self.accepted_at.is_none();
         self.accepted_at.get_or_insert(now);
         match state.stage.as_str() {
-            "done" => return self.end_with(Final::Done, now),
-            "cancelled" => return self.end_with(Final::Cancelled, now),
+            "done" => return self.end_with(FinalAnswer::Done, now),
+            "cancelled" => return self.end_with(FinalAnswer::Cancelled, now),
             _ => {}
         }
         if action == Action::Cancel {
@@ -218,7 +218,7 @@
         }
     }
 
-    fn end_with(&mut self, answer: Final, now: Instant) -> Transition {
+    fn end_with(&mut self, answer: FinalAnswer, now: Instant) -> Transition {
         self.answer = Some(answer);
         (self.due_at, self.failed_attempts) = (now, 0);
         Transition::Ended
--- a/packages/client/src/job/tests.rs
+++ b/packages/client/src/job/tests.rs
@@ -59,7 +59,7 @@
         let mut job = Job::new(spec("j-1", 5), false, false, now);
         // what the journal has
         let mut recorded = JobRecord::new(&spec("j-1", 5));
-        let mut given: Option<Final> = None;
+        let mut given: Option<FinalAnswer> = None;
         for step in steps {
             let (old_progress, was_accepted) = (job.progress(), job.is_accepted());
             let mut restarted = false;
@@ -146,5 +146,5 @@
     assert_eq!((job.action(), job.due_at()), (Action::Cancel, Some(now)));
     assert_eq!(job.apply_outcome(Action::Cancel, s("running"), &timing(), 0.5, now), Transition::Unchanged);
     assert_eq!(job.apply_outcome(Action::Cancel, s("done"), &timing(), 0.5, now), Transition::Ended);
-    assert_eq!(job.unrecorded_answer(), Some(&Final::Done));
+    assert_eq!(job.unrecorded_answer(), Some(&FinalAnswer::Done));
 }
--- a/packages/client/src/journal/tests.rs
+++ b/packages/client/src/journal/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::model::Final;
+use crate::model::FinalAnswer;
 use coralnotch_wire::example::spec;
 use std::{fs, io};
 
@@ -27,15 +27,18 @@
     assert!(matches!(Journal::open(&file.0), Err(JournalError::AlreadyOpen { .. })));
     journal.add(&[spec("j-1", 1), spec("j-2", 2)], Some("a")).expect("room");
     assert_eq!(journal.add(&[spec("j-9", 1)], Some("a")).expect("room"), None, "a batch of that name was there");
-    journal.update(&["j-2".into(), "j-3".into()], |r| r.answer = Some(Final::Done)).expect("room");
+    journal.update(&["j-2".into(), "j-3".into()], |r| r.answer = Some(FinalAnswer::Done)).expect("room");
     drop(journal);
     let journal = Journal::open(&file.0).expect("the journal");
     let all = journal.read_all().expect("two jobs");
     let found: Vec<_> = all.iter().map(|r| (&*r.spec.id, r.answer.clone())).collect();
-    assert_eq!(found, [("j-1", None), ("j-2", Some(Final::Done))]);
+    assert_eq!(found, [("j-1", None), ("j-2", Some(FinalAnswer::Done))]);
     // the same job again changes nothing; another one under the same id is
     // refused, with the whole batch
-    assert_eq!(journal.add(&[spec("j-2", 2)], None).expect("known").expect("no batch")[0].answer, Some(Final::Done));
+    assert_eq!(
+        journal.add(&[spec("j-2", 2)], None).expect("known").expect("no batch")[0].answer,
+        Some(FinalAnswer::Done)
+    );
     assert!(
         matches!(journal.add(&[spec("j-4", 1), spec("j-2", 9)], None), Err(JournalError::IdTaken { id }) if id == "j-2")
     );
@@ -85,9 +88,11 @@
     let journal = Journal::open(&file.0).expect("a new journal");
     journal.add(&["j-1", "j-2", "j-3", "j-4", "j-5"].map(|id| spec(id, 2)), Some("a batch")).expect("room");
     journal.update(&["j-2".into()], |r| r.accepted = true).expect("room");
-    journal.update(&["j-3".into()], |r| (r.cancel_requested, r.answer) = (true, Some(Final::Cancelled))).expect("room");
-    journal.update(&["j-4".into()], |r| r.answer = Some(Final::Done)).expect("room");
-    let refused = Final::Refused { status: 422, reason: "too large".into() };
+    journal
+        .update(&["j-3".into()], |r| (r.cancel_requested, r.answer) = (true, Some(FinalAnswer::Cancelled)))
+        .expect("room");
+    journal.update(&["j-4".into()], |r| r.answer = Some(FinalAnswer::Done)).expect("room");
+    let refused = FinalAnswer::Refused { status: 422, reason: "too large".into() };
     journal.update(&["j-5".into()], |r| r.answer = Some(refused.clone())).expect("room");
     drop(journal);
     let db = Database::open(&file.0).expect("the file");
--- a/packages/client/src/lib.rs
+++ b/packages/client/src/lib.rs
@@ -36,7 +36,7 @@
 pub use ids::{fresh_id, RandomnessError};
 pub use job::{Job, Timing};
 pub use journal::{Journal, JournalError};
-pub use model::{Action, Change, Final, JobRecord, Outcome, Progress, Transition};
+pub use model::{Action, Change, FinalAnswer, JobRecord, Outcome, Progress, Transition};
 pub use outcome::{classify_response, parse_retry_after};
 pub use retry::{Backoff, RetryBudget};
 pub use settings::{Settings, SettingsError};
--- a/packages/client/src/model.rs
+++ b/packages/client/src/model.rs
@@ -9,7 +9,7 @@
 /// The one final answer of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Final {
+pub enum FinalAnswer {
     /// All tasks of the job completed.
     Done,
     /// The job was cancelled, by this client or elsewhere.
@@ -35,7 +35,7 @@
     #[serde(rename = "withdrawn")]
     pub cancel_requested: bool,
     /// The final answer.
-    pub answer: Option<Final>,
+    pub answer: Option<FinalAnswer>,
 }
 
 impl JobRecord {
@@ -109,5 +109,5 @@
     /// Its progress.
     pub progress: Progress,
     /// Its final answer, with the last change.
-    pub answer: Option<Final>,
+    pub answer: Option<FinalAnswer>,
 }
--- a/packages/core/src/cancellation/tests.rs
+++ b/packages/core/src/cancellation/tests.rs
@@ -170,7 +170,7 @@
 
     fn request_batch(&mut self, a: usize, b: usize, now: Instant) {
         let Some(revision) = self.controllers[a].watch_revision else { return };
-        let cursor = self.controllers[a].view.next_request(NAMES[b]);
+        let cursor = self.controllers[a].view.next_cursor(NAMES[b]);
         let Some(batch) = self.controllers[b].log.batch_since(revision, cursor) else { return };
         let requester = &mut self.controllers[a];
         for cancellation in &batch.cancellations {
@@ -249,7 +249,7 @@
     let mut view = CancellationView::default();
     let mut received = 0;
     for part in 0..3 {
-        let batch = log.batch_since(10, view.next_request("b")).expect("no gap");
+        let batch = log.batch_since(10, view.next_cursor("b")).expect("no gap");
         received += batch.cancellations.len();
         view.peer_answered("b", start, &batch);
         assert_eq!(view.complete_as_of(["b"]).is_some(), part == 2);
--- a/packages/core/src/cancellation/view.rs
+++ b/packages/core/src/cancellation/view.rs
@@ -28,7 +28,7 @@
     }
 
     /// Returns the cursor at which the next batch of a peer's log begins.
-    pub fn next_request(&self, peer: &str) -> BatchCursor {
+    pub fn next_cursor(&self, peer: &str) -> BatchCursor {
         self.peers.get(peer).map(|progress| progress.cursor).unwrap_or_default()
     }
 
--- a/packages/core/src/cluster/completion.rs
+++ b/packages/core/src/cluster/completion.rs
@@ -47,7 +47,7 @@
         job.pending = Ranges::default();
         job.completed_unstored = Ranges::default();
         self.queue_changed = true;
-        for (machine, task) in job.placed_tasks() {
+        for (machine, task) in job.assigned_tasks() {
             let assignment = self.machines.get(&machine).and_then(|machine| machine.tasks.get(&task));
             if assignment.is_some_and(was_never_sent) {
                 self.release_assignment(&machine, &task, now);
--- a/packages/core/src/cluster/job.rs
+++ b/packages/core/src/cluster/job.rs
@@ -208,7 +208,7 @@
 
     /// The task after the last one that was ever assigned, as far as is known.  Pending
     /// tasks below it were lost or preempted, and have waited in the queue already.
-    pub fn first_never_placed(&self) -> u32 {
+    pub fn first_never_assigned(&self) -> u32 {
         let assigned = self.assignments.last_key_value().map(|(index, _)| *index);
         let last = [assigned, self.completed.last(), self.completed_unstored.last()].into_iter().flatten().max();
         last.map_or(0, |index| index + 1)
@@ -222,7 +222,7 @@
     }
 
     /// Its assigned tasks, with their machines.
-    pub fn placed_tasks(&self) -> Vec<(Name, Task)> {
+    pub fn assigned_tasks(&self) -> Vec<(Name, Task)> {
         let task = |index: u32| Task { job: self.spec.id.clone(), index };
         let assignments = self.assignments.iter();
         assignments.flat_map(|(index, machines)| machines.iter().map(move |m| (m.clone(), task(*index)))).collect()
--- a/packages/core/src/cluster/rental.rs
+++ b/packages/core/src/cluster/rental.rs
@@ -105,7 +105,7 @@
     /// The preconditions on these keys did not hold.
     Conflict(Vec<String>),
     /// No answer: the transaction may have been committed, or may be later.
-    Doubt,
+    Indeterminate,
     /// The transaction was not committed.
     Refused,
 }
@@ -140,7 +140,7 @@
             RecordAttempt::Done => Some(true),
             // no other record has this key: an earlier attempt was committed
             RecordAttempt::Conflict(keys) if self.may_be_stored && *keys == [self.key.as_str()] => Some(true),
-            RecordAttempt::Doubt => {
+            RecordAttempt::Indeterminate => {
                 self.may_be_stored = true;
                 None
             }
--- a/packages/core/src/cluster/rental/tests.rs
+++ b/packages/core/src/cluster/rental/tests.rs
@@ -89,11 +89,11 @@
                         },
                         WriteOutcome::AnswerLost => {
                             let _ = store.apply(&txn);
-                            RecordAttempt::Doubt
+                            RecordAttempt::Indeterminate
                         }
                         WriteOutcome::Delayed => {
                             late.push(txn);
-                            RecordAttempt::Doubt
+                            RecordAttempt::Indeterminate
                         }
                         WriteOutcome::Refused => RecordAttempt::Refused,
                     };
--- a/packages/core/src/commit/apply.rs
+++ b/packages/core/src/commit/apply.rs
@@ -27,7 +27,7 @@
         }
         for (id, outcome) in &batch.outcomes {
             if let Some(job) = self.jobs.get(id) {
-                self.release_completed(job.placed_tasks(), now);
+                self.release_completed(job.assigned_tasks(), now);
             }
             self.set_outcome(id, *outcome, now);
         }
--- a/packages/core/src/fleet/mod.rs
+++ b/packages/core/src/fleet/mod.rs
@@ -19,9 +19,9 @@
 #[derive(Debug, Default)]
 pub struct FleetPlan {
     /// Machines to delete.
-    pub delete: Vec<Name>,
+    pub deletions: Vec<Name>,
     /// Rentals to ask for.
-    pub rent: Vec<Rental>,
+    pub rentals: Vec<Rental>,
 }
 
 impl Cluster {
--- a/packages/core/src/fleet/scale_in.rs
+++ b/packages/core/src/fleet/scale_in.rs
@@ -297,8 +297,8 @@
         let reason = reason.as_str();
         tracing::info!(machine = %machine.name, reason, tasks = machine.tasks.len(), "returning machine");
     }
-    if plan.delete.len() < MAX_DELETIONS {
+    if plan.deletions.len() < MAX_DELETIONS {
         machine.deletion_sent_at.get_or_insert(now);
-        plan.delete.push(machine.name.clone());
+        plan.deletions.push(machine.name.clone());
     }
 }
--- a/packages/core/src/fleet/scale_out.rs
+++ b/packages/core/src/fleet/scale_out.rs
@@ -96,7 +96,7 @@
         if self.fleet.last_full_list.is_none() {
             return;
         }
-        plan.rent.extend(self.fleet.open_rentals.iter().cloned());
+        plan.rentals.extend(self.fleet.open_rentals.iter().cloned());
         let mut scale_out = ScaleOut {
             arriving: self.arriving_machines(),
             machines_per_zone: self.machines_per_zone(),
@@ -295,7 +295,7 @@
                 count -= rental.count;
                 requests_left -= 1;
                 self.fleet.open_rentals.push(rental.clone());
-                plan.rent.push(rental);
+                plan.rentals.push(rental);
             }
         }
     }
--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -36,7 +36,7 @@
     for m in cluster.machines.values_mut().filter(|m| *m.zone == *"z1") {
         m.last_heartbeat = Some(later);
     }
-    assert!(cluster.plan_fleet(&[], later).delete.is_empty());
+    assert!(cluster.plan_fleet(&[], later).deletions.is_empty());
     assert!(cluster.fleet.partitioned_zones.contains("z0"));
     // Seen on the bench: the partition healed, two thirds had sent heartbeats, and
     // the rest was deleted a second before its heartbeats came.
@@ -44,9 +44,9 @@
     for m in cluster.machines.values_mut().skip(5) {
         m.last_heartbeat = Some(healed);
     }
-    assert!(cluster.plan_fleet(&[], healed).delete.is_empty());
+    assert!(cluster.plan_fleet(&[], healed).deletions.is_empty());
     // those that stay away after that are another matter
-    assert_eq!(cluster.plan_fleet(&[], later + cluster.policy.missed).delete.len(), 5);
+    assert_eq!(cluster.plan_fleet(&[], later + cluster.policy.missed).deletions.len(), 5);
 }
 
 /// Seen on an operators' day: a zone without a controller was partitioned, and its
@@ -79,7 +79,7 @@
             for m in cluster.machines.values_mut().filter(|m| *m.zone == *"z1") {
                 m.last_heartbeat = Some(t);
             }
-            cluster.plan_fleet(&[], t).delete
+            cluster.plan_fleet(&[], t).deletions
         };
         let end = start + policy.lease_over;
         assert!(plan_at(end - Duration::from_secs(1)).is_empty(), "they may still run");
@@ -105,7 +105,7 @@
     record_starts(&mut cluster, 5, "z0", "j-000001", now);
     cluster.apply_machine_list(&[], now);
     let want = UnmetDemand { spec: spec("j-000001", 1000), count: 1000, zones: BTreeMap::new() };
-    let rented = |p: FleetPlan| p.rent.iter().map(|r| r.count).sum::<u32>();
+    let rented = |p: FleetPlan| p.rentals.iter().map(|r| r.count).sum::<u32>();
     assert_eq!(rented(cluster.plan_fleet(std::slice::from_ref(&want), now)), 7);
     // what was asked for counts until it is here
     assert_eq!(
@@ -138,7 +138,7 @@
             cluster.add_job(Arc::new(s), 1 + u64::from(n), None, now - Duration::from_secs(1));
         }
         cluster.apply_machine_list(&[], now);
-        let rent = cluster.plan_fleet(&[], now).rent;
+        let rent = cluster.plan_fleet(&[], now).rentals;
         assert!(rent.iter().all(|r| !r.spot));
         rent.iter().map(|r| r.count).sum::<u32>()
     };
@@ -155,7 +155,7 @@
     let each = 10.0 / cluster.policy.spot_horizon_s;
     let mut rented = |count| {
         cluster.fleet.open_rentals.clear();
-        cluster.plan_fleet(&[want(count)], start).rent.iter().map(|r| (r.spot, r.count)).collect::<Vec<_>>()
+        cluster.plan_fleet(&[want(count)], start).rentals.iter().map(|r| (r.spot, r.count)).collect::<Vec<_>>()
     };
     let enough = (100.0 / each) as u32;
     assert_eq!(rented(enough), [], "a hundred slots are through with these in time");
@@ -198,9 +198,9 @@
     record_starts(&mut cluster, 2, "z0", "j-000001", start);
     let resumed = start + cluster.policy.silent * 2;
     cluster.resumed_at = resumed;
-    assert!(cluster.plan_fleet(&[], resumed).delete.is_empty());
+    assert!(cluster.plan_fleet(&[], resumed).deletions.is_empty());
     let later = resumed + cluster.policy.silent + Duration::from_secs(1);
-    assert_eq!(cluster.plan_fleet(&[], later).delete.len(), 2);
+    assert_eq!(cluster.plan_fleet(&[], later).deletions.len(), 2);
 }
 
 /// A task of a cancelled job on a machine that no stop command reaches: the cloud has
@@ -213,7 +213,7 @@
     cluster.add_job(spec("j-000001", 1000), 1, Some(JobOutcome::Cancelled), start);
     record_starts(&mut cluster, 30, "z0", "j-000001", start);
     let later = start + cluster.policy.fresh + Duration::from_secs(1);
-    assert_eq!(cluster.plan_fleet(&[], later).delete.len(), 30);
+    assert_eq!(cluster.plan_fleet(&[], later).deletions.len(), 30);
 }
 
 /// Rentals outlive their leader: the next one requests them again with the same
@@ -230,7 +230,7 @@
         zones: BTreeMap::new(),
     };
     old.add_job(spec("j-000001", 300), 1, None, start);
-    let asked = old.plan_fleet(&[want(&old)], start).rent;
+    let asked = old.plan_fleet(&[want(&old)], start).rentals;
     assert!(!asked.is_empty());
     let key = old.fleet.new_record_key(1);
     assert_eq!(old.fleet.unrecorded(&asked), asked);
@@ -244,13 +244,13 @@
     new.fleet.inherit(key.clone(), asked.clone());
     new.fleet.inherit("again".into(), asked.clone());
     let plan = new.plan_fleet(&[want(&new)], start);
-    assert_eq!(plan.rent, asked, "asked for again, and nothing beside it");
+    assert_eq!(plan.rentals, asked, "asked for again, and nothing beside it");
     // answered: the names count until a list has them, then the record goes
     for (n, r) in asked.iter().enumerate() {
         let names: Vec<Name> = (0..r.count).map(|i| format!("i-{n}-{i}").into()).collect();
         new.apply_rental(r, &names, start);
     }
-    assert!(new.plan_fleet(&[want(&new)], start).rent.is_empty());
+    assert!(new.plan_fleet(&[want(&new)], start).rentals.is_empty());
     let kept = new.policy.rental_kept;
     assert!(new.fleet.expired_records(kept, 9, start + kept).is_empty());
     assert_eq!(new.fleet.expired_records(kept, 9, start + kept * 2).len(), 2);
--- a/packages/core/src/heartbeat_forwarding.rs
+++ b/packages/core/src/heartbeat_forwarding.rs
@@ -56,7 +56,7 @@
     /// With its whole content.
     Full,
     /// As a reference to an earlier heartbeat with the same content.
-    UnchangedHeartbeat(UnchangedHeartbeat),
+    Unchanged(UnchangedHeartbeat),
 }
 
 /// The last heartbeat of a machine that a leader accepted through this controller.
@@ -79,7 +79,7 @@
     pub fn message(&self, heartbeat: &Heartbeat, term: u64) -> ForwardedHeartbeat {
         let accepted = self.accepted.get(&heartbeat.machine).filter(|accepted| accepted.term == term);
         match accepted.filter(|accepted| has_same_content(&accepted.heartbeat, heartbeat)) {
-            Some(accepted) => ForwardedHeartbeat::UnchangedHeartbeat(UnchangedHeartbeat {
+            Some(accepted) => ForwardedHeartbeat::Unchanged(UnchangedHeartbeat {
                 machine: heartbeat.machine.clone(),
                 incarnation: heartbeat.incarnation,
                 sequence: heartbeat.sequence,
--- a/packages/core/src/heartbeat_forwarding/tests.rs
+++ b/packages/core/src/heartbeat_forwarding/tests.rs
@@ -135,10 +135,7 @@
     let heartbeat = |sequence| report("i-000001", "z1", 1, sequence, 7);
     assert_eq!(forwarding.message(&heartbeat(1), 3), ForwardedHeartbeat::Full);
     forwarding.mark_accepted(heartbeat(1), 3, now);
-    assert_eq!(
-        forwarding.message(&heartbeat(4), 3),
-        ForwardedHeartbeat::UnchangedHeartbeat(unchanged(&heartbeat(1), 4))
-    );
+    assert_eq!(forwarding.message(&heartbeat(4), 3), ForwardedHeartbeat::Unchanged(unchanged(&heartbeat(1), 4)));
     assert_eq!(forwarding.message(&heartbeat(4), 4), ForwardedHeartbeat::Full, "another leader");
     assert_eq!(forwarding.message(&heartbeat(1), 3), ForwardedHeartbeat::Full, "the same once more");
     let with_new_token = Heartbeat { fencing_token: 8, ..heartbeat(4) };
@@ -147,7 +144,7 @@
     forwarding.mark_accepted(heartbeat(2), 3, now);
     assert_eq!(
         forwarding.message(&heartbeat(5), 3),
-        ForwardedHeartbeat::UnchangedHeartbeat(unchanged(&heartbeat(4), 5)),
+        ForwardedHeartbeat::Unchanged(unchanged(&heartbeat(4), 5)),
         "an older reply arrived later"
     );
     forwarding.evict_idle(Duration::from_secs(60), now + Duration::from_secs(61));
--- a/packages/core/src/job_index/initial_scan.rs
+++ b/packages/core/src/job_index/initial_scan.rs
@@ -14,9 +14,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct PageRequest {
     /// Prefix of the keys.
-    pub under: &'static str,
+    pub prefix: &'static str,
     /// The page begins after this key; empty for the first page.
-    pub since: String,
+    pub after_key: String,
 }
 
 /// A listing of the keys with one prefix in their order, read page by page.
@@ -38,7 +38,7 @@
     /// Returns the next page to read, once all rows at hand are consumed.
     fn next_page(&self) -> Option<PageRequest> {
         let is_page_needed = self.rows.is_empty() && !self.is_read_to_end;
-        is_page_needed.then(|| PageRequest { under: self.prefix, since: self.last_key.clone() })
+        is_page_needed.then(|| PageRequest { prefix: self.prefix, after_key: self.last_key.clone() })
     }
 
     fn add_page(&mut self, rows: Vec<KeyValue>, truncated: bool) {
--- a/packages/core/src/placement/gang.rs
+++ b/packages/core/src/placement/gang.rs
@@ -62,7 +62,7 @@
 
     /// Tasks of a job that are or may be on a machine.
     fn present_tasks(&self, job: &Job) -> Vec<&Assignment> {
-        let placed = job.placed_tasks();
+        let placed = job.assigned_tasks();
         placed.iter().filter_map(|(machine, task)| self.machines.get(machine)?.tasks.get(task)).collect()
     }
 }
--- a/packages/core/src/placement/limits.rs
+++ b/packages/core/src/placement/limits.rs
@@ -13,7 +13,7 @@
         if !request.job.spec.one_zone && !request.job.spec.spread {
             return tasks_per_zone;
         }
-        for (name, task) in request.job.placed_tasks() {
+        for (name, task) in request.job.assigned_tasks() {
             let Some(machine) = self.cluster.machines.get(&name) else { continue };
             // exited tasks are off their machine
             if machine.tasks.get(&task).is_some_and(|task| task.occupies_resources()) {
--- a/packages/core/src/placement/preemption.rs
+++ b/packages/core/src/placement/preemption.rs
@@ -94,7 +94,7 @@
             return;
         }
         let Some(job) = self.jobs.get(&task.job) else { return };
-        for (machine, task) in job.placed_tasks() {
+        for (machine, task) in job.assigned_tasks() {
             self.request_stop(&machine, &task, grace_s, now);
         }
     }
--- a/packages/core/src/placement/queue.rs
+++ b/packages/core/src/placement/queue.rs
@@ -24,7 +24,7 @@
     /// once: they do not wait again behind all that came since.  Where zones matter the
     /// job stays whole, as they are counted by job.
     fn entries_of(job: &'a Job) -> impl Iterator<Item = QueueEntry<'a>> {
-        let (waiting, never_placed) = (job.waiting_tasks(), job.first_never_placed());
+        let (waiting, never_placed) = (job.waiting_tasks(), job.first_never_assigned());
         let stays_whole =
             job.spec.shape != Shape::Array || job.spec.one_zone || job.spec.spread || job.quarantine.is_some();
         let requeued = if stays_whole { 0 } else { job.pending.below(never_placed) };
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -33,7 +33,7 @@
     cluster.release_all_assignments(&"i-1".into(), now);
     let first = *cluster.jobs["j-000001"].pending.iter().collect::<Vec<_>>().first().expect("a lost task");
     assert_eq!(first, 0);
-    let lost = cluster.jobs["j-000001"].pending.below(cluster.jobs["j-000001"].first_never_placed());
+    let lost = cluster.jobs["j-000001"].pending.below(cluster.jobs["j-000001"].first_never_assigned());
     cluster.run_placement_pass(now);
     assert_eq!(cluster.jobs["j-000001"].assignments.len(), 40, "what was lost runs again");
     assert_eq!(lost, 9);
--- a/packages/core/src/sim/controllers.rs
+++ b/packages/core/src/sim/controllers.rs
@@ -218,9 +218,9 @@
             controller.cluster.apply_machine_list(&list, now);
             controller.inject_list_defect(self.defect, &list, now);
             let plan = controller.cluster.plan_fleet(&controller.unmet_demand, now);
-            if !plan.delete.is_empty() {
+            if !plan.deletions.is_empty() {
                 let incarnation = controller.incarnation;
-                self.send(Message::DeleteMachines { names: plan.delete, from: i, incarnation });
+                self.send(Message::DeleteMachines { names: plan.deletions, from: i, incarnation });
             }
         }
         controller.inject_pass_defect(self.defect, now);
--- a/packages/core/src/sim/forwarding.rs
+++ b/packages/core/src/sim/forwarding.rs
@@ -51,16 +51,14 @@
         let is_full = message == ForwardedHeartbeat::Full;
         let answer = match &message {
             ForwardedHeartbeat::Full => leader.accept_heartbeat(&heartbeat, now),
-            ForwardedHeartbeat::UnchangedHeartbeat(unchanged)
-                if self.defect == InjectedDefect::AcceptAnyUnchangedHeartbeat =>
-            {
+            ForwardedHeartbeat::Unchanged(unchanged) if self.defect == InjectedDefect::AcceptAnyUnchangedHeartbeat => {
                 // it counts as new, however late it comes
                 let cluster = &mut leader.cluster;
                 let last = cluster.machines.get(&unchanged.machine).map_or(0, |machine| machine.sequence);
                 let new = Heartbeat { sequence: last + 1, ..heartbeat.clone() };
                 cluster.apply_heartbeat(&new, true, now).map(|_| cluster.reply_to_heartbeat(&new, now))
             }
-            ForwardedHeartbeat::UnchangedHeartbeat(unchanged) => leader.cluster.apply_unchanged(unchanged, now),
+            ForwardedHeartbeat::Unchanged(unchanged) => leader.cluster.apply_unchanged(unchanged, now),
         };
         match answer {
             Some(answer) => {
--- a/packages/core/src/sim/request_history/controller.rs
+++ b/packages/core/src/sim/request_history/controller.rs
@@ -94,8 +94,8 @@
             scan.apply_pages(&mut self.jobs, |_| {});
         }
         if let Some(next) = scan.next_page() {
-            let page = state_store.read_range(next.under, &next.since, limit);
-            self.pending_page = Some(PendingPage { prefix: next.under, page });
+            let page = state_store.read_range(next.prefix, &next.after_key, limit);
+            self.pending_page = Some(PendingPage { prefix: next.prefix, page });
             return;
         }
         self.scan = None;
--- a/packages/core/src/sim/snapshots.rs
+++ b/packages/core/src/sim/snapshots.rs
@@ -177,7 +177,7 @@
     /// A process asks a peer for the cancellations that it has not shown yet.
     fn fetch_cancellations(&mut self, i: usize, peer: usize) {
         let Some(since) = self.snapshots[i].watched_revision else { return };
-        let cursor = self.snapshots[i].view.next_request(PEER_NAMES[peer]);
+        let cursor = self.snapshots[i].view.next_cursor(PEER_NAMES[peer]);
         if self.snapshots[peer].watched_revision.is_none() {
             return;
         }
--- a/packages/core/src/workers/failures.rs
+++ b/packages/core/src/workers/failures.rs
@@ -100,7 +100,7 @@
     /// How many machines a job has not failed on.  Those where it does not run yet count
     /// by a quarter, as they have still to show whether it fails there.
     fn count_machines_without_failure(&self, job: &Job) -> usize {
-        let assigned = job.placed_tasks();
+        let assigned = job.assigned_tasks();
         let mut is_running: BTreeMap<&Name, bool> = BTreeMap::new();
         for (name, task) in assigned.iter().filter(|(name, _)| !job.failed_on.contains(name)) {
             let assignment = self.machines.get(name).and_then(|machine| machine.tasks.get(task));
@@ -130,7 +130,7 @@
         job.quarantine = Some(Quarantine { since: now, probes: 0 });
         job.pending_reason = QUARANTINED;
         let failed_on = job.failed_on.clone();
-        let mut starting = job.placed_tasks();
+        let mut starting = job.assigned_tasks();
         starting.retain(|(name, task)| self.is_starting(name, task));
         for name in failed_on {
             self.clear_machine_failure(&name, id);
--- a/packages/core/src/workers/replies.rs
+++ b/packages/core/src/workers/replies.rs
@@ -29,7 +29,7 @@
 impl Cluster {
     /// Whether a start or a completion on this machine is being stored: a reply that
     /// waits for it saves the next task a heartbeat interval.
-    pub fn has_pending_start(&self, heartbeat: &Heartbeat) -> bool {
+    pub fn has_pending_write(&self, heartbeat: &Heartbeat) -> bool {
         let Some(machine) = self.machines.get(&heartbeat.machine) else { return false };
         let is_pending = |assignment: &Assignment| {
             !assignment.stored && assignment.stop_grace_s.is_none() || assignment.phase == TaskPhase::Completed
--- a/packages/emulator/src/load/users.rs
+++ b/packages/emulator/src/load/users.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use coralnotch_client::{Client, Final};
+use coralnotch_client::{Client, FinalAnswer};
 use coralnotch_wire::http::{self, Client as HttpClient};
 use coralnotch_wire::model::{JobSpec, JobState};
 
@@ -57,9 +57,9 @@
     drop(changes);
     observations.record_acceptance(due);
     match handle.take().await {
-        Ok(Final::Done) => observations.record_answer(id, "done", due),
-        Ok(Final::Cancelled) => observations.record_answer(id, "cancelled", due),
-        Ok(Final::Refused { .. }) => observations.record_answer(id, "refused", due),
+        Ok(FinalAnswer::Done) => observations.record_answer(id, "done", due),
+        Ok(FinalAnswer::Cancelled) => observations.record_answer(id, "cancelled", due),
+        Ok(FinalAnswer::Refused { .. }) => observations.record_answer(id, "refused", due),
         Err(_) => {}
     }
 }
--- a/src/commands/submit.rs
+++ b/src/commands/submit.rs
@@ -23,7 +23,7 @@
 use self::error::SubmitError;
 use crate::model::JobSpec;
 
-pub use self::answers::Line;
+pub use self::answers::AnswerLine;
 
 /// How to submit.  The doc comments of the fields are the command's help.
 #[derive(Debug, Clone, clap::Args)]
--- a/src/commands/submit/acceptance.rs
+++ b/src/commands/submit/acceptance.rs
@@ -4,10 +4,10 @@
 use std::future::pending;
 use std::time::Instant;
 
-use coralnotch_client::{Change, Final, JobHandle};
+use coralnotch_client::{Change, FinalAnswer, JobHandle};
 use futures_lite::future::or;
 
-use super::answers::{answer_text, Line};
+use super::answers::{answer_text, AnswerLine};
 use super::error::SubmitError;
 use crate::commands::output::print_line;
 use crate::model::Name;
@@ -34,7 +34,7 @@
         if !waiting.remove(&change.id) {
             continue;
         }
-        none_refused &= !matches!(change.answer, Some(Final::Refused { .. }));
+        none_refused &= !matches!(change.answer, Some(FinalAnswer::Refused { .. }));
         print_line(&change_text(&change, as_json));
     }
     Ok(none_refused)
@@ -56,6 +56,6 @@
     }
     match &change.answer {
         None => format!("{id} is accepted"),
-        Some(answer) => answer_text(&Line { id: id.clone(), answer: answer.clone() }),
+        Some(answer) => answer_text(&AnswerLine { id: id.clone(), answer: answer.clone() }),
     }
 }
--- a/src/commands/submit/answers.rs
+++ b/src/commands/submit/answers.rs
@@ -5,7 +5,7 @@
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::Path;
 
-use coralnotch_client::Final;
+use coralnotch_client::FinalAnswer;
 use serde::{Deserialize, Serialize};
 
 use super::error::SubmitError;
@@ -13,20 +13,20 @@
 
 /// A final answer, as a JSON line of output.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct AnswerLine {
     /// The job.
     pub id: Name,
     /// Its final answer.
-    pub answer: Final,
+    pub answer: FinalAnswer,
 }
 
 /// A final answer in words.
-pub(super) fn answer_text(line: &Line) -> String {
+pub(super) fn answer_text(line: &AnswerLine) -> String {
     let id = &line.id;
     match &line.answer {
-        Final::Done => format!("{id} is done"),
-        Final::Cancelled => format!("{id} is cancelled"),
-        Final::Refused { status, reason } => format!("{id} is refused: {status} {reason}"),
+        FinalAnswer::Done => format!("{id} is done"),
+        FinalAnswer::Cancelled => format!("{id} is cancelled"),
+        FinalAnswer::Refused { status, reason } => format!("{id} is refused: {status} {reason}"),
     }
 }
 
@@ -53,7 +53,7 @@
     }
 
     /// Appends an answer, durably, unless the job has one.
-    pub(super) fn add(&mut self, line: &Line) -> io::Result<()> {
+    pub(super) fn add(&mut self, line: &AnswerLine) -> io::Result<()> {
         if self.answered.contains(&line.id) {
             return Ok(());
         }
@@ -71,7 +71,7 @@
     let lines = text.split(|byte| *byte == b'\n').filter(|line| !line.is_empty());
     let mut answered = HashSet::new();
     for (index, line) in lines.enumerate() {
-        let line: Line = serde_json::from_slice(line).map_err(|source| SubmitError::InvalidAnswer {
+        let line: AnswerLine = serde_json::from_slice(line).map_err(|source| SubmitError::InvalidAnswer {
             path: path.to_owned(),
             line: index + 1,
             source,
--- a/src/commands/submit/completion.rs
+++ b/src/commands/submit/completion.rs
@@ -3,11 +3,11 @@
 use std::io::{self, IsTerminal};
 use std::time::Instant;
 
-use coralnotch_client::{Error, Final, JobHandle};
+use coralnotch_client::{Error, FinalAnswer, JobHandle};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 
-use super::answers::{answer_text, AnswersFile, Line};
+use super::answers::{answer_text, AnswerLine, AnswersFile};
 use super::error::SubmitError;
 use super::SubmitOptions;
 use crate::commands::output::print_line;
@@ -32,8 +32,8 @@
             }
             other => other?,
         };
-        all_done &= answer == Final::Done;
-        let line = Line { id: handle.id().clone(), answer };
+        all_done &= answer == FinalAnswer::Done;
+        let line = AnswerLine { id: handle.id().clone(), answer };
         match answers.as_mut() {
             Some(file) => file.add(&line).map_err(SubmitError::WriteAnswer)?,
             None if options.json => print_line(&serde_json::to_string(&line).unwrap_or_default()),
@@ -50,7 +50,7 @@
     Ok(all_done)
 }
 
-async fn wait_until(handle: JobHandle, deadline: Option<Instant>) -> (JobHandle, Result<Final, Error>) {
+async fn wait_until(handle: JobHandle, deadline: Option<Instant>) -> (JobHandle, Result<FinalAnswer, Error>) {
     let result = match deadline {
         Some(deadline) => handle.wait_until(deadline).await,
         None => handle.wait().await,
--- a/src/commands/submit/tests.rs
+++ b/src/commands/submit/tests.rs
@@ -1,7 +1,7 @@
 use super::answers::answer_text;
 use super::input::parse_jobs;
 use super::*;
-use coralnotch_client::Final;
+use coralnotch_client::FinalAnswer;
 
 const JOB: &str = r#"{"lane":"demo","crew":"demo","shape":"batch","rank":"normal","pieces":1,"cpus":1.0,"accelerators":0.0,"memGb":1.0,"bundle":"i","sizeGb":0.1,"oneZone":false,"spread":false,"driftwood":true,"expectS":1.0,"markEveryS":0.0,"markTakesS":0.0}"#;
 
@@ -48,7 +48,7 @@
 #[test]
 fn answers_have_one_whole_line_a_job() {
     let path = std::env::temp_dir().join(format!("coralnotch-answers-{}", std::process::id()));
-    let line = |id: &str| Line { id: id.into(), answer: Final::Done };
+    let line = |id: &str| AnswerLine { id: id.into(), answer: FinalAnswer::Done };
     std::fs::write(&path, "{\"id\":\"j-1\",\"answer\":\"done\"}\n{\"id\":\"j-2\",\"ans").expect("a file");
     let mut answers = AnswersFile::open(&path).expect("answers");
     for id in ["j-1", "j-2", "j-2"] {
@@ -64,23 +64,23 @@
 /// The lines of `submit --out` are read by users' programs: their form is pinned.
 #[test]
 fn golden_lines_of_answers() {
-    let refused = Final::Refused { status: 422, reason: "too large".into() };
+    let refused = FinalAnswer::Refused { status: 422, reason: "too large".into() };
     for (answer, want) in [
-        (Final::Done, r#"{"id":"j-1","answer":"done"}"#),
-        (Final::Cancelled, r#"{"id":"j-1","answer":"cancelled"}"#),
+        (FinalAnswer::Done, r#"{"id":"j-1","answer":"done"}"#),
+        (FinalAnswer::Cancelled, r#"{"id":"j-1","answer":"cancelled"}"#),
         (refused, r#"{"id":"j-1","answer":{"refused":{"status":422,"why":"too large"}}}"#),
     ] {
-        let line = Line { id: "j-1".into(), answer };
+        let line = AnswerLine { id: "j-1".into(), answer };
         assert_eq!(serde_json::to_string(&line).expect("JSON"), want);
-        assert_eq!(serde_json::from_str::<Line>(want).expect("a line"), line);
+        assert_eq!(serde_json::from_str::<AnswerLine>(want).expect("a line"), line);
     }
 }
 
 /// What is printed for people is pinned as well.
 #[test]
 fn golden_answers_in_words() {
-    let words = |answer| answer_text(&Line { id: "j-1".into(), answer });
-    assert_eq!(words(Final::Done), "j-1 is done");
-    assert_eq!(words(Final::Cancelled), "j-1 is cancelled");
-    assert_eq!(words(Final::Refused { status: 400, reason: "pieces".into() }), "j-1 is refused: 400 pieces");
+    let words = |answer| answer_text(&AnswerLine { id: "j-1".into(), answer });
+    assert_eq!(words(FinalAnswer::Done), "j-1 is done");
+    assert_eq!(words(FinalAnswer::Cancelled), "j-1 is cancelled");
+    assert_eq!(words(FinalAnswer::Refused { status: 400, reason: "pieces".into() }), "j-1 is refused: 400 pieces");
 }
--- a/src/heartbeats.rs
+++ b/src/heartbeats.rs
@@ -14,7 +14,7 @@
 use crate::leadership::isolation::PartitionSuspicion;
 use crate::model::Name;
 use crate::operators::telemetry::count;
-use crate::runtime::wake_up::timed;
+use crate::runtime::wake_up::with_timeout;
 use crate::workers::{lease_renewal_reply, Heartbeat, HeartbeatOrigin, HeartbeatReply};
 
 /// Body of the reply that sends a worker to another controller.
@@ -105,12 +105,12 @@
     /// `policy.commit_wait`: capacity that a heartbeat frees is filled by the reply to that very
     /// heartbeat, and commands are sent only once they are stored.
     pub(crate) async fn wait_for_commit(&self, heartbeats: &[&Heartbeat]) {
-        let _ = timed(self.policy.commit_wait, async {
+        let _ = with_timeout(self.policy.commit_wait, async {
             loop {
                 // registered before the check, so that no commit in between is missed
                 let committed = self.commit_done.listen();
                 let is_pending =
-                    self.lock().cluster.as_ref().is_some_and(|c| heartbeats.iter().any(|h| c.has_pending_start(h)));
+                    self.lock().cluster.as_ref().is_some_and(|c| heartbeats.iter().any(|h| c.has_pending_write(h)));
                 if !is_pending {
                     return;
                 }
@@ -177,7 +177,7 @@
             self.run_pass(state, now);
         }
         let Some(cluster) = state.cluster.as_mut() else { return Ok(ReplyTiming::Immediate) };
-        let has_pending_start = cluster.has_pending_start(heartbeat);
+        let has_pending_start = cluster.has_pending_write(heartbeat);
         if let Some(machine) = cluster.machines.get_mut(&heartbeat.machine) {
             machine.reply_pending = has_pending_start;
         }
--- a/src/leader/commit.rs
+++ b/src/leader/commit.rs
@@ -19,7 +19,7 @@
     /// Stores what has changed, one transaction at a time, until another controller has taken
     /// the leader key.
     pub(super) async fn run_commits(&self, lease: LeaderLease) -> StepDownReason {
-        let mut limits = self.store.most;
+        let mut limits = self.store.txn_limits;
         loop {
             let batch = self.lock().cluster.as_mut().and_then(|c| c.next_commit(lease.revision, &limits));
             let Some(batch) = batch else {
--- a/src/leader/direct_commands.rs
+++ b/src/leader/direct_commands.rs
@@ -72,9 +72,9 @@
 
     fn apply_direct_result(&self, result: &DirectResult) {
         if let Some(cluster) = self.lock().cluster.as_mut() {
-            count(&self.telemetry.counters.direct);
+            count(&self.telemetry.counters.direct_calls);
             if result.heartbeat.is_none() {
-                count(&self.telemetry.counters.direct_lost);
+                count(&self.telemetry.counters.direct_calls_lost);
             }
             cluster.apply_direct_result(&result.command, result.heartbeat.as_ref(), Instant::now());
             if cluster.queue_changed {
--- a/src/leader/fleet.rs
+++ b/src/leader/fleet.rs
@@ -60,11 +60,11 @@
     /// Scales in and out at the same time; a rental is requested only once it is recorded.
     async fn apply_fleet_plan(&self, plan: FleetPlan, lease: LeaderLease) {
         let rentals = async {
-            if self.record_rentals(&plan.rent, lease).await {
-                join_all(plan.rent.iter().map(|rental| self.scale_out(rental))).await;
+            if self.record_rentals(&plan.rentals, lease).await {
+                join_all(plan.rentals.iter().map(|rental| self.scale_out(rental))).await;
             }
         };
-        join(self.scale_in(&plan.delete), rentals).await;
+        join(self.scale_in(&plan.deletions), rentals).await;
     }
 
     /// Deletes machines.
--- a/src/leader/load.rs
+++ b/src/leader/load.rs
@@ -11,7 +11,7 @@
 use crate::job_index::OpenJob;
 use crate::leadership::lease::LeaderLease;
 use crate::model::*;
-use crate::runtime::wake_up::timed;
+use crate::runtime::wake_up::with_timeout;
 use crate::state_store::client::{key, KeyValue, StoreError};
 
 use super::takeover::MissingJobs;
@@ -87,7 +87,7 @@
     /// Reads shards and rentals, while the peers are asked what they know of machines.
     async fn read_stored_cluster(&self) -> Result<StoredCluster, StoreError> {
         let reads = join(self.store.list(key::SHARD), self.store.list(key::RENTAL));
-        let polls = timed(self.policy.renew, self.poll_all_peers(true));
+        let polls = with_timeout(self.policy.renew, self.poll_all_peers(true));
         let ((shards, rentals), _) = join(reads, polls).await;
         let shards = shards?.into_iter().filter_map(|item| read_shard(&item.key, &item)).collect();
         Ok(StoredCluster { shards, rentals: rentals?, ended_jobs: HashMap::new() })
@@ -97,7 +97,7 @@
     async fn read_missing_jobs(&self, missing: MissingJobs, term: u64) -> Result<StoredCluster, StoreError> {
         let MissingJobs { mut stored, ids } = missing;
         tracing::info!(term, jobs = ids.len(), "reading ended jobs that shards name");
-        let read = |id: Name| async move { (self.read_job(&id).await, id) };
+        let read = |id: Name| async move { (self.read_stored_job(&id).await, id) };
         let mut reads = stream::iter(ids.into_iter().map(read)).buffer_unordered(CONCURRENT_JOB_READS);
         while let Some((result, id)) = reads.next().await {
             stored.add_job(id, result)?;
--- a/src/leader/machine_list.rs
+++ b/src/leader/machine_list.rs
@@ -100,7 +100,7 @@
         }
         // a list that does not fit into a value is not stored: with a part of it jobs would be
         // refused for good
-        let fits = http::encode(&types).len() * 2 <= self.store.most.value_bytes;
+        let fits = http::encode(&types).len() * 2 <= self.store.txn_limits.value_bytes;
         if !fits || stored.as_deref().map(machine_sizes) == Some(machine_sizes(&types)) {
             return;
         }
--- a/src/leader/rental_records.rs
+++ b/src/leader/rental_records.rs
@@ -45,7 +45,7 @@
             Ok(TxnOutcome::Conflict(keys)) => RecordAttempt::Conflict(keys),
             Err(StoreError::Indeterminate(error)) => {
                 tracing::debug!(%error, "outcome of a rental record unknown");
-                RecordAttempt::Doubt
+                RecordAttempt::Indeterminate
             }
             Err(_) => RecordAttempt::Refused,
         }
@@ -53,7 +53,7 @@
 
     /// Deletes records whose rentals were answered long ago.
     pub(super) async fn delete_expired_records(&self, lease: LeaderLease) {
-        let limit = self.store.most.writes / 2;
+        let limit = self.store.txn_limits.writes / 2;
         let expired = {
             let state = self.lock();
             let Some(cluster) = state.cluster.as_ref() else { return };
--- a/src/leadership/feature_gate.rs
+++ b/src/leadership/feature_gate.rs
@@ -56,7 +56,7 @@
 impl Controller {
     /// Records the features that a peer has advertised itself.
     pub(crate) fn record_peer_features(&self, name: &str, features: Vec<String>, version: String, at: Instant) {
-        let mut roster = lock(&self.peers.roster);
+        let mut roster = lock(&self.peers.member_features);
         // a peer's requests do not carry its version, its answers do
         let version = match roster.get(name) {
             Some(known) if version.is_empty() && !features.is_empty() => known.version.clone(),
@@ -67,7 +67,7 @@
 
     /// The versions of the peers that have advertised their features, by name.
     pub(crate) fn peer_versions(&self) -> BTreeMap<String, String> {
-        let roster = lock(&self.peers.roster);
+        let roster = lock(&self.peers.member_features);
         let names = self.config.peers.iter().map(|peer| &peer.name);
         names.filter_map(|name| Some((name.clone(), displayed_version(roster.get(name)?)))).collect()
     }
@@ -153,7 +153,7 @@
     /// Records what a member record says, unless the controller contradicts it: it has answered
     /// lately as a version from before features were advertised.
     fn record_member(&self, name: &str, member: MemberRecord, now: Instant) {
-        let mut roster = lock(&self.peers.roster);
+        let mut roster = lock(&self.peers.member_features);
         let contradicts = |known: &AdvertisedFeatures| {
             known.features.is_empty() && now.saturating_duration_since(known.seen_at) <= self.policy.ttl * 2
         };
@@ -190,7 +190,7 @@
     fn next_feature_gates(&self, enabled: &[(&str, bool)], term: u64) -> Option<FeatureGates> {
         let is_enabled = |feature: &str| enabled.contains(&(feature, true));
         let names = self.config.peers.iter().map(|peer| peer.name.as_str());
-        let (now, roster) = (Instant::now(), lock(&self.peers.roster));
+        let (now, roster) = (Instant::now(), lock(&self.peers.member_features));
         let all_have = |feature: &str| roster.all_have(names.clone(), feature, self.policy.cut_keep, now);
         Some(FeatureGates { enabled: next_enabled(is_enabled, all_have)?, term })
     }
--- a/src/operators/status.rs
+++ b/src/operators/status.rs
@@ -185,8 +185,8 @@
         ("reports", &counters.heartbeats),
         ("reports forwarded", &counters.heartbeats_forwarded),
         ("kept alive", &counters.leases_renewed),
-        ("direct calls", &counters.direct),
-        ("direct calls lost", &counters.direct_lost),
+        ("direct calls", &counters.direct_calls),
+        ("direct calls lost", &counters.direct_calls_lost),
         ("commits failed", &counters.commits_failed),
     ];
     named.iter().map(|(name, counter)| ((*name).to_owned(), counter.load(Ordering::Relaxed))).collect()
--- a/src/operators/telemetry.rs
+++ b/src/operators/telemetry.rs
@@ -55,9 +55,9 @@
     /// Heartbeats whose reply only renewed a lease.
     pub leases_renewed: AtomicU64,
     /// Direct calls to workers.
-    pub direct: AtomicU64,
+    pub direct_calls: AtomicU64,
     /// Direct calls to workers without an answer.
-    pub direct_lost: AtomicU64,
+    pub direct_calls_lost: AtomicU64,
     /// The leader's transactions in conflict or without an answer.
     pub commits_failed: AtomicU64,
 }
--- a/src/peers/forwarding/outbound.rs
+++ b/src/peers/forwarding/outbound.rs
@@ -9,7 +9,7 @@
 use crate::heartbeats::redirect;
 use crate::http::{self, Response};
 use crate::peers::links::{lock, wire};
-use crate::runtime::wake_up::timed;
+use crate::runtime::wake_up::with_timeout;
 use crate::users::queues::QueuedHeartbeat;
 use crate::workers::{Heartbeat, HeartbeatReply};
 
@@ -50,7 +50,7 @@
         if self.heartbeat_queue.queued.sender.try_send(queued).is_err() {
             return Some(Response::refuse(503, "too many reports wait"));
         }
-        match timed(REPLY_TIMEOUT, leader_reply.recv()).await {
+        match with_timeout(REPLY_TIMEOUT, leader_reply.recv()).await {
             Some(Ok(response)) => Some(response),
             // the batch was dropped: the leader cannot be reached from here
             Some(Err(_)) => None,
@@ -214,7 +214,7 @@
 fn encode_heartbeat(message: ForwardedHeartbeat, body: &[u8]) -> wire::Report {
     match message {
         ForwardedHeartbeat::Full => wire::Report { full: body.to_vec(), ..wire::Report::default() },
-        ForwardedHeartbeat::UnchangedHeartbeat(unchanged) => wire::Report {
+        ForwardedHeartbeat::Unchanged(unchanged) => wire::Report {
             full: Vec::new(),
             machine: unchanged.machine.to_string(),
             session: unchanged.incarnation,
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -19,7 +19,7 @@
 
 use crate::cluster::MachineHints;
 use crate::model::Name;
-use crate::runtime::wake_up::timed;
+use crate::runtime::wake_up::with_timeout;
 
 /// Messages, client and server generated from `proto/peer.proto`.
 #[allow(missing_docs, clippy::all, clippy::too_many_lines)]
@@ -100,7 +100,7 @@
     /// What the leader has learned of machines, as it last replied.
     pub(crate) machine_hints: Mutex<HashMap<Name, MachineHints>>,
     /// The features that each peer has advertised.
-    pub(crate) roster: Mutex<MemberFeatures>,
+    pub(crate) member_features: Mutex<MemberFeatures>,
     pub(crate) spawner: Spawner,
     pub(crate) connection_tasks: smol::channel::Receiver<ConnectionTask>,
 }
@@ -143,7 +143,7 @@
             progress_requested_at: Mutex::default(),
             progress_cache: Mutex::default(),
             machine_hints: Mutex::default(),
-            roster: Mutex::default(),
+            member_features: Mutex::default(),
             spawner: Spawner(task_sender),
             connection_tasks,
         }
@@ -188,7 +188,7 @@
     where
         F: Future<Output = Result<tonic::Response<T>, tonic::Status>>,
     {
-        let answer = timed(limit, async {
+        let answer = with_timeout(limit, async {
             let client = self.connect(link).await?;
             request(client).await.ok()
         })
--- a/src/peers/polling.rs
+++ b/src/peers/polling.rs
@@ -73,7 +73,7 @@
     /// The request for a peer's status: asks for the cancellations that are not known here.
     fn status_request(&self, link: &PeerLink, with_progress: bool) -> wire::StatusRequest {
         let state = self.lock();
-        let cursor = state.cancellation_view.next_request(&link.name);
+        let cursor = state.cancellation_view.next_cursor(&link.name);
         wire::StatusRequest {
             without_machines: !self.keeps_machine_hints(),
             progress: with_progress,
--- a/src/runtime/wake_up.rs
+++ b/src/runtime/wake_up.rs
@@ -46,7 +46,7 @@
 }
 
 /// Runs a future for at most `limit`; `None` if it did not end by then.
-pub async fn timed<T>(limit: Duration, work: impl Future<Output = T>) -> Option<T> {
+pub async fn with_timeout<T>(limit: Duration, work: impl Future<Output = T>) -> Option<T> {
     let result = async { Some(work.await) };
     let expired = async {
         smol::Timer::after(limit).await;
--- a/src/state_store/client.rs
+++ b/src/state_store/client.rs
@@ -97,7 +97,7 @@
     writes: RateLimiter,
     page_reads: RateLimiter,
     /// Size limits of a transaction.
-    pub most: TxnLimits,
+    pub txn_limits: TxnLimits,
     health: StoreHealth,
 }
 
@@ -131,7 +131,7 @@
             calls: RateLimiter::new(calls, calls, now),
             writes: RateLimiter::new(writes, writes, now),
             page_reads: RateLimiter::new(read_rate, read_rate, now),
-            most: TxnLimits {
+            txn_limits: TxnLimits {
                 writes: max_writes,
                 preconditions: limits.txn_ops * 4,
                 shard_bytes: value_bytes.min(MAX_SHARD_BYTES),
--- a/src/state_store/initial_read.rs
+++ b/src/state_store/initial_read.rs
@@ -84,12 +84,12 @@
     async fn scan_jobs(&self, mut scan: InitialScan, mut revision: u64) -> Result<u64, StoreError> {
         let mut watched_at = Instant::now();
         while let Some(request) = scan.next_page() {
-            match self.store.list_page(request.under, &request.since).await {
-                Ok(page) => scan.add_page(request.under, page.items, page.truncated),
+            match self.store.list_page(request.prefix, &request.after_key).await {
+                Ok(page) => scan.add_page(request.prefix, page.items, page.truncated),
                 // only this page is read again: a long read has to finish although the store
                 // fails now and then
                 Err(error) => {
-                    tracing::debug!(prefix = request.under, %error, "cannot read a page of the state store");
+                    tracing::debug!(prefix = request.prefix, %error, "cannot read a page of the state store");
                     smol::Timer::after(self.policy.renew / 2).await;
                 }
             }
--- a/src/users/cancel.rs
+++ b/src/users/cancel.rs
@@ -7,7 +7,7 @@
 use crate::controller::Controller;
 use crate::http::Response;
 use crate::model::*;
-use crate::runtime::wake_up::timed;
+use crate::runtime::wake_up::with_timeout;
 use crate::state_store::client::{StoreError, TxnOutcome};
 use crate::users::lookup::outcome_key;
 use crate::users::request::SUBMIT_TIMEOUT;
@@ -19,7 +19,7 @@
             return Response::refuse(404, "no such job");
         }
         let id: Name = id.into();
-        let reply = timed(SUBMIT_TIMEOUT, self.resolve_request(&id, RequestKind::Cancel, None)).await;
+        let reply = with_timeout(SUBMIT_TIMEOUT, self.resolve_request(&id, RequestKind::Cancel, None)).await;
         self.reply_to_user(&id, reply.unwrap_or(Reply::RetryLater("the state service does not answer")))
     }
 
@@ -27,7 +27,7 @@
     /// (the leader stores the rest); the outcome that the job has by then, this one or another.
     pub(super) async fn store_cancellation(&self, id: &str) -> Result<JobOutcome, StoreError> {
         let mut cancelled = vec![Name::from(id)];
-        cancelled.extend(self.lock().jobs.dependents(id, self.store.most.writes.saturating_sub(1)));
+        cancelled.extend(self.lock().jobs.dependents(id, self.store.txn_limits.writes.saturating_sub(1)));
         let path = outcome_key(id);
         loop {
             let txn = cancellations_txn(&cancelled);
--- a/src/users/confirmation.rs
+++ b/src/users/confirmation.rs
@@ -7,7 +7,7 @@
 
 use crate::controller::Controller;
 use crate::model::*;
-use crate::runtime::wake_up::timed;
+use crate::runtime::wake_up::with_timeout;
 use crate::state_store::client::{key, StoreError, Txn, TxnOutcome};
 use crate::users::lookup::outcome_key;
 use crate::users::queues::ConfirmationRequest;
@@ -25,7 +25,7 @@
         if self.user_requests.confirmations.sender.try_send(request).is_err() {
             return Confirmation::Unavailable;
         }
-        timed(QUERY_TIMEOUT, confirmation.recv()).await.and_then(Result::ok).unwrap_or(Confirmation::Unavailable)
+        with_timeout(QUERY_TIMEOUT, confirmation.recv()).await.and_then(Result::ok).unwrap_or(Confirmation::Unavailable)
     }
 
     /// Confirms queued jobs in batches, for as long as the controller runs.
@@ -34,7 +34,7 @@
         while let Ok(first) = queue.receiver.recv().await {
             smol::Timer::after(self.policy.confirm_gap).await;
             let mut batch = vec![first];
-            queue.fill_batch(&mut batch, self.store.most.preconditions);
+            queue.fill_batch(&mut batch, self.store.txn_limits.preconditions);
             self.confirm_batch(batch).await;
         }
     }
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -9,7 +9,7 @@
 use crate::job_index::{EndedJob, OpenJob};
 use crate::model::*;
 use crate::operators::telemetry::count;
-use crate::runtime::wake_up::timed;
+use crate::runtime::wake_up::with_timeout;
 use crate::state_store::client::{key, read_value, StoreError, TxnOutcome};
 use crate::users::queues::LookupRequest;
 use crate::users::request::QUERY_TIMEOUT;
@@ -27,7 +27,7 @@
 impl Controller {
     /// Reads a job and its outcome; `None` if it was never accepted.  An ended job is kept for the
     /// next request, and an unfinished one comes by the watch.
-    pub(crate) async fn read_job(&self, id: &str) -> Result<Option<(OpenJob, Option<JobOutcome>)>, StoreError> {
+    pub(crate) async fn read_stored_job(&self, id: &str) -> Result<Option<(OpenJob, Option<JobOutcome>)>, StoreError> {
         let path = job_key(id);
         // the outcome last: it may be stored in between
         let Some(job_item) = self.store.get(&path).await? else { return Ok(None) };
@@ -53,7 +53,7 @@
             count(&self.telemetry.counters.lookups_refused);
             return None;
         }
-        timed(QUERY_TIMEOUT, result.recv()).await?.ok()?
+        with_timeout(QUERY_TIMEOUT, result.recv()).await?.ok()?
     }
 
     pub(crate) async fn throttle_lookup(&self, calls: f64) {
@@ -80,7 +80,7 @@
         while let Ok(first) = queue.receiver.recv().await {
             smol::Timer::after(self.policy.confirm_gap).await;
             let mut batch = vec![first];
-            queue.fill_batch(&mut batch, self.store.most.preconditions / 2);
+            queue.fill_batch(&mut batch, self.store.txn_limits.preconditions / 2);
             // a request whose user has given up costs nothing
             batch.retain(|request| !request.reply.is_closed());
             if !batch.is_empty() {
@@ -95,7 +95,7 @@
         let is_settled = self.run_lookup(&mut lookup).await;
         for id in lookup.ended() {
             self.throttle_lookup(2.0).await;
-            let result = match self.read_job(&id).await {
+            let result = match self.read_stored_job(&id).await {
                 Ok(Some((_, Some(outcome)))) => Some(LookupResult::Ended(outcome)),
                 _ => None,
             };
--- a/src/users/query.rs
+++ b/src/users/query.rs
@@ -8,7 +8,7 @@
 use crate::http::Response;
 use crate::job_index::JobStatus;
 use crate::model::*;
-use crate::runtime::wake_up::timed;
+use crate::runtime::wake_up::with_timeout;
 use crate::users::lookup::outcome_key;
 use crate::users::request::QUERY_TIMEOUT;
 
@@ -72,6 +72,6 @@
             .take(MAX_OUTCOMES_READ)
             .map(|id: Name| async move { self.read_outcome(&outcome_key(&id)).await.is_some() });
         let all = futures_util::stream::iter(reads).buffer_unordered(MAX_CONCURRENT_READS).collect::<Vec<_>>();
-        timed(QUERY_TIMEOUT, all).await.is_some_and(|known| known.into_iter().all(|is_known| is_known))
+        with_timeout(QUERY_TIMEOUT, all).await.is_some_and(|known| known.into_iter().all(|is_known| is_known))
     }
 }
--- a/src/users/request.rs
+++ b/src/users/request.rs
@@ -9,7 +9,7 @@
 use crate::controller::Controller;
 use crate::http::Response;
 use crate::model::*;
-use crate::runtime::wake_up::timed;
+use crate::runtime::wake_up::with_timeout;
 
 /// A user waits 5 s for a submission or a cancellation; a later reply is lost.
 pub(super) const SUBMIT_TIMEOUT: Duration = Duration::from_millis(4000);
@@ -51,7 +51,7 @@
                     let Some(remaining) = deadline.checked_duration_since(now) else {
                         return Reply::RetryLater("not every controller knows of it yet");
                     };
-                    timed(remaining.min(self.policy.renew / 4), cancellation_known).await;
+                    with_timeout(remaining.min(self.policy.renew / 4), cancellation_known).await;
                 }
             }
         }
--- a/src/users/submit.rs
+++ b/src/users/submit.rs
@@ -9,7 +9,7 @@
 use crate::controller::Controller;
 use crate::http::{self, Response};
 use crate::model::*;
-use crate::runtime::wake_up::timed;
+use crate::runtime::wake_up::with_timeout;
 use crate::state_store::client::{key, StoreError, Txn, TxnOutcome, Write};
 use crate::users::lookup::outcome_key;
 use crate::users::queues::SubmissionRequest;
@@ -43,7 +43,7 @@
         if self.user_requests.submissions.sender.try_send(request).is_err() {
             return StoreResult::Unknown;
         }
-        timed(SUBMIT_TIMEOUT, result.recv()).await.and_then(Result::ok).unwrap_or(StoreResult::Unknown)
+        with_timeout(SUBMIT_TIMEOUT, result.recv()).await.and_then(Result::ok).unwrap_or(StoreResult::Unknown)
     }
 
     /// Stores queued submissions in batches, for as long as the controller runs.
@@ -61,7 +61,7 @@
         let mut writes = writes_of(&first);
         let mut batch = vec![first];
         let mut bytes = 0;
-        while writes + 1 < self.store.most.writes && bytes < MAX_BATCH_BYTES {
+        while writes + 1 < self.store.txn_limits.writes && bytes < MAX_BATCH_BYTES {
             let Ok(next) = self.user_requests.submissions.receiver.try_recv() else { break };
             bytes += http::encode(&*next.spec).len();
             writes += writes_of(&next);
--- a/src/users/validation.rs
+++ b/src/users/validation.rs
@@ -7,7 +7,7 @@
 use crate::http;
 use crate::job_index::JobStatus;
 use crate::model::*;
-use crate::runtime::wake_up::timed;
+use crate::runtime::wake_up::with_timeout;
 use crate::state_store::client::read_value;
 use crate::users::lookup::job_key;
 use crate::users::request::QUERY_TIMEOUT;
@@ -46,7 +46,7 @@
                 return Validation::Unsatisfiable(why);
             }
         }
-        if max_stored_bytes(spec) > self.store.most.value_bytes {
+        if max_stored_bytes(spec) > self.store.txn_limits.value_bytes {
             return Validation::Undetermined("larger than the state service takes now");
         }
         self.validate_dependencies(spec).await
@@ -70,7 +70,7 @@
         if known.unknown.is_empty() {
             return valid;
         }
-        match timed(QUERY_TIMEOUT, self.validate_unknown_dependencies(&known.unknown)).await {
+        match with_timeout(QUERY_TIMEOUT, self.validate_unknown_dependencies(&known.unknown)).await {
             Some(Validation::Valid { .. }) => valid,
             Some(invalid) => invalid,
             None => Validation::Undetermined(NO_ANSWER),
@@ -106,7 +106,7 @@
 
     /// Validates dependencies that are not known here, many in one compare-and-swap.
     async fn validate_unknown_dependencies(&self, ids: &[Name]) -> Validation {
-        for chunk in ids.chunks((self.store.most.preconditions / 2).max(1)) {
+        for chunk in ids.chunks((self.store.txn_limits.preconditions / 2).max(1)) {
             let mut lookup = Lookup::new(chunk.iter());
             if !self.run_lookup(&mut lookup).await {
                 return Validation::Undetermined(NO_ANSWER);
--- a/tests/exactly_once.rs
+++ b/tests/exactly_once.rs
@@ -17,10 +17,10 @@
 use std::time::{Duration, Instant};
 
 use common::{small_job, test_dir, Cluster, ClusterConfig, PROGRAM};
-use coralnotch::commands::submit::Line;
+use coralnotch::commands::submit::AnswerLine;
 use coralnotch::http::{self, Client};
 use coralnotch::model::{JobState, Name};
-use coralnotch_client::{fresh_id, Final};
+use coralnotch_client::{fresh_id, FinalAnswer};
 use coralnotch_emulator::history::{self, Given};
 use stored_jobs::stored_jobs;
 
@@ -94,7 +94,7 @@
     }
 
     /// The answers that the client has written so far; an incomplete last line is left out.
-    fn answers(&self) -> Vec<Line> {
+    fn answers(&self) -> Vec<AnswerLine> {
         let text = fs::read_to_string(&self.answers_file).unwrap_or_default();
         let complete = text.rfind('\n').map_or("", |end| &text[..end]);
         complete.lines().map(|line| serde_json::from_str(line).expect("a whole line")).collect()
@@ -110,14 +110,14 @@
 /// Runs the checker; returns what it finds wrong.
 fn check(
     jobs: usize,
-    answers: &[Line],
+    answers: &[AnswerLine],
     seen: &HashMap<Name, Instant>,
     stored: &HashSet<Name>,
     completed: &HashMap<Name, Instant>,
 ) -> Vec<String> {
-    let given = |line: &Line| Given {
+    let given = |line: &AnswerLine| Given {
         id: line.id.clone(),
-        answer: if line.answer == Final::Done { "done".into() } else { format!("{:?}", line.answer) },
+        answer: if line.answer == FinalAnswer::Done { "done".into() } else { format!("{:?}", line.answer) },
         seen: seen.get(&line.id).copied(),
     };
     let given: Vec<Given> = answers.iter().map(given).collect();
@@ -199,7 +199,7 @@
     let crash = |n| ClientCrash { at_s: 0.3 + rng.f64() * run.faults_within_s, client: n % run.clients };
     let crashes = (0..run.clients * 3).map(crash).collect();
     let seen = run_clients(&mut clients, crashes, run.limit);
-    let answers: Vec<Line> = clients.iter().flat_map(Submitter::answers).collect();
+    let answers: Vec<AnswerLine> = clients.iter().flat_map(Submitter::answers).collect();
     let report = cluster.stop();
     let jobs = run.clients * run.jobs_per_client;
     let wrong = check(jobs, &answers, &seen, &stored_jobs(&report), &report.completed_at);
@@ -259,7 +259,7 @@
     let dir = test_dir("anew");
     let cluster = Cluster::start(&dir, ClusterConfig::default());
     let balancer = cluster.addr;
-    let answers: Vec<Line> = smol::block_on(async {
+    let answers: Vec<AnswerLine> = smol::block_on(async {
         let client = Client::default();
         let mut lines = Vec::new();
         for _ in 0..5 {
@@ -281,7 +281,7 @@
                 }
                 smol::Timer::after(Duration::from_millis(300)).await;
             }
-            lines.push(Line { id, answer: Final::Done });
+            lines.push(AnswerLine { id, answer: FinalAnswer::Done });
         }
         lines
     });
--- a/tests/roll.rs
+++ b/tests/roll.rs
@@ -19,7 +19,7 @@
 use common::{small_job, test_dir, Cluster, ClusterConfig, PROGRAM};
 use coralnotch::http::{self, Client as HttpClient};
 use coralnotch::model::{JobExplanation, JobSpec, Name, Shape};
-use coralnotch_client::{fresh_id, Client, Final, JobHandle, Settings};
+use coralnotch_client::{fresh_id, Client, FinalAnswer, JobHandle, Settings};
 use stored_jobs::stored_jobs;
 
 /// Limit of one request.
@@ -50,7 +50,7 @@
 /// A job's final answer.
 struct JobAnswer {
     id: Name,
-    answer: Final,
+    answer: FinalAnswer,
 }
 
 /// Submits dependency chains and cancels the first stage of the first `cancelled` ones.  Returns the
@@ -106,7 +106,7 @@
 fn assert_final(answers: &[Vec<JobAnswer>], cancelled: usize) {
     let mut seen: HashSet<&Name> = HashSet::new();
     for (n, chain) in answers.iter().enumerate() {
-        let expected = if n < cancelled { Final::Cancelled } else { Final::Done };
+        let expected = if n < cancelled { FinalAnswer::Cancelled } else { FinalAnswer::Done };
         for JobAnswer { id, answer } in chain {
             assert_eq!(*answer, expected, "chain {n}: {id}");
             assert!(seen.insert(id), "{id} twice");
@@ -193,7 +193,7 @@
     let deadline = Instant::now() + Duration::from_secs(240);
     for handle in handles {
         let answer = handle.wait_until(deadline).await.expect("an answer");
-        assert_eq!(answer, Final::Done, "{}", handle.id());
+        assert_eq!(answer, FinalAnswer::Done, "{}", handle.id());
     }
 }
 
