--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -13,7 +13,7 @@
 use coralnotch::config::Config;
 use coralnotch::model::{JobSpec, MachineType, Priority, Shape};
 use coralnotch::policy::Policy;
-use coralnotch::workers::Heartbeat;
+use coralnotch::workers::{Heartbeat, HeartbeatSource};
 
 #[expect(clippy::too_many_lines, reason = "an example is read from top to bottom")]
 fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -49,7 +49,7 @@
             reclaim_in_s: None,
             tasks: Vec::new(),
         };
-        cluster.apply_heartbeat(&report, true, now);
+        cluster.apply_heartbeat(&report, HeartbeatSource::Worker, now);
     }
     let spec = JobSpec {
         id: "j-000001".into(),
--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -8,7 +8,7 @@
 use super::*;
 use crate::cluster::{Cluster, Machine};
 use crate::sim::{cluster, spec};
-use crate::workers::{Command, Heartbeat, TaskState, TaskStatus};
+use crate::workers::{Command, Heartbeat, HeartbeatSource, TaskState, TaskStatus};
 
 const JOB: &str = "j-000001";
 
@@ -158,7 +158,7 @@
     c.add_job(spec("j-000002", 1), 2, None, now);
     let running = TaskStatus { task: task(0), attempt: 7, state: TaskState::Running, cause: None, saved: None };
     let heartbeat = Heartbeat { tasks: vec![running], ..crate::sim::report("i-1", "z0", 1, 1, 0) };
-    c.apply_heartbeat(&heartbeat, true, now);
+    c.apply_heartbeat(&heartbeat, HeartbeatSource::Worker, now);
     c.run_placement_pass(now);
     let batch = c.next_commit(5, &limits(1000)).expect("two starts to store");
     let requires_outcome = |id: &str| batch.txn.requires(&format!("{}{id}", key::OUTCOME));
--- a/packages/core/src/heartbeat_forwarding/tests.rs
+++ b/packages/core/src/heartbeat_forwarding/tests.rs
@@ -2,7 +2,7 @@
 use crate::cluster::Cluster;
 use crate::model::Task;
 use crate::sim::{cluster as new_cluster, report, spec};
-use crate::workers::{Command, TaskState, TaskStatus};
+use crate::workers::{Command, HeartbeatOutcome, HeartbeatSource, TaskState, TaskStatus};
 
 const NAMES: [&str; 5] = ["c0", "c1", "c2", "c3", "c4"];
 
@@ -51,14 +51,17 @@
 /// the leader.
 fn accepted_heartbeat(cluster: &mut Cluster, now: Instant) -> Heartbeat {
     let first = heartbeat_with_task(cluster, 1, now);
-    assert_eq!(cluster.apply_heartbeat(&Heartbeat { tasks: Vec::new(), ..first.clone() }, true, now), Some(true));
+    assert_eq!(
+        cluster.apply_heartbeat(&Heartbeat { tasks: Vec::new(), ..first.clone() }, HeartbeatSource::Worker, now),
+        HeartbeatOutcome::Applied
+    );
     let task = first.tasks[0].task.clone();
     assert!(cluster.assign(&task, &first.machine, 1, now));
     if let Some(assignment) = cluster.machines.get_mut(&first.machine).and_then(|m| m.tasks.get_mut(&task)) {
         assignment.stored = true;
     }
     let second = heartbeat_with_task(cluster, 2, now);
-    assert_eq!(cluster.apply_heartbeat(&second, true, now), Some(true));
+    assert_eq!(cluster.apply_heartbeat(&second, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
     second
 }
 
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::cluster::{Machine, MachineState, QueuePriority};
 use crate::sim::{cluster as new_cluster, report as heartbeat, spec};
+use crate::workers::{HeartbeatOutcome, HeartbeatSource};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -156,14 +157,24 @@
     assert_eq!(running_tasks(&mut cluster), 0);
     cluster.apply_machine_list(&[], now);
     cluster.collect_garbage(now);
-    assert_eq!(cluster.apply_heartbeat(&heartbeat(last, 1), true, now), Some(true));
+    assert_eq!(cluster.apply_heartbeat(&heartbeat(last, 1), HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
     assert_eq!((running_tasks(&mut cluster), cluster.has_no_task_of("j-1")), (0, false));
     // a heartbeat under this term's token is a proof, and so are a later incarnation and a
     // deletion
     type Proof<'a> = &'a dyn Fn(&mut Cluster);
     let proofs: [Proof; 3] = [
-        &|cluster| assert_eq!(cluster.apply_heartbeat(&heartbeat(this, 1), true, now), Some(true)),
-        &|cluster| assert_eq!(cluster.apply_heartbeat(&heartbeat(last, 2), true, now), Some(true)),
+        &|cluster| {
+            assert_eq!(
+                cluster.apply_heartbeat(&heartbeat(this, 1), HeartbeatSource::Worker, now),
+                HeartbeatOutcome::Applied
+            )
+        },
+        &|cluster| {
+            assert_eq!(
+                cluster.apply_heartbeat(&heartbeat(last, 2), HeartbeatSource::Worker, now),
+                HeartbeatOutcome::Applied
+            )
+        },
         &|cluster| cluster.apply_deletion(std::slice::from_ref(&old), now),
     ];
     for (n, proof) in proofs.iter().enumerate() {
@@ -186,7 +197,7 @@
     let now = Instant::now();
     let mut cluster = new_cluster(4, now);
     let first = Heartbeat { spot: true, ..heartbeat("i-7", "z2", 1, 1, 0) };
-    assert_eq!(cluster.apply_heartbeat(&first, true, now), Some(true));
+    assert_eq!(cluster.apply_heartbeat(&first, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
     cluster.add_job(spec("j-1", 1), 1, None, now);
     cluster.run_placement_pass(now);
     assert_eq!(cluster.jobs["j-1"].assignments.len(), 1, "it gets work at once");
--- a/packages/core/src/sim/controllers.rs
+++ b/packages/core/src/sim/controllers.rs
@@ -37,7 +37,9 @@
 
     /// Applies a heartbeat and gives the reply; `None` if the heartbeat is outdated.
     pub(super) fn accept_heartbeat(&mut self, heartbeat: &Heartbeat, now: Instant) -> Option<HeartbeatReply> {
-        self.cluster.apply_heartbeat(heartbeat, true, now)?;
+        if self.cluster.apply_heartbeat(heartbeat, HeartbeatSource::Worker, now) == HeartbeatOutcome::Superseded {
+            return None;
+        }
         if self.cluster.queue_changed {
             self.unmet_demand = self.cluster.run_placement_pass(now);
         }
--- a/packages/core/src/sim/delivery.rs
+++ b/packages/core/src/sim/delivery.rs
@@ -102,7 +102,7 @@
         }
         let over = &self.snapshots[to].over;
         let Some(cluster) = self.controllers[to].as_mut().map(|controller| &mut controller.cluster) else { return };
-        if cluster.apply_heartbeat(heartbeat, true, now).is_none() {
+        if cluster.apply_heartbeat(heartbeat, HeartbeatSource::Worker, now) == HeartbeatOutcome::Superseded {
             return;
         }
         let has_ended = |id: &Name| over.contains(id) || cluster.jobs.get(id).is_some_and(|job| job.outcome.is_some());
--- a/packages/core/src/sim/forwarding.rs
+++ b/packages/core/src/sim/forwarding.rs
@@ -56,7 +56,8 @@
                 let cluster = &mut leader.cluster;
                 let last = cluster.machines.get(&unchanged.machine).map_or(0, |machine| machine.sequence);
                 let new = Heartbeat { sequence: last + 1, ..heartbeat.clone() };
-                cluster.apply_heartbeat(&new, true, now).map(|_| cluster.reply_to_heartbeat(&new, now))
+                let outcome = cluster.apply_heartbeat(&new, HeartbeatSource::Worker, now);
+                (outcome != HeartbeatOutcome::Superseded).then(|| cluster.reply_to_heartbeat(&new, now))
             }
             ForwardedHeartbeat::Unchanged(unchanged) => leader.cluster.apply_unchanged(unchanged, now),
         };
--- a/packages/core/src/workers/direct_commands.rs
+++ b/packages/core/src/workers/direct_commands.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use super::replies::MAX_COMMANDS;
-use super::{Command, DirectCommandBody, Heartbeat};
+use super::{Command, DirectCommandBody, Heartbeat, HeartbeatSource};
 use crate::cluster::{Cluster, Machine, TaskPhase};
 use crate::model::*;
 
@@ -45,7 +45,7 @@
                 if machine.in_doubt_token == Some(direct.body.fencing_token) {
                     machine.in_doubt_token = None;
                 }
-                self.apply_heartbeat(heartbeat, false, now);
+                self.apply_heartbeat(heartbeat, HeartbeatSource::DirectResponse, now);
             }
             // It may be carried out minutes later.  The next replies carry a higher
             // token, and a heartbeat that shows this token ends the doubt.
--- a/packages/core/src/workers/heartbeat.rs
+++ b/packages/core/src/workers/heartbeat.rs
@@ -12,6 +12,27 @@
 /// Longest reclaim notice that is believed, in seconds.
 const MAX_RECLAIM_NOTICE_S: f64 = 3600.0;
 
+/// Where a heartbeat comes from.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum HeartbeatSource {
+    /// The worker sent it by itself: no reply to an earlier heartbeat can be carried out any
+    /// more.
+    Worker,
+    /// It is the response to a direct command, which proves nothing of earlier replies.
+    DirectResponse,
+}
+
+/// What became of a heartbeat.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum HeartbeatOutcome {
+    /// It was newer than all before, and was applied.
+    Applied,
+    /// It was not newer, or its machine is gone: it was delivered late, and changed nothing.
+    Stale,
+    /// The worker has seen a token of a later term: this controller leads no more.
+    Superseded,
+}
+
 /// Which conclusions a heartbeat allows about assignments that it does not list.
 #[derive(Debug, Clone, Copy)]
 struct AbsenceEvidence {
@@ -24,21 +45,20 @@
 }
 
 impl Cluster {
-    /// Applies a heartbeat.  Returns `None` if the worker has seen a token of a later
-    /// term, so that this controller leads no more; otherwise whether the heartbeat
-    /// was newer than all that was applied before.
-    ///
-    /// `closing`: the worker sent it by itself, so that no reply to an earlier
-    /// heartbeat can be carried out any more.  The heartbeat in the response to a
-    /// direct command does not prove that.
-    pub fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, closing: bool, now: Instant) -> Option<bool> {
-        let raised_offset = self.raised_fence_offset(heartbeat)?;
+    /// Applies a heartbeat if it is newer than all that were applied before.
+    pub fn apply_heartbeat(
+        &mut self,
+        heartbeat: &Heartbeat,
+        source: HeartbeatSource,
+        now: Instant,
+    ) -> HeartbeatOutcome {
+        let Some(raised_offset) = self.raised_fence_offset(heartbeat) else { return HeartbeatOutcome::Superseded };
         let current_term = heartbeat.fencing_token >= self.base_token();
         let size = self.types.get(&heartbeat.kind).map(|machine_type| machine_type.size());
         let machine = get_or_register_machine(&mut self.machines, heartbeat, now);
         if !is_newer(heartbeat, machine) {
             // delivered late; its worker does not wait for a reply
-            return Some(false);
+            return HeartbeatOutcome::Stale;
         }
         let incarnation_changed = heartbeat.incarnation != machine.incarnation;
         self.queue_changed |= machine.last_heartbeat.is_none();
@@ -47,7 +67,7 @@
         machine.size = size.unwrap_or(machine.size);
         self.queue_changed |= update_reclaim_notice(machine, heartbeat, now);
 
-        let no_start_in_flight = closing && machine.in_doubt_token.is_none();
+        let no_start_in_flight = source == HeartbeatSource::Worker && machine.in_doubt_token.is_none();
         let absent = absent_tasks(machine, heartbeat, AbsenceEvidence { current_term, no_start_in_flight });
         machine.exited.retain(|task, attempt| is_listed(heartbeat, task, *attempt));
         for task in absent {
@@ -60,7 +80,7 @@
         for status in &heartbeat.tasks {
             self.apply_task_status(heartbeat, status, current_term, now);
         }
-        Some(true)
+        HeartbeatOutcome::Applied
     }
 
     /// Applies a heartbeat that repeats the last one, and returns the reply; `None` if
--- a/packages/core/src/workers/mod.rs
+++ b/packages/core/src/workers/mod.rs
@@ -16,6 +16,7 @@
 
 pub use coralnotch_wire::workers::*;
 pub use direct_commands::DirectCommand;
+pub use heartbeat::{HeartbeatOutcome, HeartbeatSource};
 pub use replies::lease_renewal_reply;
 
 #[cfg(test)]
--- a/packages/core/src/workers/tests.rs
+++ b/packages/core/src/workers/tests.rs
@@ -60,7 +60,10 @@
             reclaim_in_s: None,
             tasks,
         };
-        assert_eq!(self.cluster.apply_heartbeat(&heartbeat, true, self.now), Some(true));
+        assert_eq!(
+            self.cluster.apply_heartbeat(&heartbeat, HeartbeatSource::Worker, self.now),
+            HeartbeatOutcome::Applied
+        );
     }
 
     /// Lets time pass; then every machine reports all tasks assigned to it, in the state
@@ -108,15 +111,19 @@
     let full = (4 << 24) - 1;
     assert_eq!(raise_token(full), full, "never into the next term");
     let heartbeat = |sequence, token| report("i-1", "z0", 1, sequence, token);
-    assert_eq!(c.apply_heartbeat(&heartbeat(1, seen), true, now), Some(true));
+    assert_eq!(c.apply_heartbeat(&heartbeat(1, seen), HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
     let machine = c.machines.get_mut("i-1").expect("it is registered");
     (machine.in_doubt_token, machine.last_direct_fence) = (Some(seen), Some(0));
     // the partition heals: the token is of the leader's term, but not one that it gave
-    assert_eq!(c.apply_heartbeat(&heartbeat(2, raised), true, now), Some(true));
+    assert_eq!(c.apply_heartbeat(&heartbeat(2, raised), HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
     assert_eq!(c.machines["i-1"].in_doubt_token, None, "the start is refused by now");
     let reply = c.reply_to_heartbeat(&heartbeat(2, raised), now);
     assert!(reply.fencing_token >= raised, "or the reply would be dropped");
-    assert_eq!(c.apply_heartbeat(&heartbeat(3, 4 << 24), true, now), None, "a later term's");
+    assert_eq!(
+        c.apply_heartbeat(&heartbeat(3, 4 << 24), HeartbeatSource::Worker, now),
+        HeartbeatOutcome::Superseded,
+        "a later term's"
+    );
 }
 
 /// A job submitted with a mistake costs single probes, at growing intervals, and neither
@@ -215,12 +222,12 @@
             c.add_shard(shard, stored, &locations, now);
         }
         let old = report("i-1", "z0", 3, 9, 2 << 24);
-        assert_eq!(c.apply_heartbeat(&old, true, now), Some(true));
+        assert_eq!(c.apply_heartbeat(&old, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
         let occupied = c.machines[&machine].tasks.values().any(|assignment| assignment.occupies_resources());
         assert!(occupied, "{order:?}: the assignment is released");
         // a later incarnation is a proof, and so is this term's token
         let later = Heartbeat { incarnation: 4, sequence: 10, ..old.clone() };
-        assert_eq!(c.apply_heartbeat(&later, true, now), Some(true));
+        assert_eq!(c.apply_heartbeat(&later, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
         assert!(c.machines[&machine].tasks.is_empty());
     }
 }
@@ -288,20 +295,23 @@
     for (number, heartbeats) in cases.iter().enumerate() {
         let mut c = leader_with_stored_starts(now);
         for old in heartbeats {
-            assert_eq!(c.apply_heartbeat(old, true, now), Some(true));
+            assert_eq!(c.apply_heartbeat(old, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
             let sequence = old.sequence;
             assert_eq!(occupying_attempts(&c), (Some(ATTEMPT), Some(ATTEMPT)), "case {number}, heartbeat {sequence}");
         }
         // the first heartbeat under this term's token is a proof
         let first = heartbeat(30, current, &[("j-1", ATTEMPT, RUNNING)]);
-        assert_eq!(c.apply_heartbeat(&first, true, now), Some(true));
+        assert_eq!(c.apply_heartbeat(&first, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
         assert_eq!(occupying_attempts(&c), (Some(ATTEMPT), None), "case {number}");
-        assert_eq!(c.apply_heartbeat(&heartbeat(31, current, &[]), true, now), Some(true));
+        assert_eq!(
+            c.apply_heartbeat(&heartbeat(31, current, &[]), HeartbeatSource::Worker, now),
+            HeartbeatOutcome::Applied
+        );
         assert_eq!(occupying_attempts(&c), (None, None), "case {number}");
     }
     // another incarnation is a proof whatever its token
     let mut c = leader_with_stored_starts(now);
     let restarted = Heartbeat { incarnation: 2, ..heartbeat(1, old, &[]) };
-    assert_eq!(c.apply_heartbeat(&restarted, true, now), Some(true));
+    assert_eq!(c.apply_heartbeat(&restarted, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
     assert_eq!(occupying_attempts(&c), (None, None));
 }
--- a/src/heartbeats.rs
+++ b/src/heartbeats.rs
@@ -15,7 +15,9 @@
 use crate::model::Name;
 use crate::operators::telemetry::count;
 use crate::runtime::wake_up::with_timeout;
-use crate::workers::{lease_renewal_reply, Heartbeat, HeartbeatOrigin, HeartbeatReply};
+use crate::workers::{
+    lease_renewal_reply, Heartbeat, HeartbeatOrigin, HeartbeatOutcome, HeartbeatReply, HeartbeatSource,
+};
 
 /// Body of the reply that sends a worker to another controller.
 #[derive(Serialize)]
@@ -165,12 +167,13 @@
         now: Instant,
     ) -> Result<ReplyTiming, Response> {
         let Some(cluster) = state.cluster.as_mut() else { return Err(Response::refuse(503, "not ready")) };
-        let Some(is_news) = cluster.apply_heartbeat(heartbeat, true, now) else {
-            tracing::error!(machine = %heartbeat.machine, "worker has seen a newer fencing token");
-            return Err(Response::refuse(503, "outdated"));
-        };
-        if !is_news {
-            return Ok(ReplyTiming::Immediate);
+        match cluster.apply_heartbeat(heartbeat, HeartbeatSource::Worker, now) {
+            HeartbeatOutcome::Applied => {}
+            HeartbeatOutcome::Stale => return Ok(ReplyTiming::Immediate),
+            HeartbeatOutcome::Superseded => {
+                tracing::error!(machine = %heartbeat.machine, "worker has seen a newer fencing token");
+                return Err(Response::refuse(503, "outdated"));
+            }
         }
         let queue_changed = cluster.queue_changed;
         if queue_changed {
@@ -220,7 +223,9 @@
     /// even if the peers were wrong about the outage.  `None`: the worker has seen a newer token.
     fn renew_in_outage(&self, state: &mut ControllerState, heartbeat: &Heartbeat, now: Instant) -> Option<Response> {
         let cluster = state.cluster.as_mut()?;
-        cluster.apply_heartbeat(heartbeat, true, now)?;
+        if cluster.apply_heartbeat(heartbeat, HeartbeatSource::Worker, now) == HeartbeatOutcome::Superseded {
+            return None;
+        }
         let token = cluster.fencing_token_for(&heartbeat.machine);
         Some(Response::new(200, &self.renew_worker_lease(state, heartbeat, token)))
     }
