--- a/packages/core/src/cluster/rental.rs
+++ b/packages/core/src/cluster/rental.rs
@@ -122,6 +122,18 @@
     may_be_stored: bool,
 }
 
+/// Whether a record is stored after an attempt.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum RecordProgress {
+    /// It is stored.
+    Stored,
+    /// It is not stored, and will not be.
+    NotStored,
+    /// The attempt is to be repeated: its transaction may be committed yet, and a next leader
+    /// would find a record of what had been planned anew.
+    Repeat,
+}
+
 impl RentalRecording {
     /// The transaction, the same at each attempt: one that is carried out late finds the
     /// key present, or another leader, and changes nothing.
@@ -132,19 +144,19 @@
         txn
     }
 
-    /// Whether the record is stored after an attempt, or `None` if the attempt is to be
-    /// repeated: a transaction in doubt may be committed yet, and a next leader would find a
-    /// record of what had been planned anew.
-    pub fn apply_attempt(&mut self, outcome: &RecordAttempt) -> Option<bool> {
+    /// Applies the outcome of an attempt to store the record.
+    pub fn apply_attempt(&mut self, outcome: &RecordAttempt) -> RecordProgress {
         match outcome {
-            RecordAttempt::Done => Some(true),
+            RecordAttempt::Done => RecordProgress::Stored,
             // no other record has this key: an earlier attempt was committed
-            RecordAttempt::Conflict(keys) if self.may_be_stored && *keys == [self.key.as_str()] => Some(true),
+            RecordAttempt::Conflict(keys) if self.may_be_stored && *keys == [self.key.as_str()] => {
+                RecordProgress::Stored
+            }
             RecordAttempt::Indeterminate => {
                 self.may_be_stored = true;
-                None
+                RecordProgress::Repeat
             }
-            RecordAttempt::Conflict(_) | RecordAttempt::Refused => Some(false),
+            RecordAttempt::Conflict(_) | RecordAttempt::Refused => RecordProgress::NotStored,
         }
     }
 }
--- a/packages/core/src/cluster/rental/tests.rs
+++ b/packages/core/src/cluster/rental/tests.rs
@@ -75,7 +75,7 @@
             }];
             if let Some(mut r) = fleet.begin_recording(&wants, term) {
                 prop_assert!(!store.has(&r.key) || late.is_empty(), "the key is new");
-                let (mut stored, leader) = (None, store.leader());
+                let (mut stored, leader) = (RecordProgress::Repeat, store.leader());
                 if then == 3 {
                     // another leads meanwhile, and this one does not know yet
                     store.leads(term);
@@ -98,11 +98,11 @@
                         WriteOutcome::Refused => RecordAttempt::Refused,
                     };
                     stored = r.apply_attempt(&tried);
-                    if stored.is_some() {
+                    if stored != RecordProgress::Repeat {
                         break;
                     }
                 }
-                if stored == Some(true) {
+                if stored == RecordProgress::Stored {
                     prop_assert!(store.has(&r.key), "called stored, and is not");
                     fleet.mark_recorded(r.key.clone(), &r.rentals);
                     for rental in &r.rentals {
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::cluster::{Machine, MachineState, QueuePriority};
 use crate::sim::{cluster as new_cluster, report as heartbeat, spec};
-use crate::workers::{HeartbeatOutcome, HeartbeatSource};
+use crate::workers::{Heartbeat, HeartbeatOutcome, HeartbeatSource};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -12,6 +12,10 @@
     cluster.machines.insert(name.into(), m);
 }
 
+fn assert_applied(cluster: &mut Cluster, heartbeat: &Heartbeat, now: Instant) {
+    assert_eq!(cluster.apply_heartbeat(heartbeat, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
+}
+
 /// Tasks of a large array that were lost with their spot machines were queued behind
 /// all that had come since, and made their job late by minutes.
 #[test]
@@ -157,24 +161,14 @@
     assert_eq!(running_tasks(&mut cluster), 0);
     cluster.apply_machine_list(&[], now);
     cluster.collect_garbage(now);
-    assert_eq!(cluster.apply_heartbeat(&heartbeat(last, 1), HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
+    assert_applied(&mut cluster, &heartbeat(last, 1), now);
     assert_eq!((running_tasks(&mut cluster), cluster.has_no_task_of("j-1")), (0, false));
     // a heartbeat under this term's token is a proof, and so are a later incarnation and a
     // deletion
     type Proof<'a> = &'a dyn Fn(&mut Cluster);
     let proofs: [Proof; 3] = [
-        &|cluster| {
-            assert_eq!(
-                cluster.apply_heartbeat(&heartbeat(this, 1), HeartbeatSource::Worker, now),
-                HeartbeatOutcome::Applied
-            )
-        },
-        &|cluster| {
-            assert_eq!(
-                cluster.apply_heartbeat(&heartbeat(last, 2), HeartbeatSource::Worker, now),
-                HeartbeatOutcome::Applied
-            )
-        },
+        &|cluster| assert_applied(cluster, &heartbeat(this, 1), now),
+        &|cluster| assert_applied(cluster, &heartbeat(last, 2), now),
         &|cluster| cluster.apply_deletion(std::slice::from_ref(&old), now),
     ];
     for (n, proof) in proofs.iter().enumerate() {
@@ -192,12 +186,11 @@
 #[test]
 fn a_start_on_a_machine_that_no_list_has_counts_for_the_next_leader() {
     use crate::commit::{read_shard, TxnLimits};
-    use crate::workers::Heartbeat;
     use coralnotch_wire::state::{KeyValue, Write};
     let now = Instant::now();
     let mut cluster = new_cluster(4, now);
     let first = Heartbeat { spot: true, ..heartbeat("i-7", "z2", 1, 1, 0) };
-    assert_eq!(cluster.apply_heartbeat(&first, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
+    assert_applied(&mut cluster, &first, now);
     cluster.add_job(spec("j-1", 1), 1, None, now);
     cluster.run_placement_pass(now);
     assert_eq!(cluster.jobs["j-1"].assignments.len(), 1, "it gets work at once");
--- a/src/leader/load.rs
+++ b/src/leader/load.rs
@@ -13,6 +13,7 @@
 use crate::model::*;
 use crate::runtime::wake_up::with_timeout;
 use crate::state_store::client::{key, KeyValue, StoreError};
+use crate::users::lookup::JobRecord;
 
 use super::takeover::MissingJobs;
 
@@ -53,10 +54,10 @@
     pub(super) fn add_job(
         &mut self,
         id: Name,
-        result: Result<Option<(OpenJob, Option<JobOutcome>)>, StoreError>,
+        result: Result<Option<JobRecord>, StoreError>,
     ) -> Result<(), StoreError> {
         let job = match result {
-            Ok(Some((job, outcome))) => StoredJob::Found { job, outcome },
+            Ok(Some(JobRecord { job, outcome })) => StoredJob::Found { job, outcome },
             Ok(None) | Err(StoreError::Unreadable) => {
                 tracing::error!(job = %id, "job record missing or unreadable, starts of the job ignored");
                 StoredJob::Missing
--- a/src/leader/rental_records.rs
+++ b/src/leader/rental_records.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use crate::cluster::{RecordAttempt, Rental, RentalRecording};
+use crate::cluster::{RecordAttempt, RecordProgress, Rental, RentalRecording};
 use crate::controller::Controller;
 use crate::leadership::lease::LeaderLease;
 use crate::state_store::client::{key, StoreError, Txn, TxnOutcome, Write};
@@ -23,14 +23,14 @@
         for _ in 0..RECORD_ATTEMPTS {
             let attempt = self.write_rental_record(&recording, lease).await;
             match recording.apply_attempt(&attempt) {
-                None => {}
-                Some(true) => {
+                RecordProgress::Repeat => {}
+                RecordProgress::Stored => {
                     if let Some(cluster) = self.lock().cluster.as_mut() {
                         cluster.fleet.mark_recorded(recording.key, &recording.rentals);
                     }
                     return true;
                 }
-                Some(false) => {
+                RecordProgress::NotStored => {
                     tracing::debug!(?attempt, "rentals not recorded");
                     return false;
                 }
--- a/src/leader/takeover/tests.rs
+++ b/src/leader/takeover/tests.rs
@@ -5,6 +5,7 @@
 use crate::job_index::OpenJob;
 use crate::policy::Policy;
 use crate::state_store::client::StoreError;
+use crate::users::lookup::JobRecord;
 use coralnotch_policy::example::SETTINGS;
 use coralnotch_wire::example::spec;
 use std::collections::HashMap;
@@ -65,7 +66,9 @@
     assert_eq!(ids, ["j-000002".into()]);
     assert!(controller.lock().cluster.is_none(), "no incomplete state");
     let job = OpenJob { spec: spec("j-000002", 1), revision: 2 };
-    assert!(stored.add_job("j-000002".into(), Ok(Some((job, Some(JobOutcome::Cancelled))))).is_ok());
+    assert!(stored
+        .add_job("j-000002".into(), Ok(Some(JobRecord { job, outcome: Some(JobOutcome::Cancelled) })))
+        .is_ok());
     assert!(controller.try_take_over(lease(now), stored, now).is_ok());
     let state = controller.lock();
     let tasks = &state.cluster.as_ref().expect("it leads").machines["i-1"].tasks;
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -24,17 +24,25 @@
     format!("{}{id}", key::OUTCOME)
 }
 
+/// A job as stored.
+pub(crate) struct JobRecord {
+    /// The job.
+    pub(crate) job: OpenJob,
+    /// Its outcome, if it has ended.
+    pub(crate) outcome: Option<JobOutcome>,
+}
+
 impl Controller {
     /// Reads a job and its outcome; `None` if it was never accepted.  An ended job is kept for the
     /// next request, and an unfinished one comes by the watch.
-    pub(crate) async fn read_stored_job(&self, id: &str) -> Result<Option<(OpenJob, Option<JobOutcome>)>, StoreError> {
+    pub(crate) async fn read_stored_job(&self, id: &str) -> Result<Option<JobRecord>, StoreError> {
         let path = job_key(id);
         // the outcome last: it may be stored in between
         let Some(job_item) = self.store.get(&path).await? else { return Ok(None) };
         let outcome_item = self.store.get(&outcome_key(id)).await?;
         let spec = read_value::<JobSpec>(&path, job_item.value).ok_or(StoreError::Unreadable)?;
         let job = OpenJob { spec: Arc::new(spec), revision: job_item.revision };
-        let Some(item) = outcome_item else { return Ok(Some((job, None))) };
+        let Some(item) = outcome_item else { return Ok(Some(JobRecord { job, outcome: None })) };
         let record = read_value::<OutcomeRecord>(&item.key, item.value).ok_or(StoreError::Unreadable)?;
         let outcome = record.outcome;
         let mut state = self.lock();
@@ -42,7 +50,7 @@
             state.cancellations.record(item.revision, id, Instant::now());
         }
         state.jobs.insert_ended(EndedJob { spec: job.spec.clone(), revision: job.revision, outcome });
-        Ok(Some((job, Some(outcome))))
+        Ok(Some(JobRecord { job, outcome: Some(outcome) }))
     }
 
     /// Looks up an id, asked from now on; `None` if the state service cannot say now.
@@ -96,7 +104,7 @@
         for id in lookup.ended() {
             self.throttle_lookup(2.0).await;
             let result = match self.read_stored_job(&id).await {
-                Ok(Some((_, Some(outcome)))) => Some(LookupResult::Ended(outcome)),
+                Ok(Some(JobRecord { outcome: Some(outcome), .. })) => Some(LookupResult::Ended(outcome)),
                 _ => None,
             };
             for request in batch.extract_if(.., |r| r.id == id) {
