--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -71,7 +71,7 @@
         record_starts(&mut cluster, 70, "z1", "j-000002", start);
         let zone = |m: &mut Machine| {
             if *m.zone == *"z0x" {
-                m.zone = "z0".into()
+                m.zone = "z0".into();
             }
         };
         cluster.machines.values_mut().for_each(zone);
--- a/packages/core/src/sim/message.rs
+++ b/packages/core/src/sim/message.rs
@@ -61,7 +61,7 @@
             | Message::TxnRequest { incarnation, .. }
             | Message::DeleteMachines { incarnation, .. } => *incarnation = NO_RECEIVER,
             Message::Heartbeat { request, .. } | Message::ForwardedHeartbeat(ForwardedRequest { request, .. }) => {
-                *request = NO_RECEIVER
+                *request = NO_RECEIVER;
             }
             _ => return None,
         }
--- a/packages/core/src/user_request.rs
+++ b/packages/core/src/user_request.rs
@@ -288,7 +288,7 @@
             StoreResult::Unknown => self.failure = Some(STORE_UNAVAILABLE),
             StoreResult::AlreadyStored | StoreResult::New { slow: true } => self.found = Some(LookupResult::Open),
             StoreResult::New { slow: false } if jobs.outcome(&self.id).is_some() && !stored_as_cancelled => {
-                self.found = Some(LookupResult::Open)
+                self.found = Some(LookupResult::Open);
             }
             StoreResult::New { slow: false } => {
                 self.found = Some(LookupResult::Confirmed);
