--- a/packages/core/src/fleet/consolidation.rs
+++ b/packages/core/src/fleet/consolidation.rs
@@ -1,5 +1,5 @@
-//! Consolidation: replicas are packed on fewer machines, and the machines that
-//! become empty are returned.
+//! Consolidation: moves replicas to fewer machines, so that the emptied machines can be
+//! returned to the cloud.
 
 use std::time::Instant;
 
@@ -9,10 +9,10 @@
 use crate::cluster::{Assignment, Cluster, Job, Machine, TaskPhase};
 use crate::model::*;
 
-/// Cordon reason of a machine whose replicas move to others.
+/// Cordon reason of a machine whose replicas move to other machines.
 const CONSOLIDATED: &str = "consolidated";
 
-/// A machine that may take replicas, with the room that is left on it.
+/// A machine that may receive replicas, with the resources that are still free on it.
 struct MoveTarget<'a> {
     machine: &'a Machine,
     free: Resources,
@@ -23,44 +23,45 @@
 }
 
 impl Cluster {
-    /// Cordons the machine with the fewest replicas if others can take them.
+    /// Cordons the on-demand machine with the fewest replicas if other machines can run them.
     ///
-    /// When short work is through, its replicas are left a few to a machine, and
-    /// would keep half-empty ordinary machines for as long as they live.  A few at a
-    /// time move to where their image is, in their zone, on machines that hold no
-    /// fewer; the machine they leave is drained, and so returned.
+    /// After short-lived tasks end, the replicas that ran beside them are spread thinly, and
+    /// each would keep a half-empty on-demand machine rented for as long as the replica runs.
+    /// Only a few replicas move at a time, to machines of the same zone that already have the
+    /// image and run at least as many replicas.  The cordoned machine is drained and then
+    /// returned.
     pub(super) fn consolidate_replicas(&mut self, guarantees: &Guarantees, now: Instant) {
         if !self.may_consolidate(now) {
             return;
         }
         let Some(replicas) = self.count_replicas() else { return };
-        let allowed_down = ((replicas.total as f64 * self.policy.move_share) as usize).max(1);
-        let Some(source) = self.sparsest_machine(now) else { return };
+        let max_down = ((replicas.total as f64 * self.policy.move_share) as usize).max(1);
+        let Some(source) = self.consolidation_source(now) else { return };
         let moving = source.tasks.len();
-        if replicas.down + moving > allowed_down.max(moving) || !self.may_lose(source, guarantees, now) {
+        if replicas.down + moving > max_down.max(moving) || !self.can_spare_machine(source, guarantees, now) {
             return;
         }
         if !self.fits_on_others(source, now) {
             return;
         }
         let name = source.name.clone();
-        tracing::info!(machine = %name, replicas = moving, "cordoning machine: its replicas fit on others");
+        tracing::info!(machine = %name, replicas = moving, "cordoning machine: its replicas fit on other machines");
         if let Some(machine) = self.machines.get_mut(&name) {
             machine.cordon_reason = Some(CONSOLIDATED);
         }
     }
 
-    /// Whether replicas may be moved at all now.
+    /// Reports whether the state of the cloud, the term and the network allows moves now.
     fn may_consolidate(&self, now: Instant) -> bool {
-        // a cloud that does not answer takes nothing back: a drained machine would
-        // only be lost
+        // While the cloud does not respond, it accepts no deletion: draining a machine would
+        // remove capacity without saving its cost.
         let cloud_answers = self.fleet.last_full_list.is_some_and(|at| now.duration_since(at) < self.policy.fresh);
         cloud_answers
             && now.duration_since(self.term_started_at.max(self.resumed_at)) >= self.policy.settled
             && self.fleet.partitioned_zones.is_empty()
     }
 
-    /// Counts the replicas; `None` where other work waits for room.
+    /// Counts the replicas.  Returns `None` if a job that is not a service has waiting tasks.
     fn count_replicas(&self) -> Option<ReplicaCounts> {
         let mut counts = ReplicaCounts::default();
         for job in self.jobs.values().filter(|job| job.outcome.is_none() && job.waiting_tasks() > 0) {
@@ -77,9 +78,9 @@
         Some(counts)
     }
 
-    /// The ordinary machine with the fewest tasks, all of them replicas that have run
-    /// for a while.
-    fn sparsest_machine(&self, now: Instant) -> Option<&Machine> {
+    /// Returns the on-demand machine with the fewest tasks among those that run only replicas
+    /// which have been running for longer than the policy's `settled`.
+    fn consolidation_source(&self, now: Instant) -> Option<&Machine> {
         let has_settled = |task: &Assignment| {
             let is_running = task.phase == TaskPhase::Running && task.stop_grace_s.is_none();
             let since = task.running_since.filter(|_| is_running);
@@ -94,8 +95,8 @@
         self.machines.values().filter(may_be_emptied).min_by_key(|machine| machine.tasks.len())
     }
 
-    /// Whether all tasks of a machine fit on machines of its zone that have their
-    /// image and hold no fewer replicas.
+    /// Reports whether all tasks of a machine fit on other machines of its zone that have the
+    /// images and run at least as many replicas.
     fn fits_on_others(&self, source: &Machine, now: Instant) -> bool {
         let mut targets: Vec<MoveTarget> = self
             .machines
@@ -118,10 +119,10 @@
         true
     }
 
-    /// Whether enough room would be left without a machine whose tasks move to
-    /// others: for guarantees, and for what is likely to come of classes that should
-    /// start sooner than a machine boots.
-    fn may_lose(&self, machine: &Machine, guarantees: &Guarantees, now: Instant) -> bool {
+    /// Reports whether the rest of the fleet has enough capacity without this machine: for the
+    /// guarantees and their headroom, and for the expected tasks of classes whose start
+    /// objective is shorter than the boot time of a machine.
+    fn can_spare_machine(&self, machine: &Machine, guarantees: &Guarantees, now: Instant) -> bool {
         let spare = self.capacity_beyond_guarantees(guarantees);
         let free = self.free_beyond_headroom(guarantees, now);
         let size = without_memory(&machine.size);
@@ -143,9 +144,12 @@
     }
 }
 
-/// All replicas, and those that are down for a move or wait.
+/// The number of replicas on machines, and of those that are being stopped or that wait for a
+/// machine.
 #[derive(Debug, Default)]
 struct ReplicaCounts {
+    /// Replicas that are assigned to a machine.
     total: usize,
+    /// Replicas that are being stopped or wait for a machine.
     down: usize,
 }
--- a/packages/core/src/fleet/demand.rs
+++ b/packages/core/src/fleet/demand.rs
@@ -1,5 +1,5 @@
-//! Demand that is expected: job classes whose start objective is shorter than a
-//! machine takes to boot need their room before their tasks are submitted.
+//! Expected demand.  Job classes whose start objective is shorter than the boot time of a
+//! machine need free capacity before their tasks are submitted.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -8,18 +8,19 @@
 use crate::cluster::{Cluster, Job, Machine, UnmetDemand};
 use crate::model::*;
 
-/// Most tasks that are counted on one machine.
+/// Maximum number of tasks that are counted on one machine.
 pub(super) const MAX_TASKS_COUNTED: usize = 1000;
 
 impl Cluster {
-    /// Shortest boot time of all machine types, in seconds; infinite while no
-    /// type is known.
+    /// Returns the shortest boot time of all machine types, in seconds; infinity while no type
+    /// is known.
     fn shortest_boot_s(&self) -> f64 {
         self.types.values().map(|machine_type| machine_type.boot_s).fold(f64::INFINITY, f64::min)
     }
 
-    /// The newest job of each class whose start objective is shorter than any
-    /// machine's boot: it represents those that are likely to come.
+    /// Returns the newest unfinished job of each urgent class, as a sample of the jobs that are
+    /// likely to arrive.  A class is urgent if its start objective is shorter than the boot
+    /// time of every machine type.
     pub(super) fn urgent_class_samples(&self) -> Vec<Arc<JobSpec>> {
         let boot_s = self.shortest_boot_s();
         let newest = |class: &Name| {
@@ -30,8 +31,8 @@
         urgent.filter_map(|(class, _)| newest(class)).collect()
     }
 
-    /// How many tasks of a job could start on a machine at once, counting the room
-    /// of tasks that they may preempt.
+    /// Returns how many tasks of a job could start on a machine immediately.  The resources of
+    /// tasks that the job may preempt count as free.
     fn startable_tasks_on(&self, machine: &Machine, spec: &JobSpec, now: Instant) -> usize {
         if !machine.is_schedulable(now, &self.policy) || !spec.allows(&machine.kind, &machine.zone, machine.spot) {
             return 0;
@@ -45,14 +46,14 @@
         room.count_fitting(&spec.size(), MAX_TASKS_COUNTED)
     }
 
-    /// How many tasks of a job could start at once on all machines.
+    /// Returns how many tasks of a job could start immediately on all machines together.
     pub(super) fn startable_tasks(&self, spec: &JobSpec, now: Instant) -> usize {
         self.machines.values().map(|machine| self.startable_tasks_on(machine, spec, now)).sum()
     }
 
-    /// How many tasks of a job's class are likely to come while a machine boots, by
-    /// the recent arrival rate.  Jobs that were there when this leader began are not
-    /// counted: they may have come over any time.
+    /// Estimates from the recent arrival rate how many tasks of a job's class arrive while a
+    /// machine boots.  Jobs that this leader first saw within the policy's `ttl` after the
+    /// start of its term are not counted, because their actual time of arrival is unknown.
     fn expected_arrivals(&self, spec: &JobSpec, now: Instant) -> f64 {
         let boot_s = self.shortest_boot_s();
         let observed_from = self.term_started_at + self.policy.ttl;
@@ -68,31 +69,32 @@
         f64::from(arrived) * boot_s / window_s
     }
 
-    /// Tasks of urgent classes that are expected and would find no room, one
-    /// entry a class.
+    /// Returns the expected tasks of urgent classes for which no machine has free resources,
+    /// with one entry per class.
     pub(super) fn expected_demand(&self, now: Instant) -> impl Iterator<Item = UnmetDemand> + '_ {
         self.urgent_class_samples().into_iter().map(move |spec| {
             let room = self.startable_tasks(&spec, now);
             let expected = self.expected_arrivals(&spec, now).ceil() as usize;
             let count = expected.max(self.policy.urgent_room).saturating_sub(room).min(u32::MAX as usize) as u32;
-            // the entry represents several jobs: the share of a zone that one job
-            // may use does not bound it
+            // The entry stands for tasks of several jobs.  Its task count is raised to `count`,
+            // because the limit on tasks per zone applies to each job and depends on it.
             let spec = Arc::new(JobSpec { tasks: count.max(spec.tasks), ..(*spec).clone() });
             UnmetDemand { spec, count, zones: Default::default() }
         })
     }
 
-    /// Idle machines without which an urgent class would lack room.
+    /// Returns the names of the idle machines without which an urgent class would have room
+    /// for fewer than `urgent_room` tasks.
     pub(super) fn idle_machines_needed(&self, now: Instant) -> HashSet<Name> {
         let mut needed = HashSet::new();
         for spec in self.urgent_class_samples() {
             let mut room = self.startable_tasks(&spec, now);
             for machine in self.machines.values().filter(|machine| machine.tasks.is_empty()) {
-                let here = self.startable_tasks_on(machine, &spec, now);
-                if here > 0 && room < self.policy.urgent_room + here {
+                let on_machine = self.startable_tasks_on(machine, &spec, now);
+                if on_machine > 0 && room < self.policy.urgent_room + on_machine {
                     needed.insert(machine.name.clone());
                 } else {
-                    room -= here;
+                    room -= on_machine;
                 }
             }
         }
--- a/packages/core/src/fleet/headroom.rs
+++ b/packages/core/src/fleet/headroom.rs
@@ -1,11 +1,11 @@
-//! Capacity that is kept for the teams' guarantees.
+//! Capacity that is reserved for the teams' guarantees.
 
 use std::time::Instant;
 
 use crate::cluster::{Cluster, TeamLimit};
 use crate::model::*;
 
-/// The guarantees of all teams, and what those teams use or wait for.
+/// The sum of the teams' guarantees, and the resources that these teams use or wait for.
 #[derive(Debug, Default)]
 pub(super) struct Guarantees {
     guaranteed: Resources,
@@ -13,8 +13,8 @@
 }
 
 impl Guarantees {
-    /// A share of the guarantees, but no more than a multiple of what the teams
-    /// demand: a guarantee that nobody uses keeps no machine.
+    /// Returns a share of the guarantees, limited to a multiple of what the teams demand, so
+    /// that unused guarantees keep no machine rented.
     fn scaled(&self, share: f64, multiple: f64) -> Resources {
         let part = |guaranteed: f64, demanded: f64| (guaranteed * share).min(demanded * multiple);
         let (guaranteed, demanded) = (&self.guaranteed, &self.demanded);
@@ -26,14 +26,14 @@
     }
 }
 
-/// A size without its memory: guarantees are in cores and GPUs only.
+/// Returns a size with its memory set to 0: guarantees cover only cores and GPUs.
 pub(super) fn without_memory(size: &Resources) -> Resources {
     Resources { memory: 0.0, ..*size }
 }
 
 impl Cluster {
-    /// Sums up the guarantees and the demand on them.  Called once per plan, as
-    /// it looks at every task.
+    /// Sums up the guarantees and the demand of the teams that have one.  This iterates over
+    /// every task, so a plan calls it only once.
     pub(super) fn sum_guarantees(&self) -> Guarantees {
         let mut sum = Guarantees::default();
         let has_guarantee = |team: &TeamLimit| team.guarantee.cpus > 0.0 || team.guarantee.gpus > 0.0;
@@ -52,13 +52,13 @@
         sum
     }
 
-    /// Free room that is to be there at any time, so that what comes next within
-    /// a guarantee need not wait for a machine to boot.
+    /// Returns the resources to keep free at any time, so that new tasks within a guarantee need
+    /// not wait for a machine to boot.
     pub(super) fn headroom(&self, guarantees: &Guarantees) -> Resources {
         guarantees.scaled(self.policy.headroom_share, self.policy.headroom_multiple)
     }
 
-    /// Room on schedulable machines.
+    /// Returns the free resources on all schedulable machines.
     pub(super) fn free_capacity(&self, now: Instant) -> Resources {
         let mut free = Resources::default();
         for machine in self.machines.values().filter(|machine| machine.is_schedulable(now, &self.policy)) {
@@ -67,16 +67,16 @@
         free
     }
 
-    /// Free capacity beyond the headroom.  Nothing is returned to the cloud that
-    /// would have to be rented again at once.
+    /// Returns the free capacity beyond the headroom.  Returning more than this to the cloud
+    /// would cause new rentals immediately.
     pub(super) fn free_beyond_headroom(&self, guarantees: &Guarantees, now: Instant) -> Resources {
         let mut free = self.free_capacity(now);
         free.subtract(&self.headroom(guarantees));
         free
     }
 
-    /// Size of all machines that stay, beyond the share of the guarantees that is
-    /// always kept.
+    /// Returns the total size of all machines that are not removed, being deleted or cordoned,
+    /// beyond the share of the guarantees that is always kept.
     pub(super) fn capacity_beyond_guarantees(&self, guarantees: &Guarantees) -> Resources {
         let mut spare = Resources::default();
         let remaining = self.machines.values().filter(|machine| {
--- a/packages/core/src/fleet/machine_list.rs
+++ b/packages/core/src/fleet/machine_list.rs
@@ -1,16 +1,17 @@
-//! Reconciliation of the leader's machines with what the cloud answers: its
-//! types, its list of machines, rentals and deletions.
+//! Reconciliation of the leader's machines with the responses of the cloud: machine types, the
+//! machine list, rentals and deletions.
 
 use std::time::{Duration, Instant};
 
 use crate::cluster::{Cluster, ListedMachine, Machine, MachinePool, MachineState, Rental};
 use crate::model::*;
 
-/// Longest age of a listed machine that is taken as it is, in seconds.
+/// Maximum age of a listed machine, in seconds; a greater age is reduced to this.
 const MAX_LISTED_AGE_S: f64 = 1e6;
 
 impl Cluster {
-    /// Takes in the machine types that the cloud offers.
+    /// Adds or replaces the machine types that the cloud offers, and updates the sizes of the
+    /// machines of these types.
     pub fn set_types(&mut self, types: &[MachineType]) {
         for machine_type in types {
             self.types.insert(machine_type.name.clone(), machine_type.clone());
@@ -23,8 +24,8 @@
         self.queue_changed = true;
     }
 
-    /// Takes in a whole list of the cloud's machines.  A machine's absence from it
-    /// proves nothing: lists lag, and may be older than an earlier one.
+    /// Applies a complete list of the cloud's machines.  A machine that the list lacks is not
+    /// removed, because lists lag and a later response may contain an older list.
     pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Instant) {
         for listed in list {
             let types = &self.types;
@@ -42,7 +43,7 @@
                     zone = %listed.zone,
                     spot = listed.spot,
                     state = ?listed.state,
-                    "machine listed"
+                    "machine list contains a new machine"
                 );
                 let age = Duration::from_secs_f64(listed.age_s.clamp(0.0, MAX_LISTED_AGE_S));
                 machine.rented_at = now.checked_sub(age).unwrap_or(now);
@@ -55,8 +56,8 @@
         self.fleet.last_full_list = Some(now);
     }
 
-    /// Takes in the machines that the cloud gave for a rental.  Fewer than asked for
-    /// means that the pool has no capacity left.
+    /// Applies the cloud's response to a rental, with the names of the rented machines.  Fewer
+    /// machines than requested mean that the pool has no capacity left.
     pub fn apply_rental(&mut self, rental: &Rental, names: &[Name], now: Instant) {
         self.fleet.mark_answered(&rental.request_id, now);
         tracing::info!(
@@ -66,7 +67,7 @@
             zone = %rental.zone,
             spot = rental.spot,
             machines = ?names,
-            "machines rented"
+            "cloud rented machines"
         );
         if (names.len() as u32) < rental.count {
             self.mark_pool_exhausted(rental, now);
@@ -80,18 +81,19 @@
         }
     }
 
-    /// The cloud has no machine for this rental: its pool is not asked for a while.
+    /// Excludes the pool of a rental that the cloud cannot serve from new rentals for the
+    /// policy's `capacity_rest`.
     pub fn mark_pool_exhausted(&mut self, rental: &Rental, now: Instant) {
         self.fleet.exhausted_pools.insert(MachinePool::of_rental(rental), now + self.policy.capacity_rest);
     }
 
-    /// The cloud has confirmed a deletion: the machines are gone, and all tasks on
-    /// them.
+    /// Applies a deletion that the cloud has confirmed: marks the machines as removed and
+    /// releases all tasks on them.
     pub fn apply_deletion(&mut self, names: &[Name], now: Instant) {
         for name in names {
             self.release_all_assignments(name, now);
             if let Some(machine) = self.machines.get_mut(name) {
-                tracing::info!(machine = %name, "machine deleted");
+                tracing::info!(machine = %name, "cloud confirmed the deletion of a machine");
                 machine.removed_at.get_or_insert(now);
                 machine.exited.clear();
             }
--- a/packages/core/src/fleet/mod.rs
+++ b/packages/core/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! Fleet size: which machines to rent from the cloud and which to return.
+//! Fleet autoscaling: decides which machines to rent from the cloud and which to return.
 //!
-//! Each plan is a plain function of the leader's state and `now`; the cloud
-//! driver of the daemon carries it out.
+//! A plan depends only on the leader's state and `now`, and planning does no I/O.  The leader's
+//! fleet task sends the planned requests to the cloud.
 
 mod consolidation;
 mod demand;
@@ -15,18 +15,19 @@
 use crate::cluster::{Cluster, Rental, UnmetDemand};
 use crate::model::*;
 
-/// Requests to send to the cloud now.
+/// The requests that the leader sends to the cloud after one planning round.
 #[derive(Debug, Default)]
 pub struct FleetPlan {
-    /// Machines to delete.
+    /// Names of the machines to delete, few enough for one request.
     pub deletions: Vec<Name>,
-    /// Rentals to ask for.
+    /// Rentals to request: those that the cloud has not answered yet, then new ones.
     pub rentals: Vec<Rental>,
 }
 
 impl Cluster {
-    /// Plans rentals and deletions for the demand that the last placement pass
-    /// could not meet.  Also stops tasks that have to leave their machine.
+    /// Plans rentals and deletions, given the demand that the last placement pass could not
+    /// meet.  Also stops tasks on machines that are cordoned or that the cloud reclaims, and
+    /// cordons a machine whose replicas fit on other machines.
     pub fn plan_fleet(&mut self, unmet_demand: &[UnmetDemand], now: Instant) -> FleetPlan {
         let mut plan = FleetPlan::default();
         let guarantees = self.sum_guarantees();
--- a/packages/core/src/fleet/scale_in.rs
+++ b/packages/core/src/fleet/scale_in.rs
@@ -1,5 +1,5 @@
-//! Scale-in: which machines are returned to the cloud, and which tasks have to
-//! leave their machine before.
+//! Scale-in: decides which machines are returned to the cloud, and which tasks have to be moved
+//! off their machine first.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -10,20 +10,22 @@
 use crate::model::*;
 use crate::policy::Policy;
 
-/// Most machines in one deletion request.
+/// Maximum number of machines in one deletion request.
 const MAX_DELETIONS: usize = 100;
-/// Boot time that is assumed of a machine of an unknown type, in seconds.
+/// Boot time that is assumed for a machine of an unknown type, in seconds.
 pub(super) const DEFAULT_BOOT_S: f64 = 60.0;
-/// Fewer machines without heartbeats than this are never taken for a partition.
-const MIN_PARTITIONED: usize = 3;
-/// After how many list lags a machine counts as old: every list should have it.
-const LIST_LAGS_UNTIL_OLD: u32 = 4;
-/// How many list lags a younger machine may be absent from newer lists.
-const LIST_LAGS_ABSENT: u32 = 2;
-/// Part of the cancellation deadline within which the worker's own stop is awaited.
-const CANCELLATION_SHARE: f64 = 0.45;
+/// Minimum number of machines with missing heartbeats for a suspected network partition.
+const MIN_PARTITIONED_MACHINES: usize = 3;
+/// Age, in multiples of the list lag, from which every list should contain a machine.
+const OLD_MACHINE_LIST_LAGS: u32 = 4;
+/// Time, in multiples of the list lag, for which newer lists may lack a younger machine that an
+/// earlier list contained.
+const MAX_ABSENCE_LIST_LAGS: u32 = 2;
+/// Share of the cancellation deadline for which the leader waits for a worker to stop the tasks
+/// of a cancelled job, before it has the machine deleted.
+const GRACEFUL_STOP_SHARE: f64 = 0.45;
 
-/// Why a machine is returned.
+/// The reason for returning a machine to the cloud.
 #[derive(Debug, Clone, Copy)]
 enum DeletionReason {
     AlreadyRequested,
@@ -39,7 +41,7 @@
 }
 
 impl DeletionReason {
-    /// The reason as operators read it.
+    /// Returns the reason as it appears in the log.
     fn as_str(self) -> &'static str {
         match self {
             Self::AlreadyRequested => "deletion already requested",
@@ -56,7 +58,7 @@
     }
 }
 
-/// Machines that should send heartbeats, and how many of them do not.
+/// The number of machines that should send heartbeats, and of those whose heartbeat is overdue.
 #[derive(Debug, Default, Clone, Copy)]
 struct HeartbeatCounts {
     missing: usize,
@@ -64,15 +66,16 @@
 }
 
 impl HeartbeatCounts {
-    /// Many machines that fail at once are the network's fault, and they may well
-    /// be working.
+    /// Reports whether so many machines miss their heartbeats at once that a network partition is
+    /// the likely cause.  The machines may still be running their tasks then.
     fn suggest_partition(&self, policy: &Policy) -> bool {
-        self.missing >= MIN_PARTITIONED && self.missing as f64 > self.expected as f64 * policy.silent_share
+        self.missing >= MIN_PARTITIONED_MACHINES && self.missing as f64 > self.expected as f64 * policy.silent_share
     }
 }
 
-/// What the review of the machines goes by.  Capacity that it gives up is taken off
-/// as it goes, so that two machines are not returned for the same spare room.
+/// The inputs of a review that decides for each machine whether to return it.  The capacity of
+/// each idle machine that is returned is subtracted during the review, so that the same spare
+/// capacity does not justify the return of two machines.
 struct MachineReview<'a> {
     policy: &'a Policy,
     types: &'a BTreeMap<Name, MachineType>,
@@ -81,9 +84,9 @@
     partitioned_zones: &'a HashSet<Name>,
     cluster_is_partitioned: bool,
     last_full_list: Option<Instant>,
-    /// Idle machines that expected demand needs.
+    /// Idle machines that are needed for expected demand.
     needed: HashSet<Name>,
-    /// Capacity beyond the guarantees.
+    /// Capacity beyond the share of the guarantees that is always kept.
     spare: Resources,
     /// Free capacity beyond the headroom.
     free: Resources,
@@ -91,32 +94,35 @@
 }
 
 impl MachineReview<'_> {
-    /// Why a machine is to be returned now, if it is.  `unreported` is the time since
-    /// its last heartbeat.
-    fn review(&mut self, machine: &Machine, unreported: Duration) -> Option<DeletionReason> {
+    /// Returns the reason to return a machine now, if there is one.  `since_heartbeat` is the
+    /// time since the last heartbeat of the machine.
+    fn review(&mut self, machine: &Machine, since_heartbeat: Duration) -> Option<DeletionReason> {
         let policy = self.policy;
         if machine.deletion_sent_at.is_some() {
-            // a deletion may be carried out at any time now
+            // The cloud may execute the earlier request at any time, so the machine cannot be
+            // kept.  The request is repeated until the cloud confirms it.
             return Some(DeletionReason::AlreadyRequested);
         }
         if machine.state == Some(MachineState::Failed) {
             return Some(DeletionReason::Failed);
         }
-        if machine.reclaim_at.is_some_and(|at| at <= self.now) && unreported > policy.fresh / 2 {
+        if machine.reclaim_at.is_some_and(|at| at <= self.now) && since_heartbeat > policy.fresh / 2 {
             return Some(DeletionReason::Reclaimed);
         }
-        if unreported > policy.missed && self.is_missing_from_lists(machine) {
+        if since_heartbeat > policy.missed && self.is_missing_from_lists(machine) {
             return Some(DeletionReason::UnresponsiveAndUnlisted);
         }
         if machine.last_heartbeat.is_none() && machine.state != Some(MachineState::Running) && machine.tasks.is_empty()
         {
-            return self.has_boot_timed_out(machine, unreported).then_some(DeletionReason::BootTimeout);
+            return self.has_boot_timed_out(machine, since_heartbeat).then_some(DeletionReason::BootTimeout);
         }
-        if unreported > policy.silent && !self.cluster_is_partitioned && !self.partitioned_zones.contains(&machine.zone)
+        if since_heartbeat > policy.silent
+            && !self.cluster_is_partitioned
+            && !self.partitioned_zones.contains(&machine.zone)
         {
             return Some(DeletionReason::Unresponsive);
         }
-        if self.has_lost_lease(machine, unreported) {
+        if self.has_expired_lease(machine, since_heartbeat) {
             return Some(DeletionReason::LeaseExpiredInPartition);
         }
         if let Some(reason) = machine.cordon_reason.filter(|_| machine.tasks.is_empty()) {
@@ -127,43 +133,45 @@
             self.free.subtract(&machine.size);
             return Some(DeletionReason::Idle);
         }
-        self.runs_cancelled_job(machine, unreported).then_some(DeletionReason::RunsCancelledJob)
+        self.runs_cancelled_job(machine, since_heartbeat).then_some(DeletionReason::RunsCancelledJob)
     }
 
-    /// Whether lists that should have a machine lack it.  A machine that has been
-    /// listed for long and is absent from the newest list is gone, as a list older
-    /// than others would still have it.  That is no proof, but reason enough to
-    /// ask for one, a deletion.
+    /// Reports whether the machine is absent from lists that should contain it.
+    ///
+    /// A machine that is old and is absent from the newest list is probably gone, because even an
+    /// outdated list would contain it.  The absence does not prove this, so the machine is
+    /// deleted, and the response of the cloud to the deletion is the proof.
     fn is_missing_from_lists(&self, machine: &Machine) -> bool {
         let list_lag = self.policy.list_lag;
-        let old_after = list_lag * LIST_LAGS_UNTIL_OLD;
+        let old_after = list_lag * OLD_MACHINE_LIST_LAGS;
         let Some(last_list) = self.last_full_list else { return false };
         let Some(last_listed) = machine.last_listed else {
             return self.now.duration_since(machine.first_seen) > old_after;
         };
         let is_old = self.now.duration_since(machine.rented_at.min(machine.first_seen)) > old_after;
-        last_list > last_listed && (is_old || last_list.duration_since(last_listed) > list_lag * LIST_LAGS_ABSENT)
+        last_list > last_listed && (is_old || last_list.duration_since(last_listed) > list_lag * MAX_ABSENCE_LIST_LAGS)
     }
 
-    /// Whether a machine that has never sent a heartbeat should have booted by now.
-    fn has_boot_timed_out(&self, machine: &Machine, unreported: Duration) -> bool {
+    /// Reports whether a machine that has never sent a heartbeat has exceeded its boot timeout.
+    fn has_boot_timed_out(&self, machine: &Machine, since_heartbeat: Duration) -> bool {
         let boot_s = self.types.get(&machine.kind).map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
         let limit = Duration::from_secs_f64(boot_s * self.policy.boot_factor);
-        self.now.duration_since(machine.rented_at) > limit && unreported > self.policy.fresh
+        self.now.duration_since(machine.rented_at) > limit && since_heartbeat > self.policy.fresh
     }
 
-    /// Whether a machine with replicas in a partitioned zone has lost its lease: no
-    /// controller inside the zone renews it, so the replicas have stopped by now, and
-    /// only a deletion proves it.
-    fn has_lost_lease(&self, machine: &Machine, unreported: Duration) -> bool {
-        unreported > self.policy.lease_over
+    /// Reports whether a machine with replicas in a partitioned zone has an expired lease.  If no
+    /// controller inside the zone renews the lease, the replicas have stopped by then, and only
+    /// a deletion of the machine proves it.
+    fn has_expired_lease(&self, machine: &Machine, since_heartbeat: Duration) -> bool {
+        since_heartbeat > self.policy.lease_over
             && !self.cluster_is_partitioned
             && self.partitioned_zones.contains(&machine.zone)
             && !self.zones_with_controller.contains(&machine.zone)
             && machine.tasks.values().any(|task| task.occupies_resources() && task.spec.shape == Shape::Service)
     }
 
-    /// Whether a machine has been idle for long enough and nothing needs it.
+    /// Reports whether a machine has been idle for longer than its limit and is not needed for
+    /// guarantees, headroom or expected demand.
     fn is_surplus(&self, machine: &Machine) -> bool {
         let idle_limit = self.idle_limit(machine);
         let size = without_memory(&machine.size);
@@ -176,24 +184,26 @@
             && without_memory(&self.free).fits(&size)
     }
 
-    /// How long a machine may idle.  An empty machine is worth the images that the
-    /// next task need not wait for.
+    /// Returns how long a machine may stay idle before it is returned.  The limit grows with the
+    /// time to fetch a cached image of average size, because the next task that uses a cached
+    /// image starts without that delay.
     fn idle_limit(&self, machine: &Machine) -> Duration {
         let policy = self.policy;
         let fetch_gb_per_s = self.types.get(&machine.kind).map_or(0.0, |machine_type| machine_type.fetch_gb_per_s);
         let images = &machine.images;
         let mean_image_gb = images.iter().map(|image| image.1).sum::<f64>() / images.len().max(1) as f64;
-        let image_worth_s = mean_image_gb / fetch_gb_per_s.max(1e-3) * policy.idle_images;
-        policy.idle.max(Duration::from_secs_f64(image_worth_s.min(policy.idle_most)))
+        let image_fetch_s = mean_image_gb / fetch_gb_per_s.max(1e-3) * policy.idle_images;
+        policy.idle.max(Duration::from_secs_f64(image_fetch_s.min(policy.idle_most)))
     }
 
-    /// Whether tasks of a cancelled job were requested to stop and have not.  Stops of a
-    /// cancelled job are pursued to the end, at once where no command arrives.
-    fn runs_cancelled_job(&self, machine: &Machine, unreported: Duration) -> bool {
-        let deadline = if unreported > self.policy.missed {
+    /// Reports whether tasks of a cancelled job are still running after the worker should have
+    /// stopped them.  The worker has [`GRACEFUL_STOP_SHARE`] of the cancellation deadline for it,
+    /// but no time at all if its heartbeats are missing, because it receives no command then.
+    fn runs_cancelled_job(&self, machine: &Machine, since_heartbeat: Duration) -> bool {
+        let deadline = if since_heartbeat > self.policy.missed {
             Duration::ZERO
         } else {
-            self.policy.cancel.mul_f64(CANCELLATION_SHARE)
+            self.policy.cancel.mul_f64(GRACEFUL_STOP_SHARE)
         };
         machine.tasks.values().any(|task| {
             let is_cancelled =
@@ -205,10 +215,12 @@
     }
 }
 
-/// Tasks that have to leave a machine that is cordoned or about to be reclaimed.
+/// Returns the tasks that have to be moved off a machine that is cordoned or is about to be
+/// reclaimed by the cloud.
 fn tasks_to_move(machine: &Machine) -> impl Iterator<Item = Task> + '_ {
     let may_stay = |task: &Assignment| {
-        // without checkpoints a stop only loses work, and the task may finish yet
+        // A task without checkpoints would lose all its work, and may still finish before the
+        // machine is reclaimed.
         machine.cordon_reason.is_none() && task.spec.checkpoint_s == 0.0 && task.spec.shape == Shape::Array
     };
     let moving = machine
@@ -219,15 +231,15 @@
 }
 
 impl Cluster {
-    /// Adds machines to return to the plan, and stops what has to leave machines that
-    /// are cordoned or reclaimed.
+    /// Adds the machines to return to the plan, and stops the tasks that have to be moved off
+    /// machines that are cordoned or are about to be reclaimed.
     pub(super) fn plan_scale_in(&mut self, guarantees: &Guarantees, plan: &mut FleetPlan, now: Instant) {
         let policy = self.policy.clone();
         let spare = self.capacity_beyond_guarantees(guarantees);
         let free = self.free_beyond_headroom(guarantees, now);
-        let unreported: Vec<Duration> =
+        let since_heartbeat: Vec<Duration> =
             self.machines.values().map(|machine| self.time_since_heartbeat(machine, now)).collect();
-        self.detect_partitions(&unreported, now);
+        self.detect_partitions(&since_heartbeat, now);
         let needed = self.idle_machines_needed(now);
         let mut review = MachineReview {
             policy: &policy,
@@ -243,9 +255,9 @@
             now,
         };
         let mut moves: Vec<(Name, Task)> = Vec::new();
-        let machines = self.machines.values_mut().zip(unreported);
-        for (machine, unreported) in machines.filter(|(machine, _)| machine.removed_at.is_none()) {
-            if let Some(reason) = review.review(machine, unreported) {
+        let machines = self.machines.values_mut().zip(since_heartbeat);
+        for (machine, since_heartbeat) in machines.filter(|(machine, _)| machine.removed_at.is_none()) {
+            if let Some(reason) = review.review(machine, since_heartbeat) {
                 request_deletion(machine, reason, plan, now);
             } else if machine.cordon_reason.is_some() || machine.reclaim_at.is_some() {
                 moves.extend(tasks_to_move(machine).map(|task| (machine.name.clone(), task)));
@@ -256,10 +268,10 @@
         }
     }
 
-    /// Tells network partitions from dead machines: where many machines of a zone, or
-    /// of the cluster, miss their heartbeats at once, the network is taken for the
-    /// cause.
-    fn detect_partitions(&mut self, unreported: &[Duration], now: Instant) {
+    /// Distinguishes network partitions from failed machines.  If many machines of a zone, or of
+    /// the whole cluster, miss their heartbeats at once, a partition is assumed.  `since_heartbeat`
+    /// holds the time since the last heartbeat of each machine, in the order of `machines`.
+    fn detect_partitions(&mut self, since_heartbeat: &[Duration], now: Instant) {
         let policy = &self.policy;
         let should_report = |machine: &Machine| {
             machine.removed_at.is_none()
@@ -268,16 +280,18 @@
                     || !machine.tasks.is_empty())
         };
         let mut counts: HashMap<PartitionScope, HeartbeatCounts> = HashMap::new();
-        for (machine, unreported) in self.machines.values().zip(unreported).filter(|(m, _)| should_report(m)) {
-            let missing = usize::from(*unreported > policy.fresh);
+        for (machine, since_heartbeat) in self.machines.values().zip(since_heartbeat).filter(|(m, _)| should_report(m))
+        {
+            let missing = usize::from(*since_heartbeat > policy.fresh);
             for scope in [PartitionScope::Cluster, PartitionScope::Zone(machine.zone.clone())] {
                 let count = counts.entry(scope).or_default();
                 count.missing += missing;
                 count.expected += 1;
             }
         }
-        // as a partition heals, most machines come back one by one within a heartbeat
-        // interval: the last third of them is as much alive as the first
+        // When a partition heals, the machines send heartbeats one by one within a heartbeat
+        // interval.  The partition is therefore assumed for a while longer, so that the last
+        // third of the machines is not deleted shortly before their heartbeats arrive.
         let last_seen = &mut self.fleet.last_seen_partitioned;
         let partitioned = counts.into_iter().filter(|(_, count)| count.suggest_partition(policy));
         last_seen.extend(partitioned.map(|(scope, _)| (scope, now)));
@@ -290,12 +304,12 @@
     }
 }
 
-/// Puts a machine into the deletion request, unless that is full: then it is
+/// Adds a machine to the deletion request of the plan.  If the request is full, the machine is
 /// left to a later plan.
 fn request_deletion(machine: &mut Machine, reason: DeletionReason, plan: &mut FleetPlan, now: Instant) {
     if machine.deletion_sent_at.is_none() {
         let reason = reason.as_str();
-        tracing::info!(machine = %machine.name, reason, tasks = machine.tasks.len(), "returning machine");
+        tracing::info!(machine = %machine.name, reason, tasks = machine.tasks.len(), "returning machine to the cloud");
     }
     if plan.deletions.len() < MAX_DELETIONS {
         machine.deletion_sent_at.get_or_insert(now);
--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -22,10 +22,12 @@
     cluster.add_shard(cluster.shards.len() as u32, shard, &locations, now);
 }
 
-/// A zone whose machines all miss their heartbeats is partitioned, not dead: its
-/// machines stay, whatever share of the fleet they are.
+/// When all machines of a zone miss their heartbeats, a partition is assumed and no machine is
+/// deleted, whatever share of the fleet the zone has.  When the partition healed and two thirds
+/// of the machines had sent heartbeats, the leader once deleted the rest, a second before their
+/// heartbeats arrived.
 #[test]
-fn machines_of_a_partitioned_zone_are_kept() {
+fn machines_of_a_partitioned_zone_are_not_deleted() {
     let start = Instant::now();
     let mut cluster = new_cluster(2, start);
     cluster.add_job(spec("j-000001", 1000), 1, None, start);
@@ -38,21 +40,20 @@
     }
     assert!(cluster.plan_fleet(&[], later).deletions.is_empty());
     assert!(cluster.fleet.partitioned_zones.contains("z0"));
-    // Seen on the bench: the partition healed, two thirds had sent heartbeats, and
-    // the rest was deleted a second before its heartbeats came.
+    // the partition heals: all machines but five send a heartbeat
     let healed = later + Duration::from_secs(1);
     for m in cluster.machines.values_mut().skip(5) {
         m.last_heartbeat = Some(healed);
     }
     assert!(cluster.plan_fleet(&[], healed).deletions.is_empty());
-    // those that stay away after that are another matter
+    // machines that still send no heartbeat some time after that are deleted
     assert_eq!(cluster.plan_fleet(&[], later + cluster.policy.missed).deletions.len(), 5);
 }
 
-/// Seen on an operators' day: a zone without a controller was partitioned, and its
-/// replicas were missed until it came back.  Their leases expire at a known time;
-/// then a deletion proves them gone, and others replace them.  Where a controller
-/// inside the zone renews the leases, they keep running.
+/// When a zone without a controller was partitioned, its replicas were missing until the
+/// partition healed.  The leases of their machines expire at a known time.  From then on a
+/// deletion proves that the replicas have stopped, and they can be replaced.  If a controller
+/// inside the zone renews the leases, the replicas keep running and nothing is deleted.
 #[test]
 fn replicas_in_a_partitioned_zone_are_deleted_when_their_leases_expire() {
     let start = Instant::now();
@@ -75,24 +76,27 @@
             }
         };
         cluster.machines.values_mut().for_each(zone);
-        let mut plan_at = |t: Instant| {
+        let mut deletions_at = |t: Instant| {
             for m in cluster.machines.values_mut().filter(|m| *m.zone == *"z1") {
                 m.last_heartbeat = Some(t);
             }
             cluster.plan_fleet(&[], t).deletions
         };
         let end = start + policy.lease_over;
-        assert!(plan_at(end - Duration::from_secs(1)).is_empty(), "they may still run");
-        let gone = plan_at(end + Duration::from_millis(100));
-        // only what holds replicas: the rest may be of use again
-        assert_eq!(gone.len(), if has_controller { 0 } else { 10 });
-        assert!(gone.iter().all(|n| n.starts_with("i-z00")));
+        assert!(
+            deletions_at(end - Duration::from_secs(1)).is_empty(),
+            "replicas may still run before their leases expire"
+        );
+        let deleted = deletions_at(end + Duration::from_millis(100));
+        // machines without replicas are kept, as they may work again after the partition
+        assert_eq!(deleted.len(), if has_controller { 0 } else { 10 });
+        assert!(deleted.iter().all(|n| n.starts_with("i-z00")));
     }
 }
 
-/// Seen at ten thousand machines on a twelfth of a core: the heartbeats alone took
-/// more time than the leader had, and no request was served.  No more machines are
-/// rented than it can process heartbeats of.
+/// With ten thousand machines and a leader on a twelfth of a core, the heartbeats took more
+/// processor time than the leader had, and no request was served.  The number of machines is
+/// therefore limited to those whose heartbeats the leader can process.
 #[test]
 fn no_more_machines_are_rented_than_the_leader_can_serve() {
     let now = Instant::now();
@@ -104,31 +108,31 @@
     cluster.add_job(spec("j-000001", 1000), 1, None, now);
     record_starts(&mut cluster, 5, "z0", "j-000001", now);
     cluster.apply_machine_list(&[], now);
-    let want = UnmetDemand { spec: spec("j-000001", 1000), count: 1000, zones: BTreeMap::new() };
+    let unmet_demand = UnmetDemand { spec: spec("j-000001", 1000), count: 1000, zones: BTreeMap::new() };
     let rented = |p: FleetPlan| p.rentals.iter().map(|r| r.count).sum::<u32>();
-    assert_eq!(rented(cluster.plan_fleet(std::slice::from_ref(&want), now)), 7);
-    // what was asked for counts until it is here
+    assert_eq!(rented(cluster.plan_fleet(std::slice::from_ref(&unmet_demand), now)), 7);
+    // requested machines count until the cloud has answered the rental
     assert_eq!(
-        rented(cluster.plan_fleet(std::slice::from_ref(&want), now)),
+        rented(cluster.plan_fleet(std::slice::from_ref(&unmet_demand), now)),
         7,
-        "the same again, with the same request ids"
+        "only the open rentals are requested again, with the same request ids"
     );
     assert_eq!(cluster.fleet.open_rentals.iter().map(|r| r.count).sum::<u32>(), 7);
 }
 
-/// Seen where arrays run on spot machines alone: replicas can preempt nothing on
-/// ordinary ones, and the little room that was kept did not last for a boot.  And
-/// spot machines that were lost were not rented again while thousands of tasks
-/// waited, as slots in use counted as free.
+/// Guards against two faults that occurred while arrays ran only on spot machines.  Replicas
+/// could preempt no task on on-demand machines, and the little free capacity there was used up
+/// before a new machine had booted.  Lost spot machines were not replaced while thousands of
+/// tasks waited, because slots that were in use counted as free.
 #[test]
 fn machines_are_rented_for_expected_and_for_waiting_tasks() {
     let start = Instant::now();
     let zones: Vec<Name> = ["z0", "z1", "z2", "z3"].map(Name::from).to_vec();
-    let several =
+    let allow_ten_rentals =
         |cluster: &mut Cluster| cluster.policy = Arc::new(Policy { rentals_at_once: 10, ..(*cluster.policy).clone() });
-    let ordinary = |arrivals: u32| {
+    let on_demand_rentals = |arrivals: u32| {
         let mut cluster = new_cluster(2, start);
-        several(&mut cluster);
+        allow_ten_rentals(&mut cluster);
         cluster.set_types(&[MachineType { zones: zones.clone(), ..crate::sim::machine_type("t") }]);
         cluster.start_objectives.insert("c".into(), 5.0);
         let now = start + cluster.policy.ttl + Duration::from_secs(20);
@@ -142,32 +146,36 @@
         assert!(rent.iter().all(|r| !r.spot));
         rent.iter().map(|r| r.count).sum::<u32>()
     };
-    // a boot of 10 s, half of a window of 20: half of what came will come again
-    assert_eq!((ordinary(0), ordinary(1), ordinary(80)), (0, 2, 20));
+    // the boot time of 10 s is half of the window of 20 s, so half as many tasks are expected
+    // as have arrived
+    assert_eq!((on_demand_rentals(0), on_demand_rentals(1), on_demand_rentals(80)), (0, 2, 20));
 
     let mut cluster = new_cluster(2, start);
-    several(&mut cluster);
+    allow_ten_rentals(&mut cluster);
     cluster.set_types(&[MachineType { zones, ..crate::sim::machine_type("t") }]);
     cluster.add_job(spec("j-000001", 1000), 1, None, start);
     record_starts(&mut cluster, 100, "z0", "j-000001", start);
     cluster.apply_machine_list(&[], start);
-    let want = |count| UnmetDemand { spec: spec("j-000001", 1000), count, zones: BTreeMap::new() };
-    let each = 10.0 / cluster.policy.spot_horizon_s;
+    let unmet_demand = |count| UnmetDemand { spec: spec("j-000001", 1000), count, zones: BTreeMap::new() };
+    let slots_per_task = 10.0 / cluster.policy.spot_horizon_s;
     let mut rented = |count| {
         cluster.fleet.open_rentals.clear();
-        cluster.plan_fleet(&[want(count)], start).rentals.iter().map(|r| (r.spot, r.count)).collect::<Vec<_>>()
+        cluster.plan_fleet(&[unmet_demand(count)], start).rentals.iter().map(|r| (r.spot, r.count)).collect::<Vec<_>>()
     };
-    let enough = (100.0 / each) as u32;
-    assert_eq!(rented(enough), [], "a hundred slots are through with these in time");
-    let more = rented(enough + 80);
-    assert_eq!(more.iter().map(|r| r.1).sum::<u32>(), (80.0 * each / 8.0).ceil() as u32);
-    assert!(more.iter().all(|r| r.0), "for ordinary machines they may wait");
+    let served_tasks = (100.0 / slots_per_task) as u32;
+    assert_eq!(rented(served_tasks), [], "a hundred slots complete these tasks within the horizon");
+    let rented_machines = rented(served_tasks + 80);
+    assert_eq!(rented_machines.iter().map(|r| r.1).sum::<u32>(), (80.0 * slots_per_task / 8.0).ceil() as u32);
+    assert!(
+        rented_machines.iter().all(|r| r.0),
+        "no on-demand machine is rented: its longer horizon allows these tasks to wait"
+    );
 }
 
-/// A new leader counts the time since a machine's last heartbeat from what its previous
-/// leader stored, but not before the workers have had the time to send one.
+/// A new leader counts the time since a machine's last heartbeat from the time that the previous
+/// leader stored, but only once the workers have had enough time to send it a heartbeat.
 #[test]
-fn time_since_the_last_heartbeat_is_inherited() {
+fn time_since_the_last_heartbeat_includes_the_previous_term() {
     let start = Instant::now() + Duration::from_secs(100);
     let mut cluster = new_cluster(2, start);
     cluster.add_job(spec("j-000001", 1000), 1, None, start);
@@ -183,15 +191,15 @@
     assert_eq!(since_heartbeat(Duration::from_secs(1)), (1, 1));
     let waited = cluster.policy.missed + Duration::from_secs(1);
     assert_eq!(since_heartbeat(waited), (20 + waited.as_secs(), waited.as_secs()));
-    // a controller inside the zone may have had its heartbeats all along
+    // a controller inside the zone may have received heartbeats in the meantime
     cluster.zones_with_controller.insert("z0".into());
     assert_eq!(cluster.time_since_heartbeat(&cluster.machines["i-z00000"], start + waited).as_secs(), waited.as_secs());
 }
 
-/// Heartbeats that were missed during the controller's own stall do not count: no
-/// machine is deleted for them, but those that send none after it are.
+/// Heartbeats that are missed during a stall of the controller itself do not count: no machine is
+/// deleted for them.  Machines that send no heartbeat after the stall are deleted.
 #[test]
-fn a_stall_of_the_controller_deletes_no_machine() {
+fn heartbeats_missed_during_a_controller_stall_delete_no_machine() {
     let start = Instant::now();
     let mut cluster = new_cluster(2, start);
     cluster.add_job(spec("j-000001", 1000), 1, None, start);
@@ -203,11 +211,11 @@
     assert_eq!(cluster.plan_fleet(&[], later).deletions.len(), 2);
 }
 
-/// A task of a cancelled job on a machine that no stop command reaches: the cloud has
-/// to delete the machine, and in time, also under a new leader that knows only the
-/// stored start.  Else a controller in a partitioned zone might keep it running.
+/// When no stop command reaches the machine of a cancelled job's task, the cloud has to delete the
+/// machine before the cancellation deadline, also under a new leader that knows only the stored
+/// start.  Otherwise a controller in a partitioned zone might keep the task running.
 #[test]
-fn machines_that_a_cancellation_cannot_reach_are_deleted() {
+fn machines_that_no_stop_command_reaches_are_deleted_after_a_cancellation() {
     let start = Instant::now();
     let mut cluster = new_cluster(2, start);
     cluster.add_job(spec("j-000001", 1000), 1, Some(JobOutcome::Cancelled), start);
@@ -216,51 +224,52 @@
     assert_eq!(cluster.plan_fleet(&[], later).deletions.len(), 30);
 }
 
-/// Rentals outlive their leader: the next one requests them again with the same
-/// request ids, and nothing new before it knows what is on its way.
+/// A new leader requests the unanswered rentals of the previous leader again, with the same
+/// request ids, and counts their machines before it requests new ones.
 #[test]
-fn rentals_of_a_previous_leader_are_requested_again_and_not_twice() {
+fn unanswered_rentals_of_the_previous_leader_are_repeated_and_not_duplicated() {
     let start = Instant::now();
-    let mut old = new_cluster(1, start);
-    old.set_types(&[MachineType { zones: vec!["z0".into()], ..crate::sim::machine_type("t") }]);
-    old.fleet.last_full_list = Some(start);
-    let want = |cluster: &Cluster| UnmetDemand {
+    let mut previous_leader = new_cluster(1, start);
+    previous_leader.set_types(&[MachineType { zones: vec!["z0".into()], ..crate::sim::machine_type("t") }]);
+    previous_leader.fleet.last_full_list = Some(start);
+    let unmet_demand = |cluster: &Cluster| UnmetDemand {
         spec: cluster.jobs["j-000001"].spec.clone(),
         count: 300,
         zones: BTreeMap::new(),
     };
-    old.add_job(spec("j-000001", 300), 1, None, start);
-    let asked = old.plan_fleet(&[want(&old)], start).rentals;
-    assert!(!asked.is_empty());
-    let key = old.fleet.new_record_key(1);
-    assert_eq!(old.fleet.unrecorded(&asked), asked);
-    old.fleet.mark_recorded(key.clone(), &asked);
-    assert!(old.fleet.unrecorded(&asked).is_empty());
-    // its term ends before the cloud answers
-    let mut new = new_cluster(2, start);
-    new.set_types(&[MachineType { zones: vec!["z0".into()], ..crate::sim::machine_type("t") }]);
-    new.fleet.last_full_list = Some(start);
-    new.add_job(spec("j-000001", 300), 1, None, start);
-    new.fleet.inherit(key.clone(), asked.clone());
-    new.fleet.inherit("again".into(), asked.clone());
-    let plan = new.plan_fleet(&[want(&new)], start);
-    assert_eq!(plan.rentals, asked, "asked for again, and nothing beside it");
-    // answered: the names count until a list has them, then the record goes
-    for (n, r) in asked.iter().enumerate() {
+    previous_leader.add_job(spec("j-000001", 300), 1, None, start);
+    let requested = previous_leader.plan_fleet(&[unmet_demand(&previous_leader)], start).rentals;
+    assert!(!requested.is_empty());
+    let key = previous_leader.fleet.new_record_key(1);
+    assert_eq!(previous_leader.fleet.unrecorded(&requested), requested);
+    previous_leader.fleet.mark_recorded(key.clone(), &requested);
+    assert!(previous_leader.fleet.unrecorded(&requested).is_empty());
+    // the term of the previous leader ends before the cloud answers
+    let mut new_leader = new_cluster(2, start);
+    new_leader.set_types(&[MachineType { zones: vec!["z0".into()], ..crate::sim::machine_type("t") }]);
+    new_leader.fleet.last_full_list = Some(start);
+    new_leader.add_job(spec("j-000001", 300), 1, None, start);
+    new_leader.fleet.inherit(key.clone(), requested.clone());
+    new_leader.fleet.inherit("again".into(), requested.clone());
+    let plan = new_leader.plan_fleet(&[unmet_demand(&new_leader)], start);
+    assert_eq!(plan.rentals, requested, "the same rentals are requested again, and no others");
+    // after the answer, the names count as machines until a machine list contains them; then
+    // the record of the rental is deleted
+    for (n, r) in requested.iter().enumerate() {
         let names: Vec<Name> = (0..r.count).map(|i| format!("i-{n}-{i}").into()).collect();
-        new.apply_rental(r, &names, start);
+        new_leader.apply_rental(r, &names, start);
     }
-    assert!(new.plan_fleet(&[want(&new)], start).rentals.is_empty());
-    let kept = new.policy.rental_kept;
-    assert!(new.fleet.expired_records(kept, 9, start + kept).is_empty());
-    assert_eq!(new.fleet.expired_records(kept, 9, start + kept * 2).len(), 2);
+    assert!(new_leader.plan_fleet(&[unmet_demand(&new_leader)], start).rentals.is_empty());
+    let kept = new_leader.policy.rental_kept;
+    assert!(new_leader.fleet.expired_records(kept, 9, start + kept).is_empty());
+    assert_eq!(new_leader.fleet.expired_records(kept, 9, start + kept * 2).len(), 2);
 }
 
-/// Replicas leave a machine that holds few for fuller ones, one machine at a
-/// time in a small fleet, and only if all of them fit where their
-/// image is; nothing moves while other work waits for room.
+/// Replicas move from the machine with the fewest replicas to machines with at least as many, one
+/// machine at a time in a small fleet.  They move only if all of them fit on machines that have
+/// their image, and not while other jobs wait for resources.
 #[test]
-fn sparse_machines_are_cordoned_and_no_others() {
+fn only_the_machine_with_the_fewest_movable_replicas_is_cordoned() {
     let start = Instant::now();
     let mut cluster = new_cluster(2, start);
     let replica = |id: &str| {
@@ -269,15 +278,15 @@
         std::sync::Arc::new(s)
     };
     let now = start + cluster.policy.settled * 3;
-    // eight cores each: three replicas, two, one, and room to spare
-    for (number, held) in [3, 2, 1, 0, 0, 0].into_iter().enumerate() {
+    // machines of eight cores with three, two, one and no replicas of two cores each
+    for (number, replicas) in [3, 2, 1, 0, 0, 0].into_iter().enumerate() {
         let name: Name = format!("i-{number}").into();
         let mut machine = Machine::new(name.clone(), "t".into(), "z0".into(), false, start);
         (machine.incarnation, machine.last_heartbeat, machine.size) = (1, Some(now), cluster.types["t"].size());
         machine.images = vec![("img-0".into(), 1.0)];
         machine.idle_since = Some(now);
         cluster.machines.insert(name.clone(), machine);
-        for n in 0..held {
+        for n in 0..replicas {
             let id: Name = format!("j-{number}{n}").into();
             cluster.add_job(replica(&id), 1, None, start);
             assert!(cluster.assign(&Task { job: id, index: 0 }, &name, 1, start));
@@ -289,27 +298,27 @@
     let cordoned = |cluster: &Cluster| {
         cluster.machines.values().filter(|m| m.cordon_reason.is_some()).map(|m| m.name.to_string()).collect::<Vec<_>>()
     };
-    // the cloud takes nothing back for now
+    // no machine list has arrived, so the cloud may accept no deletion
     cluster.plan_fleet(&[], now);
     assert!(cordoned(&cluster).is_empty());
     cluster.fleet.last_full_list = Some(now);
-    // other work waits
+    // a task of another job waits
     cluster.add_job(spec("j-000009", 1), 9, None, start);
     cluster.plan_fleet(&[], now);
     assert!(cordoned(&cluster).is_empty());
     cluster.set_outcome("j-000009", JobOutcome::Cancelled, now);
-    // its image is not where there is room
+    // the machines with free resources do not have the image
     cluster.machines.values_mut().for_each(|m| m.images.clear());
     cluster.plan_fleet(&[], now);
     assert!(cordoned(&cluster).is_empty());
     cluster.machines.values_mut().for_each(|m| m.images = vec![("img-0".into(), 1.0)]);
     cluster.plan_fleet(&[], now);
     assert_eq!(cordoned(&cluster), ["i-2"]);
-    // while its replica is down, no other follows
+    // no other machine is cordoned while a replica of the first is down
     cluster.plan_fleet(&[], now);
     assert_eq!(cordoned(&cluster), ["i-2"]);
-    // nothing that has just begun moves
-    cluster.machines.get_mut("i-2").expect("it is there").cordon_reason = None;
+    // replicas that have just started do not move
+    cluster.machines.get_mut("i-2").expect("the cordoned machine").cordon_reason = None;
     for task in cluster.machines.values_mut().flat_map(|m| m.tasks.values_mut()) {
         (task.running_since, task.stop_grace_s) = (Some(now), None);
     }
