--- a/packages/core/src/dependency.rs
+++ b/packages/core/src/dependency.rs
@@ -1,13 +1,16 @@
-//! Jobs that depend on other jobs: which are blocked and by what, which an outcome releases,
-//! which are cancelled together with a dependency, and how urgent a job is for the sake of
-//! those that depend on it.  Plain functions of state and `now`.
+//! Dependencies between jobs.
 //!
-//! Only blocked jobs are in the graph.  A job whose dependencies are all done enters the queue
-//! and is a job like any other.  Until then nothing else knows of it, so that it counts for no
-//! load, no limit, no quota and no plan.
+//! The dependency graph tracks which jobs are blocked by which dependencies, which jobs an outcome
+//! releases, which jobs have to be cancelled because a dependency was cancelled, and which urgency
+//! a job inherits from the jobs that depend on it.  Its results depend only on its state and
+//! `now`.
 //!
-//! This module must not know how an outcome is stored or read: it is given an outcome only
-//! once the store has it.
+//! Only blocked jobs are in the graph.  Once all dependencies of a job are done, the job enters the
+//! queue like any other job.  Until then no other part of the cluster state contains the job, so
+//! it does not count towards load, limits, quotas or plans.
+//!
+//! This module must not know how an outcome is stored or read.  An outcome is applied here only
+//! after it has been stored.
 
 mod edges;
 mod urgency;
@@ -24,13 +27,13 @@
 /// A job that waits for its dependencies.
 #[derive(Debug, Clone)]
 pub struct BlockedJob {
-    /// The submission.
+    /// The job as submitted.
     pub spec: Arc<JobSpec>,
-    /// Revision of its record.
+    /// Revision of the job's record in the store.
     pub revision: u64,
-    /// When this leader first saw the job.
+    /// Time at which this leader first saw the job; the deadline of the job counts from then.
     pub first_seen: Instant,
-    /// The dependencies that are not known to be done.
+    /// The dependencies that are not known to be done.  The job is blocked while there are any.
     pub missing: BTreeSet<Name>,
 }
 
@@ -40,38 +43,42 @@
     }
 }
 
-/// What is known here of a dependency.
+/// The state of a dependency, as far as this controller knows.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum DependencyStatus {
-    /// It has no outcome.
+    /// The dependency has no outcome.
     Open,
-    /// Nothing is known of it here; the store has to be asked.
+    /// The dependency is not known here; the store has to be asked.
     Unknown,
-    /// It has this outcome.
+    /// The dependency has this outcome.
     Ended(JobOutcome),
 }
 
-/// The blocked jobs.
+/// The blocked jobs and their dependencies.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
     blocked: NameMap<BlockedJob>,
     edges: DependencyEdges,
-    /// Dependencies of which nothing is known here, with the time from which the store is to
-    /// be asked again; `None` if it was not asked yet.
+    /// Dependencies that are not known here, with the earliest time to ask the store again; `None`
+    /// if it has not been asked yet.
     unknown: BTreeMap<Name, Option<Instant>>,
-    /// The urgency that a job has for the sake of its dependents; only of jobs that have some.
+    /// The urgency that each job inherits from its dependents.  Jobs without dependents have no
+    /// entry.
     inherited: NameMap<Urgency>,
-    /// Blocked jobs that depend on a cancelled one: their own cancellation has to be stored.
+    /// Blocked jobs that depend on a cancelled job, directly or through others.  Their own
+    /// cancellation has to be stored.
     needing_cancelled: BTreeSet<Name>,
-    /// Jobs whose inherited urgency has changed since [`DependencyGraph::take_changed`].
+    /// Jobs whose inherited urgency has changed since the last call of
+    /// [`DependencyGraph::take_changed`].
     changed: Vec<Name>,
 }
 
 impl DependencyGraph {
-    /// Adds a job if it has to wait; returns false if all its dependencies are done.  A job
-    /// that depends on a cancelled one stays blocked until its own cancellation is stored.
+    /// Adds a job that has dependencies which are not known to be done.  Returns whether the job
+    /// is blocked: false means that all its dependencies are done.
     ///
-    /// `status_of` returns what is known of a dependency that is not blocked itself.
+    /// A job that depends on a cancelled one stays blocked until its own cancellation is applied.
+    /// `status_of` returns the state of a dependency that is not blocked itself.
     pub fn block(
         &mut self,
         spec: &Arc<JobSpec>,
@@ -103,44 +110,44 @@
         self.mark_known(id);
         self.edges.add(id, &missing);
         let urgency = self.urgency(id, Urgency::own(spec, now));
-        let inheriting = missing.iter().map(|dependency| (dependency.clone(), urgency)).collect();
+        let dependency_urgencies = missing.iter().map(|dependency| (dependency.clone(), urgency)).collect();
         self.blocked.insert(id.clone(), BlockedJob { spec: spec.clone(), revision, first_seen: now, missing });
         if needs_cancelled_job {
             self.mark_needing_cancelled(id.clone());
         }
-        self.raise_urgency(inheriting);
+        self.raise_urgency(dependency_urgencies);
         true
     }
 
-    /// Raises the inherited urgency of these jobs, and of what they depend on in turn for as
-    /// long as it makes a difference.
+    /// Raises the inherited urgency of these jobs to at least the given one, and then that of
+    /// their own dependencies in turn.  The walk stops at jobs whose urgency does not change.
     fn raise_urgency(&mut self, mut to_raise: Vec<(Name, Urgency)>) {
         while let Some((id, urgency)) = to_raise.pop() {
             let before = self.inherited.get(&id).copied();
-            let after = before.map_or(urgency, |before| before.with(urgency));
+            let after = before.map_or(urgency, |before| before.combine(urgency));
             if before == Some(after) {
                 continue;
             }
             self.inherited.insert(id.clone(), after);
             if let Some(job) = self.blocked.get(&id) {
-                let total = job.own_urgency().with(after);
+                let total = job.own_urgency().combine(after);
                 to_raise.extend(job.missing.iter().map(|dependency| (dependency.clone(), total)));
             }
             self.changed.push(id);
         }
     }
 
-    /// Notes that a job is known here from now on, so that the store need not be asked.
+    /// Records that a job is known here from now on, so that the store need not be asked for it.
     pub fn mark_known(&mut self, id: &str) {
         self.unknown.remove(id);
     }
 
-    /// Whether the job waits for dependencies.
+    /// Reports whether the job waits for dependencies.
     pub fn is_blocked(&self, id: &str) -> bool {
         self.blocked.contains_key(id)
     }
 
-    /// Iterates over the blocked jobs, in no order.
+    /// Returns an iterator over the blocked jobs, in arbitrary order.
     pub fn blocked(&self) -> impl Iterator<Item = &BlockedJob> {
         self.blocked.values()
     }
@@ -150,14 +157,15 @@
         self.blocked.len()
     }
 
-    /// Whether no job is blocked.
+    /// Reports whether no job is blocked.
     pub fn is_empty(&self) -> bool {
         self.blocked.is_empty()
     }
 
-    /// Returns the urgency of a job, given the urgency that it asks for itself.
+    /// Returns the urgency of a job: its own urgency `own`, combined with the urgency that the job
+    /// inherits from its dependents.
     pub fn urgency(&self, id: &str, own: Urgency) -> Urgency {
-        self.inherited.get(id).map_or(own, |inherited| own.with(*inherited))
+        self.inherited.get(id).map_or(own, |inherited| own.combine(*inherited))
     }
 
     /// Returns the jobs whose inherited urgency has changed since the last call.
@@ -165,14 +173,14 @@
         std::mem::take(&mut self.changed)
     }
 
-    /// Iterates over the blocked jobs that depend on a cancelled one: their own cancellation
-    /// is to be stored.
+    /// Returns an iterator over the blocked jobs that depend on a cancelled job, directly or
+    /// through others.  Their own cancellation has to be stored.
     pub fn needing_cancelled(&self) -> impl Iterator<Item = &Name> {
         self.needing_cancelled.iter()
     }
 
-    /// Returns dependencies that the store has to be asked about, at most `limit`.  Each is
-    /// returned again after `retry_after` if it is still unknown then.
+    /// Returns at most `limit` unknown dependencies whose outcome has to be read from the store.
+    /// A dependency that is still unknown after `retry_after` is returned again.
     pub fn outcomes_to_fetch(&mut self, limit: usize, retry_after: Duration, now: Instant) -> Vec<Name> {
         let is_due = |(_, ask_at): &(&Name, &mut Option<Instant>)| ask_at.is_none_or(|at| at <= now);
         let due = self.unknown.iter_mut().filter(is_due).take(limit);
@@ -183,19 +191,19 @@
         .collect()
     }
 
-    /// Returns the dependencies of which nothing is known here.
+    /// Returns the dependencies that are not known here.
     pub fn unknown(&self) -> Vec<Name> {
         self.unknown.keys().cloned().collect()
     }
 
-    /// Whether the job is a dependency of which nothing is known here.
+    /// Reports whether the job is a dependency that is not known here.
     pub fn is_unknown(&self, id: &str) -> bool {
         self.unknown.contains_key(id)
     }
 
-    /// Applies a stored outcome, and returns the jobs that it releases.  The jobs that depend
-    /// on a cancelled one, directly or through others, leave the graph when their own
-    /// cancellation is applied.
+    /// Applies a stored outcome, and returns the jobs that the outcome releases.  A cancellation
+    /// releases none: the jobs that depend on the cancelled one, directly or through others, leave
+    /// the graph when their own cancellation is applied.
     pub fn apply_outcome(&mut self, id: &str, outcome: JobOutcome) -> Vec<BlockedJob> {
         self.mark_known(id);
         self.unblock(id);
@@ -210,7 +218,8 @@
         }
     }
 
-    /// Removes a dependency that is done, and returns the jobs that have no other.
+    /// Removes a dependency that is done, and returns the jobs that have no other missing
+    /// dependency.
     fn release_dependents(&mut self, id: &str) -> Vec<BlockedJob> {
         let mut released = Vec::new();
         for dependent in self.edges.take_dependents(id) {
@@ -224,11 +233,11 @@
         released
     }
 
-    /// Removes a job from the graph, and returns it if it was blocked.
+    /// Removes a job from the graph, and returns the job if it was blocked.
     ///
-    /// Besides an outcome, a stored start of one of its tasks is a reason: it proves that all
-    /// its dependencies were done.  Dependencies that only this job had are no longer asked
-    /// about.
+    /// A job is removed when it has an outcome, or when the start of one of its tasks is stored,
+    /// because a stored start proves that all dependencies were done.  The store is no longer asked
+    /// for dependencies that only this job had.
     pub fn unblock(&mut self, id: &str) -> Option<BlockedJob> {
         let job = self.blocked.remove(id)?;
         self.needing_cancelled.remove(id);
@@ -242,7 +251,8 @@
         Some(job)
     }
 
-    /// Marks a job and all its dependents as depending on a cancelled job.
+    /// Marks a blocked job and all its direct and indirect dependents as depending on a cancelled
+    /// job.
     fn mark_needing_cancelled(&mut self, id: Name) {
         let mut to_mark = vec![id];
         while let Some(id) = to_mark.pop() {
@@ -252,13 +262,14 @@
         }
     }
 
-    /// Recomputes what these jobs, and those that they depend on, inherit from their remaining
-    /// dependents.
+    /// Recomputes the urgency that these jobs inherit from their remaining dependents, and then
+    /// that of their own dependencies in turn.  The walk stops at jobs whose urgency does not
+    /// change.
     fn recompute_urgency(&mut self, mut to_recompute: Vec<Name>) {
         while let Some(id) = to_recompute.pop() {
             let dependents = self.edges.direct_dependents(&id).filter_map(|dependent| self.blocked.get(dependent));
             let urgencies = dependents.map(|job| self.urgency(&job.spec.id, job.own_urgency()));
-            let after = urgencies.reduce(Urgency::with);
+            let after = urgencies.reduce(Urgency::combine);
             if self.inherited.get(&id).copied() == after {
                 continue;
             }
--- a/packages/core/src/dependency/edges.rs
+++ b/packages/core/src/dependency/edges.rs
@@ -4,19 +4,19 @@
 
 use crate::model::{Name, NameMap};
 
-/// Which jobs depend on which, by the job that is depended on.
+/// The direct dependents of each job, by the id of the job that they depend on.
 #[derive(Debug, Default)]
 pub struct DependencyEdges(NameMap<BTreeSet<Name>>);
 
 impl DependencyEdges {
-    /// Adds the dependencies of a job.
+    /// Adds dependencies of the job `id`.
     pub fn add<'a>(&mut self, id: &Name, dependencies: impl IntoIterator<Item = &'a Name>) {
         for dependency in dependencies {
             self.0.entry(dependency.clone()).or_default().insert(id.clone());
         }
     }
 
-    /// Removes these dependencies of a job.
+    /// Removes these dependencies of the job `id`.
     pub fn remove<'a>(&mut self, id: &str, dependencies: impl IntoIterator<Item = &'a Name>) {
         for dependency in dependencies {
             if let Some(dependents) = self.0.get_mut(dependency) {
@@ -28,18 +28,19 @@
         }
     }
 
-    /// Removes all dependencies on a job, and returns the jobs that had them.
+    /// Removes all dependencies on the job `id`, and returns its direct dependents.
     pub(super) fn take_dependents(&mut self, id: &str) -> BTreeSet<Name> {
         self.0.remove(id).unwrap_or_default()
     }
 
-    /// Iterates over the jobs that depend on a job directly.
+    /// Returns an iterator over the jobs that depend on the job `id` directly.
     pub fn direct_dependents(&self, id: &str) -> impl Iterator<Item = &Name> {
         self.0.get(id).into_iter().flatten()
     }
 
-    /// Returns the jobs that depend on a job, directly or through others: the nearest first,
-    /// at most `limit`.  Chains may be thousands long, so the search is not recursive.
+    /// Returns at most `limit` jobs that depend on the job `id`, directly or through others, with
+    /// the nearest first.  The search is iterative, because a chain of dependencies may contain
+    /// thousands of jobs.
     pub fn dependents(&self, id: &str, limit: usize) -> Vec<Name> {
         let mut found = Vec::new();
         let mut visited = BTreeSet::new();
@@ -56,7 +57,7 @@
         found
     }
 
-    /// Whether no job depends on another.
+    /// Reports whether no job depends on another.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/packages/core/src/dependency/urgency.rs
+++ b/packages/core/src/dependency/urgency.rs
@@ -1,27 +1,28 @@
-//! How urgent a job is.
+//! The urgency of a job: its priority and its deadline.
 
 use std::time::{Duration, Instant};
 
 use crate::model::{JobSpec, Priority};
 
-/// How urgent a job is, on its own account or for the jobs that depend on it.
+/// The urgency of a job, either its own or inherited from the jobs that depend on it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Urgency {
-    /// The highest priority.
+    /// The highest priority of the jobs considered.
     pub priority: Priority,
-    /// The earliest deadline.
+    /// The earliest deadline of the jobs considered; `None` if none of them has a deadline.
     pub deadline: Option<Instant>,
 }
 
 impl Urgency {
-    /// Returns the urgency that a job asks for itself; its deadline counts from `first_seen`.
+    /// Returns the urgency that a job's own spec requests.  The deadline of the spec, in seconds,
+    /// counts from `first_seen`; a deadline that is out of range counts as none.
     pub fn own(spec: &JobSpec, first_seen: Instant) -> Urgency {
         let deadline_at = |seconds| first_seen.checked_add(Duration::try_from_secs_f64(seconds).ok()?);
         Urgency { priority: spec.priority, deadline: spec.deadline_s.and_then(deadline_at) }
     }
 
-    /// Returns the more urgent of both, in each respect.
-    pub fn with(self, other: Urgency) -> Urgency {
+    /// Returns the higher priority and the earlier deadline of the two.
+    pub fn combine(self, other: Urgency) -> Urgency {
         let deadline = [self.deadline, other.deadline].into_iter().flatten().min();
         Urgency { priority: self.priority.min(other.priority), deadline }
     }
--- a/packages/core/src/fleet/consolidation.rs
+++ b/packages/core/src/fleet/consolidation.rs
@@ -51,7 +51,9 @@
         }
     }
 
-    /// Reports whether the state of the cloud, the term and the network allows moves now.
+    /// Reports whether replicas may be moved now: the cloud has responded recently, the term (or
+    /// the time since the last stall) has lasted for the policy's `settled`, and no zone is
+    /// partitioned.
     fn may_consolidate(&self, now: Instant) -> bool {
         // While the cloud does not respond, it accepts no deletion: draining a machine would
         // remove capacity without saving its cost.
--- a/packages/core/src/fleet/demand.rs
+++ b/packages/core/src/fleet/demand.rs
@@ -69,15 +69,15 @@
         f64::from(arrived) * boot_s / window_s
     }
 
-    /// Returns the expected tasks of urgent classes for which no machine has free resources,
-    /// with one entry per class.
+    /// Returns the expected tasks of urgent classes for which no machine has room, with one entry
+    /// per class.  At least the policy's `urgent_room` tasks of each class are expected.
     pub(super) fn expected_demand(&self, now: Instant) -> impl Iterator<Item = UnmetDemand> + '_ {
         self.urgent_class_samples().into_iter().map(move |spec| {
             let room = self.startable_tasks(&spec, now);
             let expected = self.expected_arrivals(&spec, now).ceil() as usize;
             let count = expected.max(self.policy.urgent_room).saturating_sub(room).min(u32::MAX as usize) as u32;
-            // The entry stands for tasks of several jobs.  Its task count is raised to `count`,
-            // because the limit on tasks per zone applies to each job and depends on it.
+            // The limit on tasks per zone is a share of the tasks of one job.  As the entry stands
+            // for several jobs, the task count is raised so that the limit does not apply to it.
             let spec = Arc::new(JobSpec { tasks: count.max(spec.tasks), ..(*spec).clone() });
             UnmetDemand { spec, count, zones: Default::default() }
         })
--- a/packages/core/src/fleet/scale_in.rs
+++ b/packages/core/src/fleet/scale_in.rs
@@ -192,8 +192,8 @@
         let fetch_gb_per_s = self.types.get(&machine.kind).map_or(0.0, |machine_type| machine_type.fetch_gb_per_s);
         let images = &machine.images;
         let mean_image_gb = images.iter().map(|image| image.1).sum::<f64>() / images.len().max(1) as f64;
-        let image_fetch_s = mean_image_gb / fetch_gb_per_s.max(1e-3) * policy.idle_images;
-        policy.idle.max(Duration::from_secs_f64(image_fetch_s.min(policy.idle_most)))
+        let image_limit_s = mean_image_gb / fetch_gb_per_s.max(1e-3) * policy.idle_images;
+        policy.idle.max(Duration::from_secs_f64(image_limit_s.min(policy.idle_most)))
     }
 
     /// Reports whether tasks of a cancelled job are still running after the worker should have
--- a/packages/core/src/fleet/scale_out.rs
+++ b/packages/core/src/fleet/scale_out.rs
@@ -26,7 +26,9 @@
 struct ScaleOut {
     /// Machines that are booting or being rented, including those that this plan adds.
     pending: Vec<PendingMachine>,
+    /// Number of machines in each zone, including those that this plan adds.
     machines_per_zone: HashMap<Name, usize>,
+    /// Number of machines that this plan adds, by pool.
     new_machines: BTreeMap<MachinePool, u32>,
 }
 
--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -70,24 +70,24 @@
         record_starts(&mut cluster, 10, "z0", "j-000001", start);
         record_starts(&mut cluster, 10, "z0x", "j-000002", start);
         record_starts(&mut cluster, 70, "z1", "j-000002", start);
-        let zone = |m: &mut Machine| {
+        let move_to_z0 = |m: &mut Machine| {
             if *m.zone == *"z0x" {
                 m.zone = "z0".into();
             }
         };
-        cluster.machines.values_mut().for_each(zone);
+        cluster.machines.values_mut().for_each(move_to_z0);
         let mut deletions_at = |t: Instant| {
             for m in cluster.machines.values_mut().filter(|m| *m.zone == *"z1") {
                 m.last_heartbeat = Some(t);
             }
             cluster.plan_fleet(&[], t).deletions
         };
-        let end = start + policy.lease_over;
+        let lease_expiry = start + policy.lease_over;
         assert!(
-            deletions_at(end - Duration::from_secs(1)).is_empty(),
+            deletions_at(lease_expiry - Duration::from_secs(1)).is_empty(),
             "replicas may still run before their leases expire"
         );
-        let deleted = deletions_at(end + Duration::from_millis(100));
+        let deleted = deletions_at(lease_expiry + Duration::from_millis(100));
         // machines without replicas are kept, as they may work again after the partition
         assert_eq!(deleted.len(), if has_controller { 0 } else { 10 });
         assert!(deleted.iter().all(|n| n.starts_with("i-z00")));
@@ -142,9 +142,9 @@
             cluster.add_job(Arc::new(s), 1 + u64::from(n), None, now - Duration::from_secs(1));
         }
         cluster.apply_machine_list(&[], now);
-        let rent = cluster.plan_fleet(&[], now).rentals;
-        assert!(rent.iter().all(|r| !r.spot));
-        rent.iter().map(|r| r.count).sum::<u32>()
+        let rentals = cluster.plan_fleet(&[], now).rentals;
+        assert!(rentals.iter().all(|r| !r.spot));
+        rentals.iter().map(|r| r.count).sum::<u32>()
     };
     // the boot time of 10 s is half of the window of 20 s, so half as many tasks are expected
     // as have arrived
@@ -185,13 +185,14 @@
         .machine_hints
         .insert("i-z00000".into(), crate::cluster::MachineHints { last_heartbeat, ..Default::default() });
     let since_heartbeat = |after: Duration| {
-        let of = |n: &str| cluster.time_since_heartbeat(&cluster.machines[n], start + after).as_secs();
-        (of("i-z00000"), of("i-z00001"))
+        let seconds = |n: &str| cluster.time_since_heartbeat(&cluster.machines[n], start + after).as_secs();
+        (seconds("i-z00000"), seconds("i-z00001"))
     };
     assert_eq!(since_heartbeat(Duration::from_secs(1)), (1, 1));
     let waited = cluster.policy.missed + Duration::from_secs(1);
     assert_eq!(since_heartbeat(waited), (20 + waited.as_secs(), waited.as_secs()));
-    // a controller inside the zone may have received heartbeats in the meantime
+    // the stored time does not count in a zone with a controller, because that controller may have
+    // received heartbeats in the meantime
     cluster.zones_with_controller.insert("z0".into());
     assert_eq!(cluster.time_since_heartbeat(&cluster.machines["i-z00000"], start + waited).as_secs(), waited.as_secs());
 }
@@ -260,9 +261,9 @@
         new_leader.apply_rental(r, &names, start);
     }
     assert!(new_leader.plan_fleet(&[unmet_demand(&new_leader)], start).rentals.is_empty());
-    let kept = new_leader.policy.rental_kept;
-    assert!(new_leader.fleet.expired_records(kept, 9, start + kept).is_empty());
-    assert_eq!(new_leader.fleet.expired_records(kept, 9, start + kept * 2).len(), 2);
+    let retention = new_leader.policy.rental_kept;
+    assert!(new_leader.fleet.expired_records(retention, 9, start + retention).is_empty());
+    assert_eq!(new_leader.fleet.expired_records(retention, 9, start + retention * 2).len(), 2);
 }
 
 /// Replicas move from the machine with the fewest replicas to machines with at least as many, one
--- a/packages/core/src/job_index.rs
+++ b/packages/core/src/job_index.rs
@@ -1,12 +1,11 @@
-//! The jobs that a controller knows: all unfinished ones, and the last few that have ended.
-//! Plain state: it does no I/O and must not know how the store is reached.
+//! The index of the jobs that a controller knows: all unfinished jobs, and the most recently used
+//! of the ended ones.  This module does no I/O and must not know how the store is reached.
 //!
-//! A job that is not in the index may still be stored.  Ended jobs are evicted, so that a
-//! controller's memory does not grow with the history.  Only the store can tell whether an
-//! unknown id was never accepted.
+//! A job that is not in the index may still be stored, because ended jobs are evicted to bound the
+//! memory of a controller.  Only the store can tell whether an unknown id was never accepted.
 //!
-//! A job enters the index as unfinished only if its outcome, should it have one, is still to
-//! be shown by the watch.  Nothing else would ever remove the job again.
+//! A job may be inserted as unfinished only if the watch will still deliver the job's outcome, when
+//! there is one.  Otherwise nothing would ever remove the job from the unfinished ones.
 
 mod initial_scan;
 
@@ -24,62 +23,62 @@
 /// An unfinished job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OpenJob {
-    /// The submission.
+    /// The job as submitted.
     pub spec: Arc<JobSpec>,
-    /// Revision of its record, which gives the order of arrival.
+    /// Revision of the job's record in the store.  Revisions give the order of arrival.
     pub revision: u64,
 }
 
 /// An ended job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndedJob {
-    /// The submission.
+    /// The job as submitted.
     pub spec: Arc<JobSpec>,
-    /// Revision of its record.
+    /// Revision of the job's record in the store.
     pub revision: u64,
-    /// Its outcome, which never changes.
+    /// The outcome of the job, which never changes.
     pub outcome: JobOutcome,
 }
 
-/// What is known of a job without asking the store.
+/// The state of a job as far as this controller knows without asking the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum JobStatus {
-    /// Unfinished, as far as is known here.
+    /// The job is unfinished as far as is known here; it may have ended in the meantime.
     Open(OpenJob),
-    /// Ended for good.
+    /// The job has ended, and its outcome never changes.
     Ended(EndedJob),
-    /// Not known here: never accepted, too new, or ended long ago.
+    /// The job is not known here: it was never accepted, is too new, or ended and was evicted.
     Unknown,
 }
 
-/// Whether an unfinished job depends, directly or through others, on a cancelled job, as far
-/// as is known here.  Such a job will be cancelled as well.
+/// Whether an unfinished job depends on a cancelled job, directly or through others, as far as is
+/// known here.  Such a job will be cancelled as well.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CancelledDependency {
-    /// It does.
+    /// The job depends on a cancelled job.
     Yes,
-    /// It does not.
+    /// The job does not depend on a cancelled job.
     No,
-    /// Nothing is known here of these dependencies; the store has to be asked.
+    /// These dependencies are not known here; the store has to be asked.
     Unknown(Vec<Name>),
 }
 
-/// Jobs by id.
+/// An index of jobs by id, which keeps all unfinished jobs and a limited number of ended ones.
 #[derive(Debug)]
 pub struct JobIndex {
     open: HashMap<Name, OpenJob>,
-    /// Which unfinished jobs depend on which others.
+    /// The dependencies of the unfinished jobs.
     edges: DependencyEdges,
-    /// The outcomes of jobs that unfinished ones depend on.
+    /// The outcomes of ended jobs that unfinished jobs depend on.
     dependency_outcomes: HashMap<Name, JobOutcome>,
     ended: LruCache<Name, EndedJob>,
-    /// Records up to this revision come from the initial scan or the watch, with their
-    /// outcomes, and in no other way.
-    floor: u64,
+    /// The initial scan or the watch delivers all records up to this revision together with their
+    /// outcomes, so these records must not be inserted in any other way.
+    covered_revision: u64,
 }
 
 impl JobIndex {
-    /// Creates an empty index that keeps the last `ended_capacity` ended jobs.
+    /// Creates an empty index that keeps at most `ended_capacity` ended jobs, and at least one.
     pub fn new(ended_capacity: usize) -> JobIndex {
         let ended_capacity = NonZeroUsize::new(ended_capacity).unwrap_or(NonZeroUsize::MIN);
         JobIndex {
@@ -87,7 +86,7 @@
             edges: DependencyEdges::default(),
             dependency_outcomes: HashMap::new(),
             ended: LruCache::new(ended_capacity),
-            floor: 0,
+            covered_revision: 0,
         }
     }
 
@@ -96,12 +95,12 @@
         self.open.len()
     }
 
-    /// Whether no unfinished job is known.
+    /// Reports whether no unfinished job is known.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// Iterates over the unfinished jobs, in no order.
+    /// Returns an iterator over the unfinished jobs, in arbitrary order.
     pub fn open(&self) -> impl Iterator<Item = &OpenJob> {
         self.open.values()
     }
@@ -111,7 +110,7 @@
         self.ended.len()
     }
 
-    /// Returns what is known of a job.
+    /// Returns what is known of a job, and marks an ended job as recently used.
     pub fn status_of(&mut self, id: &str) -> JobStatus {
         if let Some(job) = self.open.get(id) {
             return JobStatus::Open(job.clone());
@@ -124,14 +123,15 @@
         self.ended.peek(id).map(|job| job.outcome)
     }
 
-    /// Returns the unfinished jobs that depend on a job, directly or through others: the
-    /// nearest first, at most `limit`.
+    /// Returns at most `limit` unfinished jobs that depend on the job `id`, directly or through
+    /// others, with the nearest first.
     pub fn dependents(&self, id: &str, limit: usize) -> Vec<Name> {
         self.edges.dependents(id, limit)
     }
 
-    /// Whether a job depends on a cancelled one.  Its own cancellation may be stored much
-    /// later, because the state service may be down for longer than a cancellation may take.
+    /// Reports whether a job depends on a cancelled job, directly or through others.  The job's own
+    /// cancellation may be stored much later than that of the dependency, because the state service
+    /// may be down for longer than a cancellation may take.
     pub fn cancelled_dependency(&self, id: &str) -> CancelledDependency {
         let mut visited = HashSet::new();
         let mut unknown = Vec::new();
@@ -157,19 +157,19 @@
         }
     }
 
-    /// Returns the number of tasks of a job, if the job is known here.
+    /// Returns the number of tasks of a job, or `None` if the job is not known here.
     pub fn task_count(&self, id: &str) -> Option<u32> {
         let open = self.open.get(id).map(|job| job.spec.tasks);
         open.or_else(|| self.ended.peek(id).map(|job| job.spec.tasks))
     }
 
-    /// Notes that an initial scan or a watch covers everything up to this revision.
+    /// Records that the initial scan or the watch covers all records up to this revision.
     pub fn raise_floor(&mut self, revision: u64) {
-        self.floor = self.floor.max(revision);
+        self.covered_revision = self.covered_revision.max(revision);
     }
 
-    /// Inserts a record that the initial scan or the watch shows; returns whether it is new
-    /// here.  If the job has ended already, the watch shows its outcome later.
+    /// Inserts a job from the initial scan or the watch as unfinished, and returns whether the job
+    /// is new here.  If the job has ended already, the watch delivers the outcome later.
     pub fn insert_seen(&mut self, spec: Arc<JobSpec>, revision: u64) -> bool {
         if self.open.contains_key(&spec.id) || self.ended.contains(&spec.id) {
             return false;
@@ -179,18 +179,20 @@
         true
     }
 
-    /// Inserts a record that this controller has stored at `revision`; returns whether it is
+    /// Inserts a job that this controller has stored at `revision`, and returns whether the job is
     /// new here.
     ///
-    /// The store's response may be handled late, after the watch has shown the record and its
-    /// outcome.  It is no news then and must not bring the job back.
+    /// The store's response may be processed late, after the watch has delivered both the record
+    /// and the outcome, and the ended job may even have been evicted since.  The response must not
+    /// insert the job as unfinished again then.
     pub fn insert_stored(&mut self, spec: Arc<JobSpec>, revision: u64) -> bool {
-        revision > self.floor && self.insert_seen(spec, revision)
+        revision > self.covered_revision && self.insert_seen(spec, revision)
     }
 
-    /// Applies a stored outcome; returns whether the job was unfinished here.
+    /// Applies a stored outcome, and returns whether the job was unfinished here.
     pub fn apply_outcome(&mut self, id: &str, outcome: JobOutcome) -> bool {
-        // kept for as long as a job depends on it, even when the ended job is evicted
+        // The outcome is kept for as long as an unfinished job depends on this job, even if the
+        // ended job is evicted.
         if self.has_dependents(id) {
             self.dependency_outcomes.insert(id.into(), outcome);
         }
@@ -204,7 +206,8 @@
         self.edges.direct_dependents(id).next().is_some()
     }
 
-    /// Removes the dependencies of a job that has ended.
+    /// Removes the dependencies of a job that has ended, and the outcomes that were kept only for
+    /// them.
     fn remove_dependencies(&mut self, id: &str, dependencies: &[Name]) {
         self.edges.remove(id, dependencies);
         for dependency in dependencies {
@@ -214,7 +217,7 @@
         }
     }
 
-    /// Inserts an ended job that was read from the store.
+    /// Inserts an ended job, and removes it from the unfinished jobs if necessary.
     pub fn insert_ended(&mut self, job: EndedJob) {
         if self.open.remove(&job.spec.id).is_some() {
             self.remove_dependencies(&job.spec.id, &job.spec.needs);
--- a/packages/core/src/job_index/tests.rs
+++ b/packages/core/src/job_index/tests.rs
@@ -1,10 +1,11 @@
 use super::*;
 use coralnotch_wire::example::spec;
 
-/// A job that depends on a cancelled one must not be reported as unfinished for long: all its
-/// dependencies count, also indirect ones, and what is not known is asked for.
+/// A job that depends on a cancelled one must not be reported as unfinished for long.  All its
+/// dependencies count, including indirect ones, and unknown dependencies have to be read from the
+/// store.
 #[test]
-fn any_cancelled_dependency_counts() {
+fn direct_and_indirect_cancelled_dependencies_are_found() {
     let job = |id: &str, needs: &[&str]| {
         let needs = needs.iter().map(|need| Name::from(*need)).collect();
         Arc::new(JobSpec { needs, ..(*spec(id, 1)).clone() })
@@ -15,7 +16,7 @@
     index.insert_seen(job("j-3", &["j-2", "j-0"]), 3);
     assert_eq!(index.cancelled_dependency("j-2"), CancelledDependency::No);
     assert_eq!(index.cancelled_dependency("j-3"), CancelledDependency::Unknown(vec!["j-0".into()]));
-    // it ended before this controller started, and its outcome is read
+    // the dependency ended before this controller started, and its outcome is read from the store
     assert!(!index.apply_outcome("j-0", JobOutcome::Done));
     assert_eq!(index.cancelled_dependency("j-3"), CancelledDependency::No);
     index.apply_outcome("j-1", JobOutcome::Cancelled);
@@ -23,7 +24,7 @@
         (index.cancelled_dependency("j-2"), index.cancelled_dependency("j-3")),
         (CancelledDependency::Yes, CancelledDependency::Yes)
     );
-    // ended jobs are evicted, but not the outcomes that others depend on
+    // ended jobs are evicted, but not the outcomes of jobs that others depend on
     index.insert_ended(EndedJob { spec: job("j-8", &[]), revision: 8, outcome: JobOutcome::Done });
     index.insert_ended(EndedJob { spec: job("j-9", &[]), revision: 9, outcome: JobOutcome::Done });
     assert_eq!((index.outcome("j-1"), index.cancelled_dependency("j-2")), (None, CancelledDependency::Yes));
@@ -31,7 +32,7 @@
     index.apply_outcome("j-3", JobOutcome::Cancelled);
     index.apply_outcome("j-2", JobOutcome::Cancelled);
     assert!(index.dependency_outcomes.is_empty());
-    // chains may be thousands long: the search is not recursive
+    // the search is not recursive, because chains of dependencies may be thousands of jobs long
     for n in 100..5100 {
         index.insert_seen(job(&format!("j-{n}"), &[&format!("j-{}", n - 1)]), n);
     }
--- a/packages/core/src/user_request/tests.rs
+++ b/packages/core/src/user_request/tests.rs
@@ -21,7 +21,8 @@
 
 impl TestController {
     fn new() -> TestController {
-        let policy = Policy::new(&Config::parse("test", SETTINGS).expect("settings")).expect("the default policy");
+        let policy =
+            Policy::new(&Config::parse("test", SETTINGS).expect("valid settings")).expect("valid default policy");
         let start = Instant::now();
         let mut cancellations = CancellationLog::new(1, 100);
         cancellations.begin_watch(1, start);
@@ -48,10 +49,10 @@
     matches!(action, NextAction::Reply(Reply::RetryLater(_)))
 }
 
-/// Guards against an acceptance to which the store responds slowly: another controller may
-/// have reported a later state by then, so that the store is asked again, as for a query.
+/// When the store responds slowly to an acceptance, another controller may have reported a later
+/// state by then.  The controller therefore asks the store again, as for a query.
 #[test]
-fn a_slow_acceptance_is_confirmed() {
+fn a_slow_acceptance_is_confirmed_by_the_store() {
     let valid = Validation::Valid { needs_cancelled_job: false };
     let accepted = |slow: bool, ended: Option<JobOutcome>| {
         let (mut controller, mut request) =
@@ -71,39 +72,42 @@
     assert_eq!(
         accepted(false, Some(JobOutcome::Done)),
         NextAction::Reply(Reply::Ended(JobOutcome::Done)),
-        "an outcome is known by now"
+        "the outcome that is known by now is reported"
     );
     assert_eq!(accepted(false, Some(JobOutcome::Cancelled)), NextAction::NotifyPeers);
 }
 
-/// Two requests for one id in one transaction, one of which came before the outcome of a
-/// dependency was known here: the job is stored once, as in the first, and no outcome is
-/// assumed that is not stored.
+/// A transaction may receive two submissions of one id, one of which was validated before the
+/// outcome of a dependency was known here.  The job is stored once, as in the first submission,
+/// and its cancellation is stored only if the first submission requires it.
 #[test]
-fn an_id_that_comes_twice_is_stored_once() {
-    let (one, other) = (spec("j-1", 1), spec("j-2", 1));
+fn an_id_that_is_submitted_twice_is_stored_once() {
+    let (first, second) = (spec("j-1", 1), spec("j-2", 1));
     let submission = |spec, needs_cancelled_job| Submission { spec, needs_cancelled_job };
     let written_keys = |submissions: &[Submission]| {
         let txn = submissions_txn(submissions.iter().copied());
-        assert_eq!(txn.preconditions.len(), txn.writes.len(), "each key is guarded");
+        assert_eq!(txn.preconditions.len(), txn.writes.len(), "each written key has a precondition");
         let written_key = |write: &Write| match write {
             Write::Set { set, .. } => set.clone(),
-            Write::Delete { delete } => panic!("{delete} is removed"),
+            Write::Delete { delete } => panic!("the transaction deletes {delete}"),
         };
         txn.writes.iter().map(written_key).collect::<Vec<_>>()
     };
     let (job_key, outcome_key) = (|id| format!("{}{id}", key::JOB), |id| format!("{}{id}", key::OUTCOME));
     assert_eq!(
-        written_keys(&[submission(&one, false), submission(&one, true), submission(&other, false)]),
+        written_keys(&[submission(&first, false), submission(&first, true), submission(&second, false)]),
         [job_key("j-1"), job_key("j-2")]
     );
-    assert_eq!(written_keys(&[submission(&one, true), submission(&one, false)]), [job_key("j-1"), outcome_key("j-1")]);
+    assert_eq!(
+        written_keys(&[submission(&first, true), submission(&first, false)]),
+        [job_key("j-1"), outcome_key("j-1")]
+    );
 }
 
-/// A job that is cancelled by the transaction that stores it is accepted first, whatever is
-/// known of its outcome by then.
+/// A job that is cancelled by the transaction that stores it is reported as accepted first, even
+/// if its outcome is already known here.
 #[test]
-fn a_job_that_is_stored_as_cancelled_is_accepted_first() {
+fn a_job_that_is_stored_with_its_cancellation_is_accepted_first() {
     let (mut controller, mut request) = (TestController::new(), UserRequest::new("j-1".into(), RequestKind::Submit));
     assert_eq!(controller.next_action(&mut request, 1), NextAction::Validate);
     request.apply_validation(Validation::Valid { needs_cancelled_job: true });
@@ -114,22 +118,22 @@
     assert_eq!(controller.next_action(&mut request, 1), NextAction::Reply(Reply::Accepted));
 }
 
-/// A controller that has not seen a job or its outcome yet asks the store.
+/// A controller that knows neither a job nor its outcome asks the store before it replies.
 #[test]
-fn the_store_is_asked_about_unknown_jobs() {
+fn the_store_is_asked_before_replying_without_a_known_outcome() {
     for kind in [RequestKind::Query, RequestKind::Cancel] {
         let (mut controller, mut request) = (TestController::new(), UserRequest::new("j-1".into(), kind));
         assert_eq!(controller.next_action(&mut request, 1), NextAction::LookUp);
         let mut unanswered = request.clone();
         unanswered.apply_lookup(None);
         assert!(is_retry_later(&controller.next_action(&mut unanswered, 1)));
-        let mut never = request.clone();
-        never.apply_lookup(Some(LookupResult::NotFound));
-        assert_eq!(controller.next_action(&mut never, 1), NextAction::Reply(Reply::NotFound));
+        let mut not_found = request.clone();
+        not_found.apply_lookup(Some(LookupResult::NotFound));
+        assert_eq!(controller.next_action(&mut not_found, 1), NextAction::Reply(Reply::NotFound));
         request.apply_lookup(Some(LookupResult::Ended(JobOutcome::Done)));
         assert_eq!(controller.next_action(&mut request, 1), NextAction::Reply(Reply::Ended(JobOutcome::Done)));
     }
-    // so does a controller that knows it as unfinished
+    // a controller that knows the job as unfinished also asks the store
     let (mut controller, mut request) = (TestController::new(), UserRequest::new("j-1".into(), RequestKind::Query));
     controller.jobs.insert_seen(spec("j-1", 1), 5);
     assert_eq!(controller.next_action(&mut request, 1), NextAction::Confirm);
@@ -145,10 +149,11 @@
     assert_eq!(controller.next_action(&mut request, 1), NextAction::Reply(Reply::Ended(JobOutcome::Done)));
 }
 
-/// A job that can never run is refused for good only if it was never accepted; a repeated
-/// submission of an accepted job is answered with its state, whatever rules it out now.
+/// A job that can never run is refused permanently only if it was never accepted.  A repeated
+/// submission of an accepted job is answered with the job's state, even if the job would be
+/// refused now.
 #[test]
-fn an_accepted_job_is_not_refused_later() {
+fn a_repeated_submission_of_an_accepted_job_is_not_refused() {
     let (mut controller, mut request) = (TestController::new(), UserRequest::new("j-1".into(), RequestKind::Submit));
     assert_eq!(controller.next_action(&mut request, 1), NextAction::Validate);
     request.apply_validation(Validation::Unsatisfiable("unknown team"));
@@ -160,10 +165,10 @@
     assert_eq!(controller.next_action(&mut known, 1), NextAction::Reply(Reply::Unfinished));
 }
 
-/// A job with many dependencies from before this controller's incarnation is not reported as
-/// unfinished before the outcomes of all of them were read: some of them are not enough.
+/// A job with many dependencies that ended before this controller started is not reported as
+/// unfinished until the outcomes of all of them have been read.
 #[test]
-fn all_dependencies_are_read_first() {
+fn a_job_is_unfinished_only_after_all_dependency_outcomes_were_read() {
     let mut controller = TestController::new();
     let needs: Vec<Name> = (100..300).map(|n| format!("j-{n}").into()).collect();
     controller.jobs.insert_seen(Arc::new(JobSpec { needs, ..(*spec("j-1", 1)).clone() }), 5);
@@ -188,53 +193,56 @@
     controller.next_action(&mut request, 1);
     request.apply_confirmation(Confirmation::Unfinished);
     controller.is_fresh = false;
-    assert!(is_retry_later(&controller.next_action(&mut request, 1)), "nor with an outdated view");
+    assert!(
+        is_retry_later(&controller.next_action(&mut request, 1)),
+        "an outdated view must not lead to the reply that the job is unfinished"
+    );
 }
 
-/// The default teams and one with limits.
+/// Returns the teams of the default settings and one team with limits.
 fn teams() -> Vec<Team> {
     let text = format!(
         "{SETTINGS}\n[[deployment.teams]]\nname = \"x\"\ncpus = 0.0\ncpus_max = 12.0\ngpus = 0.0\ngpus_max = 4.0\n"
     );
-    Config::parse("test", &text).expect("settings with a team").deployment.teams
+    Config::parse("test", &text).expect("valid settings with an additional team").deployment.teams
 }
 
-/// A submission that can never run is refused, each for its own reason; one that can is not.
+/// Each job that can never run is refused for the expected reason, and no other job is refused.
 #[test]
-fn each_unsatisfiable_job_has_its_reason() {
+fn each_unsatisfiable_job_is_refused_for_its_reason() {
     let types = [
         MachineType { zones: vec!["a".into(), "b".into()], ..machine_type("s") },
         MachineType { zones: vec!["c".into()], cpus: 16.0, gpus: 2.0, ..machine_type("g") },
     ];
-    let plain = spec("j-1", 2);
-    let with = |change: &dyn Fn(&mut JobSpec)| {
-        let mut s = (*plain).clone();
+    let base = spec("j-1", 2);
+    let reason_with = |change: &dyn Fn(&mut JobSpec)| {
+        let mut s = (*base).clone();
         change(&mut s);
         unsatisfiable_reason(&s, &teams(), &types)
     };
     type Change = fn(&mut JobSpec);
-    let fine: [Change; 8] = [
+    let satisfiable: [Change; 8] = [
         |_| {},
         |s| s.zone = Some("a".into()),
         |s| (s.zone, s.gpus) = (Some("c".into()), 2.0),
         |s| (s.types, s.zone) = (Some(vec!["g".into(), "none".into()]), Some("c".into())),
         |s| (s.tasks, s.cpus) = (5000, 12.0),
         |s| (s.spread, s.shape) = (true, Shape::Service),
-        // an array's tasks may run one after another
+        // the tasks of an array may run one after another
         |s| (s.spread, s.zone) = (true, Some("a".into())),
         |s| (s.spread, s.shape, s.tasks, s.one_zone) = (true, Shape::Gang, 1, true),
     ];
-    for (n, change) in fine.iter().enumerate() {
-        assert_eq!(with(change), None, "{n}");
+    for (n, change) in satisfiable.iter().enumerate() {
+        assert_eq!(reason_with(change), None, "{n}");
     }
-    let never: [(Change, &str); 12] = [
+    let unsatisfiable: [(Change, &str); 12] = [
         (|s| s.team = "z".into(), "team"),
         (|s| s.types = Some(vec![]), "fits no"),
         (|s| s.types = Some(vec!["none".into()]), "fits no"),
         (|s| s.memory = 65.0, "fits no"),
         (|s| s.cpus = 17.0, "fits no"),
         (|s| s.zone = Some("nowhere".into()), "zone"),
-        // a type that there is, in a zone that there is, and not there
+        // the type and the zone exist, but the zone does not have the type
         (|s| (s.types, s.zone) = (Some(vec!["g".into()]), Some("a".into())), "zone"),
         (|s| (s.gpus, s.zone) = (1.0, Some("b".into())), "zone"),
         (|s| s.cpus = 13.0, "limit"),
@@ -242,29 +250,33 @@
         (|s| (s.shape, s.tasks, s.gpus) = (Shape::Service, 3, 2.0), "limit"),
         (|s| (s.shape, s.spread, s.one_zone) = (Shape::Service, true, true), "spread"),
     ];
-    for (n, (change, part)) in never.iter().enumerate() {
-        assert!(with(change).is_some_and(|why| why.contains(part)), "{n}: {:?}", with(change));
+    for (n, (change, expected)) in unsatisfiable.iter().enumerate() {
+        assert!(reason_with(change).is_some_and(|reason| reason.contains(expected)), "{n}: {:?}", reason_with(change));
     }
 }
 
 proptest! {
-    /// A submission without one of the fields, or with one of a wrong kind, is malformed and
-    /// never accepted, whichever field it is.
+    /// A submission is malformed and is never accepted if a required field is missing or any
+    /// field has a wrong type.  An optional field may be missing or null.
     #[test]
-    fn no_field_may_be_missing_or_of_a_wrong_kind(at in 0usize..40, kind in 0usize..3) {
+    fn a_submission_with_a_missing_required_field_or_a_wrong_type_is_malformed(
+        field_index in 0usize..40,
+        mutation in 0usize..3
+    ) {
         let optional = ["hulls", "bay", "dueS", "awaits"];
-        let full = rmpv::decode::read_value(&mut &coralnotch_wire::http::encode(&*spec("j-1", 1))[..]).expect("a map");
-        let rmpv::Value::Map(mut fields) = full else { panic!("a map") };
-        let at = at % fields.len();
-        let name = fields[at].0.as_str().expect("a name").to_owned();
-        match kind {
-            0 => drop(fields.remove(at)),
-            1 => fields[at].1 = rmpv::Value::Nil,
-            _ => fields[at].1 = rmpv::Value::Map(vec![]),
+        let encoded = rmpv::decode::read_value(&mut &coralnotch_wire::http::encode(&*spec("j-1", 1))[..])
+            .expect("an encoded job spec");
+        let rmpv::Value::Map(mut fields) = encoded else { panic!("the encoded job spec is not a map") };
+        let field_index = field_index % fields.len();
+        let name = fields[field_index].0.as_str().expect("a field name that is a string").to_owned();
+        match mutation {
+            0 => drop(fields.remove(field_index)),
+            1 => fields[field_index].1 = rmpv::Value::Nil,
+            _ => fields[field_index].1 = rmpv::Value::Map(vec![]),
         }
         let mut bytes = Vec::new();
-        rmpv::encode::write_value(&mut bytes, &rmpv::Value::Map(fields)).expect("to memory");
-        let read = coralnotch_wire::http::decode::<JobSpec>(&bytes);
-        prop_assert_eq!(read.is_ok(), kind < 2 && optional.contains(&name.as_str()), "{}", name);
+        rmpv::encode::write_value(&mut bytes, &rmpv::Value::Map(fields)).expect("encoding to memory");
+        let decoded = coralnotch_wire::http::decode::<JobSpec>(&bytes);
+        prop_assert_eq!(decoded.is_ok(), mutation < 2 && optional.contains(&name.as_str()), "{}", name);
     }
 }
--- a/packages/core/src/user_request/transactions.rs
+++ b/packages/core/src/user_request/transactions.rs
@@ -1,21 +1,22 @@
-//! The transactions that store submissions and cancellations.
+//! Builds the transactions that store submissions and cancellations.
 
 use coralnotch_wire::state::{Txn, Write};
 
 use crate::key;
 use crate::model::{JobOutcome, JobSpec, Name};
 
-/// A submission that is to be stored.
+/// A validated submission that has to be stored.
 #[derive(Debug, Clone, Copy)]
 pub struct Submission<'a> {
-    /// The job.
+    /// The job as submitted.
     pub spec: &'a JobSpec,
-    /// The job depends on a cancelled one: its own cancellation is stored with it.
+    /// Whether the job depends on a cancelled job, so that its own cancellation is stored in the
+    /// same transaction.
     pub needs_cancelled_job: bool,
 }
 
-/// Returns one transaction that stores these submissions, with the precondition for each that
-/// its id is new.  Of several submissions with the same id only the first is stored.
+/// Returns one transaction that stores these submissions, with a precondition for each that its
+/// id has no record yet.  Of several submissions with the same id only the first is stored.
 pub fn submissions_txn<'a>(submissions: impl Iterator<Item = Submission<'a>>) -> Txn {
     let mut txn = Txn::default();
     for Submission { spec, needs_cancelled_job } in submissions {
@@ -32,8 +33,8 @@
     txn
 }
 
-/// Returns one transaction that cancels these jobs, with the precondition for each that it has
-/// no outcome yet.
+/// Returns one transaction that stores the cancellation of these jobs, with a precondition for
+/// each that the job has no outcome yet.
 pub fn cancellations_txn(ids: &[Name]) -> Txn {
     let mut txn = Txn::default();
     for id in ids {
