--- a/packages/core/src/cluster/admission.rs
+++ b/packages/core/src/cluster/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of jobs to the queue, once all that they need is done.
+//! Admission of jobs to the queue, once all their dependencies are done.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -8,8 +8,9 @@
 use crate::model::*;
 
 impl Cluster {
-    /// Adds a job as the store has it; `revision` is that of its record.  A job that needs
-    /// others enters the queue only when the store has their outcomes.
+    /// Adds a job that was read from the store; `revision` is the revision of its record, and
+    /// `outcome` is `None` unless the job has ended.  A job with dependencies stays blocked
+    /// until the store says that all of them are done.  Does nothing if the job is known.
     pub fn add_job(&mut self, spec: Arc<JobSpec>, revision: u64, outcome: Option<JobOutcome>, now: Instant) {
         if self.jobs.contains_key(&spec.id) {
             return;
@@ -27,16 +28,17 @@
         self.add_started_job(spec, revision, outcome, now);
     }
 
-    /// Adds a job that may start, or has started: a start on record, or a task that a
-    /// worker reports, shows that all the job needs was done before.
+    /// Adds a job without checking its dependencies.  The caller must know that they are done or
+    /// that the job has ended.  A stored start, or a worker's report of a task, proves that the
+    /// dependencies were done before.
     pub fn add_started_job(&mut self, spec: Arc<JobSpec>, revision: u64, outcome: Option<JobOutcome>, now: Instant) {
         if self.jobs.contains_key(&spec.id) {
             return;
         }
         self.dependency.unblock(&spec.id);
-        // The outcome of a job that is over and still on record counts as well.  When such
-        // a job was only marked as known, the store was never asked for its outcome, and
-        // what needs it was blocked for ever.
+        // The outcome of an ended job that is still stored is applied, too.  If the job were
+        // only marked as known, the store would never be asked for its outcome, and its
+        // dependents would stay blocked for ever.
         let released = match outcome {
             Some(outcome) => self.dependency.apply_outcome(&spec.id, outcome),
             None => Vec::new(),
@@ -52,12 +54,12 @@
         self.queue_changed = true;
     }
 
-    /// Adds a job that waited for others to the queue, with its original time of arrival.
+    /// Adds a job whose dependencies are done to the queue, with its original time of arrival.
     pub(crate) fn release_blocked_job(&mut self, blocked: BlockedJob) {
         self.add_started_job(blocked.spec, blocked.revision, None, blocked.first_seen);
     }
 
-    /// Updates the urgency of jobs from that of the jobs that need them.
+    /// Updates the urgency of the jobs whose dependents have become more or less urgent.
     pub(super) fn update_urgencies(&mut self) {
         for id in self.dependency.take_changed() {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
--- a/packages/core/src/cluster/completion.rs
+++ b/packages/core/src/cluster/completion.rs
@@ -6,8 +6,8 @@
 use crate::model::*;
 
 impl Cluster {
-    /// Marks a task as completed, which is still to be stored.  A gang's tasks complete
-    /// together.
+    /// Marks a task as completed; the completion is still to be stored.  All tasks of a gang
+    /// complete together.  Services and ended jobs are not changed.
     pub fn mark_completed(&mut self, task: &Task, now: Instant) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         if job.outcome.is_some() || job.spec.shape == Shape::Service || task.index >= job.spec.tasks {
@@ -23,8 +23,8 @@
         self.jobs_to_store.insert(task.job.clone());
         job.quarantine = None;
         job.not_before = None;
-        // A copy that may be on another machine is of no use any more; but the tasks of a
-        // completed gang end by themselves at the same time.
+        // A copy of the task that may run on another machine is no longer needed.  The tasks
+        // of a completed gang need no stop, because they all exit at the same time.
         if !is_gang {
             for machine in job.assignments.get(&task.index).cloned().unwrap_or_default() {
                 self.request_stop(&machine, task, 0.0, now);
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Sets the outcome of a job, as the store has it.  Its tasks are stopped, and what
-    /// needs the job is released.
+    /// Sets the stored outcome of a job.  Its tasks are stopped, and jobs that no longer wait
+    /// for a dependency enter the queue.
     pub fn set_outcome(&mut self, id: &str, outcome: JobOutcome, now: Instant) {
         for blocked in self.dependency.apply_outcome(id, outcome) {
             self.release_blocked_job(blocked);
@@ -58,7 +58,7 @@
     }
 }
 
-/// Whether the start of an assignment was never sent to its machine.
+/// Reports whether the start of an assignment was never sent to its machine.
 fn was_never_sent(assignment: &Assignment) -> bool {
-    assignment.start_sent_in.is_none() && !assignment.inherited && assignment.phase == TaskPhase::Assigned
+    assignment.start_sent_after.is_none() && !assignment.inherited && assignment.phase == TaskPhase::Assigned
 }
--- a/packages/core/src/cluster/job.rs
+++ b/packages/core/src/cluster/job.rs
@@ -7,58 +7,61 @@
 use crate::dependency::Urgency;
 use crate::model::*;
 
-/// The phase of an assigned task, as far as its machine has reported it.
+/// The phase of an assigned task, as last reported by its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskPhase {
-    /// The start is decided; the machine has not reported the task yet.
+    /// The start was decided; the machine has not reported the task yet.
     Assigned,
-    /// It waits for its image.
+    /// The image of the task is being pulled.
     Pulling,
-    /// It waits for its gang.
+    /// The task waits for the other tasks of its gang.
     WaitingForGang,
-    /// It runs.
+    /// The task runs.
     Running,
-    /// It saves its progress.
+    /// The task saves its progress.
     Checkpointing,
-    /// It has completed, which is not stored yet.
+    /// The task has completed, and the completion is not stored yet.
     Completed,
 }
 
 /// A task that is, or may be, on a machine.
 #[derive(Debug, Clone)]
 pub struct Assignment {
-    /// Its job.
+    /// Specification of the job of the task.
     pub spec: Arc<JobSpec>,
-    /// The attempt.
+    /// Attempt number of the start; the tasks of a gang share one.
     pub attempt: u64,
-    /// The incarnation of the worker that the start is for.
+    /// Incarnation of the worker to which the start is addressed.
     pub incarnation: u64,
-    /// Its phase.
+    /// Phase of the task, as last reported by the machine.
     pub phase: TaskPhase,
-    /// The start is in the store; only then may it be sent.
+    /// Whether the start is stored, which it must be before it is sent.
     pub stored: bool,
-    /// Incarnation and sequence of the heartbeat after which the start was last sent.
-    pub start_sent_in: Option<(u64, u64)>,
-    /// The stop has been sent directly; replies to heartbeats repeat it.
+    /// Incarnation and sequence number of the heartbeat after which this leader last sent the
+    /// start; `None` if it has not sent it.
+    pub start_sent_after: Option<(u64, u64)>,
+    /// Whether the stop was sent in a direct command.  Replies to heartbeats repeat the stop.
     pub stop_sent: bool,
-    /// It is to stop, with this grace in seconds.
+    /// Grace of the requested stop in seconds; `None` if no stop is requested.
     pub stop_grace_s: Option<f64>,
-    /// When the stop was requested.
+    /// When the stop was first requested.
     pub stop_requested_at: Option<Instant>,
-    /// Assigned by an earlier leader and not listed in a heartbeat since: only a heartbeat
-    /// under this term's token proves its absence.
+    /// Whether an earlier leader made the assignment and no heartbeat has listed it since.
+    /// Until then only a heartbeat under this term's token, or of a later incarnation of the
+    /// worker, proves that the task is absent.
     pub inherited: bool,
-    /// A heartbeat under this term's token has listed it, or this leader decided it.  Until
-    /// then heartbeats may be of any age, and prove nothing about it.
+    /// Whether this leader made the assignment, or a heartbeat under this term's token has
+    /// listed it.  Until then a heartbeat may be of any age, and its silence about the task
+    /// proves nothing.
     pub confirmed: bool,
-    /// When it was assigned, or first seen.
+    /// When the task was assigned, or first seen by this leader.
     pub assigned_at: Instant,
-    /// When it was first seen running.
+    /// When the task was first seen running; `None` if it was not.
     pub running_since: Option<Instant>,
 }
 
 impl Assignment {
-    /// A start that was just decided.
+    /// Returns the assignment for a start that was just decided and is not stored yet.
     pub fn new(spec: Arc<JobSpec>, attempt: u64, incarnation: u64, now: Instant) -> Assignment {
         Assignment {
             spec,
@@ -66,7 +69,7 @@
             incarnation,
             phase: TaskPhase::Assigned,
             stored: false,
-            start_sent_in: None,
+            start_sent_after: None,
             stop_sent: false,
             stop_grace_s: None,
             stop_requested_at: None,
@@ -77,8 +80,9 @@
         }
     }
 
-    /// Whether its start may be sent to a worker of this incarnation: it is stored, was
-    /// decided for that incarnation by this leader, and is not to be stopped.
+    /// Reports whether the start may be sent to a worker of this incarnation.  It must be
+    /// stored, decided by this leader for that incarnation, and not followed by a request to
+    /// stop.
     pub fn may_start(&self, incarnation: u64) -> bool {
         self.phase == TaskPhase::Assigned
             && self.stored
@@ -87,86 +91,88 @@
             && self.incarnation == incarnation
     }
 
-    /// Whether it was listed in the last heartbeat of its machine, is stored, and is to
-    /// continue.
+    /// Reports whether the last heartbeat of the machine listed the task, its start is stored,
+    /// and it is to continue.
     pub fn is_settled(&self) -> bool {
         let is_listed = matches!(self.phase, TaskPhase::Pulling | TaskPhase::WaitingForGang | TaskPhase::Running);
         is_listed && self.stored && self.confirmed && !self.inherited && self.stop_grace_s.is_none()
     }
 
-    /// Whether it counts against its machine, its team's quota and its zone.
+    /// Reports whether the task counts against its machine's resources, its team's quota and
+    /// the limit for its zone.
     pub fn occupies_resources(&self) -> bool {
         self.phase != TaskPhase::Completed
     }
 }
 
-/// The position of a job in the queue, the first in order first.  Work is preempted only for
-/// work of an earlier position: with one order for the queue and for preemption, nothing is
-/// stopped for work that is then stopped for it.
+/// The position of a job in the queue; lower values come first.  A task is preempted only for
+/// a job at an earlier position.  With the same order for the queue and for preemption, two
+/// tasks cannot preempt each other in turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueuePriority {
-    /// The job is neither within its team's guarantee nor production.
+    /// Whether the job is neither within its team's guarantee nor of production priority.
     pub is_beyond_guarantee: bool,
-    /// The priority.
+    /// Highest priority of the job and of the jobs that depend on it.
     pub priority: Priority,
 }
 
-/// The mean run time of completed tasks.
+/// Running mean of the run times of completed tasks.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RuntimeMean {
-    /// The mean, in seconds.
+    /// Mean run time in seconds; 0 without samples.
     pub mean_s: f64,
-    /// How many tasks it is the mean of.
+    /// Number of tasks in the mean.
     pub samples: u32,
 }
 
 impl RuntimeMean {
-    /// Adds the run time of one more task, in seconds.
+    /// Adds the run time of one task, in seconds.
     pub fn add(&mut self, runtime_s: f64) {
         self.samples += 1;
         self.mean_s += (runtime_s - self.mean_s) / f64::from(self.samples);
     }
 }
 
-/// A job, with what the leader knows of its tasks.
+/// A job and the state of its tasks, as known to the leader.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// The submission.
+    /// Specification that the user submitted.
     pub spec: Arc<JobSpec>,
-    /// Revision of its record, which is the order of arrival.
+    /// Revision of the stored record.  Jobs arrive in the order of their revisions.
     pub revision: u64,
-    /// Its outcome, once it is over.
+    /// Outcome of the job; `None` until it has ended.
     pub outcome: Option<JobOutcome>,
-    /// Tasks that have completed, which is stored.
+    /// Tasks that have completed and are stored as completed.
     pub completed: Ranges,
-    /// Tasks that have completed, which is not stored yet.
+    /// Tasks that have completed and are not stored as completed yet.
     pub completed_unstored: Ranges,
     /// Tasks that are neither completed nor assigned.
     pub pending: Ranges,
-    /// Machines on which its tasks are or may be, mostly one for each task.
+    /// Machines on which each task is or may be, by task index; usually one machine.
     pub assignments: BTreeMap<u32, Vec<Name>>,
-    /// The attempt of a gang.
+    /// Attempt number that the tasks of a gang share; unused for other jobs.
     pub attempt: u64,
-    /// Machines where a task of it failed.
+    /// Machines on which a task of the job has failed.
     pub failed_on: BTreeSet<Name>,
-    /// How long its completed tasks ran.
+    /// Mean run time of the completed tasks.
     pub runtime: RuntimeMean,
-    /// Set while the job is taken to be faulty.
+    /// Quarantine of the job; `None` unless the job seems to be faulty.
     pub quarantine: Option<Quarantine>,
-    /// No task of it is assigned before this.
+    /// Earliest time at which a task of the job may be assigned.
     pub not_before: Option<Instant>,
     /// When this leader first knew the job.
     pub first_seen: Instant,
-    /// It is within its team's guarantee, as of the last pass.
+    /// Whether the last placement pass found the job within its team's guarantee.
     pub guaranteed: bool,
-    /// The urgency of the job itself and of those that wait for it.
+    /// Urgency of the job, raised to that of the jobs that depend on it.
     pub urgency: Urgency,
-    /// Why it waits, as users see it.
+    /// Reason why the job is pending, as shown to users; empty if none was set.
     pub pending_reason: &'static str,
 }
 
 impl Job {
-    /// A job of which no task has run.
+    /// Returns a job of which no task has run.  All its tasks are pending, or none if it has
+    /// an outcome.
     pub fn new(spec: Arc<JobSpec>, revision: u64, outcome: Option<JobOutcome>, now: Instant) -> Job {
         let urgency = Urgency::own(&spec, now);
         let pending = if outcome.is_some() { Ranges::default() } else { Ranges::span(0, spec.tasks) };
@@ -190,14 +196,14 @@
         }
     }
 
-    /// Whether any task of it has completed, so that the job is not faulty.
+    /// Reports whether a task of the job has completed, which shows that the job is not faulty.
     pub fn has_completed_task(&self) -> bool {
         !self.completed.is_empty() || !self.completed_unstored.is_empty()
     }
 
-    /// How many of its pending tasks count, for the load, the dry run and the size of the
-    /// fleet.  Of a quarantined job one probe at a time counts; a gang has no smaller probe
-    /// than itself.
+    /// Returns the number of pending tasks that count for the load, the dry run and the size
+    /// of the fleet.  Of a quarantined job only one probe at a time counts.  A gang counts
+    /// whole, because no smaller part of it can run as a probe.
     pub fn waiting_tasks(&self) -> u32 {
         let pending = self.pending.len();
         match self.quarantine {
@@ -206,44 +212,44 @@
         }
     }
 
-    /// The task after the last one that was ever assigned, as far as is known.  Pending
-    /// tasks below it were lost or preempted, and have waited in the queue already.
+    /// Returns the index after the highest task that is known to have been assigned.  Pending
+    /// tasks below that index were lost or preempted, and have waited in the queue before.
     pub fn first_never_assigned(&self) -> u32 {
         let assigned = self.assignments.last_key_value().map(|(index, _)| *index);
         let last = [assigned, self.completed.last(), self.completed_unstored.last()].into_iter().flatten().max();
         last.map_or(0, |index| index + 1)
     }
 
-    /// Whether all its tasks have completed, and its outcome is not stored yet.
+    /// Reports whether all tasks have completed and the outcome is not stored yet.
     pub fn is_completing(&self) -> bool {
         self.outcome.is_none()
             && self.spec.shape != Shape::Service
             && self.completed.len() + self.completed_unstored.len() >= self.spec.tasks
     }
 
-    /// Its assigned tasks, with their machines.
+    /// Returns the assigned tasks with their machines.  A task that may be on several machines is
+    /// returned once for each of them.
     pub fn assigned_tasks(&self) -> Vec<(Name, Task)> {
         let task = |index: u32| Task { job: self.spec.id.clone(), index };
         let assignments = self.assignments.iter();
         assignments.flat_map(|(index, machines)| machines.iter().map(move |m| (m.clone(), task(*index)))).collect()
     }
 
-    /// Its position in the queue.  The priority in it is the highest of the job's own and
-    /// of those that wait for it.
+    /// Returns the position of the job in the queue.
     pub fn queue_priority(&self) -> QueuePriority {
         let priority = self.urgency.priority;
         QueuePriority { is_beyond_guarantee: !self.guaranteed && priority != Priority::Production, priority }
     }
 
-    /// Whether it is part of a chain of dependencies that has a deadline: it needs other
-    /// jobs, or others need it, and one of them has a deadline.
+    /// Reports whether the job belongs to a chain of dependencies with a deadline: the job has
+    /// a deadline of its own and depends on other jobs, or a dependent's deadline applies.
     pub fn has_deadline_in_chain(&self) -> bool {
         let own_deadline = Urgency::own(&self.spec, self.first_seen).deadline;
         let is_own = self.spec.needs.is_empty() && self.urgency.deadline == own_deadline;
         self.urgency.deadline.is_some() && !is_own
     }
 
-    /// Records that a task is, or may be, on a machine; it is pending no more.
+    /// Records that a task is, or may be, on a machine, and removes it from the pending tasks.
     pub(crate) fn record_assignment(&mut self, index: u32, machine: &Name) {
         self.pending.remove(index);
         let machines = self.assignments.entry(index).or_default();
@@ -252,7 +258,7 @@
         }
     }
 
-    /// Queues a task again, unless its job is over or the task is assigned or completed.
+    /// Queues a task again, unless the job has ended or the task is assigned or completed.
     pub fn requeue(&mut self, index: u32) {
         if self.outcome.is_none()
             && index < self.spec.tasks
@@ -265,29 +271,31 @@
     }
 }
 
-/// The quarantine of a job that seems to be faulty: submitted with a mistake, it fails on
-/// every machine until its user cancels it.  It runs one task at a time, as a probe.
+/// The quarantine of a job that seems to be faulty.  A job that was submitted with a mistake
+/// fails on every machine until its user cancels it, so a quarantined job runs only one task
+/// at a time, as a probe.
 #[derive(Debug, Clone, Copy)]
 pub struct Quarantine {
-    /// When the last probe was allowed to start: failures of tasks that were assigned
-    /// before prove nothing new.
-    pub since: Instant,
-    /// How many probes have failed.
+    /// Earliest time at which the next probe may start.  The failure of a task that was assigned
+    /// before gives no new evidence and does not count as a failed probe.
+    pub next_probe_at: Instant,
+    /// Number of probes that have failed.
     pub probes: u32,
 }
 
-/// Tasks for which there is no machine: what the fleet should scale out by.
+/// Tasks that fit on no machine, for which the fleet should scale out.
 #[derive(Debug, Clone)]
 pub struct UnmetDemand {
-    /// Their job.
+    /// Specification of the job of the tasks.
     pub spec: Arc<JobSpec>,
-    /// How many tasks.
+    /// Number of tasks without a machine.
     pub count: u32,
-    /// How many tasks of the job are assigned in each zone already.
+    /// Number of tasks of the job that are already assigned, by zone.
     pub zones: BTreeMap<Name, u32>,
 }
 
-/// Whether one more task of the job may be in this zone.
+/// Reports whether one more task of the job may be placed in `zone`; `zones` has the number
+/// of its tasks that are already assigned, by zone.
 pub fn zone_allows(spec: &JobSpec, zone: &Name, zones: &BTreeMap<Name, u32>) -> bool {
     if spec.one_zone && zones.iter().any(|(other, tasks)| *tasks > 0 && other != zone) {
         return false;
@@ -295,5 +303,5 @@
     zones.get(zone).copied().unwrap_or(0) < spec.zone_cap()
 }
 
-/// Why a quarantined job waits.
+/// Pending reason of a quarantined job.
 pub const QUARANTINED: &str = "its tasks fail everywhere";
--- a/packages/core/src/cluster/liveness.rs
+++ b/packages/core/src/cluster/liveness.rs
@@ -1,23 +1,26 @@
-//! How long machines have been unresponsive, and what may be forgotten.
+//! Time since the last heartbeats of machines, and removal of entries that are no longer
+//! needed.
 
 use std::time::{Duration, Instant};
 
 use super::{Cluster, Machine};
 
 impl Cluster {
-    /// How many machines there are, up or not.
+    /// Returns the number of machines that are not known to be gone, whether up or not.
     pub fn machine_count(&self) -> usize {
         self.machines.values().filter(|machine| machine.removed_at.is_none()).count()
     }
 
-    /// The time since a machine's last heartbeat.  A stall of this controller counts for
-    /// nothing.
+    /// Returns the time since a machine's last heartbeat, as far as this controller could have
+    /// received one: the time before the end of its last stall does not count.
     ///
-    /// In a zone without a controller, for a machine that has sent no heartbeat in this
-    /// term, the last heartbeat that the previous leader knew of counts, once machines
-    /// that can send one have had the time to.  Elsewhere it does not: a controller in a
-    /// partitioned zone receives heartbeats that the previous leader did not, and a new
-    /// leader once gave up two hundred machines as a partition healed.
+    /// For a machine that has sent no heartbeat in this term, the time counts from the start of
+    /// the term or from when the machine was first seen.  In a zone without a controller it
+    /// counts from the last heartbeat that the previous leader knew of, once this leader has
+    /// listened for longer than `missed` without a stall, so that every machine that can send a
+    /// heartbeat has had the time to.  In a zone with a controller, that heartbeat is not used:
+    /// a controller in a partitioned zone receives heartbeats that the previous leader did not,
+    /// and a new leader once gave up two hundred machines as a partition healed.
     pub fn time_since_heartbeat(&self, machine: &Machine, now: Instant) -> Duration {
         let earliest = self.term_started_at.max(machine.first_seen);
         let has_stalled = self.resumed_at > self.term_started_at;
@@ -33,7 +36,8 @@
         now.saturating_duration_since(since)
     }
 
-    /// The last heartbeat that the previous leader knew of, if it may be relied upon.
+    /// Returns when the last heartbeat that the previous leader knew of arrived; `None` if it
+    /// knew of none, or if a controller in the zone may have received later ones.
     fn heartbeat_known_to_previous_leader(&self, machine: &Machine) -> Option<Instant> {
         if self.zones_with_controller.contains(&machine.zone) {
             return None;
@@ -41,8 +45,8 @@
         self.machine_hints.get(&machine.name)?.last_heartbeat
     }
 
-    /// Forgets jobs that are over and have no task on any machine, and machines that were
-    /// removed so long ago that no late heartbeat of theirs can arrive.
+    /// Removes ended jobs that have no task on any machine, and machines that were removed so
+    /// long ago that no delayed heartbeat of theirs can arrive.
     pub fn collect_garbage(&mut self, now: Instant) {
         let tombstone = self.policy.tombstone;
         self.machines.retain(|_, machine| machine.removed_at.is_none_or(|at| now.duration_since(at) < tombstone));
--- a/packages/core/src/cluster/machine.rs
+++ b/packages/core/src/cluster/machine.rs
@@ -1,4 +1,4 @@
-//! Machines, as the leader knows them.
+//! Machines, as known to the leader.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -7,88 +7,94 @@
 use crate::model::*;
 use crate::policy::Policy;
 
-/// A machine.
+/// A machine with the tasks that are assigned to it.
 #[derive(Debug, Clone)]
 pub struct Machine {
-    /// Its name.
+    /// Name under which the cloud lists the machine and the worker sends heartbeats.
     pub name: Name,
-    /// Its type.
+    /// Machine type.
     pub kind: Name,
-    /// Its zone.
+    /// Zone in which the machine runs.
     pub zone: Name,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance, which the cloud may reclaim.
     pub spot: bool,
-    /// Its resources; nothing while its type is unknown.
+    /// Total resources of the machine; zero while the machine type is unknown.
     pub size: Resources,
-    /// The incarnation of its worker, 0 before the first heartbeat in this term.
+    /// Incarnation of the worker; 0 before the first heartbeat in this term.
     pub incarnation: u64,
-    /// Sequence number of the newest heartbeat.
+    /// Sequence number of the newest heartbeat that was applied.
     pub sequence: u64,
-    /// Highest token that the worker has seen.
+    /// Highest fencing token that the worker has reported.
     pub highest_fencing_token: u64,
-    /// When the newest heartbeat in this term arrived.
+    /// When the newest heartbeat in this term arrived; `None` before the first.
     pub last_heartbeat: Option<Instant>,
-    /// When the cloud reclaims it.
+    /// When the cloud reclaims the machine; `None` without a notice.
     pub reclaim_at: Option<Instant>,
-    /// Tasks that are, or may be, on it.
+    /// Assignments of the tasks that are, or may be, on the machine.
     pub tasks: BTreeMap<Task, Assignment>,
-    /// Exited tasks to be acknowledged, with their attempts.  A shard may still name them:
-    /// a new leader starts nothing that it finds on record, so that an acknowledgement
-    /// cannot be followed by the same start.
+    /// Exited tasks to be acknowledged, with their attempts.  A shard may still hold their
+    /// starts.  An acknowledgement cannot be followed by the same start, because a new leader
+    /// sends no start that it has read from the store.
     pub exited: BTreeMap<Task, u64>,
-    /// Its state in the last list of the cloud.
+    /// State in the last list of the cloud that had the machine; `None` before the first.
     pub state: Option<MachineState>,
-    /// When it was last in a list of the cloud.
+    /// When the cloud last listed the machine; `None` if it has not yet.
     pub last_listed: Option<Instant>,
     /// When this leader first knew the machine.
     pub first_seen: Instant,
-    /// When it was rented, as far as known.
+    /// When the machine was rented, according to the cloud's list; until it is listed, when
+    /// this leader first knew it.
     pub rented_at: Instant,
-    /// Why it is cordoned, if it is: no more tasks are assigned to it.
+    /// Why the machine is cordoned, so that no more tasks are assigned to it; `None` if it is
+    /// not.
     pub cordon_reason: Option<&'static str>,
-    /// When its deletion was sent: it may be gone at any time from then on.
+    /// When the deletion of the machine was requested; it may be gone at any time from then on.
     pub deletion_sent_at: Option<Instant>,
-    /// Since when it has been empty.
+    /// Since when no task has been assigned to the machine; `None` while one is.
     pub idle_since: Option<Instant>,
-    /// Images in its cache with their size in GB, the most recently used last.
+    /// Images in the cache with their sizes in GB, the most recently used last.
     pub images: Vec<(Name, f64)>,
-    /// Jobs whose failures are held against this machine.
+    /// Jobs whose failures are attributed to this machine.
     pub failed_jobs: BTreeSet<Name>,
-    /// After a failure: no task is assigned to it before this.
+    /// End of the cooldown after a failure; no task is assigned to the machine before.
     pub cooldown_until: Option<Instant>,
-    /// Its speed as observed, 1 for the usual speed.
+    /// Observed speed, relative to that of other machines; 1 before the first observation.
     pub speed: f64,
-    /// How many tasks its speed was observed by.
+    /// Number of tasks from which the speed was observed.
     pub speed_samples: u32,
-    /// The address at which its worker accepts direct commands.
+    /// Address at which the worker accepts direct commands; `None` if it has reported no valid
+    /// address.
     pub address: Option<std::net::SocketAddr>,
-    /// The offset of its token from the term's lowest.  Raising it makes the worker refuse
-    /// every command in flight.
+    /// Offset of the machine's fencing token from the lowest token of the term.  Once the
+    /// worker has seen a token with a raised offset, it refuses every earlier command that is
+    /// still in flight.
     pub fence_offset: u64,
-    /// The fence offset under which a start was last sent directly.
+    /// Fence offset under which a start was last sent directly; `None` if none was.
     pub last_direct_fence: Option<u64>,
-    /// Token of direct starts without a response (yet): they may be carried out at any time
-    /// until the worker has seen a higher token.
+    /// Fencing token of direct starts that have had no response; `None` if there are none.
+    /// They may be carried out at any time until the worker has seen a higher token.
     pub in_doubt_token: Option<u64>,
-    /// A direct command is in flight.
+    /// Whether a direct command is in flight.
     pub command_in_flight: bool,
-    /// A reply to its heartbeat waits for the store, and will carry commands.
+    /// Whether the reply to a heartbeat waits for the store.  It will carry the commands that
+    /// are due, so that none is sent directly.
     pub reply_pending: bool,
-    /// When it was proved to be gone.  The entry stays for a while, so that a heartbeat
-    /// delivered late does not register the machine again.
+    /// When the machine was proved to be gone; `None` while it exists.  The entry is kept for
+    /// a while, so that a delayed heartbeat does not register the machine again.
     pub removed_at: Option<Instant>,
 }
 
 impl Machine {
-    /// Whether there is no command for its worker and no response awaited from it: all its
-    /// tasks were listed in its last heartbeat and are to continue.
+    /// Reports whether no command for the worker is due and no response of the worker is
+    /// awaited.  All tasks of a settled machine were listed in its last heartbeat and are to
+    /// continue.
     pub fn is_settled(&self) -> bool {
         let is_leaving = self.removed_at.is_some() || self.deletion_sent_at.is_some() || self.reclaim_at.is_some();
         let is_awaited = self.in_doubt_token.is_some() || self.command_in_flight || !self.exited.is_empty();
         !is_leaving && !is_awaited && self.tasks.values().all(Assignment::is_settled)
     }
 
-    /// A machine that has sent no heartbeat yet.
+    /// Returns a machine that has sent no heartbeat yet.
     pub fn new(name: Name, kind: Name, zone: Name, spot: bool, now: Instant) -> Machine {
         Machine {
             name,
@@ -125,12 +131,12 @@
         }
     }
 
-    /// Its type, its zone, and whether it is a spot instance.
+    /// Returns the machine type, the zone, and whether the machine is a spot instance.
     pub fn location(&self) -> MachineLocation {
         MachineLocation { kind: self.kind.clone(), zone: self.zone.clone(), spot: self.spot }
     }
 
-    /// Resources left, with all that may be present counted.
+    /// Returns the resources left when every task that may be present is counted.
     pub fn free_resources(&self) -> Resources {
         let mut free = self.size;
         for assignment in self.tasks.values().filter(|assignment| assignment.occupies_resources()) {
@@ -139,7 +145,7 @@
         free
     }
 
-    /// Whether tasks may be assigned to it now.
+    /// Reports whether tasks may be assigned to the machine at `now`.
     pub fn is_schedulable(&self, now: Instant, policy: &Policy) -> bool {
         self.incarnation > 0
             && self.removed_at.is_none()
@@ -152,13 +158,13 @@
             && self.tasks.len() + self.exited.len() < policy.most_tasks
     }
 
-    /// Whether an image is in its cache.
+    /// Reports whether an image is in the cache.
     pub fn has_image(&self, image: &str) -> bool {
         self.images.iter().any(|(name, _)| &**name == image)
     }
 
-    /// Makes an image the most recently used.  The least recently used are evicted when the
-    /// cache exceeds `cache_gb`.
+    /// Makes an image of `gb` GB the most recently used one in the cache.  Evicts the least
+    /// recently used images while the cache exceeds `cache_gb`, but never the image itself.
     pub fn use_image(&mut self, image: &Name, gb: f64, cache_gb: f64) {
         self.images.retain(|(name, _)| name != image);
         self.images.push((image.clone(), gb));
@@ -168,15 +174,15 @@
     }
 }
 
-/// What the previous leader had learned of a machine.
+/// What the previous leader had learned about a machine.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct MachineHints {
-    /// Its speed as observed, 1 for the usual speed.
+    /// Observed speed, as in [`Machine::speed`].
     pub speed: f64,
-    /// How many tasks its speed was observed by.
+    /// Number of tasks from which the speed was observed.
     pub speed_samples: u32,
-    /// Images in its cache with their size in GB, the most recently used last.
+    /// Images in the cache with their sizes in GB, the most recently used last.
     pub images: Vec<(Name, f64)>,
-    /// When its last heartbeat arrived, as far as the previous leader knew.
+    /// When the last heartbeat that the previous leader knew of arrived.
     pub last_heartbeat: Option<Instant>,
 }
--- a/packages/core/src/cluster/mod.rs
+++ b/packages/core/src/cluster/mod.rs
@@ -1,9 +1,9 @@
-//! The leader's state, and the operations that change it.  Everything here is a plain
-//! function of the state and `now`.
+//! The leader's state and the operations that change it.  Each operation depends only on the
+//! state and on `now`, and does no I/O.
 //!
-//! A task is *assigned* from the decision to start it until its absence is proved.  What
-//! is uncertain counts as present: an assigned task is never queued, uses its team's
-//! limit and its zone, and occupies its machine's resources.
+//! A task is *assigned* from the decision to start it until its absence is proved.  A task
+//! whose state is uncertain counts as present: while it is assigned it is not queued, counts
+//! towards the limits of its team and its zone, and occupies its machine's resources.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -32,65 +32,67 @@
 use crate::model::*;
 use crate::policy::Policy;
 
-/// The state of a leader.
+/// The state of the cluster, as known to a leader.
 #[derive(Debug)]
 pub struct Cluster {
-    /// The term; it makes tokens, attempts and rental requests unique.
+    /// Leader term.  Fencing tokens, attempt numbers and ids of rental requests contain it, which
+    /// makes them unique across leaders.
     pub term: u64,
-    next_attempt: u64,
-    /// Jobs that are not over, or still have tasks on machines.  Jobs that wait for others
-    /// are not among them yet.
+    last_attempt: u64,
+    /// Jobs that have not ended, or still have tasks on machines.  Jobs that are blocked by
+    /// dependencies are not included.
     pub jobs: NameMap<Job>,
-    /// Jobs that wait for others.
+    /// Dependencies between jobs, with the jobs that they block.
     pub dependency: DependencyGraph,
-    /// Machines.
+    /// Machines by name, including those that were removed a short time ago.
     pub machines: BTreeMap<Name, Machine>,
-    /// Machine types.
+    /// Machine types by name.
     pub types: BTreeMap<Name, MachineType>,
-    /// The policy.
+    /// Values of the tunables.
     pub policy: Arc<Policy>,
-    /// Service-level objective for the start of tasks, in seconds, by class.
+    /// Service-level objectives for the start of tasks, in seconds, by class.
     pub start_objectives: HashMap<Name, f64>,
-    /// Quotas of teams.
+    /// Guarantees and limits of teams, by team.
     pub teams: HashMap<Name, TeamLimit>,
-    /// Zones with a controller inside, which renews the leases there when the zone is
-    /// partitioned.
+    /// Zones in which a controller runs.  It renews the leases of the zone's workers while the
+    /// zone is partitioned.
     pub zones_with_controller: BTreeSet<Name>,
-    /// When this leader's term began.
+    /// When the term of this leader began.
     pub term_started_at: Instant,
-    /// When this controller last resumed after a stall.  The time without heartbeats counts
-    /// from then at the earliest.
+    /// When this controller last resumed after a stall.  Earlier time does not count as time
+    /// without heartbeats.
     pub resumed_at: Instant,
-    /// Rentals of machines.
+    /// State of the requests to the cloud, such as rentals of machines.
     pub fleet: Fleet,
-    /// Ratio of run time to estimate, by class.
+    /// Moving average of the ratio of run time to estimate, by class.
     pub runtime_bias: HashMap<Name, f64>,
-    /// Something changed that placement should look at.
+    /// Whether something has changed since the last placement pass that calls for another.
     pub queue_changed: bool,
-    /// Starts to be stored, in the order of the queue.
+    /// Records of starts to be stored, in the order of the queue.
     pub unstored_starts: BTreeMap<QueueKey, StartRecord>,
-    next_queue_sequence: u64,
-    /// Jobs with completed tasks, or an outcome, to be stored.
+    last_queue_sequence: u64,
+    /// Jobs of which completed tasks or an outcome are to be stored.
     pub jobs_to_store: BTreeSet<Name>,
-    /// Shards as the store has them, by number.
+    /// Shards as last stored, by number.
     pub shards: BTreeMap<u32, PlacementShard>,
-    /// The number from which on the rotation of shards continues.
+    /// Number of the shard from which the next write continues its rotation.
     pub next_shard: u32,
-    /// Machines for which there may be direct commands.
+    /// Machines for which direct commands may be due.
     pub machines_to_command: BTreeSet<Name>,
-    /// What the previous leader had learned of machines that have sent no heartbeat in this
-    /// term.
+    /// What the previous leader had learned about machines that have sent no heartbeat in this
+    /// term, by machine.
     pub machine_hints: HashMap<Name, MachineHints>,
-    /// How long the tasks assigned in the last pass had waited.
+    /// Waiting times of assigned tasks, counted from when the leader first knew the job.  The
+    /// leader takes them for its metrics after each placement pass.
     pub placement_waits: Vec<Duration>,
 }
 
 impl Cluster {
-    /// The state of a new leader, before it has read anything.
+    /// Returns the state of a new leader that has read nothing from the store yet.
     pub fn new(term: u64, policy: Arc<Policy>, teams: HashMap<Name, TeamLimit>, now: Instant) -> Cluster {
         Cluster {
             term,
-            next_attempt: 0,
+            last_attempt: 0,
             jobs: NameMap::default(),
             dependency: DependencyGraph::default(),
             machines: BTreeMap::new(),
@@ -105,7 +107,7 @@
             runtime_bias: HashMap::new(),
             queue_changed: true,
             unstored_starts: BTreeMap::new(),
-            next_queue_sequence: 0,
+            last_queue_sequence: 0,
             jobs_to_store: BTreeSet::new(),
             shards: BTreeMap::new(),
             next_shard: 0,
--- a/packages/core/src/cluster/recovery.rs
+++ b/packages/core/src/cluster/recovery.rs
@@ -7,8 +7,9 @@
 use crate::model::*;
 
 impl Cluster {
-    /// Adds a shard that a new leader has read, with the locations of the machines that it
-    /// names.  All of its starts are uncertain.
+    /// Adds a shard that a new leader has read from the store.  `locations` has the locations of
+    /// the machines in it; a start on a machine without a location is ignored.  It is uncertain
+    /// whether the tasks of the starts are present until their machines report.
     pub fn add_shard(
         &mut self,
         id: u32,
@@ -27,7 +28,7 @@
         self.shards.insert(id, shard);
     }
 
-    /// Adds completed tasks of a job.
+    /// Adds the stored completed tasks of a job.
     fn add_stored_completion(&mut self, id: &Name, ranges: &Ranges) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         for index in ranges.iter().take_while(|index| *index < job.spec.tasks) {
@@ -39,10 +40,10 @@
         }
     }
 
-    /// Adds a start of an earlier leader.
+    /// Adds the stored start of an earlier leader.
     fn add_stored_start(&mut self, start: &StartRecord, location: &MachineLocation, now: Instant) {
         let Some(job) = self.jobs.get_mut(&start.task.job) else {
-            tracing::error!(task = %start.task, "shard has a start of an unknown job");
+            tracing::error!(task = %start.task, "ignoring a stored start: its job is unknown");
             return;
         };
         let MachineLocation { kind, zone, spot } = location;
@@ -53,9 +54,9 @@
         if let Some(machine_type) = self.types.get(kind) {
             machine.size = machine_type.size();
         }
-        // Shards may still have an earlier start of the same task here, also of the same
-        // attempt: a gang that lost its assignments with a worker's incarnation gets them
-        // again under the same attempt.
+        // Shards may still hold an earlier start of the same task on this machine, even with
+        // the same attempt number: when a worker's incarnation ends, the tasks of a gang that
+        // it ran are assigned again under the same attempt.  The latest start counts.
         let order = (start.attempt, start.incarnation);
         if machine.tasks.get(&start.task).is_some_and(|known| (known.attempt, known.incarnation) >= order) {
             return;
@@ -65,8 +66,8 @@
         assignment.inherited = true;
         assignment.confirmed = false;
         if job.outcome.is_some() {
-            // A stop is due, and if its machine does not answer, a deletion: the former
-            // leader may have had no time for either.
+            // The task is to stop, and its machine is to be deleted if it does not respond: the
+            // earlier leader may have ended before it did either.
             assignment.stop_grace_s = Some(0.0);
             assignment.stop_requested_at = Some(now);
         }
--- a/packages/core/src/cluster/rental/tests.rs
+++ b/packages/core/src/cluster/rental/tests.rs
@@ -1,13 +1,14 @@
 use super::*;
 
-/// Seen at four times the size: a fleet as large as a fixed time for each
-/// heartbeat would allow was more than the leader could process, and it lost its
-/// tasks; a smaller bound for all left a third of a quieter day's machines unrented.
+/// Guards against a fixed limit for the size of the fleet.  At four times the usual size, a
+/// limit derived from a fixed time for each heartbeat let the fleet grow beyond what the leader
+/// could process, and the leader lost its tasks.  A lower fixed limit left a third of the
+/// machines unrented on a quieter day.
 #[test]
-fn a_leader_adapts_its_heartbeat_capacity() {
+fn heartbeat_capacity_grows_while_it_is_used_and_shrinks_with_lag() {
     let mut policy = Policy::clone(&crate::sim::cluster(1, Instant::now()).policy);
     policy.most_machines = 1000;
-    let (mut fleet, mut now, high) = (Fleet::default(), Instant::now(), policy.lag_most * 2);
+    let (mut fleet, mut now, high_lag) = (Fleet::default(), Instant::now(), policy.lag_most * 2);
     assert_eq!(fleet.machine_limit(&policy), 1000);
     let mut adapt = |fleet: &mut Fleet, times: u32, lag: Duration, machines: fn(usize) -> usize| {
         for _ in 0..times {
@@ -17,22 +18,22 @@
         }
         fleet.machine_limit(&policy)
     };
-    // capacity that has not been in use is not counted on
+    // the capacity does not grow beyond what has been in use
     assert_eq!(adapt(&mut fleet, 100, Duration::ZERO, |_| 500), 1000);
-    let more = adapt(&mut fleet, 100, Duration::ZERO, |most| most);
+    let more = adapt(&mut fleet, 100, Duration::ZERO, |limit| limit);
     assert_eq!(more, 1150);
-    let fewer = adapt(&mut fleet, 40, high, |most| most);
+    let fewer = adapt(&mut fleet, 40, high_lag, |limit| limit);
     assert!(fewer < more, "{fewer}");
-    assert_eq!(adapt(&mut fleet, 2000, high, |_| 4000), 500);
+    assert_eq!(adapt(&mut fleet, 2000, high_lag, |_| 4000), 500);
 }
 
-/// What happens to an attempt to store a record of rentals.
+/// How the store handles an attempt to store a record of rentals.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum WriteOutcome {
     Answered,
-    /// Committed, and the answer is lost.
+    /// The transaction is committed, and the response is lost.
     AnswerLost,
-    /// No answer, and committed after all that follows.
+    /// There is no response, and the transaction is carried out at a later step.
     Delayed,
     Refused,
 }
@@ -48,12 +49,12 @@
 }
 
 proptest::proptest! {
-    /// Records of rentals, with answers lost, writes that come late and leaders that end
-    /// at any point: a requested rental is recorded until a leader knows the answer, no key
-    /// holds two records, no request id is ever used with another content, and a late write
-    /// of an earlier term does nothing.
+    /// Guards against rentals that are lost or requested twice when responses are lost, writes
+    /// are delayed and leaders end at any point.  A requested rental stays recorded until a
+    /// leader knows the answer, no key holds two records, no request id is used for two
+    /// different rentals, and a delayed write of an earlier term has no effect.
     #[test]
-    fn what_is_asked_for_is_on_record(steps in proptest::collection::vec(
+    fn requested_rentals_stay_recorded_until_answered(steps in proptest::collection::vec(
         (write_outcome(), write_outcome(), write_outcome(), 0u8..6), 1..40,
     )) {
         use crate::sim::Records;
@@ -61,28 +62,28 @@
         let now = Instant::now();
         let (mut store, mut term, mut fleet, mut request) = (Records::default(), 1, Fleet::default(), 0);
         store.leads(term);
-        let mut late: Vec<Txn> = Vec::new();
-        // the rentals that the cloud was asked for, and those that a leader has the answer of
+        let mut delayed: Vec<Txn> = Vec::new();
+        // rentals that were requested, and ids of those whose answer a leader knows
         let (mut requested, mut answered): (BTreeMap<Name, Rental>, HashSet<Name>) = Default::default();
-        for (one, two, three, then) in steps {
+        for (first, second, third, next_event) in steps {
             request += 1;
-            let wants = [Rental {
+            let wanted = [Rental {
                 request_id: format!("{term}-{request}").into(),
                 kind: "t".into(),
                 zone: "a".into(),
                 spot: false,
                 count: request,
             }];
-            if let Some(mut r) = fleet.begin_recording(&wants, term) {
-                prop_assert!(!store.has(&r.key) || late.is_empty(), "the key is new");
-                let (mut stored, leader) = (RecordProgress::Repeat, store.leader());
-                if then == 3 {
-                    // another leads meanwhile, and this one does not know yet
+            if let Some(mut recording) = fleet.begin_recording(&wanted, term) {
+                prop_assert!(!store.has(&recording.key) || delayed.is_empty(), "the key of a new record is in use");
+                let (mut progress, leader) = (RecordProgress::Repeat, store.leader());
+                if next_event == 3 {
+                    // the leader key has changed, and this leader does not know yet
                     store.leads(term);
                 }
-                for outcome in [one, two, three] {
-                    let txn = r.txn(leader);
-                    let tried = match outcome {
+                for outcome in [first, second, third] {
+                    let txn = recording.txn(leader);
+                    let attempt = match outcome {
                         WriteOutcome::Answered => match store.apply(&txn) {
                             Ok(_) => RecordAttempt::Done,
                             Err(keys) => RecordAttempt::Conflict(keys),
@@ -92,49 +93,58 @@
                             RecordAttempt::Indeterminate
                         }
                         WriteOutcome::Delayed => {
-                            late.push(txn);
+                            delayed.push(txn);
                             RecordAttempt::Indeterminate
                         }
                         WriteOutcome::Refused => RecordAttempt::Refused,
                     };
-                    stored = r.apply_attempt(&tried);
-                    if stored != RecordProgress::Repeat {
+                    progress = recording.apply_attempt(&attempt);
+                    if progress != RecordProgress::Repeat {
                         break;
                     }
                 }
-                if stored == RecordProgress::Stored {
-                    prop_assert!(store.has(&r.key), "called stored, and is not");
-                    fleet.mark_recorded(r.key.clone(), &r.rentals);
-                    for rental in &r.rentals {
-                        let before = requested.insert(rental.request_id.clone(), rental.clone());
-                        prop_assert!(before.is_none_or(|b| b == *rental), "asked for with another content");
-                        if then % 2 == 0 {
+                if progress == RecordProgress::Stored {
+                    prop_assert!(store.has(&recording.key), "the record is reported as stored and is absent");
+                    fleet.mark_recorded(recording.key.clone(), &recording.rentals);
+                    for rental in &recording.rentals {
+                        let previous = requested.insert(rental.request_id.clone(), rental.clone());
+                        prop_assert!(
+                            previous.is_none_or(|previous| previous == *rental),
+                            "the request id is used for another rental"
+                        );
+                        if next_event % 2 == 0 {
                             fleet.mark_answered(&rental.request_id, now);
                             answered.insert(rental.request_id.clone());
                         }
                     }
                 }
             }
-            if then == 5 {
-                // the leader ends; the next one reads what is on record
+            if next_event == 5 {
+                // the leader ends, and the next one reads the stored records
                 term += 1;
                 store.leads(term);
                 fleet = Fleet::default();
                 store.rentals().into_iter().for_each(|(key, rentals)| fleet.inherit(key, rentals));
-                for request in requested.keys().filter(|c| !answered.contains(*c)) {
-                    prop_assert!(fleet.open_rentals.iter().any(|o| o.request_id == *request), "{request} is forgotten");
+                for request in requested.keys().filter(|id| !answered.contains(*id)) {
+                    prop_assert!(
+                        fleet.open_rentals.iter().any(|open| open.request_id == *request),
+                        "the open rental {request} is lost"
+                    );
                 }
             }
-            if then == 4 {
-                let before: HashSet<String> = store.rentals().into_iter().map(|r| r.0).collect();
-                late.drain(..).for_each(|txn| drop(store.apply(&txn)));
-                let own = format!("{}{term}-", crate::key::RENTAL);
-                let foreign = |k: &String| !before.contains(k) && !k.starts_with(&own);
-                prop_assert!(!store.rentals().iter().any(|r| foreign(&r.0)), "a late write of an earlier term");
+            if next_event == 4 {
+                let previous: HashSet<String> = store.rentals().into_iter().map(|record| record.0).collect();
+                delayed.drain(..).for_each(|txn| drop(store.apply(&txn)));
+                let own_prefix = format!("{}{term}-", crate::key::RENTAL);
+                let is_foreign = |key: &String| !previous.contains(key) && !key.starts_with(&own_prefix);
+                prop_assert!(
+                    !store.rentals().iter().any(|record| is_foreign(&record.0)),
+                    "a delayed write of an earlier term is applied"
+                );
             }
             let mut seen = HashSet::new();
-            for r in store.rentals().into_iter().flat_map(|(_, l)| l) {
-                prop_assert!(seen.insert(r.request_id.clone()), "{} is on record twice", r.request_id);
+            for rental in store.rentals().into_iter().flat_map(|(_, rentals)| rentals) {
+                prop_assert!(seen.insert(rental.request_id.clone()), "{} is recorded twice", rental.request_id);
             }
         }
     }
--- a/packages/core/src/cluster/shard.rs
+++ b/packages/core/src/cluster/shard.rs
@@ -1,57 +1,57 @@
-//! Starts and completed tasks, as shards of the store hold them.
+//! Records of starts and completed tasks, which are stored in shards.
 
 use super::{Assignment, QueuePriority};
 use crate::model::*;
 
-/// The record of a start.
+/// The record of the start of a task on a machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StartRecord {
-    /// The machine.
+    /// Machine on which the task is started.
     pub machine: Name,
-    /// The task.
+    /// Task that is started.
     pub task: Task,
-    /// The attempt.
+    /// Attempt number of the start; the tasks of a gang share one.
     pub attempt: u64,
-    /// The incarnation of the worker that the start is for.
+    /// Incarnation of the worker to which the start is addressed.
     pub incarnation: u64,
 }
 
 impl StartRecord {
-    /// Whether this is the start of an assignment of its task on its machine.  The same
-    /// attempt for another incarnation is another start.
+    /// Reports whether this start belongs to an assignment of the same task on the same
+    /// machine.  The same attempt for another incarnation of the worker is another start.
     pub fn is_of(&self, assignment: &Assignment) -> bool {
         assignment.attempt == self.attempt && assignment.incarnation == self.incarnation
     }
 }
 
-/// A shard as last written.
+/// A shard of start records and completed tasks, as last written.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PlacementShard {
-    /// Revision of its key, 0 if the key is absent.
+    /// Revision of the key of the shard; 0 if the key is absent.
     pub revision: u64,
-    /// Starts.
+    /// Records of starts.
     pub starts: Vec<StartRecord>,
-    /// Completed tasks by job.
+    /// Completed tasks, by job.
     pub completed: Vec<(Name, Ranges)>,
 }
 
-/// What is known of a machine apart from its heartbeats.
+/// The properties of a machine that are stored and listed apart from its heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MachineLocation {
-    /// Its type.
+    /// Machine type.
     pub kind: Name,
-    /// Its zone.
+    /// Zone in which the machine runs.
     pub zone: Name,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
 }
 
-/// The order in which starts are stored: by the priority of their jobs, then as they were
-/// decided.
+/// The position of a start among those to be stored.  Starts are stored by the queue priority
+/// of their jobs, and within a priority in the order in which they were queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueKey {
-    /// Priority of the job.
+    /// Queue priority of the job.
     pub priority: QueuePriority,
-    /// Number of the decision.
+    /// Sequence number, which grows with each start that is queued.
     pub sequence: u64,
 }
--- a/packages/core/src/workers/direct_commands.rs
+++ b/packages/core/src/workers/direct_commands.rs
@@ -7,25 +7,26 @@
 use crate::cluster::{Cluster, Machine, TaskPhase};
 use crate::model::*;
 
-/// A message with commands for one worker, sent directly.
+/// A message with commands that is sent directly to one worker.
 #[derive(Debug, Clone)]
 pub struct DirectCommand {
-    /// The machine.
+    /// Machine of the worker.
     pub machine: Name,
-    /// The address at which its worker accepts direct commands.
+    /// Address at which the worker accepts direct commands.
     pub address: std::net::SocketAddr,
-    /// The body of the request.
+    /// Body of the request.
     pub body: DirectCommandBody,
 }
 
 impl Cluster {
-    /// Commands that should not wait for the next heartbeat: stored starts and new
-    /// stops, with at most one message in flight for each machine.  Messages for `most`
-    /// machines are taken; those of the others are left to the next call.
-    pub fn take_direct_commands(&mut self, most: usize) -> Vec<DirectCommand> {
+    /// Takes the commands that should not wait for the next heartbeat, which are stored starts
+    /// and new stops, and marks them as sent.  Returns at most `limit` messages, each for
+    /// another machine; further machines are left to the next call.  A machine with a message
+    /// in flight gets no other.
+    pub fn take_direct_commands(&mut self, limit: usize) -> Vec<DirectCommand> {
         let base_token = self.base_token();
         let mut messages = Vec::new();
-        while messages.len() < most {
+        while messages.len() < limit {
             let Some(name) = self.machines_to_command.pop_first() else { break };
             let Some(machine) = self.machines.get_mut(&name) else { continue };
             messages.extend(take_direct_command(machine, base_token));
@@ -33,29 +34,29 @@
         messages
     }
 
-    /// Applies the response to a direct command, which has the worker's heartbeat;
-    /// `response` is `None` if there was none.
+    /// Applies the result of a direct command: the response, which is a heartbeat of the worker,
+    /// or `None` if no response arrived.
     pub fn apply_direct_result(&mut self, direct: &DirectCommand, response: Option<&Heartbeat>, now: Instant) {
         let Some(machine) = self.machines.get_mut(&direct.machine) else { return };
         machine.command_in_flight = false;
         self.machines_to_command.insert(direct.machine.clone());
         match response {
             Some(heartbeat) => {
-                // carried out or refused: nothing of it is in flight any more
+                // the commands were carried out or refused, so that none is in flight any more
                 if machine.in_doubt_token == Some(direct.body.fencing_token) {
                     machine.in_doubt_token = None;
                 }
                 self.apply_heartbeat(heartbeat, HeartbeatSource::DirectResponse, now);
             }
-            // It may be carried out minutes later.  The next replies carry a higher
-            // token, and a heartbeat that shows this token ends the doubt.
+            // The commands may still be carried out minutes later.  The next replies carry a
+            // higher token; once a heartbeat shows it, the worker refuses these commands.
             None => machine.fence_offset += 1,
         }
     }
 }
 
-/// Whether a direct command may be sent to this machine now.  What may not be sent now
-/// is in the reply to the next heartbeat.
+/// Reports whether a direct command may be sent to a machine now.  If not, the reply to its next
+/// heartbeat has the commands.
 fn may_send_directly(machine: &Machine) -> bool {
     !machine.command_in_flight
         && !machine.reply_pending
@@ -65,8 +66,8 @@
         && machine.last_heartbeat.is_some()
 }
 
-/// The message for a machine, marked as sent; `None` if nothing is to be sent or
-/// nothing may be sent now.
+/// Takes the commands for a machine and marks them as sent.  Returns `None` if there are none or
+/// none may be sent now.
 fn take_direct_command(machine: &mut Machine, base_token: u64) -> Option<DirectCommand> {
     let address = machine.address?;
     if !may_send_directly(machine) {
@@ -89,7 +90,7 @@
     Some(DirectCommand { machine: machine.name.clone(), address, body })
 }
 
-/// Adds the stops that have not been sent yet.
+/// Adds the stops that have not been sent yet to `commands`.
 fn take_stops(machine: &mut Machine, commands: &mut Vec<Command>) {
     for (task, assignment) in &mut machine.tasks {
         if assignment.stop_sent || assignment.phase == TaskPhase::Assigned {
@@ -102,12 +103,12 @@
     }
 }
 
-/// Adds the starts that have not been sent yet, as far as there is room for them.
+/// Adds the starts that have not been sent yet, up to [`MAX_COMMANDS`] commands in total.
 fn take_starts(machine: &mut Machine, commands: &mut Vec<Command>) {
     for (task, assignment) in &mut machine.tasks {
-        let unsent = assignment.start_sent_in.is_none() && assignment.may_start(machine.incarnation);
-        if unsent && commands.len() < MAX_COMMANDS {
-            assignment.start_sent_in = Some((machine.incarnation, machine.sequence));
+        let is_unsent = assignment.start_sent_after.is_none() && assignment.may_start(machine.incarnation);
+        if is_unsent && commands.len() < MAX_COMMANDS {
+            assignment.start_sent_after = Some((machine.incarnation, machine.sequence));
             commands.push(Command::Start { task: task.clone(), attempt: assignment.attempt });
         }
     }
--- a/packages/core/src/workers/heartbeat.rs
+++ b/packages/core/src/workers/heartbeat.rs
@@ -9,43 +9,45 @@
 use crate::heartbeat_forwarding::UnchangedHeartbeat;
 use crate::model::*;
 
-/// Longest reclaim notice that is believed, in seconds.
+/// Maximum reclaim notice in seconds.  A longer notice is treated as one of this length.
 const MAX_RECLAIM_NOTICE_S: f64 = 3600.0;
 
-/// Where a heartbeat comes from.
+/// How a heartbeat reached the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatSource {
-    /// The worker sent it by itself: no reply to an earlier heartbeat can be carried out any
-    /// more.
+    /// The worker sent the heartbeat on its own initiative.  It can no longer carry out a reply to
+    /// an earlier heartbeat.
     Worker,
-    /// It is the response to a direct command, which proves nothing of earlier replies.
+    /// The heartbeat is the response to a direct command.  It proves nothing about replies to
+    /// earlier heartbeats.
     DirectResponse,
 }
 
-/// What became of a heartbeat.
+/// The result of applying a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
-    /// It was newer than all before, and was applied.
+    /// The heartbeat was newer than all earlier ones and was applied.
     Applied,
-    /// It was not newer, or its machine is gone: it was delivered late, and changed nothing.
+    /// The heartbeat was delivered late and changed nothing: a newer one was applied before, or
+    /// its machine is gone.
     Stale,
-    /// The worker has seen a token of a later term: this controller leads no more.
+    /// The worker has seen a token of a later term, so this controller is no longer the leader.
     Superseded,
 }
 
-/// Which conclusions a heartbeat allows about assignments that it does not list.
+/// What a heartbeat proves about assignments that it does not list.
 #[derive(Debug, Clone, Copy)]
 struct AbsenceEvidence {
-    /// It carries this term's token: no start of an earlier leader is on its way
-    /// to the worker any more.
+    /// The heartbeat carries a token of this term, so the worker refuses every start of an
+    /// earlier leader that is still in flight.
     current_term: bool,
-    /// No start that was sent can be carried out any more: the heartbeat closes the
-    /// previous reply, and no direct start is in doubt.
+    /// No start that was sent can be carried out any more: the worker has sent a heartbeat after
+    /// the last reply, and no direct start is in doubt.
     no_start_in_flight: bool,
 }
 
 impl Cluster {
-    /// Applies a heartbeat if it is newer than all that were applied before.
+    /// Applies a heartbeat if it is newer than those that were applied before for its machine.
     pub fn apply_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -57,7 +59,7 @@
         let size = self.types.get(&heartbeat.kind).map(|machine_type| machine_type.size());
         let machine = get_or_register_machine(&mut self.machines, heartbeat, now);
         if !is_newer(heartbeat, machine) {
-            // delivered late; its worker does not wait for a reply
+            // the heartbeat was delivered late, and its worker does not wait for a reply
             return HeartbeatOutcome::Stale;
         }
         let incarnation_changed = heartbeat.incarnation != machine.incarnation;
@@ -71,7 +73,7 @@
         let absent = absent_tasks(machine, heartbeat, AbsenceEvidence { current_term, no_start_in_flight });
         machine.exited.retain(|task, attempt| is_listed(heartbeat, task, *attempt));
         for task in absent {
-            tracing::debug!(%task, machine = %heartbeat.machine, "task is no longer on its machine");
+            tracing::debug!(%task, machine = %heartbeat.machine, "released a task that is no longer on its machine");
             self.release_assignment(&heartbeat.machine, &task, now);
         }
         if incarnation_changed {
@@ -83,11 +85,11 @@
         HeartbeatOutcome::Applied
     }
 
-    /// Applies a heartbeat that repeats the last one, and returns the reply; `None` if
-    /// the whole heartbeat is needed.
+    /// Applies a heartbeat that repeats the last one, and returns the reply; `None` if the full
+    /// heartbeat is needed.
     ///
-    /// It is accepted only if nothing arrived from this machine in between and nothing
-    /// on the machine is open: then the whole heartbeat would change nothing either.
+    /// The repetition is accepted only if no other heartbeat of the machine was applied in between
+    /// and the machine is settled.  In that case the full heartbeat would change nothing either.
     pub fn apply_unchanged(&mut self, unchanged: &UnchangedHeartbeat, now: Instant) -> Option<HeartbeatReply> {
         let fencing_token = self.fencing_token_for(&unchanged.machine);
         let machine = self.machines.get_mut(&unchanged.machine)?;
@@ -102,8 +104,8 @@
         Some(HeartbeatReply { fencing_token, commands: Vec::new() })
     }
 
-    /// The fence offset that the worker's token asks for, 0 if the token is not above
-    /// the machine's; `None` if the token belongs to a later term.
+    /// Returns the fence offset that the worker's token requires, or 0 if the token is not above
+    /// the machine's.  Returns `None` if the token belongs to a later term.
     fn raised_fence_offset(&self, heartbeat: &Heartbeat) -> Option<u64> {
         if heartbeat.fencing_token > self.fencing_token_for(&heartbeat.machine) {
             self.fence_offset_of(heartbeat.fencing_token)
@@ -112,8 +114,9 @@
         }
     }
 
-    /// Replaces what is known of a machine's speed and images by what the previous
-    /// leader had learned: a new incarnation of the worker has an empty image cache.
+    /// Sets the speed and the cached images of a machine to what the previous leader had learned.
+    /// If nothing is known from the previous leader, the speed stays and the list of images becomes
+    /// empty, because a new incarnation of the worker starts with an empty cache.
     fn apply_machine_hints(&mut self, name: &Name) {
         let hints = self.machine_hints.remove(name);
         let Some(machine) = self.machines.get_mut(name) else { return };
@@ -126,7 +129,7 @@
     }
 }
 
-/// The machine that a heartbeat comes from, registered if it is new.
+/// Returns the machine that sent a heartbeat, and registers it if it is unknown.
 fn get_or_register_machine<'a>(
     machines: &'a mut BTreeMap<Name, Machine>,
     heartbeat: &Heartbeat,
@@ -142,15 +145,16 @@
     }
 }
 
-/// Whether a heartbeat is newer than the last one of a machine that still exists.
+/// Reports whether a heartbeat is newer than the last one of its machine, and the machine still
+/// exists.
 fn is_newer(heartbeat: &Heartbeat, machine: &Machine) -> bool {
     let order = (heartbeat.incarnation, heartbeat.sequence);
     machine.removed_at.is_none() && order > (machine.incarnation, machine.sequence)
 }
 
-/// Records what a heartbeat says of the worker itself.
+/// Records what a heartbeat says about the worker itself.
 fn record_heartbeat(machine: &mut Machine, heartbeat: &Heartbeat, now: Instant) {
-    // direct starts under a lower token, or for an earlier incarnation, are refused
+    // the worker refuses direct starts under a lower token or for an earlier incarnation
     let incarnation_changed = heartbeat.incarnation != machine.incarnation;
     if incarnation_changed || machine.in_doubt_token.is_some_and(|token| heartbeat.fencing_token > token) {
         machine.in_doubt_token = None;
@@ -162,8 +166,8 @@
     machine.address = heartbeat.address.parse().ok();
 }
 
-/// Sets or clears the time at which the cloud reclaims the machine.  Returns whether
-/// the notice is new; a repeated notice does not move the time.
+/// Sets or clears the time at which the cloud reclaims the machine.  A repeated notice does not
+/// move the time.  Returns true if the notice is new.
 fn update_reclaim_notice(machine: &mut Machine, heartbeat: &Heartbeat, now: Instant) -> bool {
     let Some(seconds) = heartbeat.reclaim_in_s else {
         machine.reclaim_at = None;
@@ -172,12 +176,12 @@
     if machine.reclaim_at.is_some() {
         return false;
     }
-    tracing::info!(machine = %heartbeat.machine, seconds, "the cloud reclaims the machine");
+    tracing::info!(machine = %heartbeat.machine, seconds, "cloud announced that it will reclaim the machine");
     machine.reclaim_at = Some(now + Duration::from_secs_f64(seconds.clamp(0.0, MAX_RECLAIM_NOTICE_S)));
     true
 }
 
-/// The assigned tasks that are proved not to be on the machine.
+/// Returns the assigned tasks that are proved to be absent from the machine.
 fn absent_tasks(machine: &Machine, heartbeat: &Heartbeat, evidence: AbsenceEvidence) -> Vec<Task> {
     let assigned = machine.tasks.iter();
     let unlisted = assigned.filter(|(task, assignment)| !is_listed(heartbeat, task, assignment.attempt));
@@ -185,24 +189,24 @@
     absent.map(|(task, _)| task.clone()).collect()
 }
 
-/// Whether a heartbeat lists this attempt of a task.
+/// Reports whether a heartbeat lists this attempt of a task.
 fn is_listed(heartbeat: &Heartbeat, task: &Task, attempt: u64) -> bool {
     heartbeat.tasks.iter().any(|status| status.task == *task && status.attempt == attempt)
 }
 
-/// Whether an assignment that a heartbeat of this incarnation does not list is proved
-/// to be absent.
+/// Reports whether the task of an assignment that a heartbeat of this incarnation does not list is
+/// proved to be absent.
 fn is_absent(assignment: &Assignment, incarnation: u64, evidence: AbsenceEvidence) -> bool {
     if assignment.incarnation < incarnation {
-        // the tasks of an earlier incarnation were killed
+        // the tasks of an earlier incarnation were killed when it ended
         return true;
     }
     if !assignment.confirmed {
         return evidence.current_term;
     }
     match assignment.phase {
-        // Not sent yet, or not delivered: the start is sent (again).  If the task is to
-        // stop, it is absent as soon as no start can arrive any more.
+        // The start has not been sent or has not arrived, and is sent (again).  If the task is
+        // to stop instead, it is absent as soon as no start can arrive any more.
         TaskPhase::Assigned => assignment.stop_grace_s.is_some() && evidence.no_start_in_flight,
         TaskPhase::Completed => false,
         TaskPhase::Pulling | TaskPhase::WaitingForGang | TaskPhase::Running | TaskPhase::Checkpointing => true,
--- a/packages/core/src/workers/mod.rs
+++ b/packages/core/src/workers/mod.rs
@@ -1,11 +1,13 @@
-//! Workers' heartbeats, and the commands that answer them.
+//! Application of workers' heartbeats to the leader's state, and the commands to workers.
 //!
-//! Commands in the reply to a heartbeat are safe: a worker has one heartbeat in flight
-//! and drops replies that are late or belong to an earlier incarnation, so that its
-//! next heartbeat closes the reply before it.  Direct commands are quicker but may be
-//! carried out minutes late: a start without a response leaves its machine in doubt.
-//! Until a heartbeat shows a higher token, the absence of a task proves nothing there,
-//! and no exit is acknowledged.
+//! Commands in the reply to a heartbeat cannot be carried out late.  A worker has one heartbeat
+//! in flight and drops replies that are late or belong to an earlier incarnation, so once its
+//! next heartbeat has been sent, the previous reply can no longer have an effect.
+//!
+//! Direct commands are faster, but a worker may carry them out minutes late.  A direct start
+//! without a response is therefore *in doubt* until a heartbeat shows that the worker has seen
+//! a higher fencing token.  Until then, the absence of a task from that machine's heartbeats
+//! proves nothing, and no exit on that machine is acknowledged.
 
 mod direct_commands;
 mod failures;
--- a/packages/core/src/workers/runtimes.rs
+++ b/packages/core/src/workers/runtimes.rs
@@ -1,27 +1,29 @@
-//! Run times of completed tasks: how far estimates are off, and how fast machines are.
+//! Run times of completed tasks, from which the bias of estimates and the speeds of machines are
+//! derived.
 
 use std::time::Instant;
 
 use crate::cluster::{Assignment, Cluster};
 use crate::model::*;
 
-/// Tasks at the usual speed that are assumed before the first observation, of a job
-/// and of a machine: a machine's first task would outweigh everything else otherwise.
+/// Number of tasks at the usual speed that are assumed before the first observation of a job or
+/// a machine.  Without them, the first task of a machine would determine its speed alone.
 const PRIOR_SAMPLES: u32 = 4;
-/// Shortest estimate that is compared with a run time, in seconds.
+/// Minimum estimate that is compared with a run time, in seconds.
 const MIN_ESTIMATE_S: f64 = 1.0;
-/// Weight of a new observation in the bias of a class.
+/// Weight of a new observation in the runtime bias of a class.
 const BIAS_WEIGHT: f64 = 0.1;
-/// Least weight of a new observation in the speed of a machine.
+/// Minimum weight of a new observation in the speed of a machine.
 const MIN_SPEED_WEIGHT: f64 = 0.02;
 /// Bounds of the ratio of run time to estimate.
 const RATIO_BOUNDS: (f64, f64) = (0.05, 20.0);
-/// Bounds of the speed that one task shows.
+/// Bounds of the relative speed that is derived from one task.
 const SPEED_BOUNDS: (f64, f64) = (0.1, 10.0);
 
 impl Cluster {
-    /// Records the run time of a completed task.  Only completed tasks count, or a
-    /// machine that fails its tasks at once would look fast.
+    /// Records the run time of a completed task, and clears the failures that were attributed to
+    /// the machine.  Only completed tasks count, as a machine on which tasks fail at once would
+    /// otherwise look fast.
     pub(super) fn record_runtime(&mut self, machine: &Name, assignment: &Assignment, now: Instant) {
         let Some(since) = assignment.running_since else { return };
         let runtime_s = now.duration_since(since).as_secs_f64();
@@ -34,22 +36,23 @@
         }
     }
 
-    /// Whether a run time says enough: the heartbeat interval blurs short ones, and the
-    /// tasks of a gang wait for each other.
+    /// Reports whether a run time is meaningful.  Short run times are too imprecise, because they
+    /// are measured by heartbeats, and the tasks of a gang wait for each other.
     fn is_runtime_informative(&self, spec: &JobSpec, runtime_s: f64) -> bool {
         let is_gang = spec.shape == Shape::Gang && spec.tasks > 1;
         !(spec.estimate_s < MIN_ESTIMATE_S || runtime_s < self.policy.fresh.as_secs_f64() || is_gang)
     }
 
-    /// Moves the bias of a class, the ratio of run time to estimate.
+    /// Updates the runtime bias of a class, a moving average of the ratio of run time to estimate.
     fn update_runtime_bias(&mut self, spec: &JobSpec, runtime_s: f64) {
         let ratio = (runtime_s / spec.estimate_s).clamp(RATIO_BOUNDS.0, RATIO_BOUNDS.1);
         let bias = self.runtime_bias.entry(spec.class.clone()).or_insert(ratio);
         *bias += (ratio - *bias) * BIAS_WEIGHT;
     }
 
-    /// Moves the speed of a machine.  It is compared with tasks of the same job on other
-    /// machines: the estimates of users are off by more than machines differ.
+    /// Updates the speed of a machine.  The run time is compared with those of other tasks of the
+    /// same job and not with the estimate, because the errors of users' estimates are larger than
+    /// the differences between machines.
     fn update_machine_speed(&mut self, name: &Name, spec: &JobSpec, runtime_s: f64) {
         let Some(job) = self.jobs.get_mut(&spec.id) else { return };
         let Some(machine) = self.machines.get_mut(name) else { return };
--- a/packages/core/src/workers/task_status.rs
+++ b/packages/core/src/workers/task_status.rs
@@ -1,4 +1,4 @@
-//! Application of the status of one task, as a heartbeat lists it.
+//! Application of the status of one task in a heartbeat.
 
 use std::time::Instant;
 
@@ -7,25 +7,25 @@
 use crate::cluster::{Assignment, Cluster, TaskPhase};
 use crate::model::*;
 
-/// The status of a task, with what the leader has on record of the task.
+/// The status of a task in a heartbeat, with what the leader knows of the task.
 #[derive(Debug, Clone, Copy)]
 struct ReportedTask<'a> {
     heartbeat: &'a Heartbeat,
     status: &'a TaskStatus,
-    /// The heartbeat carries this term's token.  One that does not may be of any age,
-    /// and this leader has nothing to compare it with.
+    /// Whether the heartbeat carries a token of this term.  A heartbeat without one may be of any
+    /// age, and this leader has nothing to compare it with.
     current_term: bool,
-    /// The job is unknown or has ended, or the task's completion is stored.
-    is_over: bool,
-    /// The task has completed, which is not stored yet.
+    /// Whether the job is unknown or has ended, or the task's completion is stored.
+    is_finished: bool,
+    /// Whether the task has completed and the completion is not stored yet.
     completion_unstored: bool,
-    /// This attempt of the task is assigned to the machine.
-    is_recorded: bool,
+    /// Whether this attempt of the task is assigned to the machine.
+    is_assigned: bool,
 }
 
 impl Cluster {
-    /// Applies the status of one task.  `current_term`: the heartbeat carries this
-    /// term's token.
+    /// Applies the status of one task.  `current_term` says whether the heartbeat carries a token
+    /// of this term.
     pub(super) fn apply_task_status(
         &mut self,
         heartbeat: &Heartbeat,
@@ -34,20 +34,20 @@
         now: Instant,
     ) {
         if let Some(blocked) = self.dependency.unblock(&status.task.job) {
-            // a command is sent only after its start is stored, and that only after
-            // the outcomes of all that the job needs
+            // the command was sent after the start was stored, and the start was stored after
+            // the outcomes of all dependencies of the job
             self.release_blocked_job(blocked);
         }
-        let reported = self.compare_with_records(heartbeat, status, current_term);
+        let reported = self.compare_with_assignments(heartbeat, status, current_term);
         if status.state == TaskState::Exited {
             self.apply_exited_task(reported, now);
-        } else if reported.is_recorded || self.adopt_unrecorded_task(reported, now) {
+        } else if reported.is_assigned || self.adopt_unassigned_task(reported, now) {
             self.update_assignment(reported, now);
         }
     }
 
-    /// Compares the status of a task with what is on record.
-    fn compare_with_records<'a>(
+    /// Compares the status of a task with the assignments that the leader knows.
+    fn compare_with_assignments<'a>(
         &self,
         heartbeat: &'a Heartbeat,
         status: &'a TaskStatus,
@@ -60,26 +60,26 @@
             heartbeat,
             status,
             current_term,
-            is_over: job.is_none_or(|job| job.outcome.is_some() || job.completed.contains(task.index)),
+            is_finished: job.is_none_or(|job| job.outcome.is_some() || job.completed.contains(task.index)),
             completion_unstored: job.is_some_and(|job| job.completed_unstored.contains(task.index)),
-            is_recorded: assignment.is_some_and(|assignment| assignment.attempt == *attempt),
+            is_assigned: assignment.is_some_and(|assignment| assignment.attempt == *attempt),
         }
     }
 
-    /// Applies a task that has exited: its result is kept, or it is released, and the
-    /// exit is acknowledged.
+    /// Applies the exit of a task.  If the task has completed, the completion is kept to be stored;
+    /// otherwise its assignment is released and the exit is to be acknowledged.
     fn apply_exited_task(&mut self, reported: ReportedTask, now: Instant) {
         let TaskStatus { task, attempt, .. } = reported.status;
         let Some(machine) = self.machines.get(&reported.heartbeat.machine) else { return };
-        if !reported.is_recorded && machine.exited.contains_key(task) {
+        if !reported.is_assigned && machine.exited.contains_key(task) {
             return;
         }
         let cause = reported.status.cause.unwrap_or(ExitCause::Unknown);
-        if cause == ExitCause::Completed && !reported.is_over {
+        if cause == ExitCause::Completed && !reported.is_finished {
             self.apply_completed_task(reported, now);
             return;
         }
-        if reported.is_recorded && !self.release_exited_task(reported, cause, now) {
+        if reported.is_assigned && !self.release_exited_task(reported, cause, now) {
             return;
         }
         if let Some(machine) = self.machines.get_mut(&reported.heartbeat.machine) {
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Keeps the result of a completed task, whatever its attempt.  It is acknowledged
-    /// once its completion is stored.
+    /// Applies the completion of a task, whichever attempt it is of.  The exit is acknowledged once
+    /// the completion is stored.
     fn apply_completed_task(&mut self, reported: ReportedTask, now: Instant) {
         let ReportedTask { heartbeat, status, .. } = reported;
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
@@ -104,13 +104,13 @@
         self.queue_changed = true;
     }
 
-    /// Releases the assignment of a task that exited without completing.  Returns
-    /// false if the heartbeat does not prove that this very start has exited.
+    /// Releases the assignment of a task that exited without completing.  Returns false if the
+    /// heartbeat does not prove that the latest start of the task has exited.
     fn release_exited_task(&mut self, reported: ReportedTask, cause: ExitCause, now: Instant) -> bool {
         let ReportedTask { heartbeat, status, .. } = reported;
         let machine = self.machines.get(&heartbeat.machine);
         let Some(assignment) = machine.and_then(|machine| machine.tasks.get(&status.task)) else { return true };
-        // a gang's task may have been started again here under the same attempt
+        // the task of a gang may have been started here again under the same attempt
         if !reported.current_term && !assignment.confirmed && assignment.spec.shape == Shape::Gang {
             return false;
         }
@@ -118,7 +118,7 @@
             machine: &heartbeat.machine,
             task: &status.task,
             cause,
-            is_over: reported.is_over,
+            is_finished: reported.is_finished,
             assigned_at: assignment.assigned_at,
         };
         self.release_assignment(&heartbeat.machine, &status.task, now);
@@ -126,27 +126,27 @@
         true
     }
 
-    /// Records a task that is on the machine without a record of it: it counts as
-    /// present and, unless it is what the job is waiting for, is stopped.  Returns false
-    /// if the status is too old to prove anything, or its job is unknown.
-    fn adopt_unrecorded_task(&mut self, reported: ReportedTask, now: Instant) -> bool {
+    /// Adds an assignment for a task attempt that is on the machine and not assigned to it.  It is
+    /// stopped unless it is still to be run, is assigned nowhere else, and belongs to no gang.
+    /// Returns false if the status may be outdated or the job is unknown.
+    fn adopt_unassigned_task(&mut self, reported: ReportedTask, now: Instant) -> bool {
         let TaskStatus { task, attempt, .. } = reported.status;
         let Heartbeat { machine: name, incarnation, .. } = reported.heartbeat;
         let Some(machine) = self.machines.get_mut(name) else { return false };
         if !reported.current_term && machine.tasks.contains_key(task) {
-            // a late heartbeat with an attempt before the one that is on record
+            // a delayed heartbeat may list an attempt before the one that is assigned
             return false;
         }
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            tracing::error!(machine = %name, %task, "machine has a task of an unknown job");
+            tracing::error!(machine = %name, %task, "ignoring a reported task: its job is unknown");
             return false;
         };
-        tracing::info!(machine = %name, %task, attempt, "machine has a task that is not on record");
-        let is_awaited =
-            !job.assignments.contains_key(&task.index) && !reported.is_over && !reported.completion_unstored;
+        tracing::info!(machine = %name, %task, attempt, "adopting a task attempt that is not assigned to its machine");
+        let is_needed =
+            !job.assignments.contains_key(&task.index) && !reported.is_finished && !reported.completion_unstored;
         job.record_assignment(task.index, name);
         let mut assignment = Assignment::new(job.spec.clone(), *attempt, *incarnation, now);
-        if !is_awaited || job.spec.shape == Shape::Gang {
+        if !is_needed || job.spec.shape == Shape::Gang {
             assignment.stop_grace_s = Some(0.0);
             assignment.stop_requested_at = Some(now);
         }
@@ -169,7 +169,7 @@
             return;
         }
         assignment.phase = phase_of(status.state);
-        if reported.is_over {
+        if reported.is_finished {
             assignment.stop_grace_s = Some(0.0);
             assignment.stop_requested_at.get_or_insert(now);
             self.machines_to_command.insert(heartbeat.machine.clone());
@@ -179,7 +179,7 @@
         }
         match assignment.running_since {
             None => self.record_running(reported, now),
-            // a task that fails on every machine does not run for so long
+            // a task of a job that fails on every machine would have failed by now
             Some(since) if assignment.stop_grace_s.is_none() && now.duration_since(since) > failure_rest => {
                 self.lift_job_quarantine(&status.task.job);
             }
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Records that a task has begun to run: its machine holds its image now.
+    /// Records that a task has begun to run, which means that its machine has the image.
     fn record_running(&mut self, reported: ReportedTask, now: Instant) {
         let ReportedTask { heartbeat, status, .. } = reported;
         let cache_gb = self.types.get(&heartbeat.kind).map_or(f64::INFINITY, |machine_type| machine_type.cache_gb);
@@ -202,7 +202,7 @@
     }
 }
 
-/// The phase of a task that is present on its machine.
+/// Returns the phase of a present task for the state that its worker reports.
 fn phase_of(state: TaskState) -> TaskPhase {
     match state {
         TaskState::Pulling => TaskPhase::Pulling,
--- a/packages/core/src/workers/tests.rs
+++ b/packages/core/src/workers/tests.rs
@@ -8,7 +8,7 @@
 use crate::model::*;
 use crate::sim::{cluster, report, spec};
 
-/// State and cause, as a worker reports them.
+/// State of a task and cause of its exit, as a worker reports them.
 type ReportedState = (TaskState, Option<ExitCause>);
 
 const RUNNING: ReportedState = (TaskState::Running, None);
@@ -20,7 +20,7 @@
     TaskStatus { task, attempt, state, cause, saved: None }
 }
 
-/// The location of a machine of the tests.
+/// Returns the location that the tests store for a machine.
 fn location() -> MachineLocation {
     MachineLocation { kind: "t".into(), zone: "z0".into(), spot: false }
 }
@@ -29,7 +29,7 @@
     format!("i-{number:04}").into()
 }
 
-/// A leader, and machines of eight cores each that send it heartbeats.
+/// A leader and machines of eight cores each that send heartbeats to it.
 struct Fixture {
     cluster: Cluster,
     sequence: u64,
@@ -66,18 +66,20 @@
         );
     }
 
-    /// Lets time pass; then every machine reports all tasks assigned to it, in the state
-    /// that `state` returns for the machine's number and the job.
+    /// Advances the time by half a second and lets every machine report all tasks assigned to it,
+    /// in the state that `state` returns for the machine's number and the job.
     fn report_all(&mut self, state: impl Fn(usize, &str) -> ReportedState) {
         self.now += Duration::from_millis(500);
         for number in 0..self.cluster.machines.len() {
             let assigned = self.machine(number).tasks.iter();
-            let tasks = assigned.map(|(task, a)| status(task.clone(), a.attempt, state(number, &task.job))).collect();
+            let tasks = assigned
+                .map(|(task, assignment)| status(task.clone(), assignment.attempt, state(number, &task.job)))
+                .collect();
             self.send_heartbeat(number, tasks);
         }
     }
 
-    /// Assigns a task to a machine, apart from any placement pass.
+    /// Assigns a task to a machine without a placement pass.
     fn assign(&mut self, job: &str, index: u32, number: usize) {
         let attempt = self.cluster.new_attempt();
         let task = Task { job: job.into(), index };
@@ -97,121 +99,124 @@
     }
 }
 
-/// Found by the seeded simulation: a direct start, delayed for longer than the
-/// cancellation of a job takes, reached a machine that its zone's controller had kept
-/// alive under the token of that start.  The controller raises the token; the leader
-/// continues from there, and accepts no token of another term as its own.
+/// Guards against the execution of a direct start that arrives after its job was cancelled.  In
+/// the simulation, such a start reached a worker whose lease the controller in its zone had
+/// renewed under the token of that start.  The controller must raise the token, and the leader
+/// must continue from the raised token, but accept none of another term.
 #[test]
-fn a_start_delayed_by_a_partition_meets_a_higher_token() {
+fn a_start_delayed_by_a_partition_is_refused_after_the_token_is_raised() {
     let now = Instant::now();
-    let mut c = cluster(3, now);
-    let seen = c.base_token();
+    let mut leader = cluster(3, now);
+    let seen = leader.base_token();
     let raised = raise_token(seen);
-    assert!(raised > seen, "the worker refuses what was sent under the token before");
+    assert!(raised > seen, "the worker must refuse commands under the previous token");
     let full = (4 << 24) - 1;
-    assert_eq!(raise_token(full), full, "never into the next term");
+    assert_eq!(raise_token(full), full, "the token must not reach the next term");
     let heartbeat = |sequence, token| report("i-1", "z0", 1, sequence, token);
-    assert_eq!(c.apply_heartbeat(&heartbeat(1, seen), HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
-    let machine = c.machines.get_mut("i-1").expect("it is registered");
+    assert_eq!(leader.apply_heartbeat(&heartbeat(1, seen), HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
+    let machine = leader.machines.get_mut("i-1").expect("the machine is registered");
     (machine.in_doubt_token, machine.last_direct_fence) = (Some(seen), Some(0));
-    // the partition heals: the token is of the leader's term, but not one that it gave
-    assert_eq!(c.apply_heartbeat(&heartbeat(2, raised), HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
-    assert_eq!(c.machines["i-1"].in_doubt_token, None, "the start is refused by now");
-    let reply = c.reply_to_heartbeat(&heartbeat(2, raised), now);
-    assert!(reply.fencing_token >= raised, "or the reply would be dropped");
+    // the partition heals: the token is of the leader's term, but the leader did not issue it
+    assert_eq!(leader.apply_heartbeat(&heartbeat(2, raised), HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
+    assert_eq!(leader.machines["i-1"].in_doubt_token, None, "the worker refuses the start from now on");
+    let reply = leader.reply_to_heartbeat(&heartbeat(2, raised), now);
+    assert!(reply.fencing_token >= raised, "the worker would drop a reply with a lower token");
     assert_eq!(
-        c.apply_heartbeat(&heartbeat(3, 4 << 24), HeartbeatSource::Worker, now),
+        leader.apply_heartbeat(&heartbeat(3, 4 << 24), HeartbeatSource::Worker, now),
         HeartbeatOutcome::Superseded,
-        "a later term's"
+        "the token is of a later term"
     );
 }
 
-/// A job submitted with a mistake costs single probes, at growing intervals, and neither
-/// machines nor rentals nor the position of other jobs in the queue.
+/// A job that was submitted with a mistake fails on every machine.  It runs only single probes, at
+/// growing intervals, no machine is cordoned or rented because of it, and other jobs keep their
+/// positions in the queue.  The first success of the job ends its quarantine.
 #[test]
-fn a_broken_job_is_reduced_to_single_probes() {
-    let mut f = Fixture::new(6);
-    f.cluster.add_job(spec("j-000001", 100), 1, None, f.now);
-    f.cluster.run_placement_pass(f.now);
-    assert_eq!(f.assigned_tasks("j-000001"), 48);
-    f.report_all(|_, _| FAILED);
-    assert!(f.cluster.jobs["j-000001"].quarantine.is_some());
-    assert!((0..6).all(|number| f.is_schedulable(number)), "a failure is held against a machine");
+fn a_job_that_fails_everywhere_runs_only_single_probes() {
+    let mut fixture = Fixture::new(6);
+    fixture.cluster.add_job(spec("j-000001", 100), 1, None, fixture.now);
+    fixture.cluster.run_placement_pass(fixture.now);
+    assert_eq!(fixture.assigned_tasks("j-000001"), 48);
+    fixture.report_all(|_, _| FAILED);
+    assert!(fixture.cluster.jobs["j-000001"].quarantine.is_some());
+    assert!((0..6).all(|number| fixture.is_schedulable(number)), "a failure of the job is attributed to a machine");
     let mut intervals = Vec::new();
     for _ in 0..5 {
-        assert!(f.cluster.run_placement_pass(f.now).is_empty(), "a machine is rented for what only waits to fail");
-        assert_eq!(f.assigned_tasks("j-000001"), 1, "more than a probe");
-        f.report_all(|_, _| FAILED);
-        assert!(f.cluster.run_placement_pass(f.now).is_empty() && f.assigned_tasks("j-000001") == 0);
-        let due = f.cluster.jobs["j-000001"].not_before.expect("a time for the next probe");
-        intervals.push(due - f.now);
-        f.now = due;
-        f.report_all(|_, _| FAILED);
+        assert!(
+            fixture.cluster.run_placement_pass(fixture.now).is_empty(),
+            "a machine is rented for a quarantined job"
+        );
+        assert_eq!(fixture.assigned_tasks("j-000001"), 1, "not exactly one probe is assigned");
+        fixture.report_all(|_, _| FAILED);
+        assert!(fixture.cluster.run_placement_pass(fixture.now).is_empty() && fixture.assigned_tasks("j-000001") == 0);
+        let due = fixture.cluster.jobs["j-000001"].not_before.expect("the next probe has a time");
+        intervals.push(due - fixture.now);
+        fixture.now = due;
+        fixture.report_all(|_, _| FAILED);
     }
     assert!(intervals.windows(2).all(|pair| pair[1] >= pair[0] * 3 / 2), "{intervals:?}");
     // its first success ends the quarantine
-    f.cluster.run_placement_pass(f.now);
-    f.report_all(|_, _| COMPLETED);
-    f.cluster.run_placement_pass(f.now);
-    assert!(f.cluster.jobs["j-000001"].quarantine.is_none() && f.assigned_tasks("j-000001") > 40);
+    fixture.cluster.run_placement_pass(fixture.now);
+    fixture.report_all(|_, _| COMPLETED);
+    fixture.cluster.run_placement_pass(fixture.now);
+    assert!(fixture.cluster.jobs["j-000001"].quarantine.is_none() && fixture.assigned_tasks("j-000001") > 40);
 }
 
-/// Faulty machines fail some tasks of good jobs: it is held against the machines.
+/// When tasks of several jobs fail on the same few machines, the machines are at fault.
 #[test]
 fn faulty_machines_do_not_quarantine_a_job() {
-    let mut f = Fixture::new(12);
+    let mut fixture = Fixture::new(12);
     for (revision, id) in (1..).zip(["j-000001", "j-000002"]) {
-        f.cluster.add_job(spec(id, 48), revision, None, f.now);
+        fixture.cluster.add_job(spec(id, 48), revision, None, fixture.now);
         for index in 0..48 {
-            f.assign(id, index, index as usize % 12);
+            fixture.assign(id, index, index as usize % 12);
         }
     }
-    f.report_all(|number, _| if number < 2 { FAILED } else { RUNNING });
-    assert!(f.cluster.jobs.values().all(|job| job.quarantine.is_none()));
-    f.cluster.run_placement_pass(f.now);
-    f.now += f.cluster.policy.failure_rest * 3;
-    f.report_all(|number, _| if number < 2 { FAILED } else { RUNNING });
+    fixture.report_all(|number, _| if number < 2 { FAILED } else { RUNNING });
+    assert!(fixture.cluster.jobs.values().all(|job| job.quarantine.is_none()));
+    fixture.cluster.run_placement_pass(fixture.now);
+    fixture.now += fixture.cluster.policy.failure_rest * 3;
+    fixture.report_all(|number, _| if number < 2 { FAILED } else { RUNNING });
     let is_faulty =
-        |number: usize| f.machine(number).cordon_reason.is_some() || f.machine(number).cooldown_until.is_some();
+        |i: usize| fixture.machine(i).cordon_reason.is_some() || fixture.machine(i).cooldown_until.is_some();
     assert!(is_faulty(0) && is_faulty(1) && !(2..12).any(is_faulty));
 }
 
-/// A faulty machine among those that a broken job fails on is found by the good jobs
-/// that fail there, and only it is cordoned.
+/// When a faulty job fails on every machine and one of the machines is faulty, the other jobs that
+/// fail on that machine reveal it: the job is quarantined, and only that machine is cordoned.
 #[test]
-fn a_faulty_machine_is_distinguished_from_a_broken_job() {
+fn a_faulty_machine_is_distinguished_from_a_faulty_job() {
     let ids = ["j-000001", "j-000002", "j-000003"];
-    let mut f = Fixture::new(6);
+    let mut fixture = Fixture::new(6);
     for (revision, id) in (1..).zip(ids) {
         let small = JobSpec { cpus: 1.0, ..(*spec(id, 12)).clone() };
-        f.cluster.add_job(Arc::new(small), revision, None, f.now);
+        fixture.cluster.add_job(Arc::new(small), revision, None, fixture.now);
     }
-    // all three on every machine
+    // each machine gets tasks of all three jobs
     for (offset, id) in ids.into_iter().enumerate() {
         for index in 0..12 {
-            f.assign(id, index, (index as usize + offset) % 6);
+            fixture.assign(id, index, (index as usize + offset) % 6);
         }
     }
-    f.report_all(|number, job| if number == 0 || job == "j-000001" { FAILED } else { RUNNING });
-    let is_quarantined = |id: &str| f.cluster.jobs[id].quarantine.is_some();
+    fixture.report_all(|number, job| if number == 0 || job == "j-000001" { FAILED } else { RUNNING });
+    let is_quarantined = |id: &str| fixture.cluster.jobs[id].quarantine.is_some();
     assert!(is_quarantined("j-000001"));
     assert!(!is_quarantined("j-000002"));
     assert!(!is_quarantined("j-000003"));
-    assert_eq!(f.machine(0).cordon_reason, Some(CORDONED_FOR_FAILURES));
-    assert!((1..6).all(|number| f.is_schedulable(number)));
+    assert_eq!(fixture.machine(0).cordon_reason, Some(CORDONED_FOR_FAILURES));
+    assert!((1..6).all(|number| fixture.is_schedulable(number)));
 }
 
-/// Found by the seeded simulation as old heartbeats reached a new leader (`quota`, one
-/// of 2,000 days): a gang's task had lost its assignment with the worker's incarnation
-/// and got it again under the same attempt.  Shards held both starts, and the leader
-/// believed the one that it read first: then a heartbeat of the later incarnation,
-/// however old, released an assignment whose task ran.
+/// Guards against the release of a running task when shards hold two starts of one attempt.  A
+/// gang's task that lost its assignment with the worker's incarnation is assigned again under the
+/// same attempt.  A new leader that used the start it read first released the assignment on an
+/// old heartbeat of the later incarnation.  Found by the simulation (`quota`, one of 2,000 days).
 #[test]
-fn of_two_starts_of_one_attempt_the_later_incarnation_counts() {
+fn two_stored_starts_of_one_attempt_resolve_to_the_later_incarnation() {
     let now = Instant::now();
     for order in [[2, 3], [3, 2]] {
-        let mut c = cluster(5, now);
-        c.add_started_job(spec("j-1", 1), 1, None, now);
+        let mut leader = cluster(5, now);
+        leader.add_started_job(spec("j-1", 1), 1, None, now);
         let attempt = (4 << 24) + 7;
         let machine: Name = "i-1".into();
         let locations = HashMap::from([(machine.clone(), location())]);
@@ -219,99 +224,104 @@
             let task = Task { job: "j-1".into(), index: 0 };
             let start = StartRecord { machine: machine.clone(), task, attempt, incarnation };
             let stored = PlacementShard { revision: 1, starts: vec![start], completed: vec![] };
-            c.add_shard(shard, stored, &locations, now);
+            leader.add_shard(shard, stored, &locations, now);
         }
         let old = report("i-1", "z0", 3, 9, 2 << 24);
-        assert_eq!(c.apply_heartbeat(&old, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
-        let occupied = c.machines[&machine].tasks.values().any(|assignment| assignment.occupies_resources());
-        assert!(occupied, "{order:?}: the assignment is released");
-        // a later incarnation is a proof, and so is this term's token
+        assert_eq!(leader.apply_heartbeat(&old, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
+        let occupied = leader.machines[&machine].tasks.values().any(|assignment| assignment.occupies_resources());
+        assert!(occupied, "{order:?}: an old heartbeat released the assignment");
+        // a heartbeat of a later incarnation proves that the task is absent, as does one with a
+        // token of this term
         let later = Heartbeat { incarnation: 4, sequence: 10, ..old.clone() };
-        assert_eq!(c.apply_heartbeat(&later, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
-        assert!(c.machines[&machine].tasks.is_empty());
+        assert_eq!(leader.apply_heartbeat(&later, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
+        assert!(leader.machines[&machine].tasks.is_empty());
     }
 }
 
-/// The machine of the tests below.
+/// Name of the machine in the tests below.
 const MACHINE: &str = "i-1";
-/// The attempt that is on record there.
+/// Attempt number of the starts that are stored for that machine.
 const ATTEMPT: u64 = (4 << 24) + 30;
 
 fn only_task(job: &str) -> Task {
     Task { job: job.into(), index: 0 }
 }
 
-/// A new leader that has read the starts of two jobs, the second a gang.
+/// Returns a new leader that has read the stored starts of two jobs, of which the second is a gang.
 fn leader_with_stored_starts(now: Instant) -> Cluster {
-    let mut c = cluster(5, now);
+    let mut leader = cluster(5, now);
     let gang = JobSpec { shape: Shape::Gang, ..(*spec("j-2", 1)).clone() };
-    c.add_started_job(spec("j-1", 1), 1, None, now);
-    c.add_started_job(Arc::new(gang), 2, None, now);
+    leader.add_started_job(spec("j-1", 1), 1, None, now);
+    leader.add_started_job(Arc::new(gang), 2, None, now);
     let start = |job| StartRecord { machine: MACHINE.into(), task: only_task(job), attempt: ATTEMPT, incarnation: 1 };
     let shard = PlacementShard { revision: 1, starts: vec![start("j-1"), start("j-2")], completed: vec![] };
     let locations = HashMap::from([(MACHINE.into(), location())]);
-    c.add_shard(0, shard, &locations, now);
-    c
+    leader.add_shard(0, shard, &locations, now);
+    leader
 }
 
-/// The attempts of both jobs that occupy the machine.
-fn occupying_attempts(c: &Cluster) -> (Option<u64>, Option<u64>) {
+/// Returns the attempts of both jobs that occupy the machine.
+fn occupying_attempts(leader: &Cluster) -> (Option<u64>, Option<u64>) {
     let attempt = |job| {
-        let assignment = c.machines[MACHINE].tasks.get(&only_task(job));
+        let assignment = leader.machines[MACHINE].tasks.get(&only_task(job));
         assignment.filter(|assignment| assignment.occupies_resources()).map(|assignment| assignment.attempt)
     };
     (attempt("j-1"), attempt("j-2"))
 }
 
-/// A heartbeat of the machine; `tasks` has job, attempt and state of each.
+/// Returns a heartbeat of the machine; `tasks` has the job, attempt and state of each task.
 fn heartbeat(sequence: u64, token: u64, tasks: &[(&str, u64, ReportedState)]) -> Heartbeat {
     let tasks = tasks.iter().map(|(job, attempt, state)| status(only_task(job), *attempt, *state)).collect();
     Heartbeat { tasks, ..report(MACHINE, "z0", 1, sequence, token) }
 }
 
-/// Found by the seeded simulation as old heartbeats reached a new leader (`quota`, one
-/// of 4,000 days): one that listed an earlier attempt replaced the assignment on record,
-/// the next one did not list it, and a task that ran was given up.  Heartbeats from
-/// before this term's token are of any age, and release nothing that is on record.
+/// Guards against the release of a running task on old heartbeats that reach a new leader: one that
+/// listed an earlier attempt replaced the stored assignment, and the next one, which listed
+/// nothing, released it.  A heartbeat without a token of this term may be of any age, so it must
+/// release no stored assignment.  Found by the simulation (`quota`, one of 4,000 days).
 #[test]
-fn an_old_heartbeat_releases_no_assignment() {
+fn a_heartbeat_without_a_token_of_this_term_releases_no_assignment() {
     let now = Instant::now();
     let (old, current) = (3 << 24, 5 << 24);
     let both_running = [("j-1", ATTEMPT, RUNNING), ("j-2", ATTEMPT, RUNNING)];
     let cases = [
-        // an earlier attempt, and then none
+        // an earlier attempt is listed, and then none
         [
             heartbeat(20, old, &[("j-1", (2 << 24) + 7, RUNNING), ("j-2", (2 << 24) + 8, RUNNING)]),
             heartbeat(24, old, &[]),
         ],
-        // listed once, and then not, and then started again
+        // the stored attempts are listed, then not, and were started again after both heartbeats
         [heartbeat(20, old, &both_running), heartbeat(24, old, &[])],
-        // a gang's task that timed out waiting for its gang may have been started again
+        // a task that timed out waiting for its gang may have been started again
         [
             heartbeat(20, old, &[("j-1", ATTEMPT, RUNNING), ("j-2", ATTEMPT, GANG_TIMEOUT)]),
             heartbeat(24, old, &[("j-2", ATTEMPT, GANG_TIMEOUT)]),
         ],
     ];
     for (number, heartbeats) in cases.iter().enumerate() {
-        let mut c = leader_with_stored_starts(now);
+        let mut leader = leader_with_stored_starts(now);
         for old in heartbeats {
-            assert_eq!(c.apply_heartbeat(old, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
+            assert_eq!(leader.apply_heartbeat(old, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
             let sequence = old.sequence;
-            assert_eq!(occupying_attempts(&c), (Some(ATTEMPT), Some(ATTEMPT)), "case {number}, heartbeat {sequence}");
+            assert_eq!(
+                occupying_attempts(&leader),
+                (Some(ATTEMPT), Some(ATTEMPT)),
+                "case {number}, heartbeat {sequence}"
+            );
         }
-        // the first heartbeat under this term's token is a proof
+        // the first heartbeat under this term's token proves that an unlisted task is absent
         let first = heartbeat(30, current, &[("j-1", ATTEMPT, RUNNING)]);
-        assert_eq!(c.apply_heartbeat(&first, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
-        assert_eq!(occupying_attempts(&c), (Some(ATTEMPT), None), "case {number}");
+        assert_eq!(leader.apply_heartbeat(&first, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
+        assert_eq!(occupying_attempts(&leader), (Some(ATTEMPT), None), "case {number}");
         assert_eq!(
-            c.apply_heartbeat(&heartbeat(31, current, &[]), HeartbeatSource::Worker, now),
+            leader.apply_heartbeat(&heartbeat(31, current, &[]), HeartbeatSource::Worker, now),
             HeartbeatOutcome::Applied
         );
-        assert_eq!(occupying_attempts(&c), (None, None), "case {number}");
+        assert_eq!(occupying_attempts(&leader), (None, None), "case {number}");
     }
-    // another incarnation is a proof whatever its token
-    let mut c = leader_with_stored_starts(now);
+    // a heartbeat of a later incarnation proves that under any token
+    let mut leader = leader_with_stored_starts(now);
     let restarted = Heartbeat { incarnation: 2, ..heartbeat(1, old, &[]) };
-    assert_eq!(c.apply_heartbeat(&restarted, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
-    assert_eq!(occupying_attempts(&c), (None, None));
+    assert_eq!(leader.apply_heartbeat(&restarted, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
+    assert_eq!(occupying_attempts(&leader), (None, None));
 }
