--- a/packages/core/src/feature_gate.rs
+++ b/packages/core/src/feature_gate.rs
@@ -1,6 +1,7 @@
 //! Feature gates: a feature that an earlier version would misinterpret is enabled only once
-//! every configured controller has advertised that it supports it.  Plain functions of what
-//! was advertised and `now`; this module does not know how features are advertised.
+//! every configured controller has advertised that it supports the feature.  The functions
+//! depend only on what was advertised and on `now`; how features are advertised is up to the
+//! caller.
 //!
 //! An enabled feature stays enabled, because what is stored from then on may depend on it.
 
@@ -9,15 +10,16 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Jobs may depend on other jobs.
+/// The feature that lets jobs depend on other jobs.
 pub const JOB_DEPENDENCIES: &str = "chains";
 
-/// A cancellation is confirmed to its user only once every controller that may renew a lease
-/// knows of it, or has had the time to stop renewing (see the module `cancellation`).  Also, a
-/// controller that is partitioned off raises the fencing tokens of its zone's workers.
+/// The feature by which a cancellation is confirmed to its user only once every controller that may
+/// renew a lease knows of the cancellation or has had the time to stop renewing (see the module
+/// `cancellation`).  Also, a controller that is partitioned off raises the fencing tokens of its
+/// zone's workers.
 pub const CONFIRMED_CANCELLATIONS: &str = "told";
 
-/// Controllers that do not lead forward workers' heartbeats to the leader.
+/// The feature by which controllers other than the leader forward workers' heartbeats to it.
 pub const FORWARDED_HEARTBEATS: &str = "reports";
 
 /// The features that this version supports.
@@ -26,15 +28,15 @@
 /// The stored record of the enabled features.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FeatureGates {
-    /// The enabled features.
+    /// Names of the enabled features.
     #[serde(rename = "on")]
     pub enabled: Vec<String>,
-    /// The leader term in which the last one was enabled.
+    /// Leader term in which the last one was enabled.
     pub term: u64,
 }
 
-/// Returns the features to enable, if there is one to add: those that are enabled already, and
-/// those that all controllers support.
+/// Returns the features to enable: those that are enabled already and those that all controllers
+/// support.  Returns `None` if that adds no feature.
 pub fn next_enabled(is_enabled: impl Fn(&str) -> bool, all_have: impl Fn(&str) -> bool) -> Option<Vec<String>> {
     let has_new = SUPPORTED.iter().any(|feature| !is_enabled(feature) && all_have(feature));
     let enabled = SUPPORTED.iter().filter(|feature| is_enabled(feature) || all_have(feature));
@@ -44,44 +46,45 @@
 /// The record that a controller keeps in the store, attached to its lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The features that it supports.
+    /// Features that the controller supports.
     #[serde(rename = "knows")]
     pub features: Vec<String>,
-    /// Its version.
+    /// Version of the controller.
     pub version: String,
 }
 
-/// What one controller has last advertised.
+/// The features that one controller has last advertised.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AdvertisedFeatures {
-    /// The features that it supports; empty for a version that has no feature gates.
+    /// Features that the controller supports; empty for a version that has no feature gates.
     pub features: Vec<String>,
-    /// Its version; empty if it is not known.
+    /// Version of the controller; empty if it is not known.
     pub version: String,
-    /// When it advertised them.
+    /// When the controller advertised them.
     pub seen_at: Instant,
 }
 
-/// What the other controllers have advertised, by their names.
+/// The features that the other controllers have advertised, by controller name.
 #[derive(Debug, Default)]
 pub struct MemberFeatures(HashMap<String, AdvertisedFeatures>);
 
 impl MemberFeatures {
-    /// Records what a controller has advertised, in a message or by its stored record.
-    /// Anything older than what is recorded already is ignored.
+    /// Records what a controller has advertised in a message or in its stored record.  An
+    /// advertisement older than the recorded one is ignored.
     pub fn record(&mut self, name: &str, advertised: AdvertisedFeatures) {
         if self.0.get(name).is_none_or(|recorded| recorded.seen_at <= advertised.seen_at) {
             self.0.insert(name.to_owned(), advertised);
         }
     }
 
-    /// Returns what a controller has last advertised.
+    /// Returns what a controller has last advertised; `None` if it has advertised nothing.
     pub fn get(&self, name: &str) -> Option<&AdvertisedFeatures> {
         self.0.get(name)
     }
 
-    /// Whether each of these controllers has advertised a feature within the last `max_age`.
-    /// A controller that has advertised nothing for longer may run another version by now.
+    /// Reports whether each of these controllers has advertised a feature within the last
+    /// `max_age`.  A controller that has advertised nothing for longer may run another version
+    /// by now.
     pub fn all_have<'a>(
         &self,
         mut names: impl Iterator<Item = &'a str>,
--- a/packages/core/src/feature_gate/tests.rs
+++ b/packages/core/src/feature_gate/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// In a record of an earlier version, one feature is enabled: it stays enabled, the next is
-/// added when all controllers support it, and nothing is written without need.
+/// A feature that is enabled in the record of an earlier version stays enabled, another is added
+/// once all controllers support it, and the record is not written without a new feature.
 #[test]
 fn features_are_enabled_one_by_one_and_stay_enabled() {
     let names = |l: &[&str]| Some(l.iter().map(|f| (*f).to_owned()).collect::<Vec<_>>());
@@ -10,7 +10,7 @@
     assert_eq!(
         next_enabled(|f| f == JOB_DEPENDENCIES, |_| false),
         None,
-        "a controller that returns with an old version disables nothing"
+        "a controller that returns with an earlier version disables no feature"
     );
     assert_eq!(
         next_enabled(|f| f == JOB_DEPENDENCIES, |f| f == CONFIRMED_CANCELLATIONS),
@@ -23,10 +23,10 @@
     assert_eq!(next_enabled(|_| true, |_| true), None);
 }
 
-/// A controller that returns with an old version, one that stopped advertising and one that
-/// never did: each keeps a feature disabled.
+/// A feature is not enabled while a controller runs an earlier version, has stopped advertising
+/// features or has never advertised any.
 #[test]
-fn a_feature_needs_every_controller() {
+fn all_have_requires_recent_support_from_every_controller() {
     let (start, max_age) = (Instant::now(), Duration::from_secs(4));
     let at = |seconds| start + Duration::from_secs(seconds);
     let advertised = |features: &[&str], seen_at| AdvertisedFeatures {
@@ -44,12 +44,15 @@
     assert!(!all_have(&members, at(2)), "b has a version without feature gates");
     members.record("b", advertised(&[JOB_DEPENDENCIES], at(4)));
     assert!(all_have(&members, at(4)));
-    assert!(!all_have(&members, at(6)), "what a advertised is too old");
+    assert!(!all_have(&members, at(6)), "the advertisement of a is too old");
     members.record("a", advertised(&[JOB_DEPENDENCIES], at(6)));
     assert!(all_have(&members, at(6)));
-    // its stored record is older than its message
+    // the stored record of b is older than the message of b
     members.record("b", advertised(&[], at(7)));
     members.record("b", advertised(&[JOB_DEPENDENCIES], at(5)));
-    assert!(!all_have(&members, at(7)), "b returned with its old version");
-    assert!(members.all_have([].into_iter(), JOB_DEPENDENCIES, max_age, at(0)), "no other controllers");
+    assert!(!all_have(&members, at(7)), "b has returned with an earlier version");
+    assert!(
+        members.all_have([].into_iter(), JOB_DEPENDENCIES, max_age, at(0)),
+        "without other controllers there is nothing to wait for"
+    );
 }
--- a/packages/core/src/lib.rs
+++ b/packages/core/src/lib.rs
@@ -1,5 +1,6 @@
-//! Decisions: what a leading controller knows of a cluster, and the steps on it.
-//! Plain functions of state and `now`: no socket, no clock, no thread in here.
+//! The scheduling logic of coralnotch: the state that a controller keeps about its cluster, and the
+//! decisions that it takes.  All of it depends only on the state and on `now`; this crate opens no
+//! sockets, reads no clock and starts no threads.
 
 pub mod cancellation;
 pub mod cluster;
