--- a/packages/core/src/commit/apply.rs
+++ b/packages/core/src/commit/apply.rs
@@ -1,4 +1,4 @@
-//! Application of the result of a transaction.
+//! Applies the result of a transaction to the leader's state.
 
 use std::time::Instant;
 
@@ -9,8 +9,8 @@
 use coralnotch_wire::state::{read_value, KeyValue};
 
 impl Cluster {
-    /// Applies a transaction that succeeded at this revision.  Returns the jobs that it
-    /// ended.
+    /// Applies a transaction that succeeded at `revision`.  Returns the jobs that it ended,
+    /// with their outcomes.
     pub fn apply_commit(&mut self, batch: CommitBatch, revision: u64, now: Instant) -> Vec<(Name, JobOutcome)> {
         for (_, start) in &batch.starts {
             self.mark_start_stored(start);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Marks completed tasks of a job as stored, and releases them.
+    /// Marks completed tasks of a job as stored, and releases their assignments.
     fn mark_completed_stored(&mut self, id: &Name, ranges: &Ranges, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let mut assigned = Vec::new();
@@ -58,8 +58,8 @@
         self.release_completed(assigned, now);
     }
 
-    /// Releases those of these tasks that have completed, which is stored now: their
-    /// exits may be acknowledged.
+    /// Releases the assignments of those tasks that have completed.  Their completion is
+    /// stored, so their exits may be acknowledged to the worker.
     fn release_completed(&mut self, assigned: Vec<(Name, Task)>, now: Instant) {
         for (name, task) in assigned {
             let assignment = self.machines.get(&name).and_then(|machine| machine.tasks.get(&task));
@@ -72,18 +72,19 @@
         }
     }
 
-    /// Takes back a transaction that did not, or may not have, succeeded: all of it is to
-    /// be written again.
+    /// Marks the contents of a transaction that failed, or whose result is unknown, as to be
+    /// stored again.
     pub fn restore_uncommitted(&mut self, batch: CommitBatch) {
         self.jobs_to_store.extend(batch.completed.into_iter().map(|(id, _)| id));
-        // jobs that end with a cancelled job are found again by their dependency
+        // jobs cancelled with a dependency stay listed in the dependency graph
         let done = batch.outcomes.into_iter().filter(|(_, outcome)| *outcome == JobOutcome::Done);
         self.jobs_to_store.extend(done.map(|(id, _)| id));
         self.unstored_starts.extend(batch.starts);
     }
 
-    /// Applies what a conflicting key really holds: an earlier transaction of this leader
-    /// whose result was unknown succeeded after all, or a user cancelled a job.
+    /// Applies the stored value of a key whose precondition failed; `None` if the key is
+    /// absent.  Either an earlier transaction of this leader, whose result was unknown, has
+    /// succeeded, or a user has cancelled a job.
     pub fn reconcile_key(&mut self, path: &str, item: Option<&KeyValue>, now: Instant) {
         if let Some(id) = path.strip_prefix(key::SHARD).and_then(|number| number.parse().ok()) {
             self.reconcile_shard(id, path, item);
@@ -95,11 +96,11 @@
         }
     }
 
-    /// Applies what the store has of a shard.
+    /// Replaces the leader's copy of a shard by the stored one.
     ///
-    /// Only a transaction of this leader can have written it, one whose result was unknown
-    /// until now.  The shard may hold what the leader's copy never did, as one that took
-    /// part of another does, and to overwrite that would lose starts.
+    /// Only a transaction of this leader whose result was unknown can have written the
+    /// shard.  The stored shard may hold entries that the copy lacks, for example those
+    /// moved to it from a split shard.  Overwriting them would lose starts.
     fn reconcile_shard(&mut self, id: u32, path: &str, item: Option<&KeyValue>) {
         let stored = match item {
             None => Some(PlacementShard::default()),
--- a/packages/core/src/commit/build.rs
+++ b/packages/core/src/commit/build.rs
@@ -1,4 +1,4 @@
-//! Building of the next transaction.
+//! Builds the next transaction from the leader's state.
 
 use std::collections::BTreeMap;
 
@@ -9,18 +9,20 @@
 use crate::model::*;
 use coralnotch_wire::state::{Precondition, Write};
 
-/// Shards looked at for one with room before a new one is created.
-const SHARDS_TRIED: usize = 4;
+/// Maximum number of shards examined for room before a new shard is created.
+const MAX_CANDIDATE_SHARDS: usize = 4;
 
-/// Bytes of a shard that one new entry is expected to take.
+/// Expected size of one new entry in a shard, in bytes.
 const EXPECTED_ENTRY_BYTES: usize = 48;
 
 impl Cluster {
-    /// The next transaction, if the store lacks anything.  `leader` is the revision of
-    /// the leader key: no write of a former leader succeeds.
-    pub fn next_commit(&mut self, leader: u64, limits: &TxnLimits) -> Option<CommitBatch> {
+    /// Returns the next transaction; `None` if there is nothing to store.
+    ///
+    /// `leader_revision` is the revision of the leader key.  It is a precondition of the
+    /// transaction, so that no write of a former leader succeeds.
+    pub fn next_commit(&mut self, leader_revision: u64, limits: &TxnLimits) -> Option<CommitBatch> {
         let mut batch = CommitBatch::default();
-        batch.txn.preconditions.push(Precondition { key: key::LEADER.into(), revision: leader });
+        batch.txn.preconditions.push(Precondition { key: key::LEADER.into(), revision: leader_revision });
         self.cancel_dependents(&mut batch, limits);
         let partly_completed = self.end_completed_jobs(&mut batch, limits);
         self.drop_obsolete_starts();
@@ -30,8 +32,8 @@
         (!batch.txn.writes.is_empty()).then_some(batch)
     }
 
-    /// Cancels jobs that need a cancelled job.  Half of the transaction is left to the
-    /// jobs that completed, whose users wait.
+    /// Cancels jobs that depend on a cancelled job.  At most half of the writes are used for
+    /// them; the rest is left to completed jobs, whose users are waiting.
     fn cancel_dependents(&self, batch: &mut CommitBatch, limits: &TxnLimits) {
         for id in self.dependency.needing_cancelled().take(limits.writes.div_ceil(2)) {
             if batch.has_room(limits) {
@@ -40,8 +42,9 @@
         }
     }
 
-    /// Ends the jobs all of whose tasks have completed: the outcome makes their ranges
-    /// of completed tasks unnecessary.  Returns the jobs of which only some tasks have.
+    /// Adds the outcomes of the jobs whose tasks have all completed.  With an outcome, a
+    /// job's ranges of completed tasks need not be stored.  Returns the jobs of which only
+    /// some tasks have completed.
     fn end_completed_jobs(&mut self, batch: &mut CommitBatch, limits: &TxnLimits) -> Vec<Name> {
         let mut partly_completed = Vec::new();
         for id in std::mem::take(&mut self.jobs_to_store) {
@@ -59,18 +62,19 @@
         partly_completed
     }
 
-    /// Drops the first unstored starts as far as they were given up meanwhile.
+    /// Removes starts that need no longer be stored from the front of the unstored ones, up to
+    /// the first that still has to be.
     fn drop_obsolete_starts(&mut self) {
         while let Some(first) = self.unstored_starts.first_entry() {
-            if machine_to_store(&self.machines, first.get()).is_some() {
+            if machine_of_unstored_start(&self.machines, first.get()).is_some() {
                 break;
             }
             first.remove();
         }
     }
 
-    /// Adds a shard with what is new: completed tasks first, as their users wait, then
-    /// starts in the order of the queue.
+    /// Adds a write of a shard with new entries.  Completed tasks come first, because their
+    /// users are waiting, then starts in the order of the queue.
     fn fill_shard(&mut self, batch: &mut CommitBatch, partly_completed: Vec<Name>, limits: &TxnLimits) {
         let new_entries = partly_completed.len() + self.unstored_starts.len();
         let mut open = self.shard_with_room(batch, new_entries, limits);
@@ -84,7 +88,7 @@
         batch.shards.push((id, shard));
     }
 
-    /// Adds completed tasks, as many as fit; the jobs of the others stay to be stored.
+    /// Adds as many completed tasks as fit.  Jobs with further ones remain to be stored.
     fn add_completed_tasks(
         &mut self,
         batch: &mut CommitBatch,
@@ -106,15 +110,15 @@
         }
     }
 
-    /// Adds starts, as many as fit; the others stay to be stored.
+    /// Adds as many starts as fit.  The others remain to be stored.
     ///
-    /// A start is stored on condition that its job has no outcome.  No start of a job
-    /// that is over is ever decided, but a task that was found running of one is on
-    /// record like any other, as it counts until it is gone.  That start goes without
-    /// the condition: it would fail for ever, and everything else with it.
+    /// A start is stored on condition that its job has no outcome.  The leader never starts
+    /// a task of a job that has ended, but a worker may report one that is still running.
+    /// That task counts until it is gone, so its start is stored as well, but without the
+    /// condition, which would never hold and would make every transaction fail.
     fn add_unstored_starts(&mut self, batch: &mut CommitBatch, open: &mut OpenShard, limits: &TxnLimits) {
         while let Some((queue_key, start)) = self.unstored_starts.pop_first() {
-            let Some(machine) = machine_to_store(&self.machines, &start) else { continue };
+            let Some(machine) = machine_of_unstored_start(&self.machines, &start) else { continue };
             let location = machine.location();
             let outcome_key = format!("{}{}", key::OUTCOME, start.task.job);
             let is_over = self.jobs.get(&start.task.job).is_none_or(|job| job.outcome.is_some());
@@ -133,12 +137,12 @@
         }
     }
 
-    /// What is still valid of a shard.
+    /// Returns the entries of a stored shard that are still valid.
     fn valid_entries(&self, id: u32, stored: &PlacementShard) -> OpenShard {
         let mut valid = OpenShard::empty(id, stored.revision);
         for start in &stored.starts {
             let Some(machine) = self.machines.get(&start.machine) else { continue };
-            // a start for an earlier incarnation is obsolete, also if the attempt is the same
+            // a start for an earlier incarnation is obsolete even if the attempt is the same
             let is_valid = machine.tasks.get(&start.task).is_some_and(|assignment| start.is_of(assignment));
             if is_valid {
                 valid.size.add_start(start, &machine.location());
@@ -154,39 +158,42 @@
         valid
     }
 
-    /// The shard that is to be rewritten, with what is still valid of it: of the next
-    /// few in the rotation the emptiest that has room, or a new one.  A shard is worth
-    /// its write if it takes all that is new, or as much as half a shard.
+    /// Returns the shard to rewrite, with its valid entries.
+    ///
+    /// This is the smallest shard with room among the next few in the rotation, or a new one.
+    /// A shard has room if all new entries, or new entries of half a shard's size, are
+    /// expected to fit.  Oversized shards among the candidates are split.
     fn shard_with_room(&mut self, batch: &mut CommitBatch, new_entries: usize, limits: &TxnLimits) -> OpenShard {
-        let wanted = (new_entries * EXPECTED_ENTRY_BYTES).min(limits.shard_bytes / 2);
-        let mut emptiest: Option<OpenShard> = None;
+        let wanted_bytes = (new_entries * EXPECTED_ENTRY_BYTES).min(limits.shard_bytes / 2);
+        let mut smallest: Option<OpenShard> = None;
         for id in self.take_next_shards() {
             let open = self.valid_entries(id, &self.shards[&id]);
             let bytes = open.size.bytes();
             if bytes > limits.shard_bytes {
                 self.split_shard(batch, open, limits);
-            } else if bytes + wanted <= limits.shard_bytes
-                && emptiest.as_ref().is_none_or(|emptiest| bytes < emptiest.size.bytes())
+            } else if bytes + wanted_bytes <= limits.shard_bytes
+                && smallest.as_ref().is_none_or(|smallest| bytes < smallest.size.bytes())
             {
-                emptiest = Some(open);
+                smallest = Some(open);
             }
         }
-        emptiest.unwrap_or_else(|| OpenShard::empty(self.create_shard(), 0))
+        smallest.unwrap_or_else(|| OpenShard::empty(self.create_shard(), 0))
     }
 
-    /// The next few shards in the rotation.
+    /// Returns the numbers of the next few shards in the rotation, and advances it.
     fn take_next_shards(&mut self) -> Vec<u32> {
         let next = self.next_shard;
         let rotation = self.shards.range(next..).chain(self.shards.range(..next));
-        let ids: Vec<u32> = rotation.map(|(id, _)| *id).take(SHARDS_TRIED).collect();
+        let ids: Vec<u32> = rotation.map(|(id, _)| *id).take(MAX_CANDIDATE_SHARDS).collect();
         if let Some(last) = ids.last() {
             self.next_shard = last + 1;
         }
         ids
     }
 
-    /// The number of a new shard.  It is kept from now on: a transaction whose result is
-    /// unknown may have created it.
+    /// Creates an empty shard and returns its number.  The shard stays in the leader's state
+    /// even if the transaction fails, because a transaction whose result is unknown may have
+    /// created it in the store.
     pub(super) fn create_shard(&mut self) -> u32 {
         let id = self.shards.last_key_value().map_or(0, |(id, _)| id + 1);
         self.shards.insert(id, PlacementShard::default());
@@ -194,8 +201,9 @@
     }
 }
 
-/// The machine of a start that is still to be stored; `None` if the start was given up.
-fn machine_to_store<'a>(machines: &'a BTreeMap<Name, Machine>, start: &StartRecord) -> Option<&'a Machine> {
+/// Returns the machine of a start that remains to be stored; `None` if the assignment no
+/// longer exists or its start is already stored.
+fn machine_of_unstored_start<'a>(machines: &'a BTreeMap<Name, Machine>, start: &StartRecord) -> Option<&'a Machine> {
     let machine = machines.get(&start.machine)?;
     let assignment = machine.tasks.get(&start.task)?;
     (start.is_of(assignment) && !assignment.stored).then_some(machine)
--- a/packages/core/src/commit/mod.rs
+++ b/packages/core/src/commit/mod.rs
@@ -1,12 +1,13 @@
-//! Group commit: what the leader's state has and the store lacks is written in one
-//! transaction at a time, which is built from the state itself.  A transaction that
-//! failed, or whose result is unknown, is simply built again from the state at that time.
+//! Group commit: the leader stores its changes in one transaction at a time.  A transaction
+//! is built from everything that the leader's state has and the store lacks.  If it fails,
+//! or its result is unknown, the next one is built from the state at that time.
 //!
-//! The store limits writes by key, so the starts and completed tasks of many machines and
-//! jobs share a *shard*.  A transaction rewrites one shard: what is still valid of it,
-//! and all that is new.  Shards are rewritten in rotation, so that entries that are no
-//! longer valid leave the store without a write of their own; until then they only make
-//! a new leader count an assignment as uncertain.
+//! The store limits the number of keys written per second and per transaction.  The starts
+//! and completed tasks of many machines and jobs therefore share one key and its value, a
+//! *shard*.  A transaction rewrites one shard with its entries that are still valid and as
+//! many new entries as fit.  Shards are rewritten in rotation, so that obsolete entries are
+//! removed without a write of their own.  An obsolete entry that a new leader still reads
+//! only makes it treat an assignment as uncertain.
 
 mod apply;
 mod build;
@@ -21,22 +22,22 @@
 use crate::model::*;
 use coralnotch_wire::state::Txn;
 
-/// What one transaction may hold.
+/// Limits for one transaction.
 #[derive(Debug, Clone, Copy)]
 pub struct TxnLimits {
-    /// Puts and deletes.
+    /// Maximum number of puts and deletes.
     pub writes: usize,
-    /// Preconditions.
+    /// Maximum number of preconditions.
     pub preconditions: usize,
-    /// Bytes of a shard, within the limit for a value.
+    /// Maximum size of a shard in bytes, at most `value_bytes`.
     pub shard_bytes: usize,
-    /// Bytes of any value.
+    /// Maximum size of any value in bytes.
     pub value_bytes: usize,
 }
 
 impl TxnLimits {
-    /// Three quarters of these limits, but room for an outcome and a shard with a few
-    /// starts.
+    /// Returns three quarters of these limits, but leaves room for an outcome and a shard
+    /// with a few starts.  No limit grows.
     pub fn reduced(self) -> TxnLimits {
         let reduce = |limit: usize, least: usize| (limit / 4 * 3).max(least.min(limit));
         TxnLimits {
@@ -48,31 +49,31 @@
     }
 }
 
-/// A transaction, and what is to be applied when it has succeeded.
+/// A transaction, and the changes to apply to the leader's state once it has succeeded.
 #[derive(Debug, Default)]
 pub struct CommitBatch {
-    /// The transaction.
+    /// The transaction to send to the store.
     pub txn: Txn,
-    /// Shards as it writes them, by number.
+    /// The shards that the transaction writes, with their numbers.
     shards: Vec<(u32, PlacementShard)>,
-    /// An oversized shard that was split and is not written: what remains to it, as the
-    /// other shards now hold the rest.
+    /// Number and remaining entries of an oversized shard whose other entries move to new
+    /// shards.  The transaction does not write the oversized shard itself.
     split_remainder: Option<(u32, PlacementShard)>,
-    /// New starts in the shards, with their position in the queue.
+    /// New starts in the shards, with their positions in the queue.
     starts: Vec<(QueueKey, StartRecord)>,
     /// New completed tasks in the shards, by job.
     completed: Vec<(Name, Ranges)>,
-    /// Jobs that end.
+    /// Outcomes that the transaction stores, by job.
     outcomes: Vec<(Name, JobOutcome)>,
 }
 
 impl CommitBatch {
-    /// Whether one more write and its precondition fit, with room left for a shard.
+    /// Reports whether one more write and its precondition fit, with room left for a shard.
     fn has_room(&self, limits: &TxnLimits) -> bool {
         self.txn.writes.len() + 1 < limits.writes && self.txn.preconditions.len() + 2 < limits.preconditions
     }
 
-    /// Adds the outcome of a job.
+    /// Adds a write of the job's outcome, on condition that the job has none yet.
     fn add_outcome(&mut self, id: Name, outcome: JobOutcome) {
         key::put_outcome(&mut self.txn, &id, outcome);
         self.outcomes.push((id, outcome));
--- a/packages/core/src/commit/shard_size.rs
+++ b/packages/core/src/commit/shard_size.rs
@@ -1,52 +1,53 @@
-//! The size of a shard in bytes, counted entry by entry.
+//! Computes the size of a shard in bytes, entry by entry.
 //!
-//! The store limits a value by its JSON form.  The counts are upper bounds for that form,
-//! in which a comma or a colon may be followed by a space.
+//! The store limits the size of a value by its JSON encoding.  All sizes here are upper
+//! bounds for that encoding, in which a comma or a colon may be followed by a space.
 
 use crate::cluster::{MachineLocation, PlacementShard, StartRecord};
 use crate::model::*;
 
-/// Most bytes of a shard without entries.
-const EMPTY_BYTES: usize = 64;
-/// Punctuation of a start, in bytes.
-const START_BYTES: usize = 10;
-/// Punctuation of a machine, in bytes.
-const MACHINE_BYTES: usize = 6;
-/// Punctuation of a job, in bytes.
-const JOB_BYTES: usize = 8;
-/// Punctuation of a location and its flag, in bytes.
-const LOCATION_BYTES: usize = 13;
-/// Punctuation of a range, in bytes.
-const RANGE_BYTES: usize = 6;
-/// Bytes of a character that is escaped, for each of its UTF-16 code units.
-const ESCAPE_BYTES: usize = 6;
-
-/// Most bytes of a number.
+/// Maximum size of a shard without entries, in bytes.
+const EMPTY_SHARD_BYTES: usize = 64;
+/// Size of the punctuation of a start, in bytes.
+const START_PUNCTUATION_BYTES: usize = 10;
+/// Size of the punctuation of a machine, in bytes.
+const MACHINE_PUNCTUATION_BYTES: usize = 6;
+/// Size of the punctuation of a job, in bytes.
+const JOB_PUNCTUATION_BYTES: usize = 8;
+/// Size of the punctuation of a location and of its spot flag, in bytes.
+const LOCATION_PUNCTUATION_BYTES: usize = 13;
+/// Size of the punctuation of a range, in bytes.
+const RANGE_PUNCTUATION_BYTES: usize = 6;
+/// Size of one escaped UTF-16 code unit (`\uXXXX`), in bytes.
+const ESCAPED_CODE_UNIT_BYTES: usize = 6;
+
+/// Returns the number of decimal digits of a number.
 fn number_bytes(number: u64) -> usize {
     number.checked_ilog10().map_or(1, |log| log as usize + 1)
 }
 
-/// Most bytes of a string, with its quotes, however it is escaped.
+/// Returns the maximum size of a string in bytes, including its quotes, whichever characters
+/// the encoder escapes.
 fn text_bytes(text: &str) -> usize {
     let is_plain = |c: char| matches!(c, ' '..='~') && c != '"' && c != '\\';
-    let char_bytes = |c: char| if is_plain(c) { 1 } else { ESCAPE_BYTES * c.len_utf16() };
+    let char_bytes = |c: char| if is_plain(c) { 1 } else { ESCAPED_CODE_UNIT_BYTES * c.len_utf16() };
     2 + text.chars().map(char_bytes).sum::<usize>()
 }
 
-/// Most bytes of a range.
+/// Returns the maximum size of a range in bytes.
 fn range_bytes((first, end): (u32, u32)) -> usize {
-    RANGE_BYTES + number_bytes(first.into()) + number_bytes(end.into())
+    RANGE_PUNCTUATION_BYTES + number_bytes(first.into()) + number_bytes(end.into())
 }
 
-/// Most bytes of the completed tasks of a job, apart from their ranges.
+/// Returns the maximum size in bytes of a job's completed tasks without their ranges.
 fn completed_job_bytes(job: &Name) -> usize {
-    JOB_BYTES + text_bytes(job)
+    JOB_PUNCTUATION_BYTES + text_bytes(job)
 }
 
 /// The size of a shard that is being filled.
 #[derive(Debug)]
 pub(super) struct ShardSize {
-    /// Most bytes of its entries.
+    /// Maximum size of the encoded shard in bytes.
     bytes: usize,
     locations: Vec<MachineLocation>,
     machines: NameMap<()>,
@@ -54,27 +55,32 @@
 }
 
 impl ShardSize {
-    /// The size of an empty shard.
+    /// Returns the size of a shard without entries.
     pub(super) fn new() -> ShardSize {
-        ShardSize { bytes: EMPTY_BYTES, locations: Vec::new(), machines: NameMap::default(), jobs: NameMap::default() }
+        ShardSize {
+            bytes: EMPTY_SHARD_BYTES,
+            locations: Vec::new(),
+            machines: NameMap::default(),
+            jobs: NameMap::default(),
+        }
     }
 
-    /// Most bytes of the shard.
+    /// Returns the maximum size of the shard in bytes.
     pub(super) fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Whether the shard has no entries.
+    /// Reports whether the shard has no entries.
     pub(super) fn is_empty(&self) -> bool {
-        self.bytes == EMPTY_BYTES
+        self.bytes == EMPTY_SHARD_BYTES
     }
 
-    /// Whether one more start fits into `max_bytes`.
+    /// Reports whether the shard with one more start fits into `max_bytes`.
     pub(super) fn has_room_for(&self, start: &StartRecord, location: &MachineLocation, max_bytes: usize) -> bool {
         self.bytes + self.start_bytes(start, location) <= max_bytes
     }
 
-    /// Counts a start.
+    /// Adds the size of a start.
     pub(super) fn add_start(&mut self, start: &StartRecord, location: &MachineLocation) {
         self.bytes += self.start_bytes(start, location);
         self.machines.insert(start.machine.clone(), ());
@@ -84,12 +90,13 @@
         }
     }
 
-    /// Counts completed tasks of a job.
+    /// Adds the size of completed tasks of a job.
     pub(super) fn add_completed(&mut self, job: &Name, ranges: &Ranges) {
         self.bytes += completed_job_bytes(job) + ranges.spans().map(range_bytes).sum::<usize>();
     }
 
-    /// As many of the first ranges of a job's completed tasks as fit into `max_bytes`.
+    /// Returns the first ranges of a job's completed tasks, as many as fit into a shard of
+    /// `max_bytes`.
     pub(super) fn fitting_ranges(&self, job: &Name, ranges: &Ranges, max_bytes: usize) -> Ranges {
         let mut left = max_bytes.saturating_sub(self.bytes + completed_job_bytes(job));
         let fits = |range: &(u32, u32)| {
@@ -101,39 +108,39 @@
         ranges.first_parts(ranges.spans().take_while(fits).count())
     }
 
-    /// Most bytes that one more start adds.
+    /// Returns the maximum number of bytes that one more start adds.  A machine, a job and a
+    /// location are counted only with the first start that refers to them.
     fn start_bytes(&self, start: &StartRecord, location: &MachineLocation) -> usize {
-        let mut bytes = START_BYTES
+        let mut bytes = START_PUNCTUATION_BYTES
             + number_bytes(start.task.index.into())
             + number_bytes(start.attempt)
             + number_bytes(start.incarnation)
             + number_bytes(self.machines.len() as u64);
         if !self.machines.contains_key(&start.machine) {
-            bytes += MACHINE_BYTES + text_bytes(&start.machine) + number_bytes(self.locations.len() as u64);
+            bytes += MACHINE_PUNCTUATION_BYTES + text_bytes(&start.machine) + number_bytes(self.locations.len() as u64);
         }
         if !self.jobs.contains_key(&start.task.job) {
-            bytes += JOB_BYTES + text_bytes(&start.task.job);
+            bytes += JOB_PUNCTUATION_BYTES + text_bytes(&start.task.job);
         }
         if !self.locations.contains(location) {
-            bytes += LOCATION_BYTES + text_bytes(&location.kind) + text_bytes(&location.zone);
+            bytes += LOCATION_PUNCTUATION_BYTES + text_bytes(&location.kind) + text_bytes(&location.zone);
         }
         bytes
     }
 }
 
-/// A shard that is being filled, with its size.
+/// A shard to which entries are being added.
 #[derive(Debug)]
 pub(super) struct OpenShard {
-    /// Its number.
+    /// Number of the shard.
     pub(super) id: u32,
-    /// Its entries.
     pub(super) shard: PlacementShard,
-    /// Their size.
+    /// Size of the entries counted so far.
     pub(super) size: ShardSize,
 }
 
 impl OpenShard {
-    /// A shard without entries, last written at `revision`.
+    /// Returns a shard without entries that was last written at `revision`; 0 if it never was.
     pub(super) fn empty(id: u32, revision: u64) -> OpenShard {
         OpenShard { id, shard: PlacementShard { revision, ..PlacementShard::default() }, size: ShardSize::new() }
     }
--- a/packages/core/src/commit/split.rs
+++ b/packages/core/src/commit/split.rs
@@ -1,4 +1,4 @@
-//! Splitting of shards that are larger than a value may be.
+//! Splits shards that exceed the size limit.
 
 use super::shard_size::{OpenShard, ShardSize};
 use super::{shard_key, CommitBatch, TxnLimits};
@@ -6,21 +6,22 @@
 use crate::model::*;
 use coralnotch_wire::state::Write;
 
-/// Most bytes that one transaction moves from an oversized shard; with everything else it
-/// stays within the 64 KiB that the store accepts.
+/// Maximum size of the entries that one transaction moves out of an oversized shard, in
+/// bytes.  With its other writes the transaction stays below the 64 KiB that the store accepts.
 const MAX_MOVED_BYTES: usize = 40 * 1024;
 
-/// Writes, each with its precondition, that the new parts leave free in a transaction: that
-/// of the shard with the new entries, and that of the split shard itself.
+/// Number of writes, each with its precondition, that a split leaves free in a transaction:
+/// one for the shard with the new entries, and one for the split shard itself.
 const RESERVED_WRITES: usize = 2;
 
 impl Cluster {
-    /// Splits a shard that a former version, or a former limit, let grow beyond what a
-    /// value may hold now.  Its entries go to new shards, as many as the transaction
-    /// takes; what is left fits, or waits until the shard is next in the rotation.
+    /// Splits a shard that exceeds the size limit because an earlier version wrote it or the
+    /// limit was higher at that time.  As many entries as the transaction can hold move to
+    /// new shards.  If the rest is still too large, it is split when the rotation reaches
+    /// the shard again.
     ///
-    /// Until the shard itself is written again, some starts are stored twice.  That is
-    /// harmless: the same start of a task is the same start.
+    /// Until the split shard itself is rewritten, some starts are stored in two shards.  This
+    /// is harmless, because both entries denote the same start.
     pub(super) fn split_shard(&mut self, batch: &mut CommitBatch, oversized: OpenShard, limits: &TxnLimits) {
         let free_writes = limits.writes.saturating_sub(batch.txn.writes.len() + RESERVED_WRITES);
         let new_shards = free_writes.min(MAX_MOVED_BYTES / limits.shard_bytes.max(1));
@@ -41,12 +42,12 @@
         tracing::info!(shard = id, parts = batch.shards.len(), "oversized shard split");
     }
 
-    /// Adds the parts of a split shard to the transaction.  If nothing remains, the first
-    /// part replaces the shard itself.
+    /// Adds the parts of a split shard to the transaction.  If all entries fit into the parts,
+    /// the first part replaces the split shard itself.
     fn write_split(&mut self, batch: &mut CommitBatch, id: u32, split: ShardSplit) {
         let is_complete = split.is_complete();
-        let ShardSplit { full, last, remainder, .. } = split;
-        for (number, mut part) in full.into_iter().chain([last]).enumerate() {
+        let ShardSplit { closed, last, remainder, .. } = split;
+        for (number, mut part) in closed.into_iter().chain([last]).enumerate() {
             let target = if number == 0 && is_complete { id } else { self.create_shard() };
             part.revision = self.shards.get(&target).map_or(0, |shard| shard.revision);
             batch.txn.require(shard_key(target), part.revision);
@@ -57,26 +58,26 @@
     }
 }
 
-/// The parts into which a shard is split.
+/// The distribution of a shard's entries over smaller shards, the parts.
 struct ShardSplit {
-    /// Parts that take no more.
-    full: Vec<PlacementShard>,
-    /// The part that is being filled.
+    /// Parts that are closed.
+    closed: Vec<PlacementShard>,
+    /// The part to which entries are being added.
     last: PlacementShard,
-    /// The size of the part that is being filled.
+    /// Size of `last`.
     size: ShardSize,
-    /// Entries that found no room in any part.
+    /// Entries that do not fit into any part.
     remainder: PlacementShard,
     max_parts: usize,
     max_bytes: usize,
 }
 
 impl ShardSplit {
-    /// An empty split of a shard that was last written at `revision`, into `max_parts`
-    /// parts of `max_bytes` bytes each.
+    /// Starts the split of a shard that was last written at `revision`, into at most
+    /// `max_parts` parts of at most `max_bytes` bytes each.
     fn new(revision: u64, max_parts: usize, max_bytes: usize) -> ShardSplit {
         ShardSplit {
-            full: Vec::new(),
+            closed: Vec::new(),
             last: PlacementShard::default(),
             size: ShardSize::new(),
             remainder: PlacementShard { revision, ..PlacementShard::default() },
@@ -85,19 +86,19 @@
         }
     }
 
-    /// Whether all entries found room.
+    /// Reports whether all entries fit into the parts.
     fn is_complete(&self) -> bool {
         self.remainder.starts.is_empty() && self.remainder.completed.is_empty()
     }
 
-    /// Whether another part may be begun.
+    /// Reports whether the split may have another part.
     fn may_begin_part(&self) -> bool {
-        self.full.len() + 1 < self.max_parts
+        self.closed.len() + 1 < self.max_parts
     }
 
-    /// Begins another part.
+    /// Closes the current part and begins an empty one.
     fn begin_part(&mut self) {
-        self.full.push(std::mem::take(&mut self.last));
+        self.closed.push(std::mem::take(&mut self.last));
         self.size = ShardSize::new();
     }
 
--- a/packages/core/src/commit/stored.rs
+++ b/packages/core/src/commit/stored.rs
@@ -1,4 +1,4 @@
-//! The stored form of a shard.
+//! Converts shards to and from the records that the store holds.
 
 use std::collections::{HashMap, HashSet};
 
@@ -9,18 +9,20 @@
 use crate::model::*;
 use coralnotch_wire::state::{read_value, KeyValue};
 
-/// A start: index of the task, attempt, position of the machine, incarnation.
+/// A start: index of the task, attempt, position of the machine in
+/// [`ShardRecord::machines`], incarnation of the worker.
 type StoredStart = (u32, u64, usize, u64);
 
-/// A location: machine type, zone, and whether the machines are spot instances.
+/// A location: machine type, zone, and whether the machines there are spot instances.
 type StoredLocation = (Name, Name, bool);
 
-/// The record of a shard.  Each name is stored once and referred to by its position.
+/// The stored record of a shard.  Names of machines and locations are stored once and
+/// referred to by their positions in the lists.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct ShardRecord {
     #[serde(rename = "pools")]
     locations: Vec<StoredLocation>,
-    /// Machines, with the positions of their locations.
+    /// Names of machines, with the positions of their locations in `locations`.
     machines: Vec<(Name, usize)>,
     /// Starts by job.
     starts: Vec<(Name, Vec<StoredStart>)>,
@@ -29,23 +31,24 @@
     completed: Vec<(Name, Ranges)>,
 }
 
-/// A shard as the store has it.
+/// A shard as read from the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoredShard {
-    /// Its number.
+    /// Number of the shard, the last part of its key.
     pub id: u32,
-    /// Its starts and completed tasks.
+    /// Starts and completed tasks, with the revision at which the shard was written.
     pub shard: PlacementShard,
-    /// The locations of the machines that its starts name.
+    /// Locations of the machines that the starts refer to.
     pub locations: HashMap<Name, MachineLocation>,
 }
 
-/// The key of a shard.
+/// Returns the key under which the shard with this number is stored.
 pub fn shard_key(id: u32) -> String {
     format!("{}{id}", key::SHARD)
 }
 
-/// Reads a shard from the value of a key; `None` if it is not one, or is malformed.
+/// Decodes a shard from the value of the key `path`; `None` if the key is not that of a shard,
+/// or the value is malformed.
 pub fn read_shard(path: &str, item: &KeyValue) -> Option<StoredShard> {
     let id = path.strip_prefix(key::SHARD)?.parse().ok()?;
     let record: ShardRecord = read_value(path, item.value.clone())?;
@@ -66,14 +69,16 @@
     Some(StoredShard { id, shard, locations })
 }
 
-/// The jobs that a stored shard names as started.
+/// Returns the jobs that have starts in a stored shard; none if the value is malformed.
 pub fn started_jobs_of_shard(item: &KeyValue) -> Vec<Name> {
     let record: Option<ShardRecord> = read_value(&item.key, item.value.clone());
     record.map(|record| record.starts.into_iter().map(|(job, _)| job).collect()).unwrap_or_default()
 }
 
-/// The jobs that have started, as far as shards show: no start is stored before the
-/// outcomes of all that its job needs, so these jobs wait for no other.
+/// Returns the jobs that have starts or completed tasks in the given shards.
+///
+/// A start is stored only after the outcomes of all dependencies of its job, so none of these
+/// jobs waits for a dependency.
 pub fn started_jobs<'a>(shards: impl Iterator<Item = &'a PlacementShard>) -> HashSet<Name> {
     let jobs = |shard: &'a PlacementShard| {
         let started = shard.starts.iter().map(|start| &start.task.job);
@@ -83,8 +88,8 @@
 }
 
 impl Cluster {
-    /// The record of a shard.  Starts on machines that are not known any more are left
-    /// out.
+    /// Returns the record to store for a shard.  Starts on machines that the leader no longer
+    /// knows are left out.
     pub(super) fn shard_record(&self, shard: &PlacementShard) -> ShardRecord {
         let mut record = ShardRecord::default();
         let mut machines: HashMap<&Name, usize> = HashMap::new();
