--- a/packages/core/src/cancellation/log.rs
+++ b/packages/core/src/cancellation/log.rs
@@ -1,4 +1,5 @@
-//! The cancellations that a controller knows, in the order in which it learned of them.
+//! A log of the cancellations that a controller knows, in the order in which it learned of
+//! them.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -6,29 +7,31 @@
 use super::{BatchCursor, Cancellation, CancellationBatch, MAX_BATCH_LEN};
 use crate::model::Name;
 
-/// When a cancellation was learned here, and the revision at which it was stored.
+/// When this controller learned of a cancellation, and the revision at which it was stored.
 #[derive(Debug, Clone, Copy)]
 struct Learned {
     at: Instant,
     revision: u64,
 }
 
-/// The cancellations that a controller knows: from the watch, from its own writes and from
-/// what it read.  It keeps a limited number; evicting the oldest entry raises the floor.
+/// The cancellations that a controller knows from the watch, from its own writes and from its
+/// reads of the store.  The log keeps a limited number of entries.  Evicting the oldest entry
+/// raises the revision from which on the log is complete.
 #[derive(Debug)]
 pub struct CancellationLog {
     incarnation: u64,
-    /// Every cancellation with a higher revision that this controller was shown or has
-    /// confirmed to a user is among the entries; `None` before this incarnation began its
-    /// watch.
-    floor: Option<u64>,
-    /// Position of the first entry.
+    /// The entries include every cancellation with a higher revision that this controller has
+    /// received from the watch or confirmed to a user.  `None` until this incarnation begins
+    /// its watch.
+    complete_after_revision: Option<u64>,
+    /// Position in the log of the first entry that is kept.
     first_position: u64,
     entries: VecDeque<Cancellation>,
-    /// The entries by job.
+    /// When and at which revision each entry was learned, by job.
     learned: HashMap<Name, Learned>,
-    /// A cancellation that is not among the entries was learned by then at the latest: when
-    /// this incarnation began its watch, or when the newest evicted entry was learned.
+    /// Latest time at which a cancellation that is not among the entries can have been
+    /// learned: when this incarnation began its watch, or when the newest evicted entry was
+    /// learned, whichever is later.  `None` before either.
     unlisted_learned_by: Option<Instant>,
     capacity: usize,
 }
@@ -38,7 +41,7 @@
     pub fn new(incarnation: u64, capacity: usize) -> CancellationLog {
         CancellationLog {
             incarnation,
-            floor: None,
+            complete_after_revision: None,
             first_position: 0,
             entries: VecDeque::new(),
             learned: HashMap::new(),
@@ -47,14 +50,15 @@
         }
     }
 
-    /// Notes that a watch begins at this revision: cancellations between the end of the
-    /// previous watch and this revision were not shown here.
+    /// Records that a watch begins at `revision`.  Cancellations stored between the end of the
+    /// previous watch and `revision` may be missing from the log.
     pub fn begin_watch(&mut self, revision: u64, now: Instant) {
         self.unlisted_learned_by.get_or_insert(now);
-        self.floor = self.floor.max(Some(revision));
+        self.complete_after_revision = self.complete_after_revision.max(Some(revision));
     }
 
-    /// Records a stored cancellation, however it became known.
+    /// Records a cancellation that was stored at `revision`, from whichever source it became
+    /// known.  Has no effect if the job is already among the entries.
     pub fn record(&mut self, revision: u64, id: &str, now: Instant) {
         if self.learned.contains_key(id) {
             return;
@@ -68,37 +72,39 @@
 
     fn evict_oldest(&mut self) {
         let Some(evicted) = self.entries.pop_front() else { return };
-        // The evicted job may have been cancelled a moment ago.  It must not look as old as
-        // this incarnation, or the cancellation would be confirmed too early.
+        // The evicted cancellation may be recent.  If its age were computed from the start of
+        // this incarnation, the cancellation would be confirmed too early.
         let learned_at = self.learned.remove(&evicted.id).map(|learned| learned.at);
         self.unlisted_learned_by = self.unlisted_learned_by.max(learned_at);
         self.first_position += 1;
-        self.floor = self.floor.map(|floor| floor.max(evicted.revision));
+        self.complete_after_revision =
+            self.complete_after_revision.map(|complete_after_revision| complete_after_revision.max(evicted.revision));
     }
 
-    /// Whether the job's cancellation is among the entries.
+    /// Reports whether the job's cancellation is among the entries.
     pub fn contains(&self, id: &str) -> bool {
         self.learned.contains_key(id)
     }
 
-    /// Returns the revision at which a job's cancellation was stored, if it is among the
-    /// entries.
+    /// Returns the revision at which a job's cancellation was stored; `None` if it is not among
+    /// the entries.
     pub(super) fn revision_of(&self, id: &str) -> Option<u64> {
         self.learned.get(id).map(|learned| learned.revision)
     }
 
-    /// Returns for how long a job's cancellation has been known, at least; `None` if that
-    /// is not known.
+    /// Returns the minimum time for which a job's cancellation has been known; `None` if it is
+    /// not among the entries and nothing bounds its age.
     pub(super) fn min_age(&self, id: &str, now: Instant) -> Option<Duration> {
         let learned_at = self.learned.get(id).map(|learned| learned.at).or(self.unlisted_learned_by);
         learned_at.map(|at| now.saturating_duration_since(at))
     }
 
     /// Returns the next batch for a peer that knows all cancellations up to `revision` and has
-    /// read this log up to `cursor`.  `None` if there may be cancellations after `revision`
-    /// that are no longer, or never were, in this log.
+    /// read this log up to `cursor`.  A cursor of another incarnation counts as the beginning
+    /// of the log.  `None` if cancellations after `revision` may be missing from this log,
+    /// because they were evicted or never recorded.
     pub fn batch_since(&self, revision: u64, cursor: BatchCursor) -> Option<CancellationBatch> {
-        self.floor.filter(|floor| *floor <= revision)?;
+        self.complete_after_revision.filter(|complete_after_revision| *complete_after_revision <= revision)?;
         let begin = match cursor.incarnation == self.incarnation {
             true => cursor.next.saturating_sub(self.first_position) as usize,
             false => 0,
--- a/packages/core/src/cancellation/notices.rs
+++ b/packages/core/src/cancellation/notices.rs
@@ -1,4 +1,5 @@
-//! When a cancellation may be confirmed to its user, and which peers have to know it first.
+//! Decides when a cancellation may be confirmed to its user, and which peers must acknowledge
+//! it first.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::num::NonZeroUsize;
@@ -10,45 +11,47 @@
 use crate::model::Name;
 use crate::policy::Policy;
 
-/// The cancellations that a peer is to be notified of.
+/// The cancellations to send to a peer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PeerNotice {
-    /// The cancellations, those first that the peer has not acknowledged.
+    /// The pending cancellations.  Those that the peer has not acknowledged come first.
     pub cancellations: Vec<Cancellation>,
-    /// Whether there are any that the peer has not acknowledged.
+    /// Whether there are pending cancellations that the peer has not acknowledged.
     pub has_unacknowledged: bool,
 }
 
 /// Decides when a cancellation may be confirmed to its user.
 ///
-/// That is when no controller that does not know the cancellation can renew a lease for the
-/// job's tasks for longer than the time that is left.  It is so in any of these cases:
+/// A cancellation may be confirmed once no controller that does not know it can keep the job's
+/// tasks running beyond the time allowed by `cancel`.  Any of these conditions suffices:
 ///
 /// - every peer has acknowledged the cancellation;
 /// - the leader finds no task of the job on any machine, and none can start any more;
-/// - `cancel` has passed since the cancellation was stored, because by then the view of every
-///   controller that does not know it is older than that.
+/// - `cancel` has passed since the cancellation was stored.  By then, the view of every
+///   controller that does not know the cancellation is older than `cancel`.
 ///
-/// Until then the cancellation is stored and carried out, but its request is answered with a
-/// temporary error, upon which the user asks again.
+/// Until then the cancellation is already stored and in effect, but the user's request is
+/// answered with a temporary error, so that the user retries it.
 #[derive(Debug)]
 pub struct CancellationNotices {
     peer_count: usize,
-    /// The peers that have acknowledged each cancellation that somebody waits for.
+    /// Jobs whose cancellations wait for their confirmation, each with the indexes of the peers
+    /// that have acknowledged it.
     pending: BTreeMap<Name, BTreeSet<usize>>,
+    /// Jobs whose cancellations may be confirmed without further checks.
     settled: LruCache<Name, ()>,
 }
 
 impl CancellationNotices {
-    /// Creates an instance without pending cancellations that remembers at most
-    /// `settled_capacity` settled ones.
+    /// Creates an instance without pending cancellations, for `peer_count` other controllers.
+    /// It remembers at most `settled_capacity` settled cancellations.
     pub fn new(peer_count: usize, settled_capacity: usize) -> CancellationNotices {
         let settled_capacity = NonZeroUsize::new(settled_capacity).unwrap_or(NonZeroUsize::MIN);
         CancellationNotices { peer_count, pending: BTreeMap::new(), settled: LruCache::new(settled_capacity) }
     }
 
-    /// Whether the cancellation of a job may be confirmed to its user.  If not, the cancellation becomes
-    /// pending, and the peers are to be notified of it.
+    /// Reports whether the cancellation of a job may be confirmed to its user.  If not, the
+    /// cancellation becomes pending, and the caller has to notify the peers of it.
     pub fn may_confirm(&mut self, id: &Name, log: &CancellationLog, policy: &Policy, now: Instant) -> bool {
         if self.peer_count == 0 || self.settled.contains(id) {
             return true;
@@ -61,12 +64,13 @@
         false
     }
 
-    /// Returns the pending cancellations that a peer is to be notified of.
+    /// Returns the pending cancellations to send to the peer with index `peer`.
     ///
-    /// Those that the peer has not acknowledged come first: with more pending cancellations
-    /// than one message holds, the acknowledged ones would otherwise keep them out for ever.
+    /// Cancellations that the peer has not acknowledged come first.  If more are pending than
+    /// one message holds, acknowledged ones could otherwise fill every message, and the others
+    /// would never be sent.
     pub fn for_peer(&mut self, peer: usize, log: &CancellationLog, policy: &Policy, now: Instant) -> PeerNotice {
-        // after `cancel` the cancellation may be confirmed anyway, and nobody waits for a peer
+        // after `cancel` a cancellation may be confirmed without the peers' acknowledgements
         self.pending.retain(|id, _| log.min_age(id, now).is_some_and(|age| age < policy.cancel));
         let (unacknowledged, acknowledged): (Vec<_>, Vec<_>) =
             self.pending.iter().partition(|(_, acknowledged_by)| !acknowledged_by.contains(&peer));
@@ -78,7 +82,7 @@
         PeerNotice { cancellations, has_unacknowledged }
     }
 
-    /// Notes that a peer has acknowledged these cancellations.
+    /// Records that the peer with index `peer` has acknowledged these cancellations.
     pub fn mark_acknowledged(&mut self, peer: usize, cancellations: &[Cancellation]) {
         for cancellation in cancellations {
             let Some(acknowledged_by) = self.pending.get_mut(&cancellation.id) else { continue };
--- a/packages/core/src/cancellation/renewal.rs
+++ b/packages/core/src/cancellation/renewal.rs
@@ -1,20 +1,21 @@
-//! For how long a controller may renew leases, or lead, after its knowledge of cancellations
-//! was last complete.
+//! Computes for how long a controller may renew leases, or lead, after its view of
+//! cancellations was last complete.
 
 use std::time::{Duration, Instant};
 
 use crate::policy::Policy;
 
-/// Returns for how long leases may be renewed after the view of cancellations was complete.
+/// Returns for how long a controller may renew leases after its view of cancellations was last
+/// complete; zero if it may not renew any.
 ///
-/// A job that is cancelled after that moment must have stopped within `cancel` by the user's
-/// clock.  A lease that is renewed last lasts `lease` by the worker's clock, which may run
-/// slow, and the worker notices its expiry within one `renew`.
+/// A job that is cancelled after the view was complete must stop within `cancel`, measured by
+/// the user's clock.  The last lease that the controller renews lasts `lease`, measured by the
+/// worker's clock, which may run slow.  The worker notices the expiry within one `renew`.
 ///
 /// With `notices_required`, every controller confirms cancellations through
-/// [`CancellationNotices`](super::CancellationNotices).  As long as a controller that renews
-/// leases may not know a cancellation, it is then confirmed no sooner than `cancel`
-/// after it was stored, and the window is longer by that time.
+/// [`CancellationNotices`](super::CancellationNotices).  While a controller that renews leases
+/// may not know a cancellation, the cancellation is then confirmed no sooner than `cancel` after
+/// it was stored.  The window is longer by that time.
 pub fn renewal_window(policy: &Policy, notices_required: bool) -> Duration {
     let lease_expiry = policy.lease.mul_f64(1.0 + 2.0 * policy.drift) + policy.renew;
     let cancel_limit = policy.cancel.mul_f64(1.0 - 2.0 * policy.drift);
@@ -27,23 +28,23 @@
 }
 
 /// Returns for how long a leader with a valid leadership lease may lead after its view of
-/// cancellations was complete.
+/// cancellations was last complete.
 ///
-/// Its stop commands reach the workers, and the watch responds to it within two `ttl`.  Where
-/// a worker's lease lasts longer than `cancel`, no window is short enough, and yet a leader
-/// has to be able to lead: hence the minimum of three `ttl`.
+/// The window is at least three `ttl`.  If a worker's lease lasts longer than `cancel`, the
+/// renewal window is zero, but a leader must be able to lead all the same.  Three `ttl` suffice
+/// because a leader's stop commands reach the workers, and its watch responds within two `ttl`.
 pub fn leadership_window(policy: &Policy) -> Duration {
     renewal_window(policy, false).max(policy.ttl * 3)
 }
 
-/// Whether a controller may renew leases whose view of cancellations was last complete at
-/// `complete_as_of`.
+/// Reports whether a controller may renew leases if its view of cancellations was last complete
+/// at `complete_as_of`; `None` means that the view never was complete.
 pub fn may_renew(complete_as_of: Option<Instant>, notices_required: bool, policy: &Policy, now: Instant) -> bool {
     is_within(complete_as_of, renewal_window(policy, notices_required), now)
 }
 
-/// Whether a leader with a valid leadership lease may lead whose view of cancellations was
-/// last complete at `complete_as_of`.
+/// Reports whether a leader with a valid leadership lease may lead if its view of cancellations
+/// was last complete at `complete_as_of`; `None` means that the view never was complete.
 pub fn may_lead(complete_as_of: Option<Instant>, policy: &Policy, now: Instant) -> bool {
     is_within(complete_as_of, leadership_window(policy), now)
 }
--- a/packages/core/src/cancellation/tests.rs
+++ b/packages/core/src/cancellation/tests.rs
@@ -10,7 +10,8 @@
     Policy::new(&Config::parse("test", SETTINGS).expect("settings")).expect("the default policy")
 }
 
-/// The last lease expires in time, whatever the clocks do within their drift.
+/// The last lease that a controller renews expires within `cancel`, even if the clocks drift as
+/// far as the policy allows.
 #[test]
 fn the_last_lease_expires_within_cancel() {
     let policy_with = |cancel: f64, lease: f64| {
@@ -23,34 +24,35 @@
         let window = renewal_window(&policy, false);
         let last_expiry = window.as_secs_f64() * (1.0 + policy.drift) + lease * (1.0 + policy.drift);
         assert!(last_expiry < cancel || window.is_zero(), "{cancel} {lease}");
-        // and the window is shorter by no more than clocks and a renewal take
+        // the window is shorter than necessary only by the clock drift and the renewal interval
         assert!(last_expiry > cancel - policy.renew.as_secs_f64() * 2.0 || window.is_zero(), "{cancel} {lease}");
         assert!(leadership_window(&policy) >= policy.ttl * 3);
     }
 }
 
-/// A controller of the generated world.
+/// A controller of the simulated cluster.
 struct Controller {
     log: CancellationLog,
+    /// The cancelled jobs that the controller has seen, including those not in the log.
     known: HashSet<Name>,
-    /// Revision up to which its watch has read; `None` before its first read.
+    /// Revision up to which the watch has read; `None` before the first read.
     watch_revision: Option<u64>,
     view: CancellationView,
 }
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// The store serves a controller from now on, or refuses it.
+    /// From now on the store serves a controller, or refuses its requests.
     SetServed(usize, bool),
-    /// A user cancels a job at a controller.
+    /// A user cancels a job through a controller.
     Cancel(usize),
-    /// A cancellation is stored, and nobody receives the response.
+    /// A cancellation is stored, but its response is lost.
     CancelUnanswered,
-    /// A controller reads the last outcome for a user.
+    /// A controller reads the last stored outcome for a user.
     ReadOutcome(usize),
-    /// The watch of a controller responds.
+    /// A controller's watch responds.
     Watch(usize),
-    /// The first controller requests a batch of the second.
+    /// The first controller requests a batch from the second.
     RequestBatch(usize, usize),
     /// A controller restarts.
     Restart(usize),
@@ -59,49 +61,49 @@
 fn step() -> impl Strategy<Value = Step> {
     let controller = 0usize..3;
     prop_oneof![
-        2 => (controller.clone(), any::<bool>()).prop_map(|(c, served)| Step::SetServed(c, served)),
+        2 => (controller.clone(), any::<bool>()).prop_map(|(i, served)| Step::SetServed(i, served)),
         4 => controller.clone().prop_map(Step::Cancel),
         1 => Just(Step::CancelUnanswered),
         2 => controller.clone().prop_map(Step::ReadOutcome),
         4 => controller.clone().prop_map(Step::Watch),
-        8 => (controller.clone(), controller.clone()).prop_map(|(a, b)| Step::RequestBatch(a, b)),
+        8 => (controller.clone(), controller.clone()).prop_map(|(requester, sender)| Step::RequestBatch(requester, sender)),
         1 => controller.prop_map(Step::Restart),
     ]
 }
 
-/// A rule that is left out on purpose, to see that the test notices it.
+/// A rule that is left out on purpose, to check that the test detects its absence.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Omitted {
     Nothing,
-    /// A batch of an incarnation that began later counts as well.
-    Floor,
-    /// The batches of some peers are enough.
+    /// A batch counts even if cancellations from before the sender's watch may be missing from it.
+    GapCheck,
+    /// Batches from some of the peers suffice.
     EveryPeer,
-    /// What was read or stored here does not enter the log.
+    /// Outcomes that a controller read or stored itself are not added to its log.
     OwnOutcomes,
-    /// A batch counts from its response on, not from its request.
+    /// A batch counts as of its response, not as of its request.
     RequestTime,
 }
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
-/// Three controllers and the store.
-struct World {
+/// Three controllers and a store.
+struct SimulatedCluster {
     omitted: Omitted,
     capacity: usize,
     start: Instant,
     last_incarnation: u64,
     controllers: Vec<Controller>,
     served: [bool; 3],
-    /// The stored cancellations by revision.
+    /// The stored cancellations in the order of their revisions, which begin at 1.
     stored: Vec<Name>,
     /// When each cancellation was first confirmed to a user.
     confirmed: HashMap<Name, Instant>,
 }
 
-impl World {
-    fn new(capacity: usize, omitted: Omitted) -> World {
-        let mut world = World {
+impl SimulatedCluster {
+    fn new(capacity: usize, omitted: Omitted) -> SimulatedCluster {
+        let mut cluster = SimulatedCluster {
             omitted,
             capacity,
             start: Instant::now(),
@@ -111,14 +113,14 @@
             stored: Vec::new(),
             confirmed: HashMap::new(),
         };
-        world.controllers = (0..3).map(|_| world.started_controller()).collect();
-        world
+        cluster.controllers = (0..3).map(|_| cluster.start_controller()).collect();
+        cluster
     }
 
-    fn started_controller(&mut self) -> Controller {
+    fn start_controller(&mut self) -> Controller {
         self.last_incarnation += 1;
         let mut log = CancellationLog::new(self.last_incarnation, self.capacity);
-        if self.omitted == Omitted::Floor {
+        if self.omitted == Omitted::GapCheck {
             log.begin_watch(0, self.start);
         }
         Controller { log, known: HashSet::new(), watch_revision: None, view: CancellationView::default() }
@@ -126,35 +128,35 @@
 
     fn apply(&mut self, number: usize, step: &Step, now: Instant) {
         match *step {
-            Step::SetServed(c, served) => self.served[c] = served,
+            Step::SetServed(i, served) => self.served[i] = served,
             Step::CancelUnanswered => self.stored.push(format!("j-{number}").into()),
-            Step::Cancel(c) if self.served[c] => {
+            Step::Cancel(i) if self.served[i] => {
                 self.stored.push(format!("j-{number}").into());
-                self.confirm_last_stored(c, now);
+                self.confirm_last_stored(i, now);
             }
-            Step::ReadOutcome(c) if self.served[c] && !self.stored.is_empty() => self.confirm_last_stored(c, now),
-            Step::Watch(c) if self.served[c] => self.watch(c, now),
-            Step::RequestBatch(a, b) if a != b => self.request_batch(a, b, now),
-            Step::Restart(c) => self.controllers[c] = self.started_controller(),
+            Step::ReadOutcome(i) if self.served[i] && !self.stored.is_empty() => self.confirm_last_stored(i, now),
+            Step::Watch(i) if self.served[i] => self.watch(i, now),
+            Step::RequestBatch(requester, sender) if requester != sender => self.request_batch(requester, sender, now),
+            Step::Restart(i) => self.controllers[i] = self.start_controller(),
             _ => {}
         }
     }
 
-    fn confirm_last_stored(&mut self, c: usize, now: Instant) {
+    fn confirm_last_stored(&mut self, i: usize, now: Instant) {
         let id = self.stored.last().expect("a stored cancellation").clone();
         self.confirmed.entry(id.clone()).or_insert(now);
         if self.omitted != Omitted::OwnOutcomes {
-            self.controllers[c].log.record(self.stored.len() as u64, &id, now);
+            self.controllers[i].log.record(self.stored.len() as u64, &id, now);
         }
-        self.controllers[c].known.insert(id);
+        self.controllers[i].known.insert(id);
     }
 
-    fn watch(&mut self, c: usize, now: Instant) {
-        let controller = &mut self.controllers[c];
+    fn watch(&mut self, i: usize, now: Instant) {
+        let controller = &mut self.controllers[i];
         let read = match controller.watch_revision {
             Some(revision) => revision as usize,
             None => {
-                // the first read: all cancellations so far, none of them in the log
+                // the first read returns all cancellations so far, but the log gets none of them
                 controller.log.begin_watch(self.stored.len() as u64, now);
                 controller.known.extend(self.stored.iter().cloned());
                 self.stored.len()
@@ -168,23 +170,24 @@
         controller.view.watch_answered(now);
     }
 
-    fn request_batch(&mut self, a: usize, b: usize, now: Instant) {
-        let Some(revision) = self.controllers[a].watch_revision else { return };
-        let cursor = self.controllers[a].view.next_cursor(NAMES[b]);
-        let Some(batch) = self.controllers[b].log.batch_since(revision, cursor) else { return };
-        let requester = &mut self.controllers[a];
+    fn request_batch(&mut self, requester: usize, sender: usize, now: Instant) {
+        let Some(revision) = self.controllers[requester].watch_revision else { return };
+        let cursor = self.controllers[requester].view.next_cursor(NAMES[sender]);
+        let Some(batch) = self.controllers[sender].log.batch_since(revision, cursor) else { return };
+        let controller = &mut self.controllers[requester];
         for cancellation in &batch.cancellations {
-            requester.log.record(cancellation.revision, &cancellation.id, now);
-            requester.known.insert(cancellation.id.clone());
+            controller.log.record(cancellation.revision, &cancellation.id, now);
+            controller.known.insert(cancellation.id.clone());
         }
         let delay = Duration::from_secs(2 * u64::from(self.omitted == Omitted::RequestTime));
-        requester.view.peer_answered(NAMES[b], now + delay, &batch);
+        controller.view.peer_answered(NAMES[sender], now + delay, &batch);
     }
 
-    /// Whether a cancellation that was confirmed before a view was complete is missing from it.
+    /// Reports whether a cancellation is missing from a view that is complete as of a time after
+    /// its confirmation.
     fn misses_a_confirmed_cancellation(&self) -> bool {
-        self.controllers.iter().enumerate().any(|(c, controller)| {
-            let others = NAMES.iter().enumerate().filter(|(n, _)| *n != c).map(|(_, name)| *name);
+        self.controllers.iter().enumerate().any(|(i, controller)| {
+            let others = NAMES.iter().enumerate().filter(|(n, _)| *n != i).map(|(_, name)| *name);
             let view = &controller.view;
             let complete_as_of = match self.omitted {
                 Omitted::EveryPeer => others
@@ -201,69 +204,73 @@
     }
 }
 
-/// Runs the steps, one a second; whether a view missed a confirmed cancellation after any.
-fn misses(steps: &[Step], capacity: usize, omitted: Omitted) -> bool {
-    let mut world = World::new(capacity, omitted);
+/// Runs the steps at intervals of one second.  Reports whether a view misses a confirmed
+/// cancellation after any of them.
+fn misses_any_cancellation(steps: &[Step], capacity: usize, omitted: Omitted) -> bool {
+    let mut cluster = SimulatedCluster::new(capacity, omitted);
     steps.iter().enumerate().any(|(number, step)| {
-        let now = world.start + Duration::from_secs(number as u64 + 1);
-        world.apply(number, step, now);
-        world.misses_a_confirmed_cancellation()
+        let now = cluster.start + Duration::from_secs(number as u64 + 1);
+        cluster.apply(number, step, now);
+        cluster.misses_a_confirmed_cancellation()
     })
 }
 
 proptest! {
-    /// No cancellation that was confirmed to a user before a view was complete is missing
-    /// from it, through refusals, restarts, lost responses and logs that overflow.
+    /// A view contains every cancellation that was confirmed to a user before the time as of
+    /// which it is complete, despite refused requests, restarts, lost responses and logs that
+    /// exceed their capacity.
     #[test]
-    fn a_complete_view_misses_nothing(steps in prop::collection::vec(step(), 1..90), capacity in 1usize..9) {
-        prop_assert!(!misses(&steps, capacity, Omitted::Nothing));
+    fn a_complete_view_misses_no_confirmed_cancellation(steps in prop::collection::vec(step(), 1..90), capacity in 1usize..9) {
+        prop_assert!(!misses_any_cancellation(&steps, capacity, Omitted::Nothing));
     }
 }
 
-/// Each rule that is left out is noticed.
+/// Leaving out any rule of completeness makes a view miss a confirmed cancellation.
 #[test]
-fn every_rule_of_completeness_is_needed() {
+fn omitting_any_rule_of_completeness_is_detected() {
     use proptest::strategy::ValueTree;
     use proptest::test_runner::TestRunner;
-    for omitted in [Omitted::Floor, Omitted::EveryPeer, Omitted::OwnOutcomes, Omitted::RequestTime] {
+    for omitted in [Omitted::GapCheck, Omitted::EveryPeer, Omitted::OwnOutcomes, Omitted::RequestTime] {
         let mut runner = TestRunner::deterministic();
         let runs = prop::collection::vec(step(), 60..90);
         let noticed = (0..2000).any(|_| {
             let steps = runs.new_tree(&mut runner).expect("steps").current();
-            misses(&steps, 4, omitted)
+            misses_any_cancellation(&steps, 4, omitted)
         });
-        assert!(noticed, "{omitted:?} went unnoticed");
+        assert!(noticed, "no run detects that {omitted:?} is omitted");
     }
 }
 
-/// A log that is longer than a message comes in parts, and only its end counts.
+/// A log that exceeds one message is sent in several batches, and the view is complete only
+/// with the last of them.
 #[test]
-fn a_long_log_comes_in_batches() {
+fn a_long_log_completes_a_view_only_with_its_last_batch() {
     let start = Instant::now();
     let mut log = CancellationLog::new(7, 10_000);
     log.begin_watch(10, start);
     for n in 0..1300u64 {
         log.record(11 + n, &format!("j-{n}"), start);
     }
-    assert!(log.batch_since(9, BatchCursor::default()).is_none(), "a gap");
+    assert!(log.batch_since(9, BatchCursor::default()).is_none(), "cancellations after revision 9 may be missing");
     let mut view = CancellationView::default();
     let mut received = 0;
     for part in 0..3 {
-        let batch = log.batch_since(10, view.next_cursor("b")).expect("no gap");
+        let batch = log.batch_since(10, view.next_cursor("b")).expect("the log is complete after revision 10");
         received += batch.cancellations.len();
         view.peer_answered("b", start, &batch);
         assert_eq!(view.complete_as_of(["b"]).is_some(), part == 2);
     }
     assert_eq!(received, 1300);
-    assert!(view.complete_as_of(["b", "c"]).is_none(), "one peer has not answered");
+    assert!(view.complete_as_of(["b", "c"]).is_none(), "peer c has not responded");
     let no_peers: [&str; 0] = [];
     assert!(CancellationView::default().complete_as_of(no_peers).is_none(), "without peers only the watch counts");
 }
 
-/// A cancellation is confirmed when all peers know, when the leader finds no task left, or when every
-/// controller that does not know has stopped renewing in time; never before.
+/// A cancellation is confirmed once all peers have acknowledged it, once the leader finds no task
+/// of the job, or once every controller that does not know it has stopped renewing leases.  It
+/// is never confirmed earlier.
 #[test]
-fn a_cancellation_is_confirmed_when_nobody_can_renew_unknowing() {
+fn a_cancellation_is_confirmed_once_no_uninformed_controller_can_renew() {
     let policy = default_policy();
     let start = Instant::now();
     let at = |seconds: u64| start + Duration::from_secs(seconds);
@@ -278,27 +285,28 @@
     let notice = notices.for_peer(0, &log, &policy, at(100));
     assert!(notice.has_unacknowledged && notice.cancellations.len() == 3 && notice.cancellations[0].revision == 9);
     notices.mark_acknowledged(0, &notice.cancellations);
-    assert!(!notices.for_peer(0, &log, &policy, at(101)).has_unacknowledged, "nothing new to it");
-    assert!(!notices.may_confirm(&names[0], &log, &policy, at(101)), "one of two knows");
+    assert!(!notices.for_peer(0, &log, &policy, at(101)).has_unacknowledged, "peer 0 has acknowledged all");
+    assert!(!notices.may_confirm(&names[0], &log, &policy, at(101)), "only one of two peers has acknowledged it");
     notices.mark_acknowledged(1, &notice.cancellations[..1]);
     assert!(notices.may_confirm(&names[0], &log, &policy, at(101)));
     notices.settle(&names[1]);
     assert!(notices.may_confirm(&names[1], &log, &policy, at(101)));
-    let end = at(100) + policy.cancel;
-    assert!(!notices.may_confirm(&names[2], &log, &policy, end - Duration::from_millis(1)));
-    assert!(notices.may_confirm(&names[2], &log, &policy, end));
-    // a controller that renews on this rule has stopped in time: its view is older than that
+    let cancel_deadline = at(100) + policy.cancel;
+    assert!(!notices.may_confirm(&names[2], &log, &policy, cancel_deadline - Duration::from_millis(1)));
+    assert!(notices.may_confirm(&names[2], &log, &policy, cancel_deadline));
+    // a controller that does not know the cancellation stops renewing early enough
     let last_renewal = at(100) + renewal_window(&policy, true);
-    assert!(last_renewal + policy.lease <= end + policy.cancel);
-    // a cancellation from before this incarnation is at least as old as the incarnation
+    assert!(last_renewal + policy.lease <= cancel_deadline + policy.cancel);
+    // a cancellation from before this incarnation is at least as old as its first watch
     assert!(!notices.may_confirm(&"j-0".into(), &log, &policy, at(59)));
     assert!(notices.may_confirm(&"j-0".into(), &log, &policy, at(60)));
     assert!(CancellationNotices::new(0, 1).may_confirm(&"j-9".into(), &log, &policy, at(0)), "no peers");
 }
 
-/// Guards against a burst: one-task jobs, four a second, a quarter of them cancelled.  An
-/// evicted id is as old as the newest evicted one, not as this incarnation; its user got
-/// the confirmation at once, with no peer asked.
+/// Guards against confirming an evicted cancellation too early.  In a burst of cancellations
+/// (four one-task jobs a second, a quarter of them cancelled) recent entries are evicted.  When
+/// an evicted cancellation counted as old as the incarnation, it was confirmed to its user at
+/// once, without asking any peer.  Its age is that of the newest evicted entry.
 #[test]
 fn an_evicted_cancellation_is_not_as_old_as_the_incarnation() {
     let policy = default_policy();
@@ -312,22 +320,23 @@
     let mut notices = CancellationNotices::new(2, 100);
     for n in 0..8u64 {
         let id = format!("j-{n}").into();
-        assert!(!notices.may_confirm(&id, &log, &policy, at(1008)), "{id} was learned seconds ago");
+        assert!(!notices.may_confirm(&id, &log, &policy, at(1008)), "the cancellation of {id} was learned seconds ago");
     }
-    // j-4 is the last that was evicted, so no sooner than that for all of them
-    let all = at(1004) + policy.cancel;
-    assert!(!notices.may_confirm(&"j-0".into(), &log, &policy, all - Duration::from_millis(1)));
+    // j-4 was evicted last, so no evicted cancellation may be confirmed earlier than j-4
+    let evicted_confirmable_at = at(1004) + policy.cancel;
+    assert!(!notices.may_confirm(&"j-0".into(), &log, &policy, evicted_confirmable_at - Duration::from_millis(1)));
     assert!(
-        notices.may_confirm(&"j-0".into(), &log, &policy, all)
-            && notices.may_confirm(&"j-4".into(), &log, &policy, all)
+        notices.may_confirm(&"j-0".into(), &log, &policy, evicted_confirmable_at)
+            && notices.may_confirm(&"j-4".into(), &log, &policy, evicted_confirmable_at)
     );
-    assert!(!notices.may_confirm(&"j-7".into(), &log, &policy, all));
+    assert!(!notices.may_confirm(&"j-7".into(), &log, &policy, evicted_confirmable_at));
 }
 
-/// Guards against the same burst: a peer is notified first of those that it has not
-/// acknowledged, so that all are sent however many there are and whatever their names.
+/// Guards against cancellations that are never sent to a peer.  In a burst, more cancellations
+/// are pending than one message holds.  The unacknowledged ones are sent first, so that all are
+/// sent, however many there are and whatever their ids.
 #[test]
-fn a_peer_is_notified_first_of_what_is_new_to_it() {
+fn a_peer_receives_unacknowledged_cancellations_first() {
     let policy = default_policy();
     let now = Instant::now();
     let mut log = CancellationLog::new(1, 5000);
@@ -338,12 +347,12 @@
         log.record(9, name, now);
         assert!(!notices.may_confirm(name, &log, &policy, now));
     }
-    // one of the peers is cut off: nothing is settled, and all stay pending
+    // peer 1 is unreachable and acknowledges nothing, so all stay pending
     for call in 0..3 {
         let notice = notices.for_peer(0, &log, &policy, now);
         assert!(notice.has_unacknowledged && notice.cancellations.len() == MAX_BATCH_LEN, "call {call}");
         notices.mark_acknowledged(0, &notice.cancellations);
     }
     let notice = notices.for_peer(0, &log, &policy, now);
-    assert!(!notice.has_unacknowledged, "it was notified of all in as many calls as they fill");
+    assert!(!notice.has_unacknowledged, "all cancellations were sent in the minimum number of calls");
 }
