--- a/packages/core/src/heartbeat_forwarding/tests.rs
+++ b/packages/core/src/heartbeat_forwarding/tests.rs
@@ -10,7 +10,8 @@
     names.iter().enumerate().map(|(i, name)| Forwarder { name, zone: ["a", "b"][i % 2] }).collect()
 }
 
-/// Workers are spread evenly, and when a controller is removed only its own workers move.
+/// Workers are distributed evenly over the controllers of their zone, or over all if their zone
+/// has none.  When a controller is removed, only its workers move.
 #[test]
 fn only_the_workers_of_a_removed_controller_move() {
     let (all, fewer) = (forwarders(&NAMES), forwarders(&NAMES[..4]));
@@ -31,7 +32,8 @@
     assert_eq!(assigned_forwarder("i-1", "a", &[]), None);
 }
 
-/// A heartbeat with one running task, whose job the cluster knows.
+/// Returns a heartbeat with one running task, and adds the job of the task to a cluster without
+/// jobs.
 fn heartbeat_with_task(cluster: &mut Cluster, sequence: u64, now: Instant) -> Heartbeat {
     let mut heartbeat = report("i-000001", "z1", 1, sequence, cluster.base_token());
     heartbeat.tasks = vec![TaskStatus {
@@ -47,8 +49,8 @@
     heartbeat
 }
 
-/// The second heartbeat of a machine whose task was started by a command; all of it is known to
-/// the leader.
+/// Applies two heartbeats of a machine, with a start of its task in between, and returns the
+/// second.  Nothing on the machine is pending or uncertain after it.
 fn accepted_heartbeat(cluster: &mut Cluster, now: Instant) -> Heartbeat {
     let first = heartbeat_with_task(cluster, 1, now);
     assert_eq!(
@@ -65,6 +67,7 @@
     second
 }
 
+/// Returns a heartbeat that repeats the content of another one.
 fn unchanged(heartbeat: &Heartbeat, sequence: u64) -> UnchangedHeartbeat {
     UnchangedHeartbeat {
         machine: heartbeat.machine.clone(),
@@ -74,10 +77,10 @@
     }
 }
 
-/// An unchanged heartbeat renews the lease and changes nothing else; one that repeats anything
-/// but the last accepted heartbeat is asked for in full.
+/// An unchanged heartbeat renews the lease and changes nothing else.  If it does not repeat the
+/// last accepted heartbeat, the leader requires a full one.
 #[test]
-fn an_unchanged_heartbeat_counts_only_after_the_one_it_repeats() {
+fn an_unchanged_heartbeat_is_accepted_only_after_the_one_it_repeats() {
     let now = Instant::now();
     let mut cluster = new_cluster(3, now);
     let accepted = accepted_heartbeat(&mut cluster, now);
@@ -85,7 +88,7 @@
     let reply = cluster.apply_unchanged(&unchanged(&accepted, 3), later).expect("no command is pending");
     assert_eq!((reply.fencing_token, reply.commands.len()), (cluster.base_token(), 0));
     assert_eq!(cluster.machines[&accepted.machine].last_heartbeat, Some(later));
-    // late copies, and one after a heartbeat that this leader has not received
+    // a duplicate, and one that repeats a heartbeat that this leader has not received
     assert!(cluster.apply_unchanged(&unchanged(&accepted, 3), later).is_none());
     let after_unknown = UnchangedHeartbeat { repeats_sequence: 4, ..unchanged(&accepted, 5) };
     assert!(cluster.apply_unchanged(&after_unknown, later).is_none());
@@ -95,10 +98,10 @@
     assert!(cluster.apply_unchanged(&next, later).is_some());
 }
 
-/// As long as a command is pending for the worker, or something of it is uncertain, only full
-/// heartbeats count.
+/// While a command for the worker is pending, or the state of its machine or tasks is uncertain,
+/// the leader accepts only full heartbeats.
 #[test]
-fn a_machine_with_pending_work_sends_full_heartbeats() {
+fn an_unchanged_heartbeat_is_rejected_while_work_is_pending() {
     let now = Instant::now();
     let pending: [fn(&mut crate::cluster::Machine); 6] = [
         |machine| machine.in_doubt_token = Some(1),
@@ -113,24 +116,24 @@
     for (case, make_pending) in pending.into_iter().enumerate() {
         let mut cluster = new_cluster(3, now);
         let accepted = accepted_heartbeat(&mut cluster, now);
-        make_pending(cluster.machines.get_mut(&accepted.machine).expect("it sent a heartbeat"));
+        make_pending(cluster.machines.get_mut(&accepted.machine).expect("the machine has sent a heartbeat"));
         assert!(cluster.apply_unchanged(&unchanged(&accepted, 3), now).is_none(), "case {case}");
     }
-    // a start that is decided and not sent
+    // a start that is decided but not sent
     let mut cluster = new_cluster(3, now);
     let accepted = accepted_heartbeat(&mut cluster, now);
     cluster.add_job(spec("j-000002", 1), 2, None, now);
     assert!(cluster.assign(&Task { job: "j-000002".into(), index: 0 }, &accepted.machine, 2, now));
     assert!(cluster.apply_unchanged(&unchanged(&accepted, 3), now).is_none());
-    // a new leader has received nothing of it
+    // a new leader has received no heartbeat of the machine
     let mut next_leader = new_cluster(4, now);
     assert!(next_leader.apply_unchanged(&unchanged(&accepted, 3), now).is_none());
     let reply = cluster.reply_to_heartbeat(&heartbeat_with_task(&mut next_leader, 2, now), now);
     assert!(reply.commands.iter().all(|command| matches!(command, Command::Start { .. })));
 }
 
-/// A heartbeat is forwarded as unchanged only if a leader of this term accepted the same content
-/// through this controller.
+/// A heartbeat is forwarded as unchanged only if the leader of the same term has accepted its
+/// content through this controller.
 #[test]
 fn only_accepted_content_is_forwarded_as_unchanged() {
     let now = Instant::now();
@@ -139,8 +142,8 @@
     assert_eq!(forwarding.message(&heartbeat(1), 3), ForwardedHeartbeat::Full);
     forwarding.mark_accepted(heartbeat(1), 3, now);
     assert_eq!(forwarding.message(&heartbeat(4), 3), ForwardedHeartbeat::Unchanged(unchanged(&heartbeat(1), 4)));
-    assert_eq!(forwarding.message(&heartbeat(4), 4), ForwardedHeartbeat::Full, "another leader");
-    assert_eq!(forwarding.message(&heartbeat(1), 3), ForwardedHeartbeat::Full, "the same once more");
+    assert_eq!(forwarding.message(&heartbeat(4), 4), ForwardedHeartbeat::Full, "the leader of another term");
+    assert_eq!(forwarding.message(&heartbeat(1), 3), ForwardedHeartbeat::Full, "the sequence number is not newer");
     let with_new_token = Heartbeat { fencing_token: 8, ..heartbeat(4) };
     assert_eq!(forwarding.message(&with_new_token, 3), ForwardedHeartbeat::Full);
     forwarding.mark_accepted(heartbeat(4), 3, now);
@@ -148,7 +151,7 @@
     assert_eq!(
         forwarding.message(&heartbeat(5), 3),
         ForwardedHeartbeat::Unchanged(unchanged(&heartbeat(4), 5)),
-        "an older reply arrived later"
+        "the late reply to an older heartbeat is ignored"
     );
     forwarding.evict_idle(Duration::from_secs(60), now + Duration::from_secs(61));
     assert!(forwarding.is_empty());
@@ -157,9 +160,9 @@
     assert_eq!(forwarding.message(&heartbeat(5), 3), ForwardedHeartbeat::Full);
 }
 
-/// Forwarding begins above a number of machines and ends markedly below it.
+/// Forwarding begins above the threshold and ends only at three quarters of it.
 #[test]
-fn forwarding_does_not_alternate() {
+fn forwarding_ends_well_below_the_threshold_at_which_it_begins() {
     assert!(!should_forward(100, 100, false) && should_forward(101, 100, false));
     assert!(should_forward(90, 100, true) && !should_forward(75, 100, true));
 }
