--- a/packages/core/src/cancellation/renewal.rs
+++ b/packages/core/src/cancellation/renewal.rs
@@ -15,7 +15,8 @@
 /// With `notices_required`, every controller confirms cancellations through
 /// [`CancellationNotices`](super::CancellationNotices).  While a controller that renews leases
 /// may not know a cancellation, the cancellation is then confirmed no sooner than `cancel` after
-/// it was stored.  The window is longer by that time.
+/// it was stored.  The window is therefore extended by `cancel`, reduced by the possible clock
+/// drift.
 pub fn renewal_window(policy: &Policy, notices_required: bool) -> Duration {
     let lease_expiry = policy.lease.mul_f64(1.0 + 2.0 * policy.drift) + policy.renew;
     let cancel_limit = policy.cancel.mul_f64(1.0 - 2.0 * policy.drift);
@@ -30,9 +31,10 @@
 /// Returns for how long a leader with a valid leadership lease may lead after its view of
 /// cancellations was last complete.
 ///
-/// The window is at least three `ttl`.  If a worker's lease lasts longer than `cancel`, the
-/// renewal window is zero, but a leader must be able to lead all the same.  Three `ttl` suffice
-/// because a leader's stop commands reach the workers, and its watch responds within two `ttl`.
+/// A leader does not rely on the expiry of leases alone: its stop commands reach the workers, and
+/// its watch responds within two `ttl`.  If a worker's lease lasts longer than `cancel`, the
+/// renewal window is zero, but a leader must still be able to lead.  The window is therefore at
+/// least three `ttl`.
 pub fn leadership_window(policy: &Policy) -> Duration {
     renewal_window(policy, false).max(policy.ttl * 3)
 }
--- a/packages/core/src/cancellation/tests.rs
+++ b/packages/core/src/cancellation/tests.rs
@@ -23,9 +23,12 @@
         let policy = policy_with(cancel, lease);
         let window = renewal_window(&policy, false);
         let last_expiry = window.as_secs_f64() * (1.0 + policy.drift) + lease * (1.0 + policy.drift);
-        assert!(last_expiry < cancel || window.is_zero(), "{cancel} {lease}");
+        assert!(last_expiry < cancel || window.is_zero(), "cancel {cancel} s, lease {lease} s");
         // the window is shorter than necessary only by the clock drift and the renewal interval
-        assert!(last_expiry > cancel - policy.renew.as_secs_f64() * 2.0 || window.is_zero(), "{cancel} {lease}");
+        assert!(
+            last_expiry > cancel - policy.renew.as_secs_f64() * 2.0 || window.is_zero(),
+            "cancel {cancel} s, lease {lease} s"
+        );
         assert!(leadership_window(&policy) >= policy.ttl * 3);
     }
 }
@@ -306,7 +309,7 @@
 /// Guards against confirming an evicted cancellation too early.  In a burst of cancellations
 /// (four one-task jobs a second, a quarter of them cancelled) recent entries are evicted.  When
 /// an evicted cancellation counted as old as the incarnation, it was confirmed to its user at
-/// once, without asking any peer.  Its age is that of the newest evicted entry.
+/// once, without asking any peer.  It must count as only as old as the newest evicted entry.
 #[test]
 fn an_evicted_cancellation_is_not_as_old_as_the_incarnation() {
     let policy = default_policy();
--- a/packages/core/src/commit/build.rs
+++ b/packages/core/src/commit/build.rs
@@ -62,8 +62,8 @@
         partly_completed
     }
 
-    /// Removes starts that need no longer be stored from the front of the unstored ones, up to
-    /// the first that still has to be.
+    /// Removes obsolete starts from the front of the unstored starts, up to the first start that
+    /// still has to be stored.
     fn drop_obsolete_starts(&mut self) {
         while let Some(first) = self.unstored_starts.first_entry() {
             if machine_of_unstored_start(&self.machines, first.get()).is_some() {
@@ -88,7 +88,7 @@
         batch.shards.push((id, shard));
     }
 
-    /// Adds as many completed tasks as fit.  Jobs with further ones remain to be stored.
+    /// Adds as many completed tasks as fit.  Jobs with tasks that do not fit remain to be stored.
     fn add_completed_tasks(
         &mut self,
         batch: &mut CommitBatch,
@@ -114,8 +114,8 @@
     ///
     /// A start is stored on condition that its job has no outcome.  The leader never starts
     /// a task of a job that has ended, but a worker may report one that is still running.
-    /// That task counts until it is gone, so its start is stored as well, but without the
-    /// condition, which would never hold and would make every transaction fail.
+    /// That task counts as present until it is gone, so its start is stored as well.  It is
+    /// stored without the condition, which would never hold and make every transaction fail.
     fn add_unstored_starts(&mut self, batch: &mut CommitBatch, open: &mut OpenShard, limits: &TxnLimits) {
         while let Some((queue_key, start)) = self.unstored_starts.pop_first() {
             let Some(machine) = machine_of_unstored_start(&self.machines, &start) else { continue };
@@ -160,7 +160,7 @@
 
     /// Returns the shard to rewrite, with its valid entries.
     ///
-    /// This is the smallest shard with room among the next few in the rotation, or a new one.
+    /// It is the smallest shard with room among the next few in the rotation, or a new one.
     /// A shard has room if all new entries, or new entries of half a shard's size, are
     /// expected to fit.  Oversized shards among the candidates are split.
     fn shard_with_room(&mut self, batch: &mut CommitBatch, new_entries: usize, limits: &TxnLimits) -> OpenShard {
--- a/packages/core/src/commit/shard_size.rs
+++ b/packages/core/src/commit/shard_size.rs
@@ -44,13 +44,16 @@
     JOB_PUNCTUATION_BYTES + text_bytes(job)
 }
 
-/// The size of a shard that is being filled.
+/// The size of a shard to which entries are being added.
 #[derive(Debug)]
 pub(super) struct ShardSize {
     /// Maximum size of the encoded shard in bytes.
     bytes: usize,
+    /// Locations that the shard already lists.
     locations: Vec<MachineLocation>,
+    /// Machines that the shard already lists.
     machines: NameMap<()>,
+    /// Jobs of which the shard already lists a start.
     jobs: NameMap<()>,
 }
 
--- a/packages/core/src/commit/split.rs
+++ b/packages/core/src/commit/split.rs
@@ -46,8 +46,8 @@
     /// the first part replaces the split shard itself.
     fn write_split(&mut self, batch: &mut CommitBatch, id: u32, split: ShardSplit) {
         let is_complete = split.is_complete();
-        let ShardSplit { closed, last, remainder, .. } = split;
-        for (number, mut part) in closed.into_iter().chain([last]).enumerate() {
+        let ShardSplit { closed, current, remainder, .. } = split;
+        for (number, mut part) in closed.into_iter().chain([current]).enumerate() {
             let target = if number == 0 && is_complete { id } else { self.create_shard() };
             part.revision = self.shards.get(&target).map_or(0, |shard| shard.revision);
             batch.txn.require(shard_key(target), part.revision);
@@ -63,12 +63,13 @@
     /// Parts that are closed.
     closed: Vec<PlacementShard>,
     /// The part to which entries are being added.
-    last: PlacementShard,
-    /// Size of `last`.
+    current: PlacementShard,
+    /// Size of `current`.
     size: ShardSize,
     /// Entries that do not fit into any part.
     remainder: PlacementShard,
     max_parts: usize,
+    /// Maximum size of a part in bytes.
     max_bytes: usize,
 }
 
@@ -78,7 +79,7 @@
     fn new(revision: u64, max_parts: usize, max_bytes: usize) -> ShardSplit {
         ShardSplit {
             closed: Vec::new(),
-            last: PlacementShard::default(),
+            current: PlacementShard::default(),
             size: ShardSize::new(),
             remainder: PlacementShard { revision, ..PlacementShard::default() },
             max_parts,
@@ -98,7 +99,7 @@
 
     /// Closes the current part and begins an empty one.
     fn begin_part(&mut self) {
-        self.closed.push(std::mem::take(&mut self.last));
+        self.closed.push(std::mem::take(&mut self.current));
         self.size = ShardSize::new();
     }
 
@@ -111,7 +112,7 @@
             return;
         }
         self.size.add_start(&start, location);
-        self.last.starts.push(start);
+        self.current.starts.push(start);
     }
 
     fn add_completed(&mut self, job: &Name, mut ranges: Ranges) {
@@ -120,7 +121,7 @@
             if !fitting.is_empty() {
                 self.size.add_completed(job, &fitting);
                 ranges = ranges.without_first_parts(fitting.parts());
-                self.last.completed.push((job.clone(), fitting));
+                self.current.completed.push((job.clone(), fitting));
             } else if self.may_begin_part() && !self.size.is_empty() {
                 self.begin_part();
             } else {
