--- a/packages/core/src/cancellation/log.rs
+++ b/packages/core/src/cancellation/log.rs
@@ -20,8 +20,8 @@
 #[derive(Debug)]
 pub struct CancellationLog {
     incarnation: u64,
-    /// The entries include every cancellation with a higher revision that this controller has
-    /// received from the watch or confirmed to a user.  `None` until this incarnation begins
+    /// The entries include every cancellation with a higher revision than this that the controller
+    /// has received from the watch or confirmed to a user.  `None` until this incarnation begins
     /// its watch.
     complete_after_revision: Option<u64>,
     /// Position in the log of the first entry that is kept.
--- a/packages/core/src/cancellation/view.rs
+++ b/packages/core/src/cancellation/view.rs
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Returns the latest time before which this controller knows every cancellation that was
-    /// confirmed to a user; `None` if neither the watch nor every peer has responded.
+    /// Returns the latest time such that this controller knows every cancellation that was
+    /// confirmed to a user before it; `None` if neither the watch nor every peer has responded.
     ///
     /// `peers` are the names of all other controllers.  If there are none, only the watch counts.
     pub fn complete_as_of<'a>(&self, peers: impl IntoIterator<Item = &'a str>) -> Option<Instant> {
--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -320,8 +320,8 @@
     assert!(cluster.dependency.is_empty() && cluster.jobs.len() == 3);
 }
 
-/// Guards against a job that never starts: a new leader added the job before its dependency,
-/// which had ended but was still in a shard.
+/// Guards against a job that never starts: during an upgrade under load, a new leader added the
+/// job before its dependency, which had ended but was still in a shard.
 #[test]
 fn adding_an_ended_dependency_releases_or_cancels_its_dependent() {
     let now = Instant::now();
