--- a/packages/core/src/placement/candidate.rs
+++ b/packages/core/src/placement/candidate.rs
@@ -1,25 +1,25 @@
-//! A machine as the placement switch sees it, and the best-fit measure.
+//! The candidate machines of the placement switch, and the best-fit measure.
 
 use crate::model::Resources;
 
-/// A machine that may take a task.
+/// A machine that a task may be placed on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// Index of the machine in the pass.
-    pub at: usize,
-    /// Resources that are free before the task.
+    /// Index of the machine's slot in the pass.
+    pub slot: usize,
+    /// Resources that are free before the task is placed.
     pub free: Resources,
-    /// Resources of the empty machine.
-    pub whole: Resources,
-    /// Relative speed.
+    /// Resources of the machine without any tasks.
+    pub total: Resources,
+    /// Observed speed of the machine, 1 for the usual speed.
     pub speed: f64,
 }
 
-/// Resources left after a task, as the sum of free fractions; best-fit takes the
-/// machine with the least.
-pub fn leftover(free: &Resources, whole: &Resources, task: &Resources) -> f64 {
-    let fraction = |free: f64, task: f64, whole: f64| if whole > 0.0 { (free - task) / whole } else { 0.0 };
-    fraction(free.cpus, task.cpus, whole.cpus)
-        + fraction(free.gpus, task.gpus, whole.gpus)
-        + fraction(free.memory, task.memory, whole.memory)
+/// Returns the resources left on a machine after a task is placed, as the sum of the free
+/// fractions of cores, GPUs and memory.  Best-fit selects the machine with the least leftover.
+pub fn leftover(free: &Resources, total: &Resources, task: &Resources) -> f64 {
+    let fraction = |free: f64, task: f64, total: f64| if total > 0.0 { (free - task) / total } else { 0.0 };
+    fraction(free.cpus, task.cpus, total.cpus)
+        + fraction(free.gpus, task.gpus, total.gpus)
+        + fraction(free.memory, task.memory, total.memory)
 }
--- a/packages/core/src/placement/image_wait.rs
+++ b/packages/core/src/placement/image_wait.rs
@@ -1,4 +1,4 @@
-//! How long a task waits for its image on a machine.
+//! Estimates of how long a task waits until a machine has fetched its image.
 
 use std::time::Instant;
 
@@ -7,21 +7,21 @@
 use crate::cluster::{Assignment, TaskPhase};
 use crate::model::*;
 
-/// Lowest fetch rate that is assumed, in GB per second.
+/// Lower bound of the assumed fetch rate, in GB per second.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
-/// The wait for an image.
+/// The wait for an image on a machine.
 #[derive(Clone, Copy)]
 pub(super) struct ImageWait {
-    /// Estimated time until the machine has the image.
+    /// Estimated time until the machine has the image, in seconds.
     pub(super) seconds: f64,
-    /// The machine is fetching it already.
+    /// Whether the machine is already fetching the image.
     pub(super) is_fetching: bool,
 }
 
 impl<'a> Pass<'a> {
-    /// How long a task of the job would wait for its image on a machine.  Estimated once
-    /// for each image and machine, until another fetch begins there.
+    /// Returns how long a task of the job would wait for its image on a machine.  The estimate is
+    /// cached for each image and machine until another fetch begins on the machine.
     pub(super) fn image_wait(&mut self, request: &PlacementRequest<'a>, slot: usize) -> ImageWait {
         if let Some(wait) = self.image_waits[request.image][slot] {
             return wait;
@@ -39,13 +39,13 @@
     }
 }
 
-/// The wait for an image that a machine does not have.
+/// Estimates the wait for an image that a machine does not have.
 fn estimate_fetch(spec: &JobSpec, slot: &MachineSlot, fetch_gb_per_s: f64, now: Instant) -> ImageWait {
     let may_fetch = |task: &&Assignment| {
         task.occupies_resources() && matches!(task.phase, TaskPhase::Assigned | TaskPhase::Pulling)
     };
     let mut began = slot.fetches.iter().any(|fetch| *fetch.image == spec.image).then_some(now);
-    // fetches at the same time share the rate
+    // Concurrent fetches share the fetch rate.
     let other_fetches = slot.fetches.iter().filter(|fetch| *fetch.image != spec.image);
     let mut others: Vec<ImageFetch> = other_fetches.copied().collect();
     for task in slot.machine.tasks.values().filter(may_fetch) {
@@ -56,7 +56,7 @@
             others.push(ImageFetch { image, size_gb: task.spec.image_gb });
         }
     }
-    let whole_s = (spec.image_gb + others.iter().map(|other| other.size_gb).sum::<f64>()) / fetch_gb_per_s;
-    let remaining_s = began.map_or(whole_s, |began| (whole_s - now.duration_since(began).as_secs_f64()).max(0.0));
+    let total_s = (spec.image_gb + others.iter().map(|other| other.size_gb).sum::<f64>()) / fetch_gb_per_s;
+    let remaining_s = began.map_or(total_s, |began| (total_s - now.duration_since(began).as_secs_f64()).max(0.0));
     ImageWait { seconds: remaining_s, is_fetching: began.is_some() }
 }
--- a/packages/core/src/placement/mod.rs
+++ b/packages/core/src/placement/mod.rs
@@ -1,15 +1,16 @@
-//! Placement: which waiting tasks start, on which machines, and what is preempted for
-//! them.
+//! Task placement: decides which waiting tasks start, on which machines, and which running
+//! tasks are preempted for them.
 //!
-//! The ordinary path is the design's.  The head of the arrival-ordered queue (`queue`)
-//! is placed first.  Among the machines that fit and start it soonest (`ranking`), the
-//! paper's switch takes the best fit or the fastest by the variance of the machines'
-//! speeds and the load of queued to free cores, and AI2's lookahead over the waiting
-//! queue decides where these disagree ([`tai2`]).  A head that finds no room reserves or
-//! preempts it (`preemption`); later tasks may pass it.
+//! The head of the arrival-ordered queue (`queue`) is placed first.  Among the machines that
+//! can hold the task and start it soonest (`ranking`), the placement switch ([`tai2`]) selects
+//! the best-fit or the fastest machine.  The switch compares the variance of the machine speeds
+//! and the ratio of queued to free cores with two thresholds.  Where the thresholds do not
+//! decide, the AI2 lookahead over the waiting queue does.  If no machine can hold the head, the
+//! pass reserves resources for it or preempts running tasks (`preemption`).  Later tasks may
+//! start before a blocked head.
 //!
-//! A pass decides everything on its own view of the machines (`pass`) and only then
-//! changes the state.
+//! A pass makes all its decisions on its own view of the machines (`pass`).  The cluster state
+//! changes only after the last decision.
 
 mod candidate;
 mod dry_run;
@@ -34,24 +35,27 @@
 use preemption::WaitLimits;
 use queue::lookahead;
 
-/// An array makes room for at most this part of the tasks of a dry run at once.
+/// In one pass, an array reserves resources for at most `dry_run_tasks` divided by this number
+/// of blocked tasks.
 const ARRAY_RESERVATION_DIVISOR: u32 = 4;
 
-/// A task, by its index in the job, and the machine where it starts.
+/// The start of one task on a machine.
 struct TaskStart {
+    /// Index of the task in its job.
     index: u32,
     machine: Name,
 }
 
-/// Starts of one job.
+/// The task starts of one job.
 struct Start {
     job: Name,
     tasks: Vec<TaskStart>,
-    /// The attempt of a gang that has not started yet and is completed by these tasks.
+    /// Attempt that these tasks join: that of a gang which has not started yet and replaces lost
+    /// tasks.  `None` for a new attempt.
     attempt: Option<u64>,
 }
 
-/// A task that is stopped to make room.
+/// A task that is stopped to free resources for another job.
 struct Preemption {
     machine: Name,
     task: Task,
@@ -63,21 +67,21 @@
     reason: &'static str,
 }
 
-/// Tasks of a job that found no room.
+/// Tasks of a job that no machine can hold.
 struct BlockedTasks {
     count: u32,
-    /// Tasks of the job that are or may be in each zone, by the index of the zone.
-    zones: Vec<u32>,
+    /// Number of tasks of the job that are or may be in each zone, by zone index.
+    tasks_per_zone: Vec<u32>,
 }
 
-/// What a pass has decided.
+/// The decisions of one pass.
 #[derive(Default)]
 struct PlacementDecisions {
     starts: Vec<Start>,
     preemptions: Vec<Preemption>,
     pending_reasons: Vec<PendingReason>,
     unmet_demand: Vec<UnmetDemand>,
-    /// The pass ended before the end of the queue.
+    /// Whether the pass ended before the end of the queue.
     is_unfinished: bool,
 }
 
@@ -88,8 +92,8 @@
 }
 
 impl Cluster {
-    /// Runs one pass over the queue.  Decides starts and preemptions, and returns the
-    /// tasks that found no machine.
+    /// Runs one placement pass over the queue: decides starts and preemptions and applies them.
+    /// Returns the tasks that no machine can hold.
     pub fn run_placement_pass(&mut self, now: Instant) -> Vec<UnmetDemand> {
         self.queue_changed = false;
         self.placement_waits.clear();
@@ -110,7 +114,7 @@
         decisions.unmet_demand
     }
 
-    /// Assigns the tasks of a start; all tasks of a gang share an attempt.
+    /// Assigns the tasks of a start.  All tasks of a gang share one attempt.
     fn apply_start(&mut self, start: Start, now: Instant) {
         let is_gang = self.jobs.get(&start.job).is_some_and(|job| job.spec.shape == Shape::Gang);
         let shared_attempt = is_gang.then(|| start.attempt.unwrap_or_else(|| self.new_attempt()));
@@ -123,24 +127,24 @@
         }
     }
 
-    /// Decides a pass without changing the state.
+    /// Makes the decisions of a pass without changing the cluster state.
     fn decide_placement(&self, now: Instant) -> PlacementDecisions {
         let mut decisions = PlacementDecisions::default();
         let queue = self.ordered_queue(now);
         let mut pass = Pass::new(self, &queue, now);
         let mut has_reserved_for_head = false;
         for (position, entry) in queue.iter().enumerate() {
-            // a pass that takes too long keeps the leader from its lease: the rest of the
-            // queue is left to the next one
+            // A long pass would delay the renewal of the leader's lease, so the rest of the
+            // queue is left to the next pass.
             if pass.examined > self.policy.pass_looks {
                 decisions.is_unfinished = true;
                 break;
             }
             let request = pass.begin_request(entry.job);
-            let later = || lookahead(&queue[position..], self.policy.dry_run_tasks);
+            let later_tasks = || lookahead(&queue[position..], self.policy.dry_run_tasks);
             let blocked = match entry.job.spec.shape {
-                Shape::Gang => self.place_gang(&request, &mut pass, later, &mut decisions),
-                _ => self.place_single_tasks(&request, *entry, &mut pass, later, &mut decisions),
+                Shape::Gang => self.place_gang(&request, &mut pass, later_tasks, &mut decisions),
+                _ => self.place_single_tasks(&request, *entry, &mut pass, later_tasks, &mut decisions),
             };
             if let Some(blocked) = blocked {
                 self.make_room(&request, blocked, &mut pass, &mut has_reserved_for_head, &mut decisions);
@@ -149,7 +153,8 @@
         decisions
     }
 
-    /// For tasks that found no room: reserves what is being freed, or preempts.
+    /// Reserves resources that are being freed for the blocked tasks, or preempts running tasks.
+    /// Records the job's pending reason and its unmet demand.
     fn make_room<'a>(
         &self,
         request: &PlacementRequest<'a>,
@@ -160,25 +165,26 @@
     ) {
         let job = request.job;
         if job.quarantine.is_some() {
-            // nothing is preempted, reserved or rented for the probe of a broken job
+            // No resources are preempted, reserved or rented for the probe of a quarantined job.
             decisions.set_pending_reason(job, QUARANTINED);
             return;
         }
-        let BlockedTasks { count, zones } = blocked;
+        let BlockedTasks { count, tasks_per_zone } = blocked;
         let wanted = match job.spec.shape {
             Shape::Array => count.min(self.policy.dry_run_tasks as u32 / ARRAY_RESERVATION_DIVISOR),
             _ => count,
         };
-        let reserved = self.reserve_or_preempt(request, wanted, &zones, pass, WaitLimits::UNLIMITED, decisions);
+        let reserved =
+            self.reserve_or_preempt(request, wanted, &tasks_per_zone, pass, WaitLimits::UNLIMITED, decisions);
         if reserved < wanted && !*has_reserved_for_head {
-            // a blocked head keeps its position: the room that it will fit into first is
-            // not given to later tasks
+            // A blocked head keeps its position in the queue: the machine that it is expected
+            // to fit on first is not given to later tasks.
             *has_reserved_for_head = true;
-            pass.reserve_for_head(request, &zones);
+            pass.reserve_for_head(request, &tasks_per_zone);
         }
         let reason = if reserved > 0 { "room is being made" } else { "no machine has room" };
         decisions.set_pending_reason(job, reason);
-        let zones = pass.zones_by_name(&zones);
+        let zones = pass.tasks_by_zone_name(&tasks_per_zone);
         decisions.unmet_demand.push(UnmetDemand { spec: job.spec.clone(), count, zones });
     }
 }
--- a/packages/core/src/placement/pass.rs
+++ b/packages/core/src/placement/pass.rs
@@ -1,6 +1,6 @@
-//! The state of one placement pass: the usable machines with what is free, what will be
-//! free after stops, and what may be preempted.  It is made once a pass and brought
-//! forward with every decision; nothing here changes the leader's state.
+//! The state of one placement pass: the schedulable machines with their free resources, the
+//! resources that stopping tasks will free, and the tasks that may be preempted.  It is built at
+//! the start of the pass and updated with every decision.  Nothing here changes the cluster state.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Instant;
@@ -14,21 +14,22 @@
 use crate::cluster::{Cluster, Job};
 use crate::model::*;
 
-/// Slots are pruned after this many times as many were examined as are open.
-const EXAMINED_UNTIL_PRUNED: usize = 8;
+/// The open slots are pruned once the number of examined slots exceeds this multiple of the
+/// number of open slots.
+const PRUNE_EXAMINED_MULTIPLE: usize = 8;
 
 /// A job whose tasks are to be placed.
 pub(super) struct PlacementRequest<'a> {
     pub(super) job: &'a Job,
-    /// Size of each task.
+    /// Resources that each task requests.
     pub(super) size: Resources,
-    /// Which pools it may use, by the index of the pool.
+    /// Whether the job may use each pool, by pool index.
     pub(super) allowed_pools: Vec<bool>,
-    /// Index of its image.
+    /// Index of the job's image in the pass.
     pub(super) image: usize,
 }
 
-/// The pool of a machine, borrowed from it.
+/// The pool of a machine, with names borrowed from the machine.
 #[derive(PartialEq)]
 struct PoolRef<'a> {
     kind: &'a Name,
@@ -43,37 +44,39 @@
     pub(super) slots: Vec<MachineSlot<'a>>,
     pools: Vec<PoolRef<'a>>,
     pub(super) zones: Vec<&'a Name>,
-    /// Slots that might hold some queued task.
+    /// Indices of the slots that may hold at least one queued task.
     pub(super) open_slots: Vec<usize>,
-    /// The open slots by what is free on them, once a dry run has needed it.
+    /// The open slots grouped by free resources; `None` until the first dry run of the pass.
     pub(super) classes: Option<MachineClasses>,
-    /// The smallest queued task in each respect.
+    /// Minimum of each resource over all queued tasks.
     smallest_task: Resources,
     /// Value of `examined` when the open slots were last pruned.
     pruned_at: usize,
-    /// What teams use; empty where no team has a limit or a guarantee.
+    /// Resources that each team uses; empty if no team has a limit or a guarantee.
     pub(super) used: NameMap<Resources>,
     speed_variance: f64,
     free_cpus: f64,
     queued_cpus: f64,
     images: HashMap<&'a Name, usize>,
-    /// Waits for each image by slot, as far as estimated.
+    /// Estimated wait for each image on each slot, by image index and slot index; `None` where
+    /// there is no current estimate.
     pub(super) image_waits: Vec<Vec<Option<ImageWait>>>,
-    /// Where tasks of the job that is being placed fit, the best tier first.  Ranked once
-    /// for all of its tasks: meanwhile, room only comes back where it was taken on trial.
+    /// Slots that can hold a task of the current job, the best tier first; `None` until they are
+    /// ranked.  One ranking serves all tasks of a job, because while the job is being placed
+    /// resources are released only where a trial plan had allocated them.
     pub(super) ranked_slots: Option<Vec<RankedSlot>>,
-    /// Of these, the slots whose tier the job's own starts have changed.
+    /// Slots whose tier has changed through starts of the current job, with the new tier.
     pub(super) reranked_slots: Vec<RankedSlot>,
-    /// Tasks that this pass stops, with their machines.
-    pub(super) stopped: HashSet<(&'a Name, &'a Task)>,
-    /// Machines examined so far: what the pass has cost.
+    /// Tasks that this pass plans to stop, with their machines.
+    pub(super) planned_stops: HashSet<(&'a Name, &'a Task)>,
+    /// Number of machines examined so far, as the measure of the pass's cost.
     pub(super) examined: usize,
-    /// Jobs that nothing can make room for: the next ones like them need not look again,
-    /// as a pass only takes room away.
+    /// Jobs for which preemption cannot free enough resources.  The search is not repeated for
+    /// similar jobs, because available resources only decrease during a pass.
     pub(super) unplaceable: Vec<Unplaceable<'a>>,
 }
 
-/// The smallest of all queued tasks in each respect.
+/// Returns the minimum of each resource over all queued tasks.
 fn smallest_task(queue: &[QueueEntry]) -> Resources {
     let infinite = Resources { cpus: f64::INFINITY, gpus: f64::INFINITY, memory: f64::INFINITY };
     queue.iter().map(|entry| entry.job.spec.size()).fold(infinite, |a, b| Resources {
@@ -84,7 +87,7 @@
 }
 
 impl<'a> Pass<'a> {
-    /// Begins a pass over the queue.
+    /// Creates the state of a pass over `queue`.
     pub(super) fn new(cluster: &'a Cluster, queue: &[QueueEntry<'a>], now: Instant) -> Pass<'a> {
         let (mut pools, mut zones, mut slots) = (Vec::new(), Vec::new(), Vec::new());
         for machine in cluster.machines.values() {
@@ -114,24 +117,26 @@
             image_waits: Vec::new(),
             ranked_slots: None,
             reranked_slots: Vec::new(),
-            stopped: HashSet::new(),
+            planned_stops: HashSet::new(),
             examined: 0,
             unplaceable: Vec::new(),
             slots,
         }
     }
 
-    /// Leaves out machines that this pass has filled, now and then: between two jobs,
-    /// when nothing is taken on trial.
+    /// Removes the slots that this pass has filled from `open_slots`, once enough slots have been
+    /// examined since the last pruning.  Called only between two jobs, when no resources are
+    /// allocated for a trial plan.
     fn prune_open_slots(&mut self) {
-        if self.examined - self.pruned_at > self.open_slots.len() * EXAMINED_UNTIL_PRUNED {
+        if self.examined - self.pruned_at > self.open_slots.len() * PRUNE_EXAMINED_MULTIPLE {
             let (slots, smallest) = (&self.slots, self.smallest_task);
-            self.open_slots.retain(|slot| slots[*slot].open_task_slots > 0 && slots[*slot].free.fits(&smallest));
+            self.open_slots
+                .retain(|slot| slots[*slot].remaining_task_capacity > 0 && slots[*slot].free.fits(&smallest));
             self.pruned_at = self.examined;
         }
     }
 
-    /// Begins to place tasks of a job.
+    /// Prepares the pass for placing tasks of `job`.
     pub(super) fn begin_request(&mut self, job: &'a Job) -> PlacementRequest<'a> {
         self.prune_open_slots();
         self.ranked_slots = None;
@@ -148,7 +153,7 @@
         PlacementRequest { job, size: spec.size(), allowed_pools, image }
     }
 
-    /// What the paper's switch goes by at this point of the pass.
+    /// Returns the inputs of the placement switch at this point of the pass.
     pub(super) fn switch_inputs(&self) -> SwitchInputs {
         SwitchInputs {
             variance: self.speed_variance,
@@ -158,13 +163,14 @@
         }
     }
 
-    /// A slot as the switch sees it.
-    pub(super) fn candidate(&self, at: usize) -> Candidate {
-        let slot = &self.slots[at];
-        Candidate { at, free: slot.free, whole: slot.machine.size, speed: slot.machine.speed }
+    /// Returns a slot as a candidate of the placement switch.
+    pub(super) fn candidate(&self, slot: usize) -> Candidate {
+        let machine_slot = &self.slots[slot];
+        Candidate { slot, free: machine_slot.free, total: machine_slot.machine.size, speed: machine_slot.machine.speed }
     }
 
-    /// Changes the free room of a slot, with the sum over all slots and their classes.
+    /// Changes the free resources of a slot, and updates the sum of free cores and the machine
+    /// classes accordingly.
     pub(super) fn update_free(&mut self, slot: usize, change: impl FnOnce(&mut Resources)) {
         let before = self.candidate(slot);
         let free = &mut self.slots[slot].free;
@@ -178,29 +184,29 @@
         }
     }
 
-    /// Takes the room of a task.
-    pub(super) fn take_room(&mut self, slot: usize, size: &Resources) {
+    /// Allocates the resources of one task on a slot.
+    pub(super) fn allocate(&mut self, slot: usize, size: &Resources) {
         self.update_free(slot, |free| free.subtract(size));
         let slot = &mut self.slots[slot];
         slot.free_after_stops.subtract(size);
-        slot.open_task_slots = slot.open_task_slots.saturating_sub(1);
+        slot.remaining_task_capacity = slot.remaining_task_capacity.saturating_sub(1);
     }
 
-    /// Undoes [`Pass::take_room`].
-    pub(super) fn return_room(&mut self, slot: usize, size: &Resources) {
+    /// Reverts [`Pass::allocate`].
+    pub(super) fn release(&mut self, slot: usize, size: &Resources) {
         self.update_free(slot, |free| free.add(size));
         let slot = &mut self.slots[slot];
         slot.free_after_stops.add(size);
-        slot.open_task_slots += 1;
+        slot.remaining_task_capacity += 1;
     }
 
-    /// Takes the room of a task that is started, counts it for its team, and the fetch of
-    /// its image for the machine.
+    /// Records the start of a task on a slot: allocates its resources, adds them to its team's
+    /// usage, and notes the image fetch unless the machine has or already fetches the image.
     pub(super) fn start_task(&mut self, request: &PlacementRequest<'a>, slot: usize) {
-        self.take_room(slot, &request.size);
+        self.allocate(slot, &request.size);
         let spec = &request.job.spec;
         if spec.shape == Shape::Service {
-            self.slots[slot].free_of_replicas.subtract(&request.size);
+            self.slots[slot].unused_by_replicas.subtract(&request.size);
         }
         self.used.entry(spec.team.clone()).or_default().add(&request.size);
         let machine_slot = &mut self.slots[slot];
@@ -215,7 +221,7 @@
         self.rerank(request, slot);
     }
 
-    /// Keeps the changed tier of a slot for the job that is being placed.
+    /// Records the changed tier of a slot for the current job.
     fn rerank(&mut self, request: &PlacementRequest<'a>, slot: usize) {
         let tier = self.tier(request, slot);
         match self.reranked_slots.iter_mut().find(|reranked| reranked.slot == slot) {
@@ -227,7 +233,7 @@
         }
     }
 
-    /// Logs why a task starts where it does.
+    /// Logs a task's start at debug level, with the inputs that led to the selected machine.
     pub(super) fn log_start(&self, request: &PlacementRequest, index: u32, selection: Selection, image_wait_s: f64) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
@@ -237,7 +243,7 @@
             job = %spec.id,
             index,
             class = %spec.class,
-            machine = %self.slots[selection.at].machine.name,
+            machine = %self.slots[selection.slot].machine.name,
             waited_s = self.now.duration_since(request.job.first_seen).as_secs_f64(),
             policy = ?selection.policy,
             variance = inputs.variance,
--- a/packages/core/src/placement/preemption.rs
+++ b/packages/core/src/placement/preemption.rs
@@ -1,5 +1,5 @@
-//! Preemption: running work is stopped for waiting work of a higher priority, or of a
-//! team within its guarantee.
+//! Preemption: running tasks are stopped for waiting tasks of a higher priority, or for those of a
+//! team that is within its guarantee.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -9,47 +9,48 @@
 use crate::cluster::{Assignment, Cluster, Job, TeamLimit};
 use crate::model::*;
 
-/// Difference in cores or GPUs that a guarantee does not count.
+/// Excess over a guarantee that still counts as within it, in cores or GPUs.
 const GUARANTEE_TOLERANCE: f64 = 1e-6;
 
-/// How long a task may wait in the room that is made for it.
+/// Limits on how long a task may wait on the machine where resources are freed for it.
 #[derive(Clone, Copy)]
 pub(super) struct WaitLimits {
-    /// Longest wait for the image, in seconds.
-    pub(super) image_s: f64,
-    /// Tasks whose checkpoint takes this long or longer are not preempted, in seconds.
-    pub(super) save_s: f64,
+    /// Longest acceptable image wait, in seconds.
+    pub(super) max_image_wait_s: f64,
+    /// Tasks whose checkpoint takes this long or longer to save are not preempted, in seconds.
+    pub(super) max_save_s: f64,
 }
 
 impl WaitLimits {
-    pub(super) const UNLIMITED: WaitLimits = WaitLimits { image_s: f64::INFINITY, save_s: f64::INFINITY };
+    pub(super) const UNLIMITED: WaitLimits = WaitLimits { max_image_wait_s: f64::INFINITY, max_save_s: f64::INFINITY };
 
     fn are_unlimited(&self) -> bool {
-        self.image_s.is_infinite() && self.save_s.is_infinite()
+        self.max_image_wait_s.is_infinite() && self.max_save_s.is_infinite()
     }
 }
 
-/// A machine that can make room, and what that costs.
-struct RoomOffer {
+/// A machine that can free enough resources for one task, with the cost of the preemptions.
+struct ReservationCandidate {
+    /// In core seconds.
     cost: f64,
     slot: usize,
 }
 
-/// Room for one task on a machine, and the tasks that are preempted for it.
-struct PlannedRoom<'a> {
+/// A planned reservation for one task on a machine, with the tasks that are preempted for it.
+struct PlannedReservation<'a> {
     slot: usize,
     victims: Vec<&'a Task>,
 }
 
 impl Cluster {
-    /// For tasks that found no room: reserves room that stops under way will free, or
-    /// preempts work.  Returns how many of `count` tasks will have room; for a gang all
-    /// or none.
+    /// Reserves resources that stopping tasks will free, or preempts running tasks, for `count`
+    /// tasks that no machine can hold now.  Returns for how many tasks resources are reserved; for
+    /// a gang, this is `count` or 0.
     pub(super) fn reserve_or_preempt<'a>(
         &self,
         request: &PlacementRequest<'a>,
         count: u32,
-        zones: &[u32],
+        tasks_per_zone: &[u32],
         pass: &mut Pass<'a>,
         limits: WaitLimits,
         decisions: &mut PlacementDecisions,
@@ -57,34 +58,34 @@
         if limits.are_unlimited() && pass.is_unplaceable(request) {
             return 0;
         }
-        let offers = find_offers(request, pass, limits);
-        if limits.are_unlimited() && offers.is_empty() {
+        let candidates = find_reservation_candidates(request, pass, limits);
+        if limits.are_unlimited() && candidates.is_empty() {
             pass.mark_unplaceable(request);
             return 0;
         }
-        let plan = plan_room(request, count, zones, pass, offers, limits.save_s);
+        let plan = plan_reservations(request, count, tasks_per_zone, pass, candidates, limits.max_save_s);
         if request.job.spec.shape == Shape::Gang && (plan.len() as u32) < count {
-            for room in plan.iter().rev() {
-                pass.undo_preemption(request, room.slot, &room.victims);
+            for reservation in plan.iter().rev() {
+                pass.undo_preemption(request, reservation.slot, &reservation.victims);
             }
             return 0;
         }
-        for room in &plan {
-            pass.reserve(request, room.slot);
-            let machine = &pass.slots[room.slot].machine.name;
-            for task in &room.victims {
+        for reservation in &plan {
+            pass.reserve(request, reservation.slot);
+            let machine = &pass.slots[reservation.slot].machine.name;
+            for task in &reservation.victims {
                 tracing::info!(%task, %machine, preempting_job = %request.job.spec.id, "preempting task");
                 decisions.preemptions.push(Preemption { machine: machine.clone(), task: (*task).clone() });
             }
         }
-        for room in &plan {
-            pass.confirm_preemption(&room.victims);
+        for reservation in &plan {
+            pass.confirm_preemption(&reservation.victims);
         }
         plan.len() as u32
     }
 
-    /// Stops a task that shall run elsewhere or later; a gang is stopped whole, so that
-    /// all its tasks write their checkpoints together.
+    /// Requests the stop of a task that is to run elsewhere or later.  If the task belongs to a
+    /// gang, all tasks of the gang are stopped, so that they write their checkpoints together.
     pub fn evict_task(&mut self, machine: &Name, task: &Task, now: Instant) {
         let Some(assignment) = self.machines.get(machine).and_then(|machine| machine.tasks.get(task)) else { return };
         let spec = &assignment.spec;
@@ -100,67 +101,77 @@
     }
 }
 
-/// All machines that can make room for one task within the limits.
-fn find_offers<'a>(request: &PlacementRequest<'a>, pass: &mut Pass<'a>, limits: WaitLimits) -> Vec<RoomOffer> {
-    let mut offers: Vec<RoomOffer> = Vec::new();
+/// Returns all machines that can free enough resources for one task within the limits.
+fn find_reservation_candidates<'a>(
+    request: &PlacementRequest<'a>,
+    pass: &mut Pass<'a>,
+    limits: WaitLimits,
+) -> Vec<ReservationCandidate> {
+    let mut candidates: Vec<ReservationCandidate> = Vec::new();
     pass.examined += pass.slots.len();
     for slot in 0..pass.slots.len() {
-        if !pass.may_make_room(request, slot) || pass.image_wait(request, slot).seconds > limits.image_s {
+        if !pass.may_make_room(request, slot) || pass.image_wait(request, slot).seconds > limits.max_image_wait_s {
             continue;
         }
-        if let Some(room) = pass.preemption_cost(request, slot, limits.save_s) {
-            offers.push(RoomOffer { cost: room.cost, slot });
+        if let Some(preemption) = pass.preemption_cost(request, slot, limits.max_save_s) {
+            candidates.push(ReservationCandidate { cost: preemption.cost, slot });
         }
     }
-    offers
+    candidates
 }
 
-/// Plans room for up to `count` tasks on the cheapest machines.
+/// Plans reservations for up to `count` tasks on the machines with the lowest cost.
 ///
-/// Takes the cheapest machine again and again.  What preemption costs on a machine only
-/// grows while others are chosen, so only the cost of the machine about to be taken is
-/// computed anew.
-fn plan_room<'a>(
+/// Repeatedly selects the cheapest machine.  The cost of preemption on a machine only increases
+/// while other machines are selected, so only the cost of the machine about to be selected is
+/// recomputed.
+fn plan_reservations<'a>(
     request: &PlacementRequest<'a>,
     count: u32,
-    zones: &[u32],
+    tasks_per_zone: &[u32],
     pass: &mut Pass<'a>,
-    mut offers: Vec<RoomOffer>,
+    mut candidates: Vec<ReservationCandidate>,
     max_save_s: f64,
-) -> Vec<PlannedRoom<'a>> {
-    let mut zones = zones.to_vec();
-    let mut plan: Vec<PlannedRoom> = Vec::new();
+) -> Vec<PlannedReservation<'a>> {
+    let mut tasks_per_zone = tasks_per_zone.to_vec();
+    let mut plan: Vec<PlannedReservation> = Vec::new();
     while (plan.len() as u32) < count {
-        let allowed = offers.iter().enumerate().filter(|(_, offer)| pass.may_use_zone(request, &zones, offer.slot));
-        let Some((index, &RoomOffer { cost, slot })) = allowed.min_by(|a, b| a.1.cost.total_cmp(&b.1.cost)) else {
+        let allowed = candidates
+            .iter()
+            .enumerate()
+            .filter(|(_, candidate)| pass.may_use_zone(request, &tasks_per_zone, candidate.slot));
+        let Some((index, &ReservationCandidate { cost, slot })) = allowed.min_by(|a, b| a.1.cost.total_cmp(&b.1.cost))
+        else {
             break;
         };
         match pass.preemption_cost(request, slot, max_save_s) {
             None => {
-                offers.swap_remove(index);
+                candidates.swap_remove(index);
             }
-            Some(room) if room.cost > cost => offers[index].cost = room.cost,
-            Some(room) => {
-                pass.plan_preemption(request, slot, &room.victims);
-                zones[pass.slots[slot].zone] += 1;
-                plan.push(PlannedRoom { slot, victims: room.victims });
+            Some(preemption) if preemption.cost > cost => candidates[index].cost = preemption.cost,
+            Some(preemption) => {
+                pass.plan_preemption(request, slot, &preemption.victims);
+                tasks_per_zone[pass.slots[slot].zone] += 1;
+                plan.push(PlannedReservation { slot, victims: preemption.victims });
             }
         }
     }
     plan
 }
 
-/// Whether this much lies within a guarantee; there is none where both of its parts
-/// are 0.
+/// Reports whether the used resources are within a guarantee.  A guarantee of 0 cores and 0 GPUs
+/// means that there is none.  If only one of the two is 0, the other alone counts.
 pub(super) fn is_within_guarantee(guarantee: &Resources, used: &Resources) -> bool {
     let is_within = |guarantee: f64, used: f64| guarantee <= 0.0 || used <= guarantee + GUARANTEE_TOLERANCE;
     let has_guarantee = guarantee.cpus > 0.0 || guarantee.gpus > 0.0;
     has_guarantee && is_within(guarantee.cpus, used.cpus) && is_within(guarantee.gpus, used.gpus)
 }
 
-/// Whether tasks of a waiting job may preempt those of a running one: a job of a higher
-/// priority may, and a job within its team's guarantee may preempt those that are beyond
-/// the guarantee of another team.
+/// Reports whether tasks of a waiting job may preempt those of a running job.
+///
+/// The waiting job must come before the running one in queue order.  It must also have a higher
+/// priority, or be within its team's guarantee while the running job and its team are beyond the
+/// guarantee of another team.
 pub(super) fn may_preempt(
     waiting: &Job,
     running: &Job,
@@ -181,8 +192,11 @@
         && !is_within_guarantee(&limit.guarantee, &team_usage)
 }
 
-/// What stopping a task now would cost, in core seconds: its work since the last
-/// checkpoint, its image's fetch, and a start that has hardly begun.
+/// Returns the cost of stopping a task now, in core seconds.
+///
+/// A task with checkpoints loses the time to save one; any other task loses all its work.  The
+/// time from the assignment to the running state, which includes the image fetch, is added.  This
+/// part counts less the longer the task has run.
 pub(super) fn preemption_loss(task: &Assignment, now: Instant) -> f64 {
     let assigned_s = now.duration_since(task.assigned_at).as_secs_f64();
     let ran_s = task.running_since.map_or(0.0, |since| now.duration_since(since).as_secs_f64());
--- a/packages/core/src/placement/preemption_cost.rs
+++ b/packages/core/src/placement/preemption_cost.rs
@@ -1,23 +1,24 @@
-//! What room costs on a machine, and the stops that a pass has planned.
+//! The cost of freeing resources on a machine, and the task stops that a pass has planned.
 
 use super::pass::{Pass, PlacementRequest};
 use super::preemption::{may_preempt, preemption_loss};
 use crate::cluster::{Assignment, Job};
 use crate::model::*;
 
-/// Least cost of a preemption, so that room without one comes first, in core seconds.
+/// Lower bound of the cost of a preemption, in core seconds.  It ranks machines that need no
+/// preemption first.
 const MIN_PREEMPTION_COST: f64 = 1e-3;
 
-/// A job that found no machine where it could preempt enough.
+/// A job for which preemption cannot free enough resources on any machine.
 pub(super) struct Unplaceable<'a> {
     job: &'a Job,
     size: Resources,
     allowed_pools: Vec<bool>,
 }
 
-/// Room for one task on a machine.
+/// The cost of freeing resources for one task on a machine.
 pub(super) struct PreemptionCost<'a> {
-    /// In core seconds; 0 where stops under way free enough.
+    /// In core seconds; 0 if the resources are free or will be freed by tasks that are stopping.
     pub(super) cost: f64,
     /// Tasks to preempt.
     pub(super) victims: Vec<&'a Task>,
@@ -32,38 +33,40 @@
 }
 
 impl<'a> Pass<'a> {
-    /// Whether a job like this one, but no larger and as urgent, found nothing that it
-    /// could preempt.
+    /// Reports whether an earlier job of the pass shows that this job cannot be placed by
+    /// preemption.  The earlier job has the same queue priority, guarantee state and team, its
+    /// tasks are no larger, and it may use every pool that this job may use.
     pub(super) fn is_unplaceable(&self, request: &PlacementRequest) -> bool {
-        let is_alike = |earlier: &Unplaceable| {
+        let covers_request = |earlier: &Unplaceable| {
             let allowed = request.allowed_pools.iter().zip(&earlier.allowed_pools);
             earlier.job.queue_priority() == request.job.queue_priority()
                 && earlier.job.guaranteed == request.job.guaranteed
                 && earlier.job.spec.team == request.job.spec.team
                 && request.size.fits(&earlier.size)
-                && allowed.into_iter().all(|(now, then)| *then || !*now)
+                && allowed.into_iter().all(|(allowed_now, allowed_before)| *allowed_before || !*allowed_now)
         };
-        self.unplaceable.iter().any(is_alike)
+        self.unplaceable.iter().any(covers_request)
     }
 
-    /// Notes that the job can preempt nothing, whatever the zones.
+    /// Records that preemption cannot free enough resources for the job, in any zone.
     pub(super) fn mark_unplaceable(&mut self, request: &PlacementRequest<'a>) {
         let allowed_pools = request.allowed_pools.clone();
         self.unplaceable.push(Unplaceable { job: request.job, size: request.size, allowed_pools });
     }
 
-    /// Whether a machine could make room for the job at all.
+    /// Reports whether a machine may be able to free enough resources for a task of the job.  This
+    /// is a quick check that rules machines out before the cost is computed.
     pub(super) fn may_make_room(&self, request: &PlacementRequest, slot: usize) -> bool {
         let slot = &self.slots[slot];
-        let may_preempt_some = slot.last_priority.is_some_and(|last| last > request.job.queue_priority());
+        let may_preempt_some = slot.lowest_priority.is_some_and(|lowest| lowest > request.job.queue_priority());
         request.allowed_pools[slot.pool]
             && (slot.has_stopping_tasks || slot.free_after_stops.fits(&request.size) || may_preempt_some)
             && slot.machine.size.fits(&request.size)
     }
 
-    /// What room for one task costs on a machine, with the tasks to preempt; `None` where
-    /// the room can't be made.  Tasks whose checkpoint takes `max_save_s` or longer are
-    /// not preempted.
+    /// Returns the cost of freeing resources for one task on a machine, with the tasks to preempt;
+    /// `None` if not enough resources can be freed.  Tasks whose checkpoint takes `max_save_s`
+    /// seconds or longer to save are not preempted.
     pub(super) fn preemption_cost(
         &mut self,
         request: &PlacementRequest<'a>,
@@ -73,24 +76,24 @@
         if self.slots[slot].free_after_stops.fits(&request.size) {
             return Some(PreemptionCost { cost: 0.0, victims: Vec::new() });
         }
-        // an image to fetch delays the start: prefer machines that have it
+        // An image fetch delays the start, so machines that have the image are preferred.
         let image_wait_s = self.image_wait(request, slot).seconds;
-        let mut room = self.slots[slot].free_after_stops;
+        let mut available = self.slots[slot].free_after_stops;
         let mut cost = MIN_PREEMPTION_COST + image_wait_s * request.size.cpus;
         let mut victims = Vec::new();
         for victim in self.find_victims(request, slot, max_save_s) {
-            if room.fits(&request.size) {
+            if available.fits(&request.size) {
                 break;
             }
-            room.add(&victim.size);
+            available.add(&victim.size);
             cost += victim.loss;
             victims.push(victim.task);
         }
-        room.fits(&request.size).then_some(PreemptionCost { cost, victims })
+        available.fits(&request.size).then_some(PreemptionCost { cost, victims })
     }
 
-    /// Tasks on a machine that the job may preempt: those of the lowest priority first,
-    /// then those that lose least.
+    /// Returns the tasks on a machine that the job may preempt, ordered by ascending priority and
+    /// then by ascending loss.
     fn find_victims(&self, request: &PlacementRequest<'a>, slot: usize, max_save_s: f64) -> Vec<Victim<'a>> {
         let machine = self.slots[slot].machine;
         let mut victims: Vec<Victim<'a>> = Vec::new();
@@ -100,7 +103,7 @@
             }
             let Some(running) = self.cluster.jobs.get(&assignment.spec.id) else { continue };
             if may_preempt(request.job, running, &self.cluster.teams, &self.used) {
-                // a gang is stopped as a whole
+                // A gang is stopped as a whole.
                 let members = if running.spec.shape == Shape::Gang { running.assignments.len() } else { 1 };
                 let loss = preemption_loss(assignment, self.now) * members.max(1) as f64;
                 let (size, priority) = (assignment.spec.size(), running.urgency.priority);
@@ -111,17 +114,20 @@
         victims
     }
 
-    /// Whether a task runs that could be stopped, and is not stopping yet.
+    /// Reports whether a task may be chosen for preemption: it is on the machine, was not inherited
+    /// from an earlier leader, is not stopping or planned to stop, and saves its checkpoint in
+    /// less than `max_save_s` seconds.
     fn is_stoppable(&self, machine: &'a Name, task: &'a Task, assignment: &Assignment, max_save_s: f64) -> bool {
         let saves_too_long = assignment.spec.checkpoint_s > 0.0 && assignment.spec.save_s >= max_save_s;
         assignment.occupies_resources()
             && assignment.stop_grace_s.is_none()
             && !assignment.inherited
             && !saves_too_long
-            && !self.stopped.contains(&(machine, task))
+            && !self.planned_stops.contains(&(machine, task))
     }
 
-    /// Plans to preempt tasks, and gives a task of the job their room.
+    /// Plans the preemption of `victims`, and allocates the resources that will be free to a task
+    /// of the job.
     pub(super) fn plan_preemption(&mut self, request: &PlacementRequest, slot: usize, victims: &[&'a Task]) {
         let machine = self.slots[slot].machine;
         for task in victims {
@@ -129,12 +135,12 @@
             let size = assignment.spec.size();
             self.slots[slot].free_after_stops.add(&size);
             self.used.entry(assignment.spec.team.clone()).or_default().subtract(&size);
-            self.stopped.insert((&machine.name, task));
+            self.planned_stops.insert((&machine.name, task));
         }
         self.slots[slot].free_after_stops.subtract(&request.size);
     }
 
-    /// Undoes [`Pass::plan_preemption`].
+    /// Reverts [`Pass::plan_preemption`].
     pub(super) fn undo_preemption(&mut self, request: &PlacementRequest, slot: usize, victims: &[&'a Task]) {
         self.slots[slot].free_after_stops.add(&request.size);
         let machine = self.slots[slot].machine;
@@ -143,18 +149,19 @@
             let size = assignment.spec.size();
             self.slots[slot].free_after_stops.subtract(&size);
             self.used.entry(assignment.spec.team.clone()).or_default().add(&size);
-            self.stopped.remove(&(&machine.name, *task));
+            self.planned_stops.remove(&(&machine.name, *task));
         }
     }
 
-    /// Keeps room that was planned for a task from later ones.  The tasks that stop still
-    /// count for their team until they are gone.
+    /// Subtracts the resources of one task from the free resources of a slot, so that later tasks
+    /// cannot use them.
     pub(super) fn reserve(&mut self, request: &PlacementRequest, slot: usize) {
         self.update_free(slot, |free| free.subtract(&request.size));
     }
 
-    /// Notes that planned preemptions are carried out, gangs whole; until the tasks are
-    /// gone they count for their team.
+    /// Records that planned preemptions are carried out.  The tasks count towards their team's
+    /// usage again, because they use resources until they have ended.  If a victim belongs to a
+    /// gang, all tasks of the gang are marked as stopping.
     pub(super) fn confirm_preemption(&mut self, victims: &[&'a Task]) {
         for task in victims {
             let Some(job) = self.cluster.jobs.get(&task.job) else { continue };
@@ -174,13 +181,14 @@
             for machine in machines.iter().filter_map(|name| self.cluster.machines.get(name)) {
                 let task = Task { job: gang.spec.id.clone(), index: *index };
                 if let Some((task, _)) = machine.tasks.get_key_value(&task) {
-                    self.stopped.insert((&machine.name, task));
+                    self.planned_stops.insert((&machine.name, task));
                 }
             }
         }
     }
 
-    /// Reserves the machine that a blocked head will fit into first.
+    /// Reserves resources for a blocked head on the machine where it is expected to fit first: of
+    /// the machines large enough, the one with the most cores free after the planned stops.
     pub(super) fn reserve_for_head(&mut self, request: &PlacementRequest, tasks_per_zone: &[u32]) {
         let may_fit = |index: &usize| {
             let slot = &self.slots[*index];
--- a/packages/core/src/placement/queue.rs
+++ b/packages/core/src/placement/queue.rs
@@ -1,4 +1,4 @@
-//! The arrival-ordered queue of waiting tasks.
+//! The queue of waiting tasks, ordered by priority and then by arrival.
 
 use std::time::Instant;
 
@@ -7,34 +7,35 @@
 use crate::cluster::{Cluster, Job};
 use crate::model::*;
 
-/// An entry of the queue: waiting tasks of a job that are placed one after another.
+/// A queue entry: consecutive waiting tasks of one job.
 #[derive(Clone, Copy)]
 pub(super) struct QueueEntry<'a> {
     pub(super) job: &'a Job,
-    /// Lowest task index of the entry.
+    /// Lower bound of the task indices of the entry.
     first_task: u32,
-    /// Number of tasks.
+    /// Number of tasks in the entry.
     pub(super) count: u32,
-    /// The tasks were placed before and lost.
+    /// Whether the tasks were placed before and then lost or preempted.
     is_requeued: bool,
 }
 
 impl<'a> QueueEntry<'a> {
-    /// The entries of a job.  Tasks of an array that were lost or preempted have waited
-    /// once: they do not wait again behind all that came since.  Where zones matter the
-    /// job stays whole, as they are counted by job.
+    /// Returns the queue entries of a job: one, or two for an array with lost or preempted tasks.
+    /// Such tasks have waited in the queue already, so their entry does not queue behind jobs
+    /// that arrived since.  A job with zone constraints has a single entry, because its tasks per
+    /// zone are counted for the whole job.  A quarantined job has a single entry as well.
     fn entries_of(job: &'a Job) -> impl Iterator<Item = QueueEntry<'a>> {
         let (waiting, never_placed) = (job.waiting_tasks(), job.first_never_assigned());
-        let stays_whole =
+        let is_single_entry =
             job.spec.shape != Shape::Array || job.spec.one_zone || job.spec.spread || job.quarantine.is_some();
-        let requeued = if stays_whole { 0 } else { job.pending.below(never_placed) };
+        let requeued = if is_single_entry { 0 } else { job.pending.below(never_placed) };
         let lost = QueueEntry { job, first_task: 0, count: requeued, is_requeued: true };
         let first_new = if requeued > 0 { never_placed } else { 0 };
         let new = QueueEntry { job, first_task: first_new, count: waiting - requeued, is_requeued: false };
         [lost, new].into_iter().filter(|entry| entry.count > 0)
     }
 
-    /// Indices of the tasks.
+    /// Returns the indices of the tasks in the entry.
     pub(super) fn tasks(&self) -> impl Iterator<Item = u32> + 'a {
         let first = self.first_task;
         self.job.pending.iter().skip_while(move |index| *index < first).take(self.count as usize)
@@ -42,16 +43,16 @@
 }
 
 impl Cluster {
-    /// Marks the jobs that are within their team's guarantee: those that fit into it
-    /// along with all earlier jobs of the team that are not over.
+    /// Marks the jobs that are within their team's guarantee.  A job is within the guarantee if it
+    /// covers the unfinished tasks of this job and of all earlier unfinished jobs of the team.
     pub(super) fn mark_guaranteed(&mut self) {
         if !self.teams.values().any(|team| team.guarantee.cpus > 0.0 || team.guarantee.gpus > 0.0) {
             return;
         }
-        let mut open: Vec<&mut Job> = self.jobs.values_mut().filter(|job| job.outcome.is_none()).collect();
-        open.sort_by(|a, b| (a.revision, &a.spec.id).cmp(&(b.revision, &b.spec.id)));
+        let mut unfinished_jobs: Vec<&mut Job> = self.jobs.values_mut().filter(|job| job.outcome.is_none()).collect();
+        unfinished_jobs.sort_by(|a, b| (a.revision, &a.spec.id).cmp(&(b.revision, &b.spec.id)));
         let mut used: NameMap<Resources> = NameMap::default();
-        for job in open {
+        for job in unfinished_jobs {
             let limit = self.teams.get(&job.spec.team).copied().unwrap_or_default();
             let team_usage = used.entry(job.spec.team.clone()).or_default();
             let unfinished = f64::from(job.spec.tasks - job.completed.len().min(job.spec.tasks));
@@ -60,8 +61,8 @@
         }
     }
 
-    /// The queue: production and work within its team's guarantee first, by priority,
-    /// then in the order of arrival.
+    /// Returns the queue.  Production jobs and jobs within their team's guarantee come first.
+    /// Within each of the two groups, entries are ordered by priority and then by arrival.
     pub(super) fn ordered_queue(&self, now: Instant) -> Vec<QueueEntry<'_>> {
         let is_waiting = |job: &&Job| {
             job.outcome.is_none() && job.waiting_tasks() > 0 && job.not_before.is_none_or(|from| from <= now)
@@ -77,10 +78,13 @@
         queue.into_iter().map(|(_, entry)| entry).collect()
     }
 
-    /// When the next task of an entry counts as arrived, in seconds since the leader
-    /// began.  The tasks of an array count as arriving one after another, or one large
-    /// array would keep all that come after it waiting until it is through; and earlier
-    /// by the time they run, for a long task that starts late makes its job late.
+    /// Returns the effective arrival time of the next task of an entry, in seconds since the start
+    /// of the leader's term.
+    ///
+    /// The tasks of an array count as arriving one after another.  Otherwise all jobs behind a
+    /// large array would wait until all its tasks have been placed.  Requeued tasks count as
+    /// arriving with the first task.  The time of an array's task is earlier by the estimated run
+    /// time of the task, because a long task that starts late delays its job.
     fn arrival_s(&self, entry: &QueueEntry) -> f64 {
         let job = entry.job;
         let first_seen_s = job.first_seen.saturating_duration_since(self.term_started_at).as_secs_f64();
@@ -95,11 +99,12 @@
         first_seen_s + started * self.policy.task_spacing_s - job.spec.estimate_s * bias
     }
 
-    /// How soon a job's tasks should start, in seconds, if it has such an objective.
+    /// Returns the time within which a job's tasks should start, in seconds; `None` if the job has
+    /// no such objective.  If several objectives apply, the shortest one counts.
     pub fn start_objective_s(&self, job: &Job) -> Option<f64> {
         let objectives = [
             self.start_objectives.get(&job.spec.class).copied(),
-            // the users of a service notice every second without a replica
+            // Users of a service notice every second without a replica.
             (job.spec.shape == Shape::Service).then_some(self.policy.fetch_grain_s),
             job.guaranteed.then_some(self.policy.guarantee_wait_s),
         ];
@@ -107,8 +112,8 @@
     }
 }
 
-/// Sizes of at most `limit` tasks behind the head of a queue, for the dry run: a hundred
-/// thousand equal tasks are one run.
+/// Returns the sizes of at most `limit` tasks behind the head of a queue, for the dry run.  The
+/// waiting tasks of one entry form a single run, even if there are a hundred thousand.
 pub(super) fn lookahead(queue: &[QueueEntry], limit: usize) -> Vec<TaskRun> {
     let mut runs: Vec<TaskRun> = Vec::new();
     let mut remaining = limit;
--- a/packages/core/src/placement/ranking.rs
+++ b/packages/core/src/placement/ranking.rs
@@ -1,33 +1,35 @@
-//! Where a task fits, and the machine that is selected for it: the tiers of machines
-//! first, then the paper's switch among the machines of the best tier.
+//! Selection of the machine for a task: machines that can hold the task are ranked by tier, and
+//! the placement switch selects one from the best tier.
 
 use super::image_wait::ImageWait;
 use super::pass::{Pass, PlacementRequest};
 use super::tai2::{Candidate, CandidatePair, MachineClasses, Selection, SwitchInputs, TaskRun};
 use crate::model::*;
 
-/// Steps that adding one machine to the classes counts as.
+/// Cost of adding one machine to the machine classes, in examined machines.
 const STEPS_PER_CLASSIFIED_MACHINE: usize = 4;
-/// Dry runs of one decision: one for each candidate.
-const DRY_RUNS: usize = 2;
+/// A decision takes one dry run for each of its two candidates.
+const DRY_RUNS_PER_DECISION: usize = 2;
 
-/// What comes before the switch; a lower tier is better.  The fields count in their
-/// order.
+/// The tier of a machine for a job; a lower tier is better.  Tiers take precedence over the
+/// placement switch.  They are compared field by field, in the order of declaration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PlacementTier {
-    /// The job has failed on this machine.
+    /// Whether a task of the job has failed on this machine.
     has_failed_here: bool,
-    /// The wait for the image, in units that matter to the job.
-    image_wait_in_patience: u64,
-    /// Ordinary for a job that may use spot machines, or spot for one with a deadline.
+    /// The image wait, in multiples of the policy's `image_share` of the job's start objective, but
+    /// at least of `fetch_grain_s`; rounded down.
+    coarse_image_wait: u64,
+    /// For jobs that may use spot machines: whether this is an on-demand machine, or for a job in
+    /// a dependency chain with a deadline, whether this is a spot machine.
     is_second_choice: bool,
-    /// The wait for the image, in the policy's units.
-    image_wait_in_grains: u64,
-    /// The image is being fetched already.
+    /// The image wait, in multiples of the policy's `fetch_grain_s`, rounded up.
+    fine_image_wait: u64,
+    /// Whether the machine is already fetching the image.
     is_fetching: bool,
 }
 
-/// A slot with its tier for the job that is being placed; ordered by tier.
+/// A slot with its tier for the current job; ordered by tier, then by slot index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RankedSlot {
     pub(super) tier: PlacementTier,
@@ -35,36 +37,38 @@
 }
 
 impl<'a> Pass<'a> {
-    /// The tier of a machine for the job's tasks.
+    /// Returns the tier of a machine for the job's tasks.
     pub(super) fn tier(&mut self, request: &PlacementRequest<'a>, slot: usize) -> PlacementTier {
         let job = request.job;
-        let grain_s = self.cluster.policy.fetch_grain_s;
-        // an image that takes a small part of the time within which the task should
-        // start is no reason for an expensive machine
+        let fine_unit_s = self.cluster.policy.fetch_grain_s;
+        // An image fetch that takes only a small share of the start objective does not justify
+        // a more expensive machine.
         let objective_s = self.cluster.start_objective_s(job).unwrap_or(0.0);
-        let patience_s = grain_s.max(objective_s * self.cluster.policy.image_share);
+        let coarse_unit_s = fine_unit_s.max(objective_s * self.cluster.policy.image_share);
         let machine = self.slots[slot].machine;
         let has_failed_here = !job.failed_on.is_empty() && job.failed_on.contains(&machine.name);
-        // where a fetch is needed anyway, one that has not begun warms a machine more
+        // If a fetch is needed anyway, a machine that is not fetching the image yet is preferred,
+        // because afterwards one more machine has the image in its cache.
         let ImageWait { seconds, is_fetching } = self.image_wait(request, slot);
-        // under a deadline a task that is lost with its machine costs more than the room
-        // that an ordinary machine has left
+        // Under a deadline, losing a task with its spot machine costs more than using the free
+        // resources of an on-demand machine.
         let is_second_choice = job.spec.spot && machine.spot == job.has_deadline_in_chain();
         PlacementTier {
             has_failed_here,
-            image_wait_in_patience: (seconds / patience_s).floor() as u64,
+            coarse_image_wait: (seconds / coarse_unit_s).floor() as u64,
             is_second_choice,
-            image_wait_in_grains: (seconds / grain_s).ceil() as u64,
+            fine_image_wait: (seconds / fine_unit_s).ceil() as u64,
             is_fetching,
         }
     }
 
-    /// Slots where the job's tasks fit, whatever the zones, the best tier first.
+    /// Returns the slots that can hold a task of the job, the best tier first.  Zone constraints
+    /// are not checked here.
     fn rank_fitting_slots(&mut self, request: &PlacementRequest<'a>) -> Vec<RankedSlot> {
         self.examined += self.open_slots.len();
         let fits = |index: &usize| {
             let slot = &self.slots[*index];
-            slot.open_task_slots > 0 && request.allowed_pools[slot.pool] && slot.free.fits(&request.size)
+            slot.remaining_task_capacity > 0 && request.allowed_pools[slot.pool] && slot.free.fits(&request.size)
         };
         let fitting: Vec<usize> = self.open_slots.iter().copied().filter(fits).collect();
         let mut ranked: Vec<RankedSlot> =
@@ -73,15 +77,14 @@
         ranked
     }
 
-    /// Selects the machine for one task: among the allowed ones those that start it
-    /// soonest (the image is there), then spot before ordinary for jobs that may use
-    /// both, and within these by the paper's switch.
+    /// Selects the machine for one task; `None` if no allowed machine can hold it.  The placement
+    /// switch chooses among the machines of the best tier (see [`PlacementTier`]).
     pub(super) fn select_slot(
         &mut self,
         request: &PlacementRequest<'a>,
         tasks_per_zone: &[u32],
         only_zone: Option<usize>,
-        later: &impl Fn() -> Vec<TaskRun>,
+        later_tasks: &impl Fn() -> Vec<TaskRun>,
     ) -> Option<Selection> {
         let ranked = match self.ranked_slots.take() {
             Some(ranked) => ranked,
@@ -91,14 +94,15 @@
         let candidates = self.find_candidates(request, tasks_per_zone, only_zone, &ranked, &reranked);
         (self.ranked_slots, self.reranked_slots) = (Some(ranked), reranked);
         let inputs = self.switch_inputs();
-        // the queue behind the head is looked at only where the lookahead decides
+        // The queue behind the head is read only if the lookahead decides.
         if !inputs.needs_lookahead() {
             return candidates.decide(&request.size, &inputs, &MachineClasses::default(), &[]);
         }
-        self.decide_by_lookahead(request, &candidates, &inputs, &later())
+        self.decide_by_lookahead(request, &candidates, &inputs, &later_tasks())
     }
 
-    /// The candidates of both policies among the allowed machines of the best tier.
+    /// Returns the candidates of best-fit and fastest-first among the allowed machines of the best
+    /// tier.
     fn find_candidates(
         &mut self,
         request: &PlacementRequest<'a>,
@@ -120,7 +124,7 @@
             let slot = &self.slots[index];
             if is_worse
                 || has_first_tier && slot.is_reranked
-                || slot.open_task_slots == 0
+                || slot.remaining_task_capacity == 0
                 || only_zone.is_some_and(|zone| zone != slot.zone)
                 || !slot.free.fits(&request.size)
                 || !self.may_use_zone(request, tasks_per_zone, index)
@@ -131,21 +135,22 @@
                 candidates.clear();
                 best_tier = Some(tier);
             }
-            let free = if is_service { slot.free_of_replicas } else { slot.free };
+            let free = if is_service { slot.unused_by_replicas } else { slot.free };
             candidates.consider(Candidate { free, ..self.candidate(index) }, &request.size);
         }
         candidates
     }
 
-    /// Decides by AI2, with the tasks `later` in the queue.
+    /// Selects between the candidates by the AI2 lookahead over `later_tasks`, the tasks behind the
+    /// head of the queue.
     fn decide_by_lookahead(
         &mut self,
         request: &PlacementRequest<'a>,
         candidates: &CandidatePair,
         inputs: &SwitchInputs,
-        later: &[TaskRun],
+        later_tasks: &[TaskRun],
     ) -> Option<Selection> {
-        if self.classes.is_none() && !later.is_empty() {
+        if self.classes.is_none() && !later_tasks.is_empty() {
             let mut classes = MachineClasses::default();
             self.open_slots.iter().for_each(|slot| classes.add(&self.candidate(*slot)));
             self.examined += self.open_slots.len() * STEPS_PER_CLASSIFIED_MACHINE;
@@ -153,8 +158,8 @@
         }
         let none = MachineClasses::default();
         let classes = self.classes.as_ref().unwrap_or(&none);
-        // each dry run goes through the classes once for each run of tasks
-        self.examined += classes.len() * DRY_RUNS * later.len();
-        candidates.decide(&request.size, inputs, classes, later)
+        // Each dry run scans the classes once for each run of equal tasks.
+        self.examined += classes.len() * DRY_RUNS_PER_DECISION * later_tasks.len();
+        candidates.decide(&request.size, inputs, classes, later_tasks)
     }
 }
--- a/packages/core/src/placement/tai2.rs
+++ b/packages/core/src/placement/tai2.rs
@@ -1,9 +1,12 @@
-//! TAI2, the switch of the paper: best-fit or fastest-first by the variance of the
-//! machines' speeds and the load, and AI2's lookahead score where they disagree.
+//! TAI2, a published placement switch that selects a machine by best-fit or by fastest-first.
 //!
-//! Made for a thousand machines: one scan finds both candidates, and a dry run takes
-//! equal tasks of the queue together.  The tests compare it with a plain reading of the
-//! paper.
+//! The variance of the machine speeds and the load are compared with one threshold each.  If the
+//! thresholds do not decide between the two policies, the AI2 lookahead does: its score compares
+//! dry runs of the waiting queue on the candidates of both policies.
+//!
+//! The implementation is designed for a thousand machines: one scan finds both candidates, and a
+//! dry run places equal tasks of the queue together.  The tests compare it with a direct
+//! implementation of the paper.
 
 pub use super::candidate::{leftover, Candidate};
 pub use super::dry_run::{dry_run, TaskRun};
@@ -13,65 +16,66 @@
 /// The policy that selected a machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SelectionPolicy {
-    /// Best-fit by the thresholds.
+    /// Best-fit, selected by the thresholds.
     BestFit,
-    /// Fastest-first by the thresholds.
+    /// Fastest-first, selected by the thresholds.
     FastestFirst,
-    /// AI2.
+    /// The AI2 lookahead decided, because the thresholds did not.
     Ai2 {
-        /// Above 1 it took the fastest machine.
+        /// Score of the fastest machine relative to the best-fit machine; above 1, the fastest
+        /// machine is selected.
         score: f64,
     },
 }
 
-/// The selected machine.
+/// The machine selected for a task.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Selection {
-    /// Index of the machine in the pass.
-    pub at: usize,
-    /// How it was selected.
+    /// Index of the machine's slot in the pass.
+    pub slot: usize,
+    /// The policy that selected the machine.
     pub policy: SelectionPolicy,
 }
 
-/// What the switch goes by.
+/// The inputs of the placement switch.
 #[derive(Debug, Clone, Copy)]
 pub struct SwitchInputs {
-    /// Variance of the machines' speeds.
+    /// Variance of the speeds of all machines in the pass.
     pub variance: f64,
-    /// Waiting cores over free cores, of which at least one is counted.
+    /// Ratio of queued cores to free cores; the number of free cores counts as at least 1.
     pub load: f64,
-    /// The published threshold of variance.
+    /// Threshold of the variance, set by the policy; the default is the published value.
     pub variance_threshold: f64,
-    /// The published threshold of load.
+    /// Threshold of the load, set by the policy; the default is the published value.
     pub load_threshold: f64,
 }
 
 impl SwitchInputs {
-    /// Whether the machines' speeds differ enough for fastest-first.
+    /// Reports whether the machine speeds differ enough for fastest-first.
     fn is_heterogeneous(&self) -> bool {
         self.variance >= self.variance_threshold
     }
 
-    /// Whether the load is high enough for best-fit.
+    /// Reports whether the load is high enough for best-fit.
     fn is_loaded(&self) -> bool {
         self.load >= self.load_threshold
     }
 
-    /// Whether the thresholds do not decide between the two policies, so that AI2 does.
+    /// Reports whether the AI2 lookahead decides, because the thresholds call for both policies or
+    /// for neither.
     pub fn needs_lookahead(&self) -> bool {
         self.is_heterogeneous() == self.is_loaded()
     }
 }
 
-/// A candidate with what a task leaves free on it.
+/// A candidate with the leftover of the task on it (see [`leftover`]).
 #[derive(Debug, Clone, Copy)]
 struct Fit {
     leftover: f64,
     machine: Candidate,
 }
 
-/// The candidates of both policies among the machines considered so far, all of which
-/// hold the task.
+/// The candidates of both policies among the machines considered so far.
 #[derive(Debug, Default)]
 pub struct CandidatePair {
     best_fit: Option<Fit>,
@@ -79,13 +83,13 @@
 }
 
 impl CandidatePair {
-    /// Considers one more machine.
+    /// Considers one more machine, which must be able to hold the task.
     pub fn consider(&mut self, machine: Candidate, task: &Resources) {
-        let leftover = leftover(&machine.free, &machine.whole, task);
+        let leftover = leftover(&machine.free, &machine.total, task);
         if self.best_fit.is_none_or(|best| leftover < best.leftover) {
             self.best_fit = Some(Fit { leftover, machine });
         }
-        // of equally fast machines the one with least left over
+        // Among equally fast machines, the one with the least leftover is preferred.
         let is_faster = |fastest: Fit| {
             machine.speed > fastest.machine.speed
                 || machine.speed == fastest.machine.speed && leftover < fastest.leftover
@@ -95,37 +99,38 @@
         }
     }
 
-    /// Forgets all machines, for those of a better tier come next.
+    /// Removes both candidates, for example when the following machines have a better tier.
     pub fn clear(&mut self) {
         *self = CandidatePair::default();
     }
 
-    /// The paper's decision.  `classes` are the machines of the dry run and `later` the
-    /// queue behind the head; both may be empty where no lookahead is needed.
+    /// Selects a machine for the head of the queue; `None` if no machine was considered.  `classes`
+    /// are the machines of the dry run and `later_tasks` is the queue behind the head.  Both may be
+    /// empty if [`SwitchInputs::needs_lookahead`] returns `false`.
     pub fn decide(
         &self,
         head: &Resources,
         inputs: &SwitchInputs,
         classes: &MachineClasses,
-        later: &[TaskRun],
+        later_tasks: &[TaskRun],
     ) -> Option<Selection> {
         let (best_fit, fastest) = (self.best_fit?.machine, self.fastest?.machine);
-        let select = |machine: Candidate, policy| Some(Selection { at: machine.at, policy });
+        let select = |machine: Candidate, policy| Some(Selection { slot: machine.slot, policy });
         match (inputs.is_heterogeneous(), inputs.is_loaded()) {
             (false, true) => return select(best_fit, SelectionPolicy::BestFit),
             (true, false) => return select(fastest, SelectionPolicy::FastestFirst),
-            _ if best_fit.at == fastest.at => return select(best_fit, SelectionPolicy::Ai2 { score: 1.0 }),
+            _ if best_fit.slot == fastest.slot => return select(best_fit, SelectionPolicy::Ai2 { score: 1.0 }),
             _ => {}
         }
-        if later.is_empty() {
-            // nothing to look ahead at: the fastest only if it is faster
+        if later_tasks.is_empty() {
+            // Without waiting tasks, the fastest machine is selected only if it is strictly faster.
             if fastest.speed > best_fit.speed {
                 return select(fastest, SelectionPolicy::Ai2 { score: fastest.speed / best_fit.speed });
             }
             return select(best_fit, SelectionPolicy::Ai2 { score: 1.0 });
         }
-        let fastest_capacity = dry_run(classes, head, fastest.at, later);
-        let best_fit_capacity = dry_run(classes, head, best_fit.at, later);
+        let fastest_capacity = dry_run(classes, head, fastest.slot, later_tasks);
+        let best_fit_capacity = dry_run(classes, head, best_fit.slot, later_tasks);
         let score = if best_fit_capacity > 0.0 && best_fit.speed > 0.0 {
             fastest.speed / best_fit.speed * fastest_capacity / best_fit_capacity
         } else {
@@ -135,7 +140,7 @@
     }
 }
 
-/// Population variance of speeds.
+/// Returns the population variance of the speeds; 0 if there are none.
 pub fn variance(speeds: impl Iterator<Item = f64> + Clone) -> f64 {
     let count = speeds.clone().count();
     if count == 0 {
--- a/packages/core/src/placement/tai2/tests.rs
+++ b/packages/core/src/placement/tai2/tests.rs
@@ -1,63 +1,67 @@
 use super::*;
 use proptest::prelude::*;
 
-/// The paper's decision, computed plainly for comparison.
-fn decide_plainly(
+/// Implements the decision of the paper directly, as the reference for [`CandidatePair::decide`].
+fn reference_decide(
     fitting: &[Candidate],
     all: &[Candidate],
     head: &Resources,
-    later: &[Resources],
+    later_tasks: &[Resources],
     inputs: &SwitchInputs,
 ) -> Option<Selection> {
     fn best_fit(options: &[Candidate], task: &Resources) -> Option<Candidate> {
-        let fits = options.iter().filter(|o| o.free.fits(task));
-        let room = |o: &Candidate| leftover(&o.free, &o.whole, task);
-        fits.min_by(|a, b| room(a).total_cmp(&room(b))).copied()
+        let fits = options.iter().filter(|option| option.free.fits(task));
+        let leftover_of = |option: &Candidate| leftover(&option.free, &option.total, task);
+        fits.min_by(|a, b| leftover_of(a).total_cmp(&leftover_of(b))).copied()
     }
-    let capacity_with = |at: usize| {
+    let capacity_with = |slot: usize| {
         let mut machines = all.to_vec();
-        let first = machines.iter_mut().find(|machine| machine.at == at).expect("it is among all");
+        let first =
+            machines.iter_mut().find(|machine| machine.slot == slot).expect("the machine is among all machines");
         first.free.subtract(head);
         let mut capacity = first.speed * head.cpus;
-        for task in later {
-            let Some(at) = best_fit(&machines, task).map(|o| o.at) else { break };
-            let machine = machines.iter_mut().find(|machine| machine.at == at).expect("found just now");
+        for task in later_tasks {
+            let Some(slot) = best_fit(&machines, task).map(|option| option.slot) else { break };
+            let machine = machines
+                .iter_mut()
+                .find(|machine| machine.slot == slot)
+                .expect("best_fit returned a slot of these machines");
             machine.free.subtract(task);
             capacity += machine.speed * task.cpus;
         }
         capacity
     };
-    let best_fit_machine = best_fit(fitting, head)?;
-    let fits = fitting.iter().filter(|o| o.free.fits(head));
+    let closest_fit = best_fit(fitting, head)?;
+    let fits = fitting.iter().filter(|option| option.free.fits(head));
     let fastest = *fits.min_by(|a, b| {
-        let room = |o: &Candidate| leftover(&o.free, &o.whole, head);
-        b.speed.total_cmp(&a.speed).then(room(a).total_cmp(&room(b)))
+        let leftover_of = |option: &Candidate| leftover(&option.free, &option.total, head);
+        b.speed.total_cmp(&a.speed).then(leftover_of(a).total_cmp(&leftover_of(b)))
     })?;
-    let select = |machine: Candidate, policy| Some(Selection { at: machine.at, policy });
+    let select = |machine: Candidate, policy| Some(Selection { slot: machine.slot, policy });
     match (inputs.variance >= inputs.variance_threshold, inputs.load >= inputs.load_threshold) {
-        (false, true) => return select(best_fit_machine, SelectionPolicy::BestFit),
+        (false, true) => return select(closest_fit, SelectionPolicy::BestFit),
         (true, false) => return select(fastest, SelectionPolicy::FastestFirst),
-        _ if best_fit_machine.at == fastest.at => return select(best_fit_machine, SelectionPolicy::Ai2 { score: 1.0 }),
-        _ if later.is_empty() && fastest.speed > best_fit_machine.speed => {
-            return select(fastest, SelectionPolicy::Ai2 { score: fastest.speed / best_fit_machine.speed })
+        _ if closest_fit.slot == fastest.slot => return select(closest_fit, SelectionPolicy::Ai2 { score: 1.0 }),
+        _ if later_tasks.is_empty() && fastest.speed > closest_fit.speed => {
+            return select(fastest, SelectionPolicy::Ai2 { score: fastest.speed / closest_fit.speed })
         }
-        _ if later.is_empty() => return select(best_fit_machine, SelectionPolicy::Ai2 { score: 1.0 }),
+        _ if later_tasks.is_empty() => return select(closest_fit, SelectionPolicy::Ai2 { score: 1.0 }),
         _ => {}
     }
-    let (fastest_capacity, best_fit_capacity) = (capacity_with(fastest.at), capacity_with(best_fit_machine.at));
-    let score = if best_fit_capacity > 0.0 && best_fit_machine.speed > 0.0 {
-        fastest.speed / best_fit_machine.speed * fastest_capacity / best_fit_capacity
+    let (fastest_capacity, best_fit_capacity) = (capacity_with(fastest.slot), capacity_with(closest_fit.slot));
+    let score = if best_fit_capacity > 0.0 && closest_fit.speed > 0.0 {
+        fastest.speed / closest_fit.speed * fastest_capacity / best_fit_capacity
     } else {
         1.0
     };
-    select(if score > 1.0 { fastest } else { best_fit_machine }, SelectionPolicy::Ai2 { score })
+    select(if score > 1.0 { fastest } else { closest_fit }, SelectionPolicy::Ai2 { score })
 }
 
 fn decide(
     fitting: &[Candidate],
     all: &[Candidate],
     head: &Resources,
-    later: &[Resources],
+    later_tasks: &[Resources],
     inputs: &SwitchInputs,
 ) -> Option<Selection> {
     let mut candidates = CandidatePair::default();
@@ -65,11 +69,11 @@
         candidates.consider(*c, head);
     }
     let runs: Vec<TaskRun> =
-        later.chunk_by(|a, b| a == b).map(|run| TaskRun { size: run[0], count: run.len() }).collect();
+        later_tasks.chunk_by(|a, b| a == b).map(|run| TaskRun { size: run[0], count: run.len() }).collect();
     let mut classes = MachineClasses::default();
     all.iter().for_each(|c| classes.add(c));
-    // what comes and goes leaves no trace
-    let other = Candidate { at: usize::MAX, speed: 9.0, ..all[0] };
+    // Adding and then removing a machine must not change the decision.
+    let other = Candidate { slot: usize::MAX, speed: 9.0, ..all[0] };
     classes.add(&other);
     classes.remove(&other);
     candidates.decide(head, inputs, &classes, &runs)
@@ -78,20 +82,21 @@
 fn size(cpus: f64) -> Resources {
     Resources { cpus, gpus: 0.0, memory: 0.0 }
 }
-fn machine(at: usize, free: f64, speed: f64) -> Candidate {
-    Candidate { at, free: size(free), whole: size(8.0), speed }
+fn machine(slot: usize, free: f64, speed: f64) -> Candidate {
+    Candidate { slot, free: size(free), total: size(8.0), speed }
 }
 fn inputs(variance: f64, load: f64) -> SwitchInputs {
     SwitchInputs { variance, load, variance_threshold: 0.05, load_threshold: 1.0 }
 }
 
 proptest! {
-    /// One scan and dry runs on classes decide as the plain computation does.
+    /// The optimized implementation (one scan, dry runs on machine classes) decides like the
+    /// reference implementation of the paper.
     #[test]
-    fn decisions_are_those_of_a_plain_reading_of_the_paper(
+    fn optimized_decision_equals_the_reference_decision(
         machines in prop::collection::vec((0u32..9, 0u32..5, 1u32..4, any::<bool>()), 1..14),
         head in (1u32..5, 0u32..3),
-        later in prop::collection::vec((1u32..5, 0u32..3, 1usize..5), 0..6),
+        later_tasks in prop::collection::vec((1u32..5, 0u32..3, 1usize..5), 0..6),
         variance in prop::sample::select(vec![0.0, 0.06]),
         load in prop::sample::select(vec![0.5, 2.0]),
     ) {
@@ -99,69 +104,75 @@
         let all: Vec<Candidate> = machines
             .iter()
             .enumerate()
-            .map(|(at, (c, g, s, _))| Candidate {
-                at,
+            .map(|(slot, (c, g, s, _))| Candidate {
+                slot,
                 free: sized(*c, *g),
-                whole: sized(8, 4),
+                total: sized(8, 4),
                 speed: 0.5 + f64::from(*s) / 4.0,
             })
             .collect();
-        let fitting: Vec<Candidate> = all.iter().filter(|c| machines[c.at].3).copied().collect();
-        let later: Vec<Resources> =
-            later.iter().flat_map(|(c, g, n)| std::iter::repeat_n(sized(*c, *g), *n)).collect();
+        let fitting: Vec<Candidate> = all.iter().filter(|c| machines[c.slot].3).copied().collect();
+        let later_tasks: Vec<Resources> =
+            later_tasks.iter().flat_map(|(c, g, n)| std::iter::repeat_n(sized(*c, *g), *n)).collect();
         let (head, inputs) = (sized(head.0, head.1), inputs(variance, load));
-        let quick = decide(&fitting, &all, &head, &later, &inputs);
-        let plain = decide_plainly(&fitting, &all, &head, &later, &inputs);
-        prop_assert_eq!(quick.map(|q| q.at), plain.map(|p| p.at));
+        let optimized = decide(&fitting, &all, &head, &later_tasks, &inputs);
+        let reference = reference_decide(&fitting, &all, &head, &later_tasks, &inputs);
+        prop_assert_eq!(optimized.map(|q| q.slot), reference.map(|p| p.slot));
         if let (Some(SelectionPolicy::Ai2 { score: a }), Some(SelectionPolicy::Ai2 { score: b })) =
-            (quick.map(|q| q.policy), plain.map(|p| p.policy))
+            (optimized.map(|q| q.policy), reference.map(|p| p.policy))
         {
             prop_assert!((a - b).abs() < 1e-9);
         } else {
-            prop_assert_eq!(quick.map(|q| q.policy), plain.map(|p| p.policy));
+            prop_assert_eq!(optimized.map(|q| q.policy), reference.map(|p| p.policy));
         }
     }
 }
 
-/// The table of the paper: a slow machine that fits well, a fast one that
-/// fits badly.
+/// Checks the decision table of the paper with a slow best-fit machine and a fast machine with more
+/// leftover.
 #[test]
-fn the_switch_goes_by_variance_and_load() {
-    let m = [machine(0, 2.0, 1.0), machine(1, 8.0, 1.5)];
+fn variance_and_load_thresholds_determine_the_policy() {
+    let machines = [machine(0, 2.0, 1.0), machine(1, 8.0, 1.5)];
     let head = size(2.0);
-    let at = |v, l, later: &[Resources]| decide(&m, &m, &head, later, &inputs(v, l));
-    assert_eq!(at(0.0, 2.0, &[]), Some(Selection { at: 0, policy: SelectionPolicy::BestFit }));
-    assert_eq!(at(0.05, 0.99, &[]), Some(Selection { at: 1, policy: SelectionPolicy::FastestFirst }));
-    // empty queue: the fastest only if it is faster
-    assert_eq!(at(0.05, 1.0, &[]), Some(Selection { at: 1, policy: SelectionPolicy::Ai2 { score: 1.5 } }));
-    let even = [machine(0, 2.0, 1.0), machine(1, 8.0, 1.0)];
-    assert_eq!(decide(&even, &even, &head, &[], &inputs(0.0, 0.0)).map(|selection| selection.at), Some(0));
+    let decide_for = |v, l, later_tasks: &[Resources]| decide(&machines, &machines, &head, later_tasks, &inputs(v, l));
+    assert_eq!(decide_for(0.0, 2.0, &[]), Some(Selection { slot: 0, policy: SelectionPolicy::BestFit }));
+    assert_eq!(decide_for(0.05, 0.99, &[]), Some(Selection { slot: 1, policy: SelectionPolicy::FastestFirst }));
+    // Without waiting tasks, the fastest machine is selected only if it is strictly faster.
+    assert_eq!(decide_for(0.05, 1.0, &[]), Some(Selection { slot: 1, policy: SelectionPolicy::Ai2 { score: 1.5 } }));
+    let equal_speeds = [machine(0, 2.0, 1.0), machine(1, 8.0, 1.0)];
+    assert_eq!(
+        decide(&equal_speeds, &equal_speeds, &head, &[], &inputs(0.0, 0.0)).map(|selection| selection.slot),
+        Some(0)
+    );
 }
 
-/// Score by hand.  Later task of 8 cores: with best-fit the head (2) sits
-/// on the slow machine and the 8 fit on the fast one: 2*1 + 8*1.5 = 14;
-/// with fastest-first the head takes 2 of the fast one and the 8 fit
-/// nowhere: 2*1.5 = 3.  Score 1.5 * 3/14 = 0.32: best-fit stays.
+/// Checks a score below 1, for a head of 2 cores and a later task of 8 cores.  With best-fit, the
+/// head is on the slow machine and the later task fits on the fast one: 2*1 + 8*1.5 = 14.  With
+/// fastest-first, the head takes 2 cores of the fast machine and the later task fits nowhere:
+/// 2*1.5 = 3.  The score is 1.5 * 3/14 = 0.32, so the best-fit machine is selected.
 #[test]
-fn ai2_keeps_best_fit_when_the_lookahead_loses() {
-    let m = [machine(0, 2.0, 1.0), machine(1, 8.0, 1.5)];
-    let Selection { at, policy } = decide(&m, &m, &size(2.0), &[size(8.0)], &inputs(0.06, 5.0)).unwrap();
-    assert_eq!(at, 0);
+fn ai2_selects_best_fit_when_fastest_first_blocks_a_later_task() {
+    let machines = [machine(0, 2.0, 1.0), machine(1, 8.0, 1.5)];
+    let Selection { slot, policy } =
+        decide(&machines, &machines, &size(2.0), &[size(8.0)], &inputs(0.06, 5.0)).unwrap();
+    assert_eq!(slot, 0);
     assert!(matches!(policy, SelectionPolicy::Ai2 { score } if (score - 1.5 * 3.0 / 14.0).abs() < 1e-9));
 }
 
-/// Later task of 2 cores: best-fit 2*1 + 2*1.5 = 5; fastest-first 2*1.5 +
-/// 2*1 (the slow one fits best) = 5.  Score 1.5 * 5/5 = 1.5: the fastest.
+/// Checks a score above 1, for a head and a later task of 2 cores each.  Best-fit gives
+/// 2*1 + 2*1.5 = 5.  Fastest-first gives 2*1.5 + 2*1 = 5, as the later task fits best on the slow
+/// machine.  The score is 1.5 * 5/5 = 1.5, so the fastest machine is selected.
 #[test]
-fn ai2_takes_the_fastest_when_nothing_is_lost() {
-    let m = [machine(0, 2.0, 1.0), machine(1, 8.0, 1.5)];
-    let Selection { at, policy } = decide(&m, &m, &size(2.0), &[size(2.0)], &inputs(0.06, 5.0)).unwrap();
-    assert_eq!(at, 1);
+fn ai2_selects_the_fastest_when_later_tasks_fit_either_way() {
+    let machines = [machine(0, 2.0, 1.0), machine(1, 8.0, 1.5)];
+    let Selection { slot, policy } =
+        decide(&machines, &machines, &size(2.0), &[size(2.0)], &inputs(0.06, 5.0)).unwrap();
+    assert_eq!(slot, 1);
     assert!(matches!(policy, SelectionPolicy::Ai2 { score } if (score - 1.5).abs() < 1e-9));
 }
 
 #[test]
-fn variance_is_that_of_the_population() {
+fn variance_is_the_population_variance() {
     assert_eq!(variance([1.0, 1.0].into_iter()), 0.0);
     assert!((variance([1.0, 2.0].into_iter()) - 0.25).abs() < 1e-12);
     assert_eq!(variance(std::iter::empty()), 0.0);
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -6,20 +6,20 @@
 use std::time::Duration;
 
 fn add_machine(cluster: &mut Cluster, name: &str, now: Instant) {
-    let mut m = Machine::new(name.into(), "t".into(), "z0".into(), true, now);
-    (m.incarnation, m.last_heartbeat, m.state, m.size) =
+    let mut machine = Machine::new(name.into(), "t".into(), "z0".into(), true, now);
+    (machine.incarnation, machine.last_heartbeat, machine.state, machine.size) =
         (1, Some(now), Some(MachineState::Running), cluster.types["t"].size());
-    cluster.machines.insert(name.into(), m);
+    cluster.machines.insert(name.into(), machine);
 }
 
 fn assert_applied(cluster: &mut Cluster, heartbeat: &Heartbeat, now: Instant) {
     assert_eq!(cluster.apply_heartbeat(heartbeat, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
 }
 
-/// Tasks of a large array that were lost with their spot machines were queued behind
-/// all that had come since, and made their job late by minutes.
+/// Guards against queueing lost tasks behind jobs that arrived after them.  Tasks of a large array
+/// that were lost with their spot machines once waited so long that the job was late by minutes.
 #[test]
-fn a_lost_task_does_not_queue_again() {
+fn lost_array_task_is_placed_before_later_jobs() {
     let start = Instant::now();
     let mut cluster = new_cluster(1, start);
     for n in 0..5 {
@@ -30,52 +30,63 @@
     assert_eq!(cluster.jobs["j-000001"].assignments.len(), 40);
     let now = start + Duration::from_secs(5);
     cluster.add_job(spec("j-000002", 40), 2, None, now);
-    for m in cluster.machines.values_mut() {
-        m.last_heartbeat = Some(now);
+    for machine in cluster.machines.values_mut() {
+        machine.last_heartbeat = Some(now);
     }
-    // some were lost; the new job is first, but for these
+    // After some tasks are lost, the second job comes before the rest of the first job, but not
+    // before the lost tasks.
     cluster.release_assignment(&"i-0".into(), &Task { job: "j-000001".into(), index: 0 }, now);
     cluster.release_all_assignments(&"i-1".into(), now);
-    let first = *cluster.jobs["j-000001"].pending.iter().collect::<Vec<_>>().first().expect("a lost task");
+    let first = *cluster.jobs["j-000001"].pending.iter().collect::<Vec<_>>().first().expect("a lost task is pending");
     assert_eq!(first, 0);
     let lost = cluster.jobs["j-000001"].pending.below(cluster.jobs["j-000001"].first_never_assigned());
     cluster.run_placement_pass(now);
-    assert_eq!(cluster.jobs["j-000001"].assignments.len(), 40, "what was lost runs again");
+    assert_eq!(cluster.jobs["j-000001"].assignments.len(), 40, "the lost tasks are assigned again");
     assert_eq!(lost, 9);
     assert_eq!(cluster.jobs["j-000002"].assignments.len(), 0);
-    // what of the first has never run waits behind the second
+    // Tasks of the first job that were never assigned wait behind the second job.
     cluster.release_all_assignments(&"i-1".into(), now);
-    cluster.machines.get_mut("i-1").expect("it is there").size = Resources { cpus: 18.0, gpus: 0.0, memory: 64.0 };
+    cluster.machines.get_mut("i-1").expect("the machine was added").size =
+        Resources { cpus: 18.0, gpus: 0.0, memory: 64.0 };
     cluster.run_placement_pass(now);
     assert_eq!((cluster.jobs["j-000001"].assignments.len(), cluster.jobs["j-000002"].assignments.len()), (40, 10));
 }
 
-/// A chain under a deadline mostly lost a task with a spot machine. Its tasks take
-/// the room that ordinary machines have left, and a job's priority is the highest of its
-/// own and of those that wait for it.
+/// Guards against placing a dependency chain with a deadline on spot machines, where it mostly lost
+/// a task.  The tasks of the chain use the free resources of on-demand machines.  A job's priority
+/// is the highest of its own and those of the jobs that wait for it.
 #[test]
-fn chains_keep_to_ordinary_machines_and_the_highest_priority() {
+fn chain_with_deadline_prefers_on_demand_machines_and_takes_its_highest_priority() {
     let now = Instant::now();
     let mut cluster = new_cluster(1, now);
     add_machine(&mut cluster, "i-0", now);
     add_machine(&mut cluster, "i-1", now);
-    cluster.machines.get_mut("i-1").expect("it is there").spot = false;
-    let low = |id: &str| JobSpec { priority: Priority::Low, ..(*spec(id, 1)).clone() };
-    cluster.add_job(Arc::new(low("j-1")), 1, None, now);
-    cluster.add_job(Arc::new(low("j-2")), 2, None, now);
-    cluster.add_job(Arc::new(low("j-4")), 4, None, now);
-    let last = JobSpec { needs: vec!["j-2".into()], priority: Priority::High, deadline_s: Some(60.0), ..low("j-3") };
-    cluster.add_job(Arc::new(last), 3, None, now);
+    cluster.machines.get_mut("i-1").expect("the machine was added").spot = false;
+    let low_priority_job = |id: &str| JobSpec { priority: Priority::Low, ..(*spec(id, 1)).clone() };
+    cluster.add_job(Arc::new(low_priority_job("j-1")), 1, None, now);
+    cluster.add_job(Arc::new(low_priority_job("j-2")), 2, None, now);
+    cluster.add_job(Arc::new(low_priority_job("j-4")), 4, None, now);
+    let dependent = JobSpec {
+        needs: vec!["j-2".into()],
+        priority: Priority::High,
+        deadline_s: Some(60.0),
+        ..low_priority_job("j-3")
+    };
+    cluster.add_job(Arc::new(dependent), 3, None, now);
     assert_eq!(
         cluster.jobs["j-2"].queue_priority(),
         QueuePriority { is_beyond_guarantee: true, priority: Priority::High }
     );
     cluster.run_placement_pass(now);
-    let at = |cluster: &Cluster, id: &str| cluster.jobs.get(id).and_then(|j| Some(j.assignments.get(&0)?[0].clone()));
-    assert_eq!(at(&cluster, "j-2").as_deref(), Some("i-1"), "under the deadline of the last");
-    assert_eq!((at(&cluster, "j-1").as_deref(), at(&cluster, "j-4").as_deref()), (Some("i-0"), Some("i-0")));
-    assert_eq!(at(&cluster, "j-3"), None);
-    // the last is cancelled: what it needs is as urgent as it was by itself
+    let machine_of =
+        |cluster: &Cluster, id: &str| cluster.jobs.get(id).and_then(|j| Some(j.assignments.get(&0)?[0].clone()));
+    assert_eq!(machine_of(&cluster, "j-2").as_deref(), Some("i-1"), "the deadline of j-3 applies to j-2");
+    assert_eq!(
+        (machine_of(&cluster, "j-1").as_deref(), machine_of(&cluster, "j-4").as_deref()),
+        (Some("i-0"), Some("i-0"))
+    );
+    assert_eq!(machine_of(&cluster, "j-3"), None);
+    // After j-3 is cancelled, the job that it needed has its own priority again.
     cluster.set_outcome("j-3", JobOutcome::Cancelled, now);
     assert_eq!(
         cluster.jobs["j-2"].queue_priority(),
@@ -85,11 +96,11 @@
     assert!(cluster.dependency.is_empty());
 }
 
-/// Seen with four thousand machines: one pass took longer than the leader's lease.  A
-/// pass ends when it has examined a number of machines, the next ones continue, and
-/// nothing waits for ever.
+/// Guards against a pass that takes longer than the leader's lease, as happened with four thousand
+/// machines.  A pass ends once it has examined a limited number of machines.  The following passes
+/// continue until every job is placed.
 #[test]
-fn a_long_queue_takes_several_passes() {
+fn long_queue_is_placed_over_several_passes() {
     let now = Instant::now();
     let mut cluster = new_cluster(1, now);
     for n in 0..50 {
@@ -104,9 +115,9 @@
     let placed = |cluster: &Cluster| cluster.jobs.values().filter(|j| j.pending.is_empty()).count();
     cluster.run_placement_pass(now);
     let first = placed(&cluster);
-    assert!((1..10).contains(&first), "{first} jobs in one pass");
-    assert!(cluster.queue_changed, "another pass is due");
-    // in their order
+    assert!((1..10).contains(&first), "the first pass placed {first} jobs");
+    assert!(cluster.queue_changed, "a further pass is requested");
+    // Jobs are placed in queue order.
     assert!((0..first).all(|n| cluster.jobs[&*format!("j-{n:06}")].pending.is_empty()));
     let passes = (1..100).find(|_| {
         cluster.run_placement_pass(now);
@@ -115,30 +126,32 @@
     assert!(passes.is_some() && !cluster.queue_changed);
 }
 
-/// Every team is at its limit, a job is cancelled whose machines can't be reached, and the
-/// leader changes: its stored starts count until they are proved to be gone, though this
-/// leader has no heartbeat of their machines, and nothing of its team starts instead; then
-/// the room is used at once.
+/// Guards against exceeding a team's limit after a change of leader.  A team is at its limit, and the
+/// machine of its cancelled job cannot be reached.  The new leader has no heartbeat of the machine.
+/// The job's stored starts count towards the limit until the absence of the tasks is proved, and no
+/// other task of the team starts until then.  Afterwards the resources are used at once.
 #[test]
-fn places_of_a_cancelled_job_count_until_there_is_a_proof() {
+fn starts_of_cancelled_job_count_until_absence_is_proved() {
     use crate::cluster::{MachineLocation, PlacementShard, StartRecord, TeamLimit};
     let now = Instant::now();
-    let most = Resources { cpus: 4.0, gpus: 0.0, memory: 0.0 };
-    let old: Name = "i-9".into();
-    let leader = || {
+    let team_limit = Resources { cpus: 4.0, gpus: 0.0, memory: 0.0 };
+    let unreachable: Name = "i-9".into();
+    let new_leader = || {
         let mut cluster = new_cluster(5, now);
-        cluster.teams =
-            std::collections::HashMap::from([("x".into(), TeamLimit { guarantee: Resources::default(), limit: most })]);
+        cluster.teams = std::collections::HashMap::from([(
+            "x".into(),
+            TeamLimit { guarantee: Resources::default(), limit: team_limit },
+        )]);
         cluster.add_job(spec("j-1", 4), 1, Some(JobOutcome::Cancelled), now);
         let start = |index| StartRecord {
-            machine: old.clone(),
+            machine: unreachable.clone(),
             task: Task { job: "j-1".into(), index },
             attempt: 7,
             incarnation: 1,
         };
         let shard = PlacementShard { revision: 1, starts: (0..4).map(start).collect(), completed: vec![] };
         let at = std::collections::HashMap::from([(
-            old.clone(),
+            unreachable.clone(),
             MachineLocation { kind: "t".into(), zone: "z1".into(), spot: false },
         )]);
         cluster.add_shard(0, shard, &at, now);
@@ -151,40 +164,41 @@
         cluster.run_placement_pass(now);
         cluster.jobs["j-2"].assignments.len()
     };
-    let (last, this) = (4 << 24, 5 << 24);
-    // missed heartbeats, lists, and a heartbeat that may be of any age are no proof
-    let mut cluster = leader();
+    let (previous_token, current_token) = (4 << 24, 5 << 24);
+    // Missed heartbeats, machine lists and a heartbeat of unknown age do not prove absence.
+    let mut cluster = new_leader();
     assert!(
         !cluster.has_no_task_of("j-1") && cluster.has_no_task_of("j-3"),
-        "a job with stored starts is not known to be gone"
+        "only the job with stored starts may still have tasks"
     );
     assert_eq!(running_tasks(&mut cluster), 0);
     cluster.apply_machine_list(&[], now);
     cluster.collect_garbage(now);
-    assert_applied(&mut cluster, &heartbeat(last, 1), now);
+    assert_applied(&mut cluster, &heartbeat(previous_token, 1), now);
     assert_eq!((running_tasks(&mut cluster), cluster.has_no_task_of("j-1")), (0, false));
-    // a heartbeat under this term's token is a proof, and so are a later incarnation and a
-    // deletion
+    // A heartbeat with this term's token, a heartbeat of a later incarnation, and the deletion of
+    // the machine each prove absence.
     type Proof<'a> = &'a dyn Fn(&mut Cluster);
     let proofs: [Proof; 3] = [
-        &|cluster| assert_applied(cluster, &heartbeat(this, 1), now),
-        &|cluster| assert_applied(cluster, &heartbeat(last, 2), now),
-        &|cluster| cluster.apply_deletion(std::slice::from_ref(&old), now),
+        &|cluster| assert_applied(cluster, &heartbeat(current_token, 1), now),
+        &|cluster| assert_applied(cluster, &heartbeat(previous_token, 2), now),
+        &|cluster| cluster.apply_deletion(std::slice::from_ref(&unreachable), now),
     ];
     for (n, proof) in proofs.iter().enumerate() {
-        let mut cluster = leader();
+        let mut cluster = new_leader();
         assert_eq!(running_tasks(&mut cluster), 0);
         proof(&mut cluster);
-        assert!(cluster.has_no_task_of("j-1"), "{n}");
-        assert_eq!(running_tasks(&mut cluster), 4, "proof {n}: the room is used at once");
+        assert!(cluster.has_no_task_of("j-1"), "proof {n}: the job has no task left");
+        assert_eq!(running_tasks(&mut cluster), 4, "proof {n}: the resources are used at once");
     }
 }
 
-/// A new machine is up within two seconds and gets work before any list has it, and the
-/// leader ends: the next one finds the start in its shard with the machine's location, counts
-/// it, and takes neither a list that lags nor its own ignorance for a proof.
+/// Guards against starting a task twice after a change of leader.  A new machine is up within two
+/// seconds and gets a task before any machine list has it; then the leader ends.  The next leader
+/// finds the start with the machine's location in a stored shard and counts it.  Neither a lagging
+/// machine list nor the lack of a heartbeat proves that the task is absent.
 #[test]
-fn a_start_on_a_machine_that_no_list_has_counts_for_the_next_leader() {
+fn start_on_unlisted_machine_counts_for_the_next_leader() {
     use crate::commit::{read_shard, TxnLimits};
     use coralnotch_wire::state::{KeyValue, Write};
     let now = Instant::now();
@@ -193,59 +207,67 @@
     assert_applied(&mut cluster, &first, now);
     cluster.add_job(spec("j-1", 1), 1, None, now);
     cluster.run_placement_pass(now);
-    assert_eq!(cluster.jobs["j-1"].assignments.len(), 1, "it gets work at once");
-    assert!(cluster.reply_to_heartbeat(&first, now).commands.is_empty(), "not before the start is stored: writes lag");
+    assert_eq!(cluster.jobs["j-1"].assignments.len(), 1, "the unlisted machine gets the task at once");
+    assert!(
+        cluster.reply_to_heartbeat(&first, now).commands.is_empty(),
+        "no start command is sent before the delayed write of the start is stored"
+    );
     let limits = TxnLimits { writes: 8, preconditions: 32, shard_bytes: 4096, value_bytes: 4096 };
-    let batch = cluster.next_commit(9, &limits).expect("a start is to be stored");
-    let Some(Write::Set { set, data, .. }) = batch.txn.writes.first().cloned() else { panic!("a shard") };
-    let stored = read_shard(&set, &KeyValue { key: set.clone(), value: data, revision: 11 }).expect("our own shard");
-    // the next leader: no list has the machine, and it never sent a heartbeat
-    let mut next = new_cluster(5, now);
-    next.add_job(spec("j-1", 1), 1, None, now);
-    next.add_shard(stored.id, stored.shard, &stored.locations, now);
-    next.apply_machine_list(&[], now);
-    next.run_placement_pass(now);
-    let m = &next.machines["i-7"];
-    assert_eq!((&*m.zone, m.spot, m.tasks.len()), ("z2", true, 1));
-    assert_eq!(next.jobs["j-1"].pending.len(), 0, "it is not started elsewhere");
-    next.apply_deletion(&["i-7".into()], now);
-    assert_eq!(next.jobs["j-1"].pending.len(), 1);
+    let batch = cluster.next_commit(9, &limits).expect("the start has to be stored");
+    let Some(Write::Set { set, data, .. }) = batch.txn.writes.first().cloned() else {
+        panic!("the first write of the commit is not a shard")
+    };
+    let stored = read_shard(&set, &KeyValue { key: set.clone(), value: data, revision: 11 })
+        .expect("the stored shard is readable");
+    // For the next leader, no list has the machine and the machine has sent no heartbeat.
+    let mut next_leader = new_cluster(5, now);
+    next_leader.add_job(spec("j-1", 1), 1, None, now);
+    next_leader.add_shard(stored.id, stored.shard, &stored.locations, now);
+    next_leader.apply_machine_list(&[], now);
+    next_leader.run_placement_pass(now);
+    let machine = &next_leader.machines["i-7"];
+    assert_eq!((&*machine.zone, machine.spot, machine.tasks.len()), ("z2", true, 1));
+    assert_eq!(next_leader.jobs["j-1"].pending.len(), 0, "the task is not started on another machine");
+    next_leader.apply_deletion(&["i-7".into()], now);
+    assert_eq!(next_leader.jobs["j-1"].pending.len(), 1);
 }
 
-/// Jobs bound to one zone lose their machines, an array and a gang: they wait for room
-/// there, which holds up nobody who may run elsewhere, and begin as soon as there is some,
-/// the larger one in the order of the queue.
+/// Guards against zone-bound jobs that block other jobs.  An array and a gang that are bound to one
+/// zone lose their machines.  The two jobs wait for machines in that zone while a job without a
+/// zone constraint is placed elsewhere.  As machines come up in the zone, the two jobs start in queue
+/// order, the larger one first.
 #[test]
-fn jobs_bound_to_a_zone_wait_for_room_there_and_hold_nobody_up() {
+fn zone_bound_jobs_wait_for_their_zone_without_blocking_others() {
     let start = Instant::now();
     let mut cluster = new_cluster(1, start);
-    let zone = |cluster: &mut Cluster, name: &str, zone: &str, now| {
+    let add_machine_in = |cluster: &mut Cluster, name: &str, zone: &str, now| {
         add_machine(cluster, name, now);
-        cluster.machines.get_mut(name).expect("it is up").zone = zone.into();
+        cluster.machines.get_mut(name).expect("the machine was added").zone = zone.into();
     };
-    zone(&mut cluster, "i-0", "z1", start);
-    zone(&mut cluster, "i-1", "z1", start);
-    zone(&mut cluster, "i-2", "z2", start);
-    let bound =
+    add_machine_in(&mut cluster, "i-0", "z1", start);
+    add_machine_in(&mut cluster, "i-1", "z1", start);
+    add_machine_in(&mut cluster, "i-2", "z2", start);
+    let job_in_z1 =
         |id: &str, tasks, shape| Arc::new(JobSpec { zone: Some("z1".into()), shape, ..(*spec(id, tasks)).clone() });
-    cluster.add_job(bound("j-1", 8, Shape::Array), 1, None, start);
-    cluster.add_job(bound("j-2", 6, Shape::Gang), 2, None, start);
+    cluster.add_job(job_in_z1("j-1", 8, Shape::Array), 1, None, start);
+    cluster.add_job(job_in_z1("j-2", 6, Shape::Gang), 2, None, start);
     cluster.run_placement_pass(start);
     let running_tasks =
         |cluster: &Cluster| ["j-1", "j-2", "j-3"].map(|id| cluster.jobs.get(id).map_or(0, |j| j.assignments.len()));
     assert_eq!(running_tasks(&cluster), [8, 6, 0]);
-    // the zone's machines die; others have room, which is not theirs
+    // The machines of z1 are deleted.  The machine in z2 has free resources, but the jobs bound to
+    // z1 may not use them.
     cluster.apply_deletion(&["i-0".into(), "i-1".into()], start);
     let now = start + Duration::from_secs(1);
     cluster.add_job(spec("j-3", 8), 3, None, now);
     cluster.run_placement_pass(now);
-    assert_eq!(running_tasks(&cluster), [0, 0, 8], "what may run elsewhere runs");
+    assert_eq!(running_tasks(&cluster), [0, 0, 8], "the job without a zone constraint is placed");
     assert!(cluster.machines.values().all(|m| &*m.zone != "z1" || m.tasks.is_empty()));
-    // room comes back machine by machine
-    zone(&mut cluster, "i-3", "z1", now);
+    // Machines in z1 come up one by one.
+    add_machine_in(&mut cluster, "i-3", "z1", now);
     cluster.run_placement_pass(now);
-    assert_eq!(running_tasks(&cluster)[0], 8, "the array, which is first in the queue");
-    zone(&mut cluster, "i-4", "z1", now);
+    assert_eq!(running_tasks(&cluster)[0], 8, "the array is first in the queue");
+    add_machine_in(&mut cluster, "i-4", "z1", now);
     cluster.run_placement_pass(now);
     assert_eq!(running_tasks(&cluster), [8, 6, 8]);
 }
