--- a/packages/core/src/lookup.rs
+++ b/packages/core/src/lookup.rs
@@ -82,8 +82,8 @@
         any_changed
     }
 
-    /// Sets a flag in the entry of an id.  Returns whether the entry exists and the flag was not set
-    /// before.
+    /// Sets a flag in the entry of an id.  Returns whether the entry exists and the flag was not
+    /// set before.
     fn mark_existing(&mut self, id: &str, flag: impl Fn(&mut LookupEntry) -> &mut bool) -> bool {
         let entry = self.entries.iter_mut().find(|entry| *entry.id == *id);
         entry.is_some_and(|entry| !std::mem::replace(flag(entry), true))
--- a/packages/core/src/placement/dry_run.rs
+++ b/packages/core/src/placement/dry_run.rs
@@ -1,5 +1,5 @@
-//! The dry run of the AI2 lookahead: computes the compute capacity that the waiting tasks would get
-//! if the head of the queue were placed on a given machine.
+//! The dry run of the AI2 lookahead: estimates the compute capacity that the waiting tasks would
+//! get if the head of the queue were placed on a given machine.
 
 use std::iter::Peekable;
 
--- a/packages/core/src/placement/gang.rs
+++ b/packages/core/src/placement/gang.rs
@@ -3,7 +3,7 @@
 use super::pass::{Pass, PlacementRequest};
 use super::preemption::WaitLimits;
 use super::tai2::{Selection, TaskRun};
-use super::{BlockedTasks, PlacementDecisions, Start, TaskStart};
+use super::{BlockedTasks, PlacementDecisions, StartDecision, TaskStart};
 use crate::cluster::{Assignment, Cluster, Job, TaskPhase};
 
 /// Machines for all tasks of a gang.
@@ -15,8 +15,8 @@
 
 impl Cluster {
     /// Places the pending tasks of a gang.  In a gang that has not started yet, lost tasks are
-    /// replaced under the same attempt.  Returns the tasks that no machine can hold; `None` if the
-    /// tasks are not blocked by a lack of resources.
+    /// replaced under the same attempt.  Returns the tasks that do not fit on any machine now;
+    /// `None` if they are not blocked by a lack of resources.
     pub(super) fn place_gang<'a>(
         &self,
         request: &PlacementRequest<'a>,
@@ -56,7 +56,7 @@
             tasks.push(TaskStart { index, machine: pass.slots[selection.slot].machine.name.clone() });
         }
         let attempt = (!present.is_empty()).then_some(job.attempt);
-        decisions.starts.push(Start { job: job.spec.id.clone(), tasks, attempt });
+        decisions.starts.push(StartDecision { job: job.spec.id.clone(), tasks, attempt });
         None
     }
 
--- a/packages/core/src/placement/image_wait.rs
+++ b/packages/core/src/placement/image_wait.rs
@@ -23,7 +23,7 @@
     /// Returns how long a task of the job would wait for its image on a machine.  The estimate is
     /// cached for each image and machine until another fetch begins on the machine.
     pub(super) fn image_wait(&mut self, request: &PlacementRequest<'a>, slot: usize) -> ImageWait {
-        if let Some(wait) = self.image_waits[request.image][slot] {
+        if let Some(wait) = self.image_waits[request.image_index][slot] {
             return wait;
         }
         let (spec, machine_slot) = (&request.job.spec, &self.slots[slot]);
@@ -34,7 +34,7 @@
             let fetch_gb_per_s = machine_type.map_or(0.0, |t| t.fetch_gb_per_s).max(MIN_FETCH_GB_PER_S);
             estimate_fetch(spec, machine_slot, fetch_gb_per_s, self.now)
         };
-        self.image_waits[request.image][slot] = Some(wait);
+        self.image_waits[request.image_index][slot] = Some(wait);
         wait
     }
 }
--- a/packages/core/src/placement/limits.rs
+++ b/packages/core/src/placement/limits.rs
@@ -45,7 +45,7 @@
     /// Reports whether the team's limit allows `count` more tasks of the job to run.
     pub(super) fn is_within_team_limit(&self, request: &PlacementRequest, count: u32) -> bool {
         let Some(limit) = self.cluster.teams.get(&request.job.spec.team) else { return true };
-        let used = self.used.get(&request.job.spec.team).copied().unwrap_or_default();
+        let used = self.used_by_team.get(&request.job.spec.team).copied().unwrap_or_default();
         limit.allows(&used, &request.size.scaled(f64::from(count)))
     }
 
@@ -53,7 +53,7 @@
     pub(super) fn count_within_team_limit(&self, request: &PlacementRequest, count: u32) -> u32 {
         let team = &request.job.spec.team;
         let Some(limit) = self.cluster.teams.get(team) else { return count };
-        let used = self.used.get(team).copied().unwrap_or_default();
+        let used = self.used_by_team.get(team).copied().unwrap_or_default();
         // A value of 0 means that there is no limit.
         let remaining = |limit: f64, used: f64| if limit > 0.0 { limit - used } else { f64::INFINITY };
         let remaining = Resources {
--- a/packages/core/src/placement/mod.rs
+++ b/packages/core/src/placement/mod.rs
@@ -1,13 +1,12 @@
 //! Task placement: decides which waiting tasks start, on which machines, and which running
 //! tasks are preempted for them.
 //!
-//! The head of the arrival-ordered queue (`queue`) is placed first.  Among the machines that
-//! can hold the task and start it soonest (`ranking`), the placement switch ([`tai2`]) selects
-//! the best-fit or the fastest machine.  The switch compares the variance of the machine speeds
-//! and the ratio of queued to free cores with two thresholds.  Where the thresholds do not
-//! decide, the AI2 lookahead over the waiting queue does.  If no machine can hold the head, the
-//! pass reserves resources for it or preempts running tasks (`preemption`).  Later tasks may
-//! start before a blocked head.
+//! The head of the queue (`queue`) is placed first.  Among the machines that can hold the task and
+//! start it soonest (`ranking`), the placement switch ([`tai2`]) selects the best-fit or the fastest
+//! machine.  The switch compares the variance of the machine speeds and the ratio of queued to free
+//! cores with one threshold each.  Where the thresholds do not decide, the AI2 lookahead over the
+//! waiting queue does.  If no machine can hold the head, the pass reserves resources for it or
+//! preempts running tasks (`preemption`).  Later tasks may start before a blocked head.
 //!
 //! A pass makes all its decisions on its own view of the machines (`pass`).  The cluster state
 //! changes only after the last decision.
@@ -35,8 +34,8 @@
 use preemption::WaitLimits;
 use queue::lookahead;
 
-/// In one pass, an array reserves resources for at most `dry_run_tasks` divided by this number
-/// of blocked tasks.
+/// In one pass, an array reserves resources for at most `dry_run_tasks / ARRAY_RESERVATION_DIVISOR`
+/// blocked tasks.
 const ARRAY_RESERVATION_DIVISOR: u32 = 4;
 
 /// The start of one task on a machine.
@@ -46,8 +45,8 @@
     machine: Name,
 }
 
-/// The task starts of one job.
-struct Start {
+/// The decision to start tasks of one job.
+struct StartDecision {
     job: Name,
     tasks: Vec<TaskStart>,
     /// Attempt that these tasks join: that of a gang which has not started yet and replaces lost
@@ -67,7 +66,7 @@
     reason: &'static str,
 }
 
-/// Tasks of a job that no machine can hold.
+/// Tasks of a job that do not fit on any machine now.
 struct BlockedTasks {
     count: u32,
     /// Number of tasks of the job that are or may be in each zone, by zone index.
@@ -77,7 +76,7 @@
 /// The decisions of one pass.
 #[derive(Default)]
 struct PlacementDecisions {
-    starts: Vec<Start>,
+    starts: Vec<StartDecision>,
     preemptions: Vec<Preemption>,
     pending_reasons: Vec<PendingReason>,
     unmet_demand: Vec<UnmetDemand>,
@@ -93,7 +92,7 @@
 
 impl Cluster {
     /// Runs one placement pass over the queue: decides starts and preemptions and applies them.
-    /// Returns the tasks that no machine can hold.
+    /// Returns the tasks that do not fit on any machine now.
     pub fn run_placement_pass(&mut self, now: Instant) -> Vec<UnmetDemand> {
         self.queue_changed = false;
         self.placement_waits.clear();
@@ -114,8 +113,8 @@
         decisions.unmet_demand
     }
 
-    /// Assigns the tasks of a start.  All tasks of a gang share one attempt.
-    fn apply_start(&mut self, start: Start, now: Instant) {
+    /// Assigns the tasks of a start decision.  All tasks of a gang share one attempt.
+    fn apply_start(&mut self, start: StartDecision, now: Instant) {
         let is_gang = self.jobs.get(&start.job).is_some_and(|job| job.spec.shape == Shape::Gang);
         let shared_attempt = is_gang.then(|| start.attempt.unwrap_or_else(|| self.new_attempt()));
         if let (Some(attempt), Some(job)) = (shared_attempt, self.jobs.get_mut(&start.job)) {
--- a/packages/core/src/placement/pass.rs
+++ b/packages/core/src/placement/pass.rs
@@ -14,8 +14,8 @@
 use crate::cluster::{Cluster, Job};
 use crate::model::*;
 
-/// The open slots are pruned once the number of examined slots exceeds this multiple of the
-/// number of open slots.
+/// The open slots are pruned once the number of slots examined since the last pruning exceeds this
+/// multiple of the number of open slots.
 const PRUNE_EXAMINED_MULTIPLE: usize = 8;
 
 /// A job whose tasks are to be placed.
@@ -25,8 +25,8 @@
     pub(super) size: Resources,
     /// Whether the job may use each pool, by pool index.
     pub(super) allowed_pools: Vec<bool>,
-    /// Index of the job's image in the pass.
-    pub(super) image: usize,
+    /// Index of the job's image in [`Pass::images`].
+    pub(super) image_index: usize,
 }
 
 /// The pool of a machine, with names borrowed from the machine.
@@ -42,7 +42,9 @@
     pub(super) cluster: &'a Cluster,
     pub(super) now: Instant,
     pub(super) slots: Vec<MachineSlot<'a>>,
+    /// Pools of the schedulable machines, by pool index.
     pools: Vec<PoolRef<'a>>,
+    /// Zones of all machines, by zone index.
     pub(super) zones: Vec<&'a Name>,
     /// Indices of the slots that may hold at least one queued task.
     pub(super) open_slots: Vec<usize>,
@@ -50,13 +52,13 @@
     pub(super) classes: Option<MachineClasses>,
     /// Minimum of each resource over all queued tasks.
     smallest_task: Resources,
-    /// Value of `examined` when the open slots were last pruned.
-    pruned_at: usize,
+    examined_at_last_pruning: usize,
     /// Resources that each team uses; empty if no team has a limit or a guarantee.
-    pub(super) used: NameMap<Resources>,
+    pub(super) used_by_team: NameMap<Resources>,
     speed_variance: f64,
     free_cpus: f64,
     queued_cpus: f64,
+    /// Index of each image that a request of this pass uses.
     images: HashMap<&'a Name, usize>,
     /// Estimated wait for each image on each slot, by image index and slot index; `None` where
     /// there is no current estimate.
@@ -108,8 +110,8 @@
             open_slots,
             classes: None,
             smallest_task,
-            pruned_at: 0,
-            used: if cluster.has_limits() { cluster.team_usage() } else { NameMap::default() },
+            examined_at_last_pruning: 0,
+            used_by_team: if cluster.has_limits() { cluster.team_usage() } else { NameMap::default() },
             speed_variance: variance(slots.iter().map(|slot| slot.machine.speed)),
             free_cpus: slots.iter().map(|slot| slot.free.cpus.max(0.0)).sum(),
             queued_cpus: queue.iter().map(|entry| entry.job.spec.cpus * f64::from(entry.count)).sum(),
@@ -128,11 +130,11 @@
     /// examined since the last pruning.  Called only between two jobs, when no resources are
     /// allocated for a trial plan.
     fn prune_open_slots(&mut self) {
-        if self.examined - self.pruned_at > self.open_slots.len() * PRUNE_EXAMINED_MULTIPLE {
+        if self.examined - self.examined_at_last_pruning > self.open_slots.len() * PRUNE_EXAMINED_MULTIPLE {
             let (slots, smallest) = (&self.slots, self.smallest_task);
             self.open_slots
                 .retain(|slot| slots[*slot].remaining_task_capacity > 0 && slots[*slot].free.fits(&smallest));
-            self.pruned_at = self.examined;
+            self.examined_at_last_pruning = self.examined;
         }
     }
 
@@ -145,12 +147,12 @@
         }
         let spec = &job.spec;
         let next_image = self.images.len();
-        let image = *self.images.entry(&spec.image).or_insert(next_image);
-        if image == self.image_waits.len() {
+        let image_index = *self.images.entry(&spec.image).or_insert(next_image);
+        if image_index == self.image_waits.len() {
             self.image_waits.push(vec![None; self.slots.len()]);
         }
         let allowed_pools = self.pools.iter().map(|pool| spec.allows(pool.kind, pool.zone, pool.spot)).collect();
-        PlacementRequest { job, size: spec.size(), allowed_pools, image }
+        PlacementRequest { job, size: spec.size(), allowed_pools, image_index }
     }
 
     /// Returns the inputs of the placement switch at this point of the pass.
@@ -200,15 +202,16 @@
         slot.remaining_task_capacity += 1;
     }
 
-    /// Records the start of a task on a slot: allocates its resources, adds them to its team's
-    /// usage, and notes the image fetch unless the machine has or already fetches the image.
+    /// Records the start of a task on a slot: allocates its resources and adds them to the team's
+    /// usage.  Also records the image fetch, unless the machine has the image or an earlier start of
+    /// this pass already fetches it there.
     pub(super) fn start_task(&mut self, request: &PlacementRequest<'a>, slot: usize) {
         self.allocate(slot, &request.size);
         let spec = &request.job.spec;
         if spec.shape == Shape::Service {
             self.slots[slot].unused_by_replicas.subtract(&request.size);
         }
-        self.used.entry(spec.team.clone()).or_default().add(&request.size);
+        self.used_by_team.entry(spec.team.clone()).or_default().add(&request.size);
         let machine_slot = &mut self.slots[slot];
         let is_fetched = machine_slot.fetches.iter().any(|fetch| *fetch.image == spec.image);
         if machine_slot.machine.has_image(&spec.image) || is_fetched {
--- a/packages/core/src/placement/preemption.rs
+++ b/packages/core/src/placement/preemption.rs
@@ -17,7 +17,7 @@
 pub(super) struct WaitLimits {
     /// Longest acceptable image wait, in seconds.
     pub(super) max_image_wait_s: f64,
-    /// Tasks whose checkpoint takes this long or longer to save are not preempted, in seconds.
+    /// Tasks that take this long or longer to save a checkpoint are not preempted, in seconds.
     pub(super) max_save_s: f64,
 }
 
@@ -44,8 +44,8 @@
 
 impl Cluster {
     /// Reserves resources that stopping tasks will free, or preempts running tasks, for `count`
-    /// tasks that no machine can hold now.  Returns for how many tasks resources are reserved; for
-    /// a gang, this is `count` or 0.
+    /// tasks of a job.  Returns for how many tasks resources are reserved; for a gang, this is
+    /// `count` or 0.
     pub(super) fn reserve_or_preempt<'a>(
         &self,
         request: &PlacementRequest<'a>,
@@ -176,7 +176,7 @@
     waiting: &Job,
     running: &Job,
     teams: &HashMap<Name, TeamLimit>,
-    used: &NameMap<Resources>,
+    used_by_team: &NameMap<Resources>,
 ) -> bool {
     if running.queue_priority() <= waiting.queue_priority() {
         return false;
@@ -184,7 +184,7 @@
     if running.urgency.priority > waiting.urgency.priority {
         return true;
     }
-    let team_usage = used.get(&running.spec.team).copied().unwrap_or_default();
+    let team_usage = used_by_team.get(&running.spec.team).copied().unwrap_or_default();
     let limit = teams.get(&running.spec.team).copied().unwrap_or_default();
     waiting.guaranteed
         && !running.guaranteed
--- a/packages/core/src/placement/preemption_cost.rs
+++ b/packages/core/src/placement/preemption_cost.rs
@@ -102,7 +102,7 @@
                 continue;
             }
             let Some(running) = self.cluster.jobs.get(&assignment.spec.id) else { continue };
-            if may_preempt(request.job, running, &self.cluster.teams, &self.used) {
+            if may_preempt(request.job, running, &self.cluster.teams, &self.used_by_team) {
                 // A gang is stopped as a whole.
                 let members = if running.spec.shape == Shape::Gang { running.assignments.len() } else { 1 };
                 let loss = preemption_loss(assignment, self.now) * members.max(1) as f64;
@@ -114,9 +114,9 @@
         victims
     }
 
-    /// Reports whether a task may be chosen for preemption: it is on the machine, was not inherited
-    /// from an earlier leader, is not stopping or planned to stop, and saves its checkpoint in
-    /// less than `max_save_s` seconds.
+    /// Reports whether a task may be chosen for preemption.  It must be on the machine, not inherited
+    /// from an earlier leader, and neither stopping nor planned to stop.  A task with checkpoints
+    /// must also save one in less than `max_save_s` seconds.
     fn is_stoppable(&self, machine: &'a Name, task: &'a Task, assignment: &Assignment, max_save_s: f64) -> bool {
         let saves_too_long = assignment.spec.checkpoint_s > 0.0 && assignment.spec.save_s >= max_save_s;
         assignment.occupies_resources()
@@ -134,7 +134,7 @@
             let Some(assignment) = machine.tasks.get(*task) else { continue };
             let size = assignment.spec.size();
             self.slots[slot].free_after_stops.add(&size);
-            self.used.entry(assignment.spec.team.clone()).or_default().subtract(&size);
+            self.used_by_team.entry(assignment.spec.team.clone()).or_default().subtract(&size);
             self.planned_stops.insert((&machine.name, task));
         }
         self.slots[slot].free_after_stops.subtract(&request.size);
@@ -148,7 +148,7 @@
             let Some(assignment) = machine.tasks.get(*task) else { continue };
             let size = assignment.spec.size();
             self.slots[slot].free_after_stops.subtract(&size);
-            self.used.entry(assignment.spec.team.clone()).or_default().add(&size);
+            self.used_by_team.entry(assignment.spec.team.clone()).or_default().add(&size);
             self.planned_stops.remove(&(&machine.name, *task));
         }
     }
@@ -168,7 +168,7 @@
             let first_machine = job.assignments.get(&task.index).and_then(|machines| machines.first());
             let machine = first_machine.and_then(|name| self.cluster.machines.get(name));
             if let Some(assignment) = machine.and_then(|machine| machine.tasks.get(*task)) {
-                self.used.entry(assignment.spec.team.clone()).or_default().add(&assignment.spec.size());
+                self.used_by_team.entry(assignment.spec.team.clone()).or_default().add(&assignment.spec.size());
             }
             if job.spec.shape == Shape::Gang {
                 self.mark_gang_stopped(job);
@@ -188,7 +188,8 @@
     }
 
     /// Reserves resources for a blocked head on the machine where it is expected to fit first: of
-    /// the machines large enough, the one with the most cores free after the planned stops.
+    /// the machines large enough, the one with the most cores free once the stopping tasks have
+    /// ended.
     pub(super) fn reserve_for_head(&mut self, request: &PlacementRequest, tasks_per_zone: &[u32]) {
         let may_fit = |index: &usize| {
             let slot = &self.slots[*index];
--- a/packages/core/src/placement/queue.rs
+++ b/packages/core/src/placement/queue.rs
@@ -51,10 +51,10 @@
         }
         let mut unfinished_jobs: Vec<&mut Job> = self.jobs.values_mut().filter(|job| job.outcome.is_none()).collect();
         unfinished_jobs.sort_by(|a, b| (a.revision, &a.spec.id).cmp(&(b.revision, &b.spec.id)));
-        let mut used: NameMap<Resources> = NameMap::default();
+        let mut used_by_team: NameMap<Resources> = NameMap::default();
         for job in unfinished_jobs {
             let limit = self.teams.get(&job.spec.team).copied().unwrap_or_default();
-            let team_usage = used.entry(job.spec.team.clone()).or_default();
+            let team_usage = used_by_team.entry(job.spec.team.clone()).or_default();
             let unfinished = f64::from(job.spec.tasks - job.completed.len().min(job.spec.tasks));
             team_usage.add(&job.spec.size().scaled(unfinished));
             job.guaranteed = is_within_guarantee(&limit.guarantee, team_usage);
--- a/packages/core/src/placement/ranking.rs
+++ b/packages/core/src/placement/ranking.rs
@@ -20,8 +20,8 @@
     /// The image wait, in multiples of the policy's `image_share` of the job's start objective, but
     /// at least of `fetch_grain_s`; rounded down.
     coarse_image_wait: u64,
-    /// For jobs that may use spot machines: whether this is an on-demand machine, or for a job in
-    /// a dependency chain with a deadline, whether this is a spot machine.
+    /// Whether the machine is of the less preferred kind for a job that may use spot machines: an
+    /// on-demand machine, or a spot machine for a job in a dependency chain with a deadline.
     is_second_choice: bool,
     /// The image wait, in multiples of the policy's `fetch_grain_s`, rounded up.
     fine_image_wait: u64,
@@ -115,15 +115,15 @@
         let mut best_tier: Option<PlacementTier> = None;
         let is_service = request.job.spec.shape == Shape::Service;
         for (position, &RankedSlot { tier, slot: index }) in reranked.iter().chain(ranked).enumerate() {
-            let has_first_tier = position >= reranked.len();
+            let has_original_tier = position >= reranked.len();
             let is_worse = best_tier.is_some_and(|best| tier > best);
-            if has_first_tier && is_worse {
+            if has_original_tier && is_worse {
                 break;
             }
             self.examined += 1;
             let slot = &self.slots[index];
             if is_worse
-                || has_first_tier && slot.is_reranked
+                || has_original_tier && slot.is_reranked
                 || slot.remaining_task_capacity == 0
                 || only_zone.is_some_and(|zone| zone != slot.zone)
                 || !slot.free.fits(&request.size)
--- a/packages/core/src/placement/single_tasks.rs
+++ b/packages/core/src/placement/single_tasks.rs
@@ -4,12 +4,12 @@
 use super::preemption::WaitLimits;
 use super::queue::QueueEntry;
 use super::tai2::TaskRun;
-use super::{BlockedTasks, PlacementDecisions, Start, TaskStart};
+use super::{BlockedTasks, PlacementDecisions, StartDecision, TaskStart};
 use crate::cluster::Cluster;
 
 impl Cluster {
-    /// Places the tasks of an array or service one by one.  Returns the tasks that no machine can
-    /// hold; `None` if no task is blocked by a lack of resources.
+    /// Places the tasks of an array or service one by one.  Returns the tasks that do not fit
+    /// on any machine now; `None` if no task is blocked by a lack of resources.
     pub(super) fn place_single_tasks<'a>(
         &self,
         request: &PlacementRequest<'a>,
@@ -51,7 +51,7 @@
         }
         let unplaced = entry.count - tasks.len() as u32;
         if !tasks.is_empty() {
-            decisions.starts.push(Start { job: job.spec.id.clone(), tasks, attempt: None });
+            decisions.starts.push(StartDecision { job: job.spec.id.clone(), tasks, attempt: None });
         }
         is_blocked.then(|| BlockedTasks { count: pass.count_within_team_limit(request, unplaced), tasks_per_zone })
     }
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -150,17 +150,17 @@
             incarnation: 1,
         };
         let shard = PlacementShard { revision: 1, starts: (0..4).map(start).collect(), completed: vec![] };
-        let at = std::collections::HashMap::from([(
+        let locations = std::collections::HashMap::from([(
             unreachable.clone(),
             MachineLocation { kind: "t".into(), zone: "z1".into(), spot: false },
         )]);
-        cluster.add_shard(0, shard, &at, now);
+        cluster.add_shard(0, shard, &locations, now);
         add_machine(&mut cluster, "i-0", now);
         cluster.add_job(spec("j-2", 4), 2, None, now);
         cluster
     };
     let heartbeat = |token, incarnation| heartbeat("i-9", "z1", incarnation, 50, token);
-    let running_tasks = |cluster: &mut Cluster| {
+    let assigned_tasks = |cluster: &mut Cluster| {
         cluster.run_placement_pass(now);
         cluster.jobs["j-2"].assignments.len()
     };
@@ -171,11 +171,11 @@
         !cluster.has_no_task_of("j-1") && cluster.has_no_task_of("j-3"),
         "only the job with stored starts may still have tasks"
     );
-    assert_eq!(running_tasks(&mut cluster), 0);
+    assert_eq!(assigned_tasks(&mut cluster), 0);
     cluster.apply_machine_list(&[], now);
     cluster.collect_garbage(now);
     assert_applied(&mut cluster, &heartbeat(previous_token, 1), now);
-    assert_eq!((running_tasks(&mut cluster), cluster.has_no_task_of("j-1")), (0, false));
+    assert_eq!((assigned_tasks(&mut cluster), cluster.has_no_task_of("j-1")), (0, false));
     // A heartbeat with this term's token, a heartbeat of a later incarnation, and the deletion of
     // the machine each prove absence.
     type Proof<'a> = &'a dyn Fn(&mut Cluster);
@@ -186,17 +186,17 @@
     ];
     for (n, proof) in proofs.iter().enumerate() {
         let mut cluster = new_leader();
-        assert_eq!(running_tasks(&mut cluster), 0);
+        assert_eq!(assigned_tasks(&mut cluster), 0);
         proof(&mut cluster);
         assert!(cluster.has_no_task_of("j-1"), "proof {n}: the job has no task left");
-        assert_eq!(running_tasks(&mut cluster), 4, "proof {n}: the resources are used at once");
+        assert_eq!(assigned_tasks(&mut cluster), 4, "proof {n}: the resources are used at once");
     }
 }
 
 /// Guards against starting a task twice after a change of leader.  A new machine is up within two
-/// seconds and gets a task before any machine list has it; then the leader ends.  The next leader
-/// finds the start with the machine's location in a stored shard and counts it.  Neither a lagging
-/// machine list nor the lack of a heartbeat proves that the task is absent.
+/// seconds and gets a task before any machine list of the cloud has it; then the leader ends.  The
+/// next leader finds the start with the machine's location in a stored shard and counts it.  Neither
+/// a lagging machine list nor the lack of a heartbeat proves that the task is absent.
 #[test]
 fn start_on_unlisted_machine_counts_for_the_next_leader() {
     use crate::commit::{read_shard, TxnLimits};
@@ -252,22 +252,22 @@
     cluster.add_job(job_in_z1("j-1", 8, Shape::Array), 1, None, start);
     cluster.add_job(job_in_z1("j-2", 6, Shape::Gang), 2, None, start);
     cluster.run_placement_pass(start);
-    let running_tasks =
+    let assigned_tasks =
         |cluster: &Cluster| ["j-1", "j-2", "j-3"].map(|id| cluster.jobs.get(id).map_or(0, |j| j.assignments.len()));
-    assert_eq!(running_tasks(&cluster), [8, 6, 0]);
+    assert_eq!(assigned_tasks(&cluster), [8, 6, 0]);
     // The machines of z1 are deleted.  The machine in z2 has free resources, but the jobs bound to
     // z1 may not use them.
     cluster.apply_deletion(&["i-0".into(), "i-1".into()], start);
     let now = start + Duration::from_secs(1);
     cluster.add_job(spec("j-3", 8), 3, None, now);
     cluster.run_placement_pass(now);
-    assert_eq!(running_tasks(&cluster), [0, 0, 8], "the job without a zone constraint is placed");
+    assert_eq!(assigned_tasks(&cluster), [0, 0, 8], "the job without a zone constraint is placed");
     assert!(cluster.machines.values().all(|m| &*m.zone != "z1" || m.tasks.is_empty()));
     // Machines in z1 come up one by one.
     add_machine_in(&mut cluster, "i-3", "z1", now);
     cluster.run_placement_pass(now);
-    assert_eq!(running_tasks(&cluster)[0], 8, "the array is first in the queue");
+    assert_eq!(assigned_tasks(&cluster)[0], 8, "the array is first in the queue");
     add_machine_in(&mut cluster, "i-4", "z1", now);
     cluster.run_placement_pass(now);
-    assert_eq!(running_tasks(&cluster), [8, 6, 8]);
+    assert_eq!(assigned_tasks(&cluster), [8, 6, 8]);
 }
