--- a/src/controller.rs
+++ b/src/controller.rs
@@ -43,7 +43,7 @@
     /// HTTP client for the cloud.
     pub cloud_client: http::Client,
     /// Rate limit of calls to the cloud.
-    pub cloud_calls: RateLimiter,
+    pub cloud_rate_limiter: RateLimiter,
     state: Mutex<ControllerState>,
     /// Wakes the placement loop.
     pub placement_wake: WakeUp,
@@ -90,7 +90,7 @@
             state: Mutex::new(state),
             store: StateStore::new(config.services.state, store_limits, store_rps * policy.read_share, now),
             cloud_client: http::Client::default(),
-            cloud_calls: RateLimiter::new(cloud_rps * CLOUD_RATE_SHARE, cloud_rps * CLOUD_BURST_SECONDS, now),
+            cloud_rate_limiter: RateLimiter::new(cloud_rps * CLOUD_RATE_SHARE, cloud_rps * CLOUD_BURST_SECONDS, now),
             placement_wake: WakeUp::default(),
             commit_wake: WakeUp::default(),
             outcome_fetch_wake: WakeUp::default(),
@@ -120,7 +120,7 @@
     /// Each keeps to its share of the processor; and when requests wait to be run, decisions
     /// wait for a multiple of that, as workers whose heartbeats are not read lose the tasks
     /// that were assigned to them.
-    pub fn rest_time(&self, elapsed: Duration, share: f64) -> Duration {
+    pub fn throttle_delay(&self, elapsed: Duration, share: f64) -> Duration {
         let delay = self.scheduling_delay.now();
         let delay_rest = delay.mul_f64(self.policy.lag_rest).min(self.policy.lag_rest_most);
         elapsed.div_f64(share).max(delay_rest)
--- a/src/leader/commit.rs
+++ b/src/leader/commit.rs
@@ -1,4 +1,4 @@
-//! The leader's transactions.
+//! The loop in which the leader commits changes of its state to the state store.
 
 use std::time::{Duration, Instant};
 
@@ -9,21 +9,21 @@
 use crate::operators::telemetry::{count, TimedOperation};
 use crate::state_store::client::{key, StoreError, TxnOutcome};
 
-/// How long to wait for something to store before looking again.
-const IDLE_WAIT: Duration = Duration::from_millis(500);
+/// Longest wait for a wake-up before the loop checks again for changes to commit.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long to wait after a conflict.
-const CONFLICT_WAIT: Duration = Duration::from_millis(20);
+/// Delay before the next transaction after a conflict.
+const CONFLICT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 impl Controller {
-    /// Stores what has changed, one transaction at a time, until another controller has taken
-    /// the leader key.
+    /// Commits changes to the state store, one transaction at a time.  Returns when the leader key
+    /// no longer has the revision of this lease.
     pub(super) async fn run_commits(&self, lease: LeaderLease) -> StepDownReason {
         let mut limits = self.store.txn_limits;
         loop {
             let batch = self.lock().cluster.as_mut().and_then(|c| c.next_commit(lease.revision, &limits));
             let Some(batch) = batch else {
-                self.commit_wake.wait(IDLE_WAIT).await;
+                self.commit_wake.wait(IDLE_POLL_INTERVAL).await;
                 continue;
             };
             let started_at = Instant::now();
@@ -40,14 +40,17 @@
                 }
                 Ok(TxnOutcome::Conflict(keys)) => self.resolve_conflict(batch, keys, now).await,
                 Err(error) => {
-                    tracing::debug!(%error, "transaction failed");
+                    tracing::debug!(%error, "transaction failed, its changes will be committed again");
                     self.restore_batch(batch);
                     if matches!(error, StoreError::Refused(400)) {
-                        // larger than the store accepts, whatever the settings say: the same
-                        // transaction would be refused again
+                        // The transaction is larger than the store accepts, whatever the settings
+                        // say.  An unchanged retry would be refused again.
                         limits = limits.reduced();
                         let shard_bytes = limits.shard_bytes;
-                        tracing::error!(shard_bytes, "transaction too large, shard size reduced");
+                        tracing::error!(
+                            shard_bytes,
+                            "state store refused the transaction as too large, shard size limit reduced"
+                        );
                     }
                     smol::Timer::after(self.policy.renew / 4).await;
                 }
@@ -55,7 +58,7 @@
         }
     }
 
-    /// Applies a batch that was stored at a revision.
+    /// Applies a batch that was committed at `revision` to the state of the cluster.
     fn apply_committed(&self, batch: CommitBatch, revision: u64, now: Instant) {
         let ended = self.lock().cluster.as_mut().map(|c| c.apply_commit(batch, revision, now));
         for (id, outcome) in ended.unwrap_or_default() {
@@ -67,9 +70,10 @@
         self.placement_wake.wake();
     }
 
-    /// Returns a batch that was not stored, and reconciles the keys in conflict with the store.
+    /// Puts a batch that was not committed back, and reconciles the conflicting keys with their
+    /// stored values.
     async fn resolve_conflict(&self, batch: CommitBatch, keys: Vec<String>, now: Instant) {
-        tracing::info!(?keys, "transaction in conflict");
+        tracing::info!(?keys, "transaction conflict, reading the conflicting keys");
         self.restore_batch(batch);
         for key in keys {
             match self.store.get(&key).await {
@@ -78,10 +82,10 @@
                         cluster.reconcile_key(&key, item.as_ref(), now);
                     }
                 }
-                Err(error) => tracing::debug!(key, %error, "cannot read a key in conflict"),
+                Err(error) => tracing::debug!(key, %error, "cannot read a conflicting key from the state store"),
             }
         }
-        smol::Timer::after(CONFLICT_WAIT).await;
+        smol::Timer::after(CONFLICT_RETRY_DELAY).await;
     }
 
     fn restore_batch(&self, batch: CommitBatch) {
--- a/src/leader/direct_commands.rs
+++ b/src/leader/direct_commands.rs
@@ -11,51 +11,54 @@
 use crate::operators::telemetry::count;
 use crate::workers::{DirectCommand, Heartbeat};
 
-/// How long to wait for commands before looking again.
-const IDLE_WAIT: Duration = Duration::from_millis(500);
+/// Longest wait for a wake-up before the loop checks again for commands to send.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A command that was sent.
-struct DirectResult {
+/// The outcome of sending a command.
+struct DirectCommandResult {
     command: DirectCommand,
-    /// The worker's answer; `None` if the command may be lost.
+    /// The heartbeat in the worker's response; `None` without a usable response, in which case the
+    /// command may be lost.
     heartbeat: Option<Heartbeat>,
 }
 
 impl Controller {
-    /// Sends direct commands, a limited number at once, and applies the answers.  Never ends the
-    /// term.
+    /// Sends direct commands, at most `direct_calls` concurrently, and applies the responses.
+    ///
+    /// Never returns, so it never ends the term.
     pub(super) async fn run_direct_commands(&self) -> StepDownReason {
         let mut in_flight = FuturesUnordered::new();
         loop {
-            let free = self.policy.direct_calls.saturating_sub(in_flight.len());
-            if free > 0 && self.may_act(Instant::now()) {
-                let commands = self.lock().cluster.as_mut().map(|c| c.take_direct_commands(free));
+            let free_slots = self.policy.direct_calls.saturating_sub(in_flight.len());
+            if free_slots > 0 && self.may_act(Instant::now()) {
+                let commands = self.lock().cluster.as_mut().map(|c| c.take_direct_commands(free_slots));
                 in_flight.extend(commands.unwrap_or_default().into_iter().map(|c| self.send_direct_command(c)));
             }
-            let answered = async {
+            let completed = async {
                 match in_flight.next().await {
                     Some(result) => Some(result),
                     None => std::future::pending().await,
                 }
             };
             let woken = async {
-                self.command_wake.wait(IDLE_WAIT).await;
+                self.command_wake.wait(IDLE_POLL_INTERVAL).await;
                 None
             };
-            if let Some(result) = or(answered, woken).await {
+            if let Some(result) = or(completed, woken).await {
                 self.apply_direct_result(&result);
             }
         }
     }
 
-    async fn send_direct_command(&self, command: DirectCommand) -> DirectResult {
-        // checked as the bytes leave: this controller may have been stalled since the decision
+    async fn send_direct_command(&self, command: DirectCommand) -> DirectCommandResult {
+        // Checked again just before sending: the lease may have expired in a stall since the
+        // decision.
         if !self.may_act(Instant::now()) {
-            return DirectResult { command, heartbeat: None };
+            return DirectCommandResult { command, heartbeat: None };
         }
         let body = http::encode(&command.body);
-        let limit = self.policy.direct_limit;
-        let sent = self.worker_client.send(command.address, "POST", "/commands", Some(&body), limit);
+        let timeout = self.policy.direct_limit;
+        let sent = self.worker_client.send(command.address, "POST", "/commands", Some(&body), timeout);
         let heartbeat = match sent.await {
             Ok((200 | 409, body)) => http::decode::<Heartbeat>(&body).ok(),
             Ok((status, _)) => {
@@ -63,14 +66,14 @@
                 None
             }
             Err(error) => {
-                tracing::debug!(machine = %command.machine, %error, "direct commands failed");
+                tracing::debug!(machine = %command.machine, %error, "sending direct commands to a worker failed");
                 None
             }
         };
-        DirectResult { command, heartbeat }
+        DirectCommandResult { command, heartbeat }
     }
 
-    fn apply_direct_result(&self, result: &DirectResult) {
+    fn apply_direct_result(&self, result: &DirectCommandResult) {
         if let Some(cluster) = self.lock().cluster.as_mut() {
             count(&self.telemetry.counters.direct_calls);
             if result.heartbeat.is_none() {
--- a/src/leader/fleet.rs
+++ b/src/leader/fleet.rs
@@ -1,4 +1,4 @@
-//! Scaling the fleet out and in.
+//! Scaling the fleet of machines: rentals and deletions.
 
 use std::time::{Duration, Instant};
 
@@ -15,7 +15,7 @@
 use crate::model::*;
 use crate::runtime::wake_up::pause;
 
-/// Shortest time between two plans.
+/// Shortest time between two fleet plans.
 const PLAN_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Serialize, Deserialize)]
@@ -25,23 +25,27 @@
 }
 
 impl Controller {
-    /// Plans the fleet regularly and carries the plans out.  Never ends the term.
+    /// Plans the fleet periodically and applies each plan.
+    ///
+    /// Never returns, so it never ends the term.
     pub(super) async fn run_fleet(&self, lease: LeaderLease) -> StepDownReason {
-        let mut due = Instant::now();
+        let mut next_plan_at = Instant::now();
         loop {
-            pause(due.saturating_duration_since(Instant::now())).await;
+            pause(next_plan_at.saturating_duration_since(Instant::now())).await;
             let now = Instant::now();
-            due = now + PLAN_INTERVAL;
+            next_plan_at = now + PLAN_INTERVAL;
             let Some(plan) = self.plan_fleet(now) else { continue };
-            // with thousands of machines planning takes its time as well
-            due = due.max(now + self.rest_time(now.elapsed(), self.policy.plan_share));
+            // With thousands of machines, planning takes noticeable processor time, so it is
+            // throttled as placement passes are.
+            next_plan_at = next_plan_at.max(now + self.throttle_delay(now.elapsed(), self.policy.plan_share));
             self.apply_fleet_plan(plan, lease).await;
             self.placement_wake.wake();
             self.delete_expired_records(lease).await;
         }
     }
 
-    /// The next plan; `None` if this controller does not lead.
+    /// Returns the next fleet plan, which is empty until the cluster's state is loaded; `None` if
+    /// this controller does not lead.
     fn plan_fleet(&self, now: Instant) -> Option<FleetPlan> {
         let mut guard = self.lock();
         let state = &mut *guard;
@@ -57,7 +61,8 @@
         Some(plan)
     }
 
-    /// Scales in and out at the same time; a rental is requested only once it is recorded.
+    /// Deletes and rents machines concurrently.  Rentals are requested only after they are recorded
+    /// in the state store.
     async fn apply_fleet_plan(&self, plan: FleetPlan, lease: LeaderLease) {
         let rentals = async {
             if self.record_rentals(&plan.rentals, lease).await {
@@ -67,7 +72,7 @@
         join(self.scale_in(&plan.deletions), rentals).await;
     }
 
-    /// Deletes machines.
+    /// Asks the cloud to delete machines.
     async fn scale_in(&self, names: &[Name]) {
         if names.is_empty() {
             return;
@@ -81,43 +86,47 @@
                 self.placement_wake.wake();
                 self.commit_wake.wake();
             }
-            Ok((status, _)) => tracing::debug!(status, "machine deletion refused"),
-            Err(error) => tracing::debug!(%error, "machine deletion failed"),
+            Ok((status, _)) => tracing::debug!(status, "cloud refused to delete machines"),
+            Err(error) => tracing::debug!(%error, "request to delete machines failed"),
         }
     }
 
-    /// Requests one rental.
+    /// Requests one rental from the cloud and applies its outcome.
     async fn scale_out(&self, rental: &Rental) {
         if !self.may_act(Instant::now()) {
             return;
         }
         let request_id = &rental.request_id;
         let body = http::encode(rental);
-        let answer = self.cloud_call("POST", "/rentals", Some(&body)).await;
+        let response = self.cloud_call("POST", "/rentals", Some(&body)).await;
         let now = Instant::now();
         let mut state = self.lock();
         let Some(cluster) = state.cluster.as_mut() else { return };
-        match answer {
+        match response {
             Ok((200, body)) => match http::decode::<MachineNames>(&body) {
-                Ok(answer) => cluster.apply_rental(rental, &answer.machines, now),
-                Err(error) => tracing::error!(%request_id, %error, "answer to a rental cannot be read"),
+                Ok(rented) => cluster.apply_rental(rental, &rented.machines, now),
+                Err(error) => tracing::error!(%request_id, %error, "cannot decode the response to a rental request"),
             },
             Ok((503, body)) if String::from_utf8_lossy(&body).contains("capacity") => {
-                tracing::info!(machine_type = %rental.kind, zone = %rental.zone, spot = rental.spot, "no capacity");
+                tracing::info!(
+                    machine_type = %rental.kind, zone = %rental.zone, spot = rental.spot,
+                    "cloud has no capacity for a rental"
+                );
                 apply_refused_rental(cluster, rental, now);
             }
             Ok((400, _)) => {
-                tracing::error!(%request_id, "rental refused as malformed");
+                tracing::error!(%request_id, "cloud refused a rental request as malformed");
                 apply_refused_rental(cluster, rental, now);
             }
-            // the outcome is unknown: requested again under the same request id
-            Ok((status, _)) => tracing::debug!(%request_id, status, "rental without an outcome"),
-            Err(error) => tracing::debug!(%request_id, %error, "rental without an outcome"),
+            // The outcome is unknown, so the rental is requested again under the same request ID.
+            Ok((status, _)) => tracing::debug!(%request_id, status, "rental outcome unknown, requesting it again"),
+            Err(error) => tracing::debug!(%request_id, %error, "rental outcome unknown, requesting it again"),
         }
     }
 }
 
-/// The cloud will not serve the rental: its pool is not asked for a while.
+/// Ends a rental that the cloud refuses, and marks its pool as exhausted so that no further rental
+/// is planned from it for a while.
 fn apply_refused_rental(cluster: &mut Cluster, rental: &Rental, now: Instant) {
     cluster.fleet.mark_answered(&rental.request_id, now);
     cluster.mark_pool_exhausted(rental, now);
--- a/src/leader/load.rs
+++ b/src/leader/load.rs
@@ -1,4 +1,4 @@
-//! What a new leader reads from the state store before it leads.
+//! Reads the state of the cluster from the state store at the beginning of a term.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -17,40 +17,46 @@
 
 use super::takeover::MissingJobs;
 
-/// How long to wait before looking again whether the watch has caught up.
-const WATCH_POLL: Duration = Duration::from_millis(20);
+/// Interval at which a new leader checks whether the watch has caught up.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Job records that are read at once.
+/// Most job records that are read concurrently.
 const CONCURRENT_JOB_READS: usize = 8;
 
-/// What a new leader has read.
+/// The stored state of the cluster, as far as a new leader has read it.
 #[derive(Default)]
 pub(super) struct StoredCluster {
+    /// The placement shards that can be decoded.
     pub(super) shards: Vec<StoredShard>,
-    /// Records of rentals.
+    /// Rental records, not yet decoded.
     pub(super) rentals: Vec<KeyValue>,
-    /// Jobs that shards name and that were read one by one.
+    /// Jobs that shards refer to and that were missing from the job index, so that each was read
+    /// with a request of its own.
     pub(super) ended_jobs: HashMap<Name, StoredJob>,
 }
 
-/// A job that was read one by one.
+/// The result of reading one job.
 pub(super) enum StoredJob {
-    /// Its record, and its outcome if it has ended.
+    /// The job has a record.
     Found {
         /// The record.
         job: OpenJob,
-        /// The outcome.
+        /// The outcome; `None` if the job has not ended.
         outcome: Option<JobOutcome>,
     },
-    /// There is no record, or none that can be read.
+    /// There is no record, or it cannot be decoded.
     Missing,
 }
 
 impl StoredCluster {
-    /// Adds the result of reading a job that shards name.
+    /// Adds the result of reading a job that shards refer to.
     ///
-    /// A record that is missing or cannot be read is read only once a term: it will not get
-    /// better, and a leader that insisted on it would never lead.
+    /// A record that is missing or cannot be decoded is not read again in the same term: a retry
+    /// would give the same result, and the takeover would never complete.
+    ///
+    /// # Errors
+    ///
+    /// Returns every other error, as it says nothing about the record.
     pub(super) fn add_job(
         &mut self,
         id: Name,
@@ -59,7 +65,7 @@
         let job = match result {
             Ok(Some(JobRecord { job, outcome })) => StoredJob::Found { job, outcome },
             Ok(None) | Err(StoreError::Unreadable) => {
-                tracing::error!(job = %id, "job record missing or unreadable, starts of the job ignored");
+                tracing::error!(job = %id, "job record missing or unreadable, ignoring the stored starts of the job");
                 StoredJob::Missing
             }
             Err(error) => return Err(error),
@@ -70,13 +76,17 @@
 }
 
 impl Controller {
-    /// Loads the state of the cluster and makes it the leader's: unfinished jobs from the watch,
-    /// everything else from the store.
+    /// Loads the state of the cluster and installs it as the leader's: unfinished jobs from the job
+    /// index, which the watch keeps current, and everything else from the store.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a read fails.  The caller retries.
     pub(super) async fn load_cluster(&self, lease: LeaderLease) -> Result<(), StoreError> {
-        // the watch has to be past the beginning of the term, or a job that a shard names might
-        // still be unknown
+        // The watch has to reach the revision at which the term began.  Otherwise a job that a
+        // shard refers to might still be missing from the job index.
         while self.lock().revision < lease.revision {
-            smol::Timer::after(WATCH_POLL).await;
+            smol::Timer::after(WATCH_POLL_INTERVAL).await;
         }
         let mut stored = self.read_stored_cluster().await?;
         while let Err(missing) = self.try_take_over(lease, stored, Instant::now()) {
@@ -85,7 +95,8 @@
         Ok(())
     }
 
-    /// Reads shards and rentals, while the peers are asked what they know of machines.
+    /// Reads shards and rental records, and meanwhile polls the peers for what they know about
+    /// machines.
     async fn read_stored_cluster(&self) -> Result<StoredCluster, StoreError> {
         let reads = join(self.store.list(key::SHARD), self.store.list(key::RENTAL));
         let polls = with_timeout(self.policy.renew, self.poll_all_peers(true));
@@ -94,10 +105,10 @@
         Ok(StoredCluster { shards, rentals: rentals?, ended_jobs: HashMap::new() })
     }
 
-    /// Reads the jobs that shards name and that are not in memory.
+    /// Reads the jobs that shards refer to and that are not in the job index.
     async fn read_missing_jobs(&self, missing: MissingJobs, term: u64) -> Result<StoredCluster, StoreError> {
         let MissingJobs { mut stored, ids } = missing;
-        tracing::info!(term, jobs = ids.len(), "reading ended jobs that shards name");
+        tracing::info!(term, jobs = ids.len(), "reading jobs that shards refer to and that are not in memory");
         let read = |id: Name| async move { (self.read_stored_job(&id).await, id) };
         let mut reads = stream::iter(ids.into_iter().map(read)).buffer_unordered(CONCURRENT_JOB_READS);
         while let Some((result, id)) = reads.next().await {
--- a/src/leader/machine_list.rs
+++ b/src/leader/machine_list.rs
@@ -1,4 +1,4 @@
-//! Machine types and the list of machines, as the cloud reports them.
+//! Machine types and the list of machines, as reported by the cloud.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -29,44 +29,45 @@
     truncated: bool,
 }
 
-/// Machine types are fetched once in so many listings.
+/// Number of listing intervals (`list_every`) between two fetches of the machine types.
 const LISTINGS_PER_TYPE_FETCH: u32 = 10;
 
-/// The sizes of machine types, without their prices.
+/// Returns the name and size of each machine type, without its prices.
 fn machine_sizes(types: &[MachineType]) -> Vec<(Name, Resources)> {
     types.iter().map(|machine_type| (machine_type.name.clone(), machine_type.size())).collect()
 }
 
 impl Controller {
-    /// Fetches the machine types once at the start, as every controller needs them to validate
-    /// submissions.
+    /// Fetches the machine types at startup, retrying until there are any.  Every controller needs
+    /// them to validate submissions.
     pub async fn run_initial_type_fetch(self: Arc<Self>) {
         while self.lock().machine_types.is_empty() && !self.fetch_machine_types().await {
             smol::Timer::after(self.policy.renew).await;
         }
     }
 
-    /// Fetches the machine types from the cloud; whether there were any.
+    /// Fetches the machine types from the cloud; reports whether it returned any.
     async fn fetch_machine_types(&self) -> bool {
         match self.cloud_get::<MachineTypes>("/flavors").await {
-            Ok(answer) if !answer.types.is_empty() => {
+            Ok(response) if !response.types.is_empty() => {
                 let mut state = self.lock();
                 if let Some(cluster) = state.cluster.as_mut() {
-                    cluster.set_types(&answer.types);
+                    cluster.set_types(&response.types);
                 }
-                state.machine_types = answer.types;
+                state.machine_types = response.types;
                 true
             }
             Ok(_) => false,
             Err(error) => {
-                tracing::debug!(%error, "cannot fetch machine types");
+                tracing::debug!(%error, "cannot fetch machine types from the cloud");
                 false
             }
         }
     }
 
-    /// Lists the machines regularly, and fetches the machine types now and then.  Never ends the
-    /// term.
+    /// Lists the machines periodically, and fetches the machine types less often.
+    ///
+    /// Never returns, so it never ends the term.
     pub(super) async fn run_machine_listing(&self, lease: LeaderLease) -> StepDownReason {
         let mut types_fetched_at: Option<Instant> = None;
         let mut stored_types: Option<Vec<MachineType>> = None;
@@ -83,23 +84,23 @@
                         cluster.apply_machine_list(&machines, Instant::now());
                     }
                 }
-                Err(error) => tracing::debug!(%error, "cannot list machines"),
+                Err(error) => tracing::debug!(%error, "cannot list the machines of the cloud"),
             }
             smol::Timer::after(self.policy.list_every).await;
         }
     }
 
-    /// Stores the machine types, for a start during an outage of the cloud, unless `stored` has
-    /// the same sizes.
+    /// Writes the machine types to the state store, unless `stored`, the list last written, has the
+    /// same sizes.  A controller that starts during an outage of the cloud uses the stored types.
     async fn store_machine_types(&self, stored: &mut Option<Vec<MachineType>>, lease: LeaderLease) {
         let mut types = self.lock().machine_types.clone();
         for machine_type in &mut types {
-            // prices change all the time; a start needs only the sizes
+            // Prices change frequently, and a controller that starts needs only the sizes.
             machine_type.price = machine_type.price.ceil();
             machine_type.spot_price = machine_type.spot_price.ceil();
         }
-        // a list that does not fit into a value is not stored: with a part of it jobs would be
-        // refused for good
+        // A list that does not fit into one value is not stored: with only a part of the types,
+        // jobs would be refused permanently.
         let fits = http::encode(&types).len() * 2 <= self.store.txn_limits.value_bytes;
         if !fits || stored.as_deref().map(machine_sizes) == Some(machine_sizes(&types)) {
             return;
@@ -111,6 +112,7 @@
         }
     }
 
+    /// Reads all pages of the cloud's list of machines.
     async fn list_all_machines(&self) -> Result<Vec<ListedMachine>, CloudError> {
         let (mut machines, mut since) = (Vec::new(), String::new());
         loop {
--- a/src/leader/mod.rs
+++ b/src/leader/mod.rs
@@ -1,7 +1,9 @@
-//! The leader's work besides answering heartbeats.
+//! The leader's control loops.
 //!
-//! A leader first loads the cluster's state from the store.  Then it runs placement, commits,
-//! direct commands and the fleet, each in a loop of its own; all of them end with the term.
+//! A new leader loads the cluster's state from the state store.  Then it runs one loop each for
+//! commits, placement, direct commands, feature gates, outcomes of dependencies, the machine list,
+//! the fleet and the contact to workers.  All of them stop at the end of the term.  Heartbeats are
+//! handled by the `heartbeats` module.
 
 mod cloud;
 mod commit;
@@ -21,10 +23,11 @@
 use crate::runtime::race::{race, racer};
 
 impl Controller {
-    /// Leads until the term ends; the caller drops this future if the lease ends first.
+    /// Loads the cluster's state and runs the leader's control loops until one of them ends the
+    /// term.  The caller drops this future if the lease ends first.
     pub async fn lead(&self, lease: LeaderLease) -> StepDownReason {
         while let Err(error) = self.load_cluster(lease).await {
-            tracing::info!(term = lease.term, %error, "cannot load the state of the cluster");
+            tracing::info!(term = lease.term, %error, "cannot load the state of the cluster, retrying");
             smol::Timer::after(self.policy.renew / 4).await;
         }
         self.placement_wake.wake();
--- a/src/leader/outcome_fetch.rs
+++ b/src/leader/outcome_fetch.rs
@@ -1,4 +1,4 @@
-//! Outcomes of jobs that others depend on and that are no longer in memory.
+//! Fetches the outcomes of jobs that other jobs depend on and that are not in memory.
 
 use std::collections::HashSet;
 use std::time::Instant;
@@ -9,13 +9,14 @@
 use crate::model::*;
 use crate::state_store::client::{key, read_value, KeyValue, StoreError};
 
-/// Most outcomes that are requested at once.
-const MAX_BATCH: usize = 10_000;
+/// Most outcomes per fetch.
+const MAX_OUTCOMES_PER_FETCH: usize = 10_000;
 
-/// Up to so many outcomes are read one by one, more from the pages of all outcomes.
+/// Up to this number of outcomes are read with one request each; for more, all outcomes are read
+/// page by page.
 const MAX_SINGLE_READS: usize = 32;
 
-/// A job's outcome as stored.
+/// A job's outcome, and the revision at which it was stored.
 struct StoredOutcome {
     id: Name,
     outcome: JobOutcome,
@@ -23,7 +24,7 @@
 }
 
 impl StoredOutcome {
-    /// The outcome under a key, if it can be read.
+    /// Decodes the outcome stored under an outcome key; `None` if it cannot be decoded.
     fn read(item: KeyValue) -> Option<StoredOutcome> {
         let outcome = read_value::<OutcomeRecord>(&item.key, item.value)?.outcome;
         let id = Name::from(item.key.strip_prefix(key::OUTCOME)?);
@@ -36,9 +37,11 @@
 }
 
 impl Controller {
-    /// Fetches the outcomes of dependencies that are unknown here: these jobs ended before this
-    /// controller started, or too long ago to be kept.  Meanwhile only their dependents wait.
-    /// Never ends the term.
+    /// Fetches the outcomes of dependencies that are not in memory, because those jobs ended before
+    /// this controller started or were evicted since.  Meanwhile only the jobs that depend on them
+    /// wait.
+    ///
+    /// Never returns, so it never ends the term.
     pub(super) async fn run_outcome_fetches(&self) -> StepDownReason {
         loop {
             let ids = self.outcomes_to_fetch();
@@ -53,7 +56,7 @@
                     }
                 }
                 Err(error) => {
-                    tracing::debug!(%error, "cannot fetch outcomes of dependencies");
+                    tracing::debug!(%error, "cannot fetch outcomes of dependencies, retrying");
                     smol::Timer::after(self.policy.renew / 4).await;
                 }
             }
@@ -62,11 +65,11 @@
 
     fn outcomes_to_fetch(&self) -> Vec<Name> {
         let now = Instant::now();
-        let due = |c: &mut Cluster| c.dependency.outcomes_to_fetch(MAX_BATCH, self.policy.renew, now);
+        let due = |c: &mut Cluster| c.dependency.outcomes_to_fetch(MAX_OUTCOMES_PER_FETCH, self.policy.renew, now);
         self.lock().cluster.as_mut().map(due).unwrap_or_default()
     }
 
-    /// The outcomes of those of the jobs that have ended.
+    /// Returns the outcomes of those of the jobs that have ended.
     async fn fetch_outcomes(&self, ids: Vec<Name>) -> Result<Vec<StoredOutcome>, StoreError> {
         if ids.len() > MAX_SINGLE_READS {
             return self.fetch_outcome_pages(ids).await;
@@ -79,19 +82,20 @@
         Ok(outcomes)
     }
 
-    /// Reads the pages of all outcomes up to the last of the jobs.
+    /// Reads the pages of all outcomes up to the last of the given jobs, and returns the outcomes
+    /// of these jobs.
     async fn fetch_outcome_pages(&self, mut ids: Vec<Name>) -> Result<Vec<StoredOutcome>, StoreError> {
         ids.sort();
-        let wanted: HashSet<Name> = ids.iter().cloned().collect();
+        let requested: HashSet<Name> = ids.iter().cloned().collect();
         let mut outcomes = Vec::new();
         let mut since = String::new();
         while let Some(last) = ids.last().filter(|last| since < outcome_key(last)) {
-            tracing::debug!(jobs = ids.len(), %last, since, "fetching outcomes of dependencies");
+            tracing::debug!(jobs = ids.len(), %last, since, "fetching a page of outcomes of dependencies");
             let page = self.store.list_page(key::OUTCOME, &since).await?;
             let Some(last_item) = page.items.last() else { break };
             since.clone_from(&last_item.key);
             let stored = page.items.into_iter().filter_map(StoredOutcome::read);
-            outcomes.extend(stored.filter(|stored| wanted.contains(&stored.id)));
+            outcomes.extend(stored.filter(|stored| requested.contains(&stored.id)));
             if !page.truncated {
                 break;
             }
--- a/src/leader/placement.rs
+++ b/src/leader/placement.rs
@@ -1,4 +1,4 @@
-//! The leader's placement passes over the queue.
+//! The loop in which the leader runs placement passes over the queue.
 
 use std::time::{Duration, Instant};
 
@@ -6,12 +6,13 @@
 use crate::leadership::step_down::StepDownReason;
 use crate::operators::telemetry::TimedOperation;
 
-/// Longest time between two passes.
+/// Longest wait for a wake-up before the next placement pass.
 const PASS_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Controller {
-    /// Runs a placement pass whenever something has changed, and regularly.  Never ends the
-    /// term.
+    /// Runs a placement pass after each wake-up, and periodically without one.
+    ///
+    /// Never returns, so it never ends the term.
     pub(super) async fn run_placement(&self) -> StepDownReason {
         loop {
             self.placement_wake.wait(PASS_INTERVAL).await;
@@ -25,8 +26,9 @@
         }
     }
 
-    /// Runs one placement pass, if this controller may act and the last pass is long enough ago:
-    /// passes keep to their share of the processor.
+    /// Runs one placement pass if this controller leads, the cluster's state is loaded and
+    /// `next_pass_at` has been reached.  Then sets `next_pass_at` so that passes take no more than
+    /// their share of processor time.
     pub fn run_pass(&self, state: &mut ControllerState, now: Instant) {
         if state.next_pass_at.is_some_and(|at| now < at) || !state.is_leader(now) {
             return;
@@ -38,8 +40,8 @@
         }
         cluster.collect_garbage(now);
         let elapsed = now.elapsed();
-        let rest = self.policy.pass_gap.max(self.rest_time(elapsed, self.policy.pass_share));
-        state.next_pass_at = Some(now + rest);
+        let delay = self.policy.pass_gap.max(self.throttle_delay(elapsed, self.policy.pass_share));
+        state.next_pass_at = Some(now + delay);
         self.telemetry.record(TimedOperation::Pass, elapsed);
     }
 }
--- a/src/leader/rental_records.rs
+++ b/src/leader/rental_records.rs
@@ -1,4 +1,4 @@
-//! Records of rentals in the store, which make a rental an idempotent request across failovers.
+//! Records of rentals in the state store, which keep rental requests idempotent across failovers.
 
 use std::time::Instant;
 
@@ -7,20 +7,22 @@
 use crate::leadership::lease::LeaderLease;
 use crate::state_store::client::{key, StoreError, Txn, TxnOutcome, Write};
 
-/// How often a record is written whose outcome is unknown.
-const RECORD_ATTEMPTS: usize = 3;
+/// Most attempts to write one record, which is written again while the outcome of the last attempt
+/// is unknown.
+const MAX_RECORD_ATTEMPTS: usize = 3;
 
 impl Controller {
-    /// Records rentals before they are requested: should the term end before the answer, the
-    /// next leader learns of them.  All new ones are recorded under one key.  Returns whether
-    /// all are recorded; if not, they are planned again.
+    /// Records rentals before they are requested, so that the next leader learns of them if the
+    /// term ends before the cloud responds.  All new rentals are recorded under one key.
+    ///
+    /// Reports whether all rentals are recorded.  If not, they are planned again.
     pub(super) async fn record_rentals(&self, rentals: &[Rental], lease: LeaderLease) -> bool {
         let recording = match self.lock().cluster.as_mut() {
             Some(cluster) => cluster.fleet.begin_recording(rentals, lease.term),
             None => return false,
         };
         let Some(mut recording) = recording else { return true };
-        for _ in 0..RECORD_ATTEMPTS {
+        for _ in 0..MAX_RECORD_ATTEMPTS {
             let attempt = self.write_rental_record(&recording, lease).await;
             match recording.apply_attempt(&attempt) {
                 RecordProgress::Repeat => {}
@@ -31,7 +33,7 @@
                     return true;
                 }
                 RecordProgress::NotStored => {
-                    tracing::debug!(?attempt, "rentals not recorded");
+                    tracing::debug!(?attempt, "rentals not recorded in the state store, they will be planned again");
                     return false;
                 }
             }
@@ -44,14 +46,15 @@
             Ok(TxnOutcome::Done(_)) => RecordAttempt::Done,
             Ok(TxnOutcome::Conflict(keys)) => RecordAttempt::Conflict(keys),
             Err(StoreError::Indeterminate(error)) => {
-                tracing::debug!(%error, "outcome of a rental record unknown");
+                tracing::debug!(%error, "outcome of writing a rental record unknown");
                 RecordAttempt::Indeterminate
             }
             Err(_) => RecordAttempt::Refused,
         }
     }
 
-    /// Deletes records whose rentals were answered long ago.
+    /// Deletes the records whose rentals were answered more than `rental_kept` ago, at most half of
+    /// a transaction's writes in one call.
     pub(super) async fn delete_expired_records(&self, lease: LeaderLease) {
         let limit = self.store.txn_limits.writes / 2;
         let expired = {
--- a/src/leader/takeover.rs
+++ b/src/leader/takeover.rs
@@ -1,4 +1,5 @@
-//! Failover: a new leader builds its state from what it has read.
+//! Builds a new leader's state of the cluster from the job index and from what was read from the
+//! state store.
 
 use std::collections::{BTreeSet, HashSet};
 use std::time::Instant;
@@ -13,22 +14,25 @@
 
 use super::load::{StoredCluster, StoredJob};
 
-/// Jobs that have to be read before the leader's state is complete.
+/// The jobs that have to be read before the leader's state is complete.
 pub(super) struct MissingJobs {
-    /// What was read so far.
+    /// The state read so far, to which the jobs are to be added.
     pub(super) stored: StoredCluster,
-    /// Ids of the jobs.
+    /// IDs of the jobs to read.
     pub(super) ids: Vec<Name>,
 }
 
 impl Controller {
-    /// Builds the leader's state and leads by it, under one lock and without an await: every
-    /// event of the watch is either in the state or applied to it.  A gap between the two once
-    /// lost a cancellation, and its task kept running.
+    /// Builds and installs the leader's state of the cluster, under one lock and without an await.
+    /// So every watch event is either included in the state or applied to it afterwards; an event
+    /// in between would be lost, and the tasks of a cancelled job would keep running.
     ///
-    /// The state holds the unfinished jobs, and those that ended lately and may still have
-    /// running tasks.  Fails with the jobs that stored starts name and that are no longer in
-    /// memory: without them a new leader would neither count nor stop their tasks.
+    /// The state holds the unfinished jobs, and the ended jobs that may still have running tasks.
+    ///
+    /// # Errors
+    ///
+    /// Fails with the jobs that stored starts refer to and that are no longer in memory.  Without
+    /// their records the new leader would neither count nor stop their tasks.
     pub(super) fn try_take_over(
         &self,
         lease: LeaderLease,
@@ -53,12 +57,13 @@
         cluster.machine_hints = self.peers.machine_hints();
         cluster.zones_with_controller = self.zones_with_controller();
         let (jobs, machines) = (cluster.jobs.len(), cluster.machines.len());
-        tracing::info!(term = lease.term, jobs, machines, "state of the cluster loaded");
+        tracing::info!(term = lease.term, jobs, machines, "loaded the state of the cluster");
         state.cluster = Some(cluster);
         Ok(())
     }
 
-    /// The state of an empty cluster, with the configured teams and objectives.
+    /// Creates the state of an empty cluster, with the configured team limits and the strictest
+    /// start objective of each class.
     fn new_cluster(&self, lease: LeaderLease, now: Instant) -> Cluster {
         let mut cluster = Cluster::new(lease.term, self.policy.clone(), self.team_limits(), now);
         for objective in self.config.deployment.objectives.iter().filter(|o| o.kind == "wait") {
@@ -70,6 +75,7 @@
         cluster
     }
 
+    /// Returns the zones of this controller and its peers.
     fn zones_with_controller(&self) -> BTreeSet<Name> {
         let peers = self.config.peers.iter().map(|peer| peer.zone.as_str());
         peers.chain([self.config.zone.as_str()]).map(Name::from).collect()
@@ -78,8 +84,8 @@
 
 /// Adds the unfinished jobs.
 ///
-/// A job with a stored start or completed task had all its dependencies, as no start is stored
-/// before that: if it waited for them again, its tasks would count nowhere.
+/// A start is stored only after all dependencies of the job are met.  So a job with a stored start
+/// or completed task must not wait for its dependencies again, or its tasks would not be counted.
 fn add_open_jobs(cluster: &mut Cluster, jobs: &JobIndex, stored: &StoredCluster, now: Instant) {
     let started = started_jobs(stored.shards.iter().map(|stored| &stored.shard));
     for job in jobs.open() {
@@ -91,7 +97,7 @@
     }
 }
 
-/// Adds the other jobs that stored starts name; returns those of which nothing is known yet.
+/// Adds the other jobs that stored starts refer to; returns those that still have to be read.
 fn add_ended_jobs(cluster: &mut Cluster, jobs: &mut JobIndex, stored: &StoredCluster, now: Instant) -> Vec<Name> {
     let mut missing = HashSet::new();
     for start in stored.shards.iter().flat_map(|stored| &stored.shard.starts) {
@@ -113,6 +119,7 @@
     missing.into_iter().collect()
 }
 
+/// Adds the stored placements and the rentals recorded by earlier leaders.
 fn add_shards_and_rentals(cluster: &mut Cluster, stored: StoredCluster, now: Instant) {
     for shard in stored.shards {
         cluster.add_shard(shard.id, shard.shard, &shard.locations, now);
--- a/src/leader/worker_contact.rs
+++ b/src/leader/worker_contact.rs
@@ -1,4 +1,4 @@
-//! Whether workers still reach the leader.
+//! The leader's check that heartbeats of workers still reach it.
 
 use std::time::Instant;
 
@@ -7,40 +7,45 @@
 use crate::leadership::isolation::WorkerContact;
 use crate::leadership::step_down::StepDownReason;
 
-/// With fewer machines that are up, missing heartbeats say nothing about the leader.
+/// With fewer running machines, missing heartbeats are no evidence of a network fault at the
+/// leader.
 const MIN_MACHINES: usize = 2;
 
+/// Reports whether a machine runs: it has sent a heartbeat, or the cloud lists it as running, and
+/// it is not removed.
 fn is_up(machine: &Machine) -> bool {
     let is_running = machine.last_heartbeat.is_some() || machine.state == Some(MachineState::Running);
     machine.removed_at.is_none() && is_running
 }
 
 impl Controller {
-    /// Steps down in favour of a controller that workers reach once none reaches this one, as
-    /// their leases expire meanwhile.
+    /// Returns, and so ends the term, when no heartbeat reaches this controller any more while
+    /// workers still reach its peers.  Without a leader that they reach, the leases of the workers
+    /// expire.
     ///
-    /// Peers that receive heartbeats from workers which do not arrive here tell this case from a
-    /// cluster without workers.
+    /// Heartbeats that reach a peer distinguish this case from a cluster without workers.  If no
+    /// peer responds, the time without heartbeats alone decides.
     pub(super) async fn run_contact_check(&self) -> StepDownReason {
         let mut contact = WorkerContact::default();
         loop {
             smol::Timer::after(self.policy.deaf / 4).await;
-            let Some(last) = self.last_worker_contact(Instant::now()) else { continue };
-            if last.elapsed() < self.policy.deaf {
+            let Some(last_contact) = self.last_worker_contact(Instant::now()) else { continue };
+            if last_contact.elapsed() < self.policy.deaf {
                 continue;
             }
             self.poll_all_peers(false).await;
             let now = Instant::now();
-            let peers_answer = self.peers.any_reachable(self.policy.deaf_alone, now);
+            let peers_reachable = self.peers.any_reachable(self.policy.deaf_alone, now);
             let last_at_peer = self.peers.last_worker_contact();
-            if contact.is_lost(last, last_at_peer, peers_answer, &self.policy, now) {
+            if contact.is_lost(last_contact, last_at_peer, peers_reachable, &self.policy, now) {
                 return StepDownReason::NoWorkerContact;
             }
         }
     }
 
-    /// When a worker last reached this leader, counted at the earliest from the beginning of the
-    /// term or the end of a stall; `None` if there is nothing to judge by.
+    /// Returns when this leader last received a heartbeat, but no earlier than the beginning of the
+    /// term and the end of the last stall; `None` if this controller does not lead or fewer than
+    /// [`MIN_MACHINES`] machines run.
     fn last_worker_contact(&self, now: Instant) -> Option<Instant> {
         let mut state = self.lock();
         self.detect_stall(&mut state, now);
