--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -1,4 +1,5 @@
-//! Leader election: a key on a lease in the consensus-backed store, taken by compare-and-swap.
+//! Leader election: candidates write the leader key, attached to a lease, with a compare-and-swap
+//! transaction in the consensus-backed state store.
 
 use std::time::Instant;
 
@@ -10,24 +11,25 @@
 use crate::runtime::race::{race, racer};
 use crate::state_store::client::{key, read_value, Precondition, StoreError, Txn, TxnOutcome, Write};
 
-/// The value of the term key: the last term of any controller.
+/// The value of the term key: the latest term of any leader.
 #[derive(Serialize, Deserialize)]
 struct TermRecord {
     term: u64,
 }
 
-/// The keys of an election as a candidate has read them.
+/// The keys of an election, as read by a candidate.
 struct ElectionView {
-    /// Revision of the leader key; 0 if there is none.
+    /// Revision of the leader key; 0 if the key does not exist.
     leader_revision: u64,
-    /// The last term.
+    /// The latest term; 0 if there was none.
     term: u64,
-    /// Revision of the term key; 0 if there is none.
+    /// Revision of the term key; 0 if the key does not exist.
     term_revision: u64,
 }
 
 impl ElectionView {
-    /// The transaction that makes `record` the leader if the keys are still as read.
+    /// Returns the transaction that writes `record` to the leader key and its term to the term
+    /// key.  It succeeds only if neither key has changed since it was read.
     fn txn(&self, record: &LeaderRecord, lease_id: u64) -> Txn {
         Txn {
             preconditions: vec![
@@ -43,12 +45,14 @@
 }
 
 impl Controller {
-    /// Whether this controller may act as leader now.
+    /// Reports whether this controller leads and its lease is valid at `now`, so that it may act as
+    /// leader.
     pub fn may_act(&self, now: Instant) -> bool {
         self.lock().is_leader(now)
     }
 
-    /// Campaigns for leadership whenever there is no leader, and leads when elected.
+    /// Campaigns for leadership whenever there is no leader, and leads when elected.  Never
+    /// returns.
     pub async fn run_elections(&self) {
         let mut backoff: Option<StepDownBackoff> = None;
         loop {
@@ -63,36 +67,37 @@
                     }
                 }
                 Ok(None) => {}
-                Err(error) => tracing::debug!(%error, "leader election failed"),
+                Err(error) => tracing::debug!(%error, "leader election failed, retrying"),
             }
             smol::Timer::after(self.policy.renew / 4).await;
         }
     }
 
-    /// Whether the view is current, no other controller leads, and no backoff is active.
+    /// Reports whether this controller may campaign: it has read the store, observes no other
+    /// leader, and has no active backoff.
     fn may_campaign(&self, backoff: Option<StepDownBackoff>) -> bool {
         let state = self.lock();
-        let backs_off = || backoff.is_some_and(|b| b.is_active(state.last_heartbeat, Instant::now()));
+        let backoff_active = || backoff.is_some_and(|b| b.is_active(state.last_heartbeat, Instant::now()));
         state.synced
-            && !backs_off()
+            && !backoff_active()
             && match &state.leader {
                 None => true,
-                // an earlier incarnation of this very controller, which has ended
+                // The record of an earlier incarnation of this controller, whose process has ended.
                 Some(leader) => leader.record.name == self.config.name,
             }
     }
 
-    /// Leads until the term ends, and gives up the lease.
+    /// Leads until the term ends, then revokes the lease and returns the reason.
     async fn run_term(&self, lease: LeaderLease) -> StepDownReason {
         self.lock().lease = Some(lease);
         let reason = race(vec![racer(self.renew_lease(lease)), racer(self.lead(lease))]).await;
-        tracing::info!(term = lease.term, %reason, "leader steps down");
+        tracing::info!(term = lease.term, %reason, "stepping down as leader");
         self.clear_leadership(lease);
         let _ = self.store.revoke(lease.lease_id).await;
         reason
     }
 
-    /// Drops the leader's state at the end of a term.
+    /// Clears this controller's lease and its state of the cluster at the end of a term.
     fn clear_leadership(&self, lease: LeaderLease) {
         let mut state = self.lock();
         state.lease = None;
@@ -103,18 +108,24 @@
         }
     }
 
-    /// Makes this controller the leader; `None` if another one leads or was faster.
+    /// Tries to become the leader; returns the lease, or `None` if another controller leads or wins
+    /// the election.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the state store does not serve one of the requests.  The election may have
+    /// succeeded all the same; the lease then expires unused.
     async fn acquire_lease(&self) -> Result<Option<LeaderLease>, StoreError> {
         let Some(view) = self.read_election_view().await? else { return Ok(None) };
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let lease_id = self.store.grant(self.policy.ttl).await?;
         let record = LeaderRecord { name: self.config.name.clone(), term: view.term + 1 };
         match self.store.txn(&view.txn(&record, lease_id)).await? {
             TxnOutcome::Done(revision) => {
                 let term = record.term;
-                tracing::info!(term, "elected leader");
+                tracing::info!(term, "elected as leader");
                 self.lock().leader = Some(ObservedLeader { record, revision });
-                let valid_until = lease_valid_until(sent, self.policy.ttl, self.policy.drift);
+                let valid_until = lease_valid_until(sent_at, self.policy.ttl, self.policy.drift);
                 Ok(Some(LeaderLease { term, revision, lease_id, valid_until }))
             }
             TxnOutcome::Conflict(_) => {
@@ -124,8 +135,8 @@
         }
     }
 
-    /// Reads the leader and the last term; `None` if another controller leads, or the leader's
-    /// record cannot be read.
+    /// Reads the leader key and the term key; `None` if another controller leads or the leader's
+    /// record cannot be decoded.
     async fn read_election_view(&self) -> Result<Option<ElectionView>, StoreError> {
         let leader_revision = match self.store.get(key::LEADER).await? {
             None => 0,
--- a/src/leadership/feature_gate.rs
+++ b/src/leadership/feature_gate.rs
@@ -1,8 +1,9 @@
-//! Feature gates: which features all controllers support, and which are enabled.
+//! Feature gates, which enable a feature only after all controllers support it.
 //!
-//! Each controller advertises its features to its peers and in a member record; the leader
-//! enables a feature.  Whether all controllers support one is decided in core; this module
-//! advertises, collects and stores.
+//! Each controller advertises the features that it supports to its peers, and in a member record in
+//! the state store.  The leader enables a feature once all controllers support it; that decision is
+//! made in `coralnotch_core`.  This module advertises and collects the supported features, and
+//! stores and applies the feature gates.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -18,24 +19,25 @@
 use crate::peers::links::lock;
 use crate::state_store::client::{key, read_value, StoreError, Txn, TxnOutcome, Write};
 
-/// The state store grants no longer lease.
-const LONGEST_LEASE: Duration = Duration::from_secs(600);
+/// The longest time to live that the state store grants a lease.
+const MAX_LEASE_TTL: Duration = Duration::from_secs(600);
 
-/// This program's version.
+/// The version of this program, which is shown to operators and peers.
 pub(crate) const VERSION: &str = env!("CARGO_PKG_VERSION");
 
-/// Shown in `/v2/status` as the version of a peer from before features were advertised.
+/// Shown in `/v2/status` as the version of a peer whose program is too old to advertise features.
 const VERSION_BEFORE_FEATURES: &str = "earlier";
 
-/// Shown in `/v2/status` as the version of a peer that has not sent it yet.
+/// Shown in `/v2/status` as the version of a peer that has advertised features but not its version
+/// yet.
 const VERSION_UNKNOWN: &str = "not told yet";
 
-/// The features of this version, in the form that is sent and stored.
+/// Returns the features that this version supports, as they are sent and stored.
 pub(crate) fn supported_features() -> Vec<String> {
     SUPPORTED.iter().map(|feature| (*feature).to_owned()).collect()
 }
 
-/// A peer's version as shown in `/v2/status`.
+/// Returns a peer's version as shown in `/v2/status`.
 fn displayed_version(peer: &AdvertisedFeatures) -> String {
     match (peer.features.is_empty(), peer.version.is_empty()) {
         (true, _) => VERSION_BEFORE_FEATURES.to_owned(),
@@ -44,7 +46,7 @@
     }
 }
 
-/// Whether stored gates enable a feature that is not enabled here yet; logs it if so.
+/// Reports whether stored gates enable a feature that is not enabled here yet, and logs that if so.
 fn is_newly_enabled(gates: &FeatureGates, feature: &str, enabled: bool) -> bool {
     let is_new = !enabled && gates.enabled.iter().any(|f| f == feature);
     if is_new {
@@ -54,25 +56,27 @@
 }
 
 impl Controller {
-    /// Records the features that a peer has advertised itself.
+    /// Records the features and the version that a peer has advertised in a message of its own,
+    /// received at `at`.
     pub(crate) fn record_peer_features(&self, name: &str, features: Vec<String>, version: String, at: Instant) {
-        let mut roster = lock(&self.peers.member_features);
-        // a peer's requests do not carry its version, its answers do
-        let version = match roster.get(name) {
+        let mut member_features = lock(&self.peers.member_features);
+        // A peer's requests do not carry its version, only its responses do.
+        let version = match member_features.get(name) {
             Some(known) if version.is_empty() && !features.is_empty() => known.version.clone(),
             _ => version,
         };
-        roster.record(name, AdvertisedFeatures { features, version, seen_at: at });
+        member_features.record(name, AdvertisedFeatures { features, version, seen_at: at });
     }
 
-    /// The versions of the peers that have advertised their features, by name.
+    /// Returns the versions of the peers of which any message or member record is known, by peer
+    /// name.
     pub(crate) fn peer_versions(&self) -> BTreeMap<String, String> {
-        let roster = lock(&self.peers.member_features);
+        let member_features = lock(&self.peers.member_features);
         let names = self.config.peers.iter().map(|peer| &peer.name);
-        names.filter_map(|name| Some((name.clone(), displayed_version(roster.get(name)?)))).collect()
+        names.filter_map(|name| Some((name.clone(), displayed_version(member_features.get(name)?)))).collect()
     }
 
-    /// Applies the stored feature gates, as read at this revision.  An enabled feature stays
+    /// Applies the feature gates stored at `revision`.  A feature that is enabled here stays
     /// enabled.
     pub(crate) fn apply_feature_gates(&self, gates: &FeatureGates, revision: u64, now: Instant) {
         let mut state = self.lock();
@@ -88,13 +92,13 @@
         }
     }
 
-    /// Keeps this controller's member record in the store until all features are enabled.
+    /// Keeps this controller's member record in the state store until all features are enabled.
     ///
-    /// The record is on a lease of its own that outlives a network partition: a controller that
-    /// is cut off, or down for a moment, still has the version that it had.
+    /// The record is attached to a lease of its own that outlives a network partition, because a
+    /// controller that is partitioned or briefly down still runs the same version.
     pub async fn publish_features(&self) {
         let mut lease_id = None;
-        // which features are enabled is known only once the store has been read
+        // Which features are enabled is known only after the initial read of the store.
         while !self.lock().synced {
             smol::Timer::after(self.policy.renew / 8).await;
         }
@@ -108,20 +112,28 @@
         }
     }
 
-    /// Renews the member record's lease, or writes the record on a new one; the lease's id.
+    /// Renews the member record's lease, or writes the record with a new lease; returns the ID of
+    /// the lease.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`StoreError::NoLease`] if the lease has expired, so that the record has to be
+    /// written with a new one.
     async fn publish_member_record(&self, lease_id: Option<u64>) -> Result<u64, StoreError> {
         if let Some(id) = lease_id {
             return self.store.renew(id, self.policy.ttl / 2).await.map(|()| id);
         }
-        let id = self.store.grant(self.policy.cut_keep.min(LONGEST_LEASE)).await?;
+        let id = self.store.grant(self.policy.cut_keep.min(MAX_LEASE_TTL)).await?;
         let member = MemberRecord { features: supported_features(), version: VERSION.to_owned() };
         let path = format!("{}{}", key::MEMBER, self.config.name);
         let txn = Txn { preconditions: vec![], writes: vec![Write::set_with_lease(path, &member, id)] };
         self.store.txn(&txn).await.map(|_| id)
     }
 
-    /// Enables each feature, as leader, once every configured controller is known to support it,
-    /// from its own messages or from its member record.  Never ends the term.
+    /// Enables each feature, as the leader, once every configured controller is known to support it
+    /// from its messages or its member record.
+    ///
+    /// Never returns, so it never ends the term.
     pub(crate) async fn run_feature_gate(&self, lease: LeaderLease) -> StepDownReason {
         while !self.lock().all_features_enabled() {
             self.read_member_records().await;
@@ -131,16 +143,17 @@
         std::future::pending().await
     }
 
+    /// Lists the member records and records the features that they advertise.
     async fn read_member_records(&self) {
         let members = match self.store.list(key::MEMBER).await {
             Ok(members) => members,
             Err(error) => {
-                tracing::debug!(%error, "cannot list member records");
+                tracing::debug!(%error, "cannot list the member records in the state store");
                 return;
             }
         };
-        // a listed record existed at the time of the listing; how old the controller's own
-        // message is, only that message says
+        // A listed record was valid at the time of the listing, so that is when its features were
+        // last seen.  For a message of a controller, the time of the message counts instead.
         let now = Instant::now();
         for item in members {
             let name = item.key.strip_prefix(key::MEMBER).unwrap_or_default().to_owned();
@@ -150,20 +163,20 @@
         }
     }
 
-    /// Records what a member record says, unless the controller contradicts it: it has answered
-    /// lately as a version from before features were advertised.
+    /// Records the features of a member record, unless the controller contradicts it: a
+    /// recent message of that controller has come from a version that does not advertise features.
     fn record_member(&self, name: &str, member: MemberRecord, now: Instant) {
-        let mut roster = lock(&self.peers.member_features);
-        let contradicts = |known: &AdvertisedFeatures| {
+        let mut member_features = lock(&self.peers.member_features);
+        let contradicts_record = |known: &AdvertisedFeatures| {
             known.features.is_empty() && now.saturating_duration_since(known.seen_at) <= self.policy.ttl * 2
         };
-        if !roster.get(name).is_some_and(contradicts) {
+        if !member_features.get(name).is_some_and(contradicts_record) {
             let features = AdvertisedFeatures { features: member.features, version: member.version, seen_at: now };
-            roster.record(name, features);
+            member_features.record(name, features);
         }
     }
 
-    /// Stores and applies the next feature gates, if another feature can be enabled.
+    /// Stores and applies new feature gates if a further feature can be enabled.
     async fn enable_supported_features(&self, lease: LeaderLease) {
         let (enabled, revision) = {
             let state = self.lock();
@@ -180,18 +193,19 @@
         txn.require(key::GATES, revision);
         match self.store.txn(&txn).await {
             Ok(TxnOutcome::Done(revision)) => self.apply_feature_gates(&gates, revision, Instant::now()),
-            Ok(TxnOutcome::Conflict(keys)) => tracing::info!(?keys, "feature gate transaction in conflict"),
-            Err(error) => tracing::debug!(%error, "feature gate transaction failed"),
+            Ok(TxnOutcome::Conflict(keys)) => tracing::info!(?keys, "feature gate transaction conflict, retrying"),
+            Err(error) => tracing::debug!(%error, "feature gate transaction failed, retrying"),
         }
     }
 
-    /// The gates with every feature that is enabled or that all controllers support, if that
-    /// enables more than today.  `enabled` says of each feature whether it is enabled.
+    /// Returns the gates with every feature that is enabled already or that all controllers
+    /// support; `None` if that enables no further feature.  `enabled` lists each feature and
+    /// whether it is enabled.
     fn next_feature_gates(&self, enabled: &[(&str, bool)], term: u64) -> Option<FeatureGates> {
         let is_enabled = |feature: &str| enabled.contains(&(feature, true));
         let names = self.config.peers.iter().map(|peer| peer.name.as_str());
-        let (now, roster) = (Instant::now(), lock(&self.peers.member_features));
-        let all_have = |feature: &str| roster.all_have(names.clone(), feature, self.policy.cut_keep, now);
-        Some(FeatureGates { enabled: next_enabled(is_enabled, all_have)?, term })
+        let (now, member_features) = (Instant::now(), lock(&self.peers.member_features));
+        let all_support = |feature: &str| member_features.all_have(names.clone(), feature, self.policy.cut_keep, now);
+        Some(FeatureGates { enabled: next_enabled(is_enabled, all_support)?, term })
     }
 }
--- a/src/leadership/isolation.rs
+++ b/src/leadership/isolation.rs
@@ -1,67 +1,70 @@
-//! Network isolation of a controller: whether a leader has lost its workers, and whether a
-//! controller without answers is cut off alone or together with its zone.  Plain functions of
-//! state and `now`.
+//! Detection of network isolation: whether a leader has lost contact with its workers, and whether
+//! a controller that gets no responses is isolated alone or partitioned together with its zone.
+//! The results depend only on the given state and `now`.
 
 use std::time::{Duration, Instant};
 
 use crate::policy::Policy;
 
-/// What a leader that receives no heartbeats has found out about the cause.
+/// Decides whether a leader that receives no heartbeats has lost contact with its workers.
 #[derive(Debug, Default)]
 pub struct WorkerContact {
-    /// When a peer first received a heartbeat after the last one received here.
+    /// When a peer first received a heartbeat after the last one that this leader received.
     peer_contact_at: Option<Instant>,
 }
 
 impl WorkerContact {
-    /// Whether the leader has lost contact with its workers and must step down.
+    /// Reports whether the leader has lost contact with its workers and must step down.
     ///
-    /// `last` is the time of the last heartbeat received here, `last_at_peer` of the last one
-    /// received by a peer; `peers_answer` says whether any peer answers.  A peer redirects a
-    /// worker to the leader, where it arrives within half a second: a worker that has not
-    /// arrived by then cannot reach this controller.  If no peer can be asked, only a long time
-    /// without heartbeats counts.
+    /// `last_heartbeat` is when the leader last received a heartbeat, `last_at_peer` when a peer
+    /// last did, and `peers_reachable` says whether any peer responds.  A peer redirects a worker
+    /// to the leader, which the worker reaches within half a second.  A worker that has not reached
+    /// the leader within half of `deaf` cannot reach it.  If no peer responds, the leader steps
+    /// down after `deaf_alone` without heartbeats.
     pub fn is_lost(
         &mut self,
-        last: Instant,
+        last_heartbeat: Instant,
         last_at_peer: Option<Instant>,
-        peers_answer: bool,
+        peers_reachable: bool,
         policy: &Policy,
         now: Instant,
     ) -> bool {
-        let without_heartbeat = now.saturating_duration_since(last);
-        if without_heartbeat < policy.deaf {
+        let since_heartbeat = now.saturating_duration_since(last_heartbeat);
+        if since_heartbeat < policy.deaf {
             return false;
         }
-        if !peers_answer {
-            return without_heartbeat > policy.deaf_alone;
+        if !peers_reachable {
+            return since_heartbeat > policy.deaf_alone;
         }
-        // what a peer reported before the last heartbeat says nothing of the time since
-        let after_last = |at: &Instant| *at > last;
-        self.peer_contact_at = self.peer_contact_at.filter(after_last).or(last_at_peer.filter(after_last));
+        // A heartbeat that a peer received before the leader's last one does not indicate a loss of
+        // contact since.
+        let is_after_last = |at: &Instant| *at > last_heartbeat;
+        self.peer_contact_at = self.peer_contact_at.filter(is_after_last).or(last_at_peer.filter(is_after_last));
         self.peer_contact_at.is_some_and(|at| now.saturating_duration_since(at) > policy.deaf / 2)
     }
 }
 
-/// What a controller without answers from the state store knows of who still reaches it.
+/// What a controller that gets no responses from the state store knows about who still reaches it.
 #[derive(Debug, Clone, Copy)]
 pub struct PartitionSuspicion {
-    /// Time since the state store last carried out a request.
+    /// Time since the state store last served a request of this controller.
     pub since_store_answer: Duration,
-    /// The state store or a peer answers, even if only with a refusal.
+    /// Whether the state store or a peer responds, even if only with an error status.
     pub any_answer: bool,
-    /// Time since the last heartbeat from a worker of another zone, if there was one.
+    /// Time since the last heartbeat from a worker in another zone; `None` if there was none.
     pub since_remote_zone_heartbeat: Option<Duration>,
-    /// Time since the last request from a user or a load balancer's probe, if there was one.
+    /// Time since the last request from a user or the last probe from a load balancer; `None` if
+    /// there was none.
     pub since_user_request: Option<Duration>,
 }
 
 impl PartitionSuspicion {
-    /// Whether the whole zone is partitioned off rather than this controller alone: nobody
-    /// outside the zone has reached it for longer than `after`.
+    /// Reports whether the whole zone, rather than this controller alone, is partitioned from the
+    /// others: for longer than `after`, the state store has served nothing, nothing outside the
+    /// zone has reached this controller, and no peer responds.
     ///
-    /// A controller that is cut off alone must not take the zone for partitioned: it would keep
-    /// the zone's workers from a leader that they can reach.
+    /// A controller that is isolated alone must not assume a partition of its zone, or it would
+    /// keep the zone's workers from a leader that they can reach.
     pub fn includes_own_zone(&self, after: Duration) -> bool {
         let exceeds = |since: Option<Duration>| since.is_none_or(|since| since > after);
         self.since_store_answer >= after
--- a/src/leadership/lease.rs
+++ b/src/leadership/lease.rs
@@ -1,37 +1,38 @@
-//! The leader's record and its lease: plain values, and until when a lease can be relied on.
+//! The leader's record and lease, and the calculation of how long a lease is valid.
 
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
 
-/// The value of the leader key.
+/// The value stored under the leader key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// Name of the leading controller.
     pub name: String,
-    /// Its term.
+    /// Term of this leader.  Each election increases the term by one.
     pub term: u64,
 }
 
-/// A controller's own right to act as leader.
+/// The lease by which a controller may act as the leader.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaderLease {
-    /// Term.
+    /// Term for which the controller was elected.
     pub term: u64,
-    /// Revision of the leader key; every write of the term is conditional on it.
+    /// Revision of the leader key; every write of the term has this revision as a precondition.
     pub revision: u64,
-    /// Lease on which the leader key depends.
+    /// ID of the lease in the state store to which the leader key is attached.
     pub lease_id: u64,
-    /// The controller must not act from this time on.
+    /// From this time on the controller must not act as the leader.
     pub valid_until: Instant,
 }
 
-/// Until when a lease can be relied on whose grant or renewal was sent at `sent`.
+/// Returns until when a lease is certainly valid whose grant or renewal was sent at `sent_at`.
 ///
-/// `drift` is the largest relative error of one clock.
-pub fn lease_valid_until(sent: Instant, ttl: Duration, drift: f64) -> Instant {
-    // this clock may run slow and the store's fast: both errors add up
-    sent + ttl.mul_f64(1.0 - 2.0 * drift)
+/// `drift` is the largest relative error of one clock, for example 0.001 for one millisecond a
+/// second.
+pub fn lease_valid_until(sent_at: Instant, ttl: Duration, drift: f64) -> Instant {
+    // The controller's clock may run slow while the state store's runs fast, so the errors add up.
+    sent_at + ttl.mul_f64(1.0 - 2.0 * drift)
 }
 
 #[cfg(test)]
--- a/src/leadership/lease/tests.rs
+++ b/src/leadership/lease/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 #[test]
-fn lease_validity_counts_from_the_sending() {
-    let sent = Instant::now();
-    let until = lease_valid_until(sent, Duration::from_secs(4), 0.0005);
-    assert!(until < sent + Duration::from_secs(4));
-    assert!(until > sent + Duration::from_millis(3990));
+fn lease_validity_counts_from_when_the_request_was_sent() {
+    let sent_at = Instant::now();
+    let valid_until = lease_valid_until(sent_at, Duration::from_secs(4), 0.0005);
+    assert!(valid_until < sent_at + Duration::from_secs(4));
+    assert!(valid_until > sent_at + Duration::from_millis(3990));
 }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -1,5 +1,5 @@
-//! Leadership: the election, the leader's lease and its renewal, when a leader steps down, and
-//! which features all controllers support.
+//! Leadership: leader election, the leader's lease and its renewal, stepping down, detection of
+//! network isolation, and feature gates.
 
 pub mod election;
 pub mod feature_gate;
--- a/src/leadership/step_down.rs
+++ b/src/leadership/step_down.rs
@@ -1,29 +1,29 @@
-//! Why a leader steps down, and when a controller may campaign for leadership again.
+//! Reasons for which a leader steps down, and the backoff before it campaigns again.
 
 use std::time::{Duration, Instant};
 
-/// Why a term ends.
+/// Why a leader's term ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum StepDownReason {
-    /// The state store no longer knows the leader's lease.
-    #[error("lease expired")]
+    /// The state store no longer has the leader's lease.
+    #[error("the leader's lease expired in the state store")]
     LeaseExpired,
-    /// The lease is renewed, but the watch shows too little to lead by.
-    #[error("watch is stale although the lease is renewed")]
+    /// The lease is renewed, but the view from the watch is too old to lead.
+    #[error("the watch of the state store is stale although the lease is renewed")]
     WatchStale,
-    /// The watch shows another leader of a later term.
-    #[error("another controller leads")]
+    /// The watch has shown another leader of a later term.
+    #[error("another controller leads a later term")]
     Superseded,
-    /// A transaction found another revision of the leader key.
-    #[error("leader key changed")]
+    /// A transaction failed because the leader key has another revision.
+    #[error("the leader key has changed in the state store")]
     LeaderKeyChanged,
-    /// Heartbeats reach peers, but not this controller.
-    #[error("no worker reaches this controller")]
+    /// No heartbeat reaches this controller, while heartbeats reach peers or no peer responds.
+    #[error("no heartbeats of workers reach this controller")]
     NoWorkerContact,
 }
 
-/// The time in which a controller that stepped down without worker contact does not campaign for
-/// leadership.
+/// The time in which a controller does not campaign for leadership, after it stepped down because
+/// no heartbeats reached it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct StepDownBackoff {
     started_at: Instant,
@@ -31,15 +31,16 @@
 }
 
 impl StepDownBackoff {
-    /// A backoff that starts now and lasts at most `limit`.
-    pub(super) fn new(now: Instant, limit: Duration) -> StepDownBackoff {
-        StepDownBackoff { started_at: now, expires_at: now + limit }
+    /// Creates a backoff that starts at `now` and lasts at most `max_duration`.
+    pub(super) fn new(now: Instant, max_duration: Duration) -> StepDownBackoff {
+        StepDownBackoff { started_at: now, expires_at: now + max_duration }
     }
 
-    /// Whether the controller must not campaign for leadership yet.
+    /// Reports whether the controller must not campaign for leadership yet.
     ///
-    /// It waits for a heartbeat received here, or two isolated controllers would pass the lease
-    /// to and fro; if no other controller is elected before the limit, it tries again anyway.
+    /// The controller waits until it receives a heartbeat, because otherwise two isolated
+    /// controllers would alternate as leaders.  If no other controller is elected until the backoff
+    /// expires, it campaigns again anyway.
     pub(super) fn is_active(&self, last_heartbeat: Option<Instant>, now: Instant) -> bool {
         now < self.expires_at && last_heartbeat.is_none_or(|at| at < self.started_at)
     }
