--- a/src/state_store/client/health.rs
+++ b/src/state_store/client/health.rs
@@ -1,4 +1,4 @@
-//! What the last requests say about the health of the state store.
+//! Health of the state store as seen by one controller, derived from the last requests.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Mutex;
@@ -6,10 +6,10 @@
 
 use crate::http;
 
-/// An HTTP status and body, or why there is none.
-type Answer = Result<(u16, Vec<u8>), http::Error>;
+/// An HTTP status and body, or why there was no response.
+type Response = Result<(u16, Vec<u8>), http::Error>;
 
-/// The health of the state store as seen by one controller.
+/// The health of the state store.
 pub(super) struct StoreHealth {
     last_served: Mutex<Instant>,
     failing: AtomicBool,
@@ -17,7 +17,7 @@
 }
 
 impl StoreHealth {
-    /// A store that served a request at `now`.
+    /// Creates the health of a store that counts as having served a request at `now`.
     pub(super) fn new(now: Instant) -> StoreHealth {
         StoreHealth {
             last_served: Mutex::new(now),
@@ -26,41 +26,42 @@
         }
     }
 
-    /// Records a request that was sent at `started_at` with a time limit.
-    pub(super) fn record_answer(&self, answer: &Answer, started_at: Instant, limit: Duration) {
-        // a deadline that passed long ago passed while this controller was stalled: that is no
-        // failure of the store
-        if answer.is_ok() || started_at.elapsed() < limit * 2 {
-            // 429 is the rate limit: the store is available
-            self.failing.store(!matches!(answer, Ok((..500, _))), Ordering::Relaxed);
-            self.unresponsive.store(answer.is_err(), Ordering::Relaxed);
+    /// Records the response to a request that was sent at `started_at` with this timeout.
+    pub(super) fn record_response(&self, response: &Response, started_at: Instant, timeout: Duration) {
+        // If the deadline has been exceeded by far, this controller was stalled meanwhile, which
+        // says nothing about the store.
+        if response.is_ok() || started_at.elapsed() < timeout * 2 {
+            // Status 429 reports an exceeded rate limit, so the store is available.
+            self.failing.store(!matches!(response, Ok((..500, _))), Ordering::Relaxed);
+            self.unresponsive.store(response.is_err(), Ordering::Relaxed);
         }
     }
 
-    /// The store carried out a request at `now`.
+    /// Records that the store served a request at `now`.
     pub(super) fn mark_served(&self, now: Instant) {
         *self.last_served.lock().unwrap_or_else(|e| e.into_inner()) = now;
     }
 
-    /// This controller was stalled: that nothing was carried out meanwhile says nothing about
-    /// the store.
+    /// Discards the recorded failures after a stall of this controller, as if the store had served
+    /// a request at `now`.  That no request was served during the stall says nothing about the
+    /// store.
     pub(super) fn reset(&self, now: Instant) {
         self.mark_served(now);
         self.failing.store(false, Ordering::Relaxed);
         self.unresponsive.store(false, Ordering::Relaxed);
     }
 
-    /// When the store last carried out a request.
+    /// Returns when the store last served a request.
     pub(super) fn last_served(&self) -> Instant {
         *self.last_served.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Whether the last request was refused or got no answer.
+    /// Reports whether the last request got no response or a server error.
     pub(super) fn is_failing(&self) -> bool {
         self.failing.load(Ordering::Relaxed)
     }
 
-    /// Whether the last request got no answer at all.
+    /// Reports whether the last request got no response at all.
     pub(super) fn is_unresponsive(&self) -> bool {
         self.unresponsive.load(Ordering::Relaxed)
     }
--- a/src/state_store/initial_read.rs
+++ b/src/state_store/initial_read.rs
@@ -1,4 +1,4 @@
-//! The initial read of the state store, from which the watch continues.
+//! The initial read of the state store, after which the watch continues.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -8,8 +8,8 @@
 use crate::model::Name;
 use crate::state_store::client::{key, KeyValue, StoreError, WatchEvent};
 
-/// The store holds the layout of an earlier version, which this version does not read: two
-/// layouts side by side would run tasks twice.
+/// The state store holds keys in the layout of an earlier version, which this version does not
+/// support.  Two versions that use different layouts at the same time would run tasks twice.
 #[derive(Debug, Clone, Copy, thiserror::Error)]
 #[error(
     "the state service holds the layout of an earlier version (keys under c1/): \
@@ -18,45 +18,56 @@
 pub struct UnsupportedLayout;
 
 impl Controller {
-    /// Refuses a store that holds the layout of an earlier version; waits for an answer.
+    /// Checks that the state store does not hold the layout of an earlier version.  Retries until
+    /// the store responds.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`UnsupportedLayout`] if the store holds such keys.
     pub(super) async fn check_layout(&self) -> Result<(), UnsupportedLayout> {
         loop {
             match self.store.has_keys(key::PREVIOUS_LAYOUT).await {
                 Ok(true) => return Err(UnsupportedLayout),
                 Ok(false) => return Ok(()),
                 Err(error) => {
-                    tracing::debug!(%error, "cannot read the state store yet");
+                    tracing::debug!(%error, "cannot check the layout of the state store, retrying");
                     smol::Timer::after(self.policy.renew / 2).await;
                 }
             }
         }
     }
 
-    /// Reads everything that is unfinished; returns the revision to watch from.
+    /// Reads the single records and all unfinished jobs; returns the revision from which to watch.
+    ///
+    /// The read holds no more than the unfinished jobs and one page of each listing in memory,
+    /// however many jobs have ended.
+    ///
+    /// # Errors
     ///
-    /// Memory use is bounded by the unfinished jobs and one page, however long the history.
+    /// Fails if a single record or the shards cannot be read, or with [`StoreError::WatchExpired`]
+    /// if the read has taken too long.  The caller starts the read again.
     pub(super) async fn catch_up(&self) -> Result<u64, StoreError> {
         let is_first = !self.lock().synced;
-        let sent = Instant::now();
-        let revision = self.read_single_records(sent).await?;
+        let sent_at = Instant::now();
+        let revision = self.read_single_records(sent_at).await?;
         let started_jobs = match is_first {
             true => self.list_started_jobs().await?,
             false => HashSet::new(),
         };
         let revision = self.scan_jobs(InitialScan::new(started_jobs), revision).await?;
-        self.lock().cancellation_view.watch_answered(sent);
+        self.lock().cancellation_view.watch_answered(sent_at);
         Ok(revision)
     }
 
-    /// Reads the leader, the machine types and the feature gates; returns the revision at which
-    /// the leader was read.
-    async fn read_single_records(&self, sent: Instant) -> Result<u64, StoreError> {
+    /// Reads the leader, the machine types and the feature gates; returns the revision at which the
+    /// leader was read.  `sent_at` is when the initial read began.
+    async fn read_single_records(&self, sent_at: Instant) -> Result<u64, StoreError> {
         let leader = self.store.list_page(key::LEADER, "").await?;
         let revision = leader.revision;
         {
             let mut state = self.lock();
             state.jobs.raise_floor(revision);
-            state.cancellations.begin_watch(revision, sent);
+            state.cancellations.begin_watch(revision, sent_at);
             if leader.items.is_empty() {
                 state.leader = None;
             }
@@ -67,35 +78,42 @@
         Ok(revision)
     }
 
-    /// Applies a key as if the watch had shown it.
+    /// Applies a key and its value like an event of the watch.
     fn apply_item(&self, item: KeyValue) {
         let (set, value) = (Some(item.key), Some(item.value));
         self.apply_event(WatchEvent { set, delete: None, value, revision: item.revision });
     }
 
-    /// The jobs that shards name as started.  Some of them have ended while their tasks may
-    /// still run: a controller that soon leads would have to read them one by one.
+    /// Returns the jobs that shards refer to as started.  Some of them have ended while their tasks
+    /// may still run.  If the initial read did not keep these, this controller would have to read
+    /// them one by one when it becomes leader.
     async fn list_started_jobs(&self) -> Result<HashSet<Name>, StoreError> {
         let shards = self.store.list(key::SHARD).await?;
         Ok(shards.iter().flat_map(crate::commit::started_jobs_of_shard).collect())
     }
 
-    /// Reads all jobs page by page; returns the revision up to which changes were applied.
+    /// Reads all jobs page by page; returns the revision up to which changes were applied
+    /// meanwhile.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`StoreError::WatchExpired`] if the store no longer has the changes since
+    /// `revision`.
     async fn scan_jobs(&self, mut scan: InitialScan, mut revision: u64) -> Result<u64, StoreError> {
         let mut watched_at = Instant::now();
         while let Some(request) = scan.next_page() {
             match self.store.list_page(request.prefix, &request.after_key).await {
                 Ok(page) => scan.add_page(request.prefix, page.items, page.truncated),
-                // only this page is read again: a long read has to finish although the store
-                // fails now and then
+                // Only this page is read again, so that a long read completes although single
+                // requests fail.
                 Err(error) => {
-                    tracing::debug!(prefix = request.prefix, %error, "cannot read a page of the state store");
+                    tracing::debug!(prefix = request.prefix, %error, "cannot read a page of the state store, retrying");
                     smol::Timer::after(self.policy.renew / 2).await;
                 }
             }
             self.apply_scan(&mut scan);
-            // the store keeps a limited number of changes: a read that takes longer than they
-            // are kept would start over again and again
+            // The store keeps a limited number of changes.  Without a watch in between, a read that
+            // takes longer than the changes are kept would have to start again every time.
             if watched_at.elapsed() > self.policy.renew {
                 watched_at = Instant::now();
                 revision = self.watch_during_scan(&mut scan, revision).await?;
@@ -104,23 +122,29 @@
         Ok(revision)
     }
 
-    /// Applies the changes since a revision; returns the revision up to which they were applied.
+    /// Applies the changes since a revision; returns the revision up to which they were applied,
+    /// which is `since` if the request fails.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`StoreError::WatchExpired`] if the store no longer has these changes.
     async fn watch_during_scan(&self, scan: &mut InitialScan, since: u64) -> Result<u64, StoreError> {
         match self.store.watch(key::WATCHED, since, Duration::ZERO).await {
-            Ok(answer) => {
-                let ended = |e: &WatchEvent| Some(Name::from(e.set.as_ref()?.strip_prefix(key::OUTCOME)?));
-                scan.mark_ended(answer.events.iter().filter_map(ended));
-                Ok(self.apply_changes(answer.events, answer.revision.max(since)))
+            Ok(response) => {
+                let ended_job = |e: &WatchEvent| Some(Name::from(e.set.as_ref()?.strip_prefix(key::OUTCOME)?));
+                scan.mark_ended(response.events.iter().filter_map(ended_job));
+                Ok(self.apply_changes(response.events, response.revision.max(since)))
             }
             Err(StoreError::WatchExpired) => Err(StoreError::WatchExpired),
             Err(error) => {
-                tracing::debug!(%error, "watch failed");
+                tracing::debug!(%error, "watch request during the initial read failed, retrying");
                 Ok(since)
             }
         }
     }
 
-    /// Moves the jobs that the scan has complete into the job index and the leader's state.
+    /// Moves the jobs of which the scan has read both record and outcome into the job index and the
+    /// leader's state of the cluster.
     fn apply_scan(&self, scan: &mut InitialScan) {
         let (mut guard, now) = (self.lock(), Instant::now());
         let state = &mut *guard;
--- a/src/state_store/watch.rs
+++ b/src/state_store/watch.rs
@@ -1,4 +1,4 @@
-//! The watch of the state store, which keeps a controller's view current.
+//! The watch of the state store, which applies every change to a controller's view.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -14,8 +14,12 @@
 use crate::state_store::initial_read::UnsupportedLayout;
 
 impl Controller {
-    /// Keeps the view of the store current for as long as the controller runs.  Returns only if
-    /// the store holds the layout of another version.
+    /// Keeps the view of the state store current for as long as the controller runs: reads the
+    /// store, then watches it, and reads it again whenever the watch expires.
+    ///
+    /// # Errors
+    ///
+    /// Returns only with an error, if the store holds the layout of an earlier version.
     pub async fn run_watch(&self) -> Result<Infallible, UnsupportedLayout> {
         self.check_layout().await?;
         loop {
@@ -25,63 +29,68 @@
                     self.watch_until_expired(revision).await;
                 }
                 Err(error) => {
-                    tracing::debug!(%error, "cannot read the state store yet");
+                    tracing::debug!(%error, "initial read of the state store failed, retrying");
                     smol::Timer::after(self.policy.renew / 2).await;
                 }
             }
         }
     }
 
-    /// Applies changes after a revision until the store no longer keeps them.
+    /// Watches the store from a revision and applies the changes, until the store no longer has all
+    /// of them.
     async fn watch_until_expired(&self, mut since: u64) {
-        // an answer proves that the view was current when the request was sent: it must not take
-        // as long as leases are renewed on it.  In trials with a third of this, a store in
-        // trouble left more requests without an answer
+        // A response proves that the view was current when the request was sent.  So it has to
+        // arrive before a view of that age is too old to renew leases.  With a third of this time,
+        // more requests got no response while the store was failing.
         let block = self.policy.ttl.mul_f64(1.5);
         loop {
-            let sent = Instant::now();
+            let sent_at = Instant::now();
             match self.store.watch(key::WATCHED, since, block).await {
-                Ok(answer) => {
-                    since = self.apply_changes(answer.events, answer.revision.max(since));
-                    pause(self.record_watch_answer(sent, since)).await;
+                Ok(response) => {
+                    since = self.apply_changes(response.events, response.revision.max(since));
+                    pause(self.record_watch_response(sent_at, since)).await;
                 }
                 Err(StoreError::WatchExpired) => return,
                 Err(error) => {
-                    tracing::debug!(%error, "watch failed");
+                    tracing::debug!(%error, "watch request failed, retrying");
                     smol::Timer::after(self.policy.renew / 2).await;
                 }
             }
         }
     }
 
-    /// The watch has shown all changes up to a revision; returns how long to wait before the
-    /// next request.
-    fn record_watch_answer(&self, sent: Instant, revision: u64) -> Duration {
+    /// Records that the watch has shown all changes up to a revision, in response to a request sent
+    /// at `sent_at`.  Returns how long to wait before the next request: a controller that does not
+    /// lead waits `watch_gap`.
+    fn record_watch_response(&self, sent_at: Instant, revision: u64) -> Duration {
         let mut state = self.lock();
         state.revision = state.revision.max(revision);
-        state.cancellation_view.watch_answered(sent);
+        state.cancellation_view.watch_answered(sent_at);
         match state.lease {
             Some(_) => Duration::ZERO,
             None => self.policy.watch_gap,
         }
     }
 
+    /// Records that the initial read is complete, so that this controller may campaign for
+    /// leadership.
     fn mark_synced(&self, revision: u64) {
         let mut state = self.lock();
         state.revision = state.revision.max(revision);
         if !state.synced {
             let unfinished_jobs = state.jobs.len();
-            tracing::info!(revision, unfinished_jobs, "caught up with the state store");
+            tracing::info!(revision, unfinished_jobs, "initial read of the state store complete");
         }
         state.synced = true;
         self.election_wake.wake();
     }
 
-    /// Applies all changes up to a revision, in their order and without an await between them,
-    /// as the job index's floor is the last one's; returns the revision.
+    /// Applies all changes up to a revision in their order, and returns the revision.  There is no
+    /// await between them, because the job index's floor covers all of them only when it is raised
+    /// at the end.
     pub(super) fn apply_changes(&self, mut events: Vec<WatchEvent>, revision: u64) -> u64 {
-        // a job and its outcome may be of one transaction: an outcome that came first would find
-        // no job, and the job would never end here
+        // One transaction may write a job and its outcome.  An outcome that is applied first would
+        // find no job, and the job would never end in this view.
         let is_outcome = |event: &WatchEvent| event.set.as_ref().is_some_and(|path| path.starts_with(key::OUTCOME));
         events.sort_by_key(|event| (event.revision, is_outcome(event)));
         for event in events {
@@ -91,12 +100,12 @@
         revision
     }
 
-    /// Applies one change.
+    /// Applies one change.  Of the deletions, only that of the leader key has an effect.
     pub(super) fn apply_event(&self, event: WatchEvent) {
         match (event.set, event.delete, event.value) {
             (Some(path), _, Some(value)) => self.apply_write(&path, value, event.revision),
             (_, Some(path), _) if path == key::LEADER => {
-                tracing::info!("leader key deleted");
+                tracing::info!("leader key deleted from the state store");
                 self.lock().leader = None;
                 self.election_wake.wake();
             }
@@ -104,8 +113,8 @@
         }
     }
 
-    /// Applies a value written at a revision; other keys, and values that cannot be read, are
-    /// skipped.
+    /// Applies a value written at a revision.  Other keys are ignored, as are values that cannot be
+    /// decoded.
     fn apply_write(&self, path: &str, value: rmpv::Value, revision: u64) {
         let now = Instant::now();
         if path.starts_with(key::JOB) {
@@ -131,13 +140,15 @@
         }
     }
 
+    /// Records the leader that the watch has shown.
     fn observe_leader(&self, record: LeaderRecord, revision: u64) {
-        tracing::info!(leader = %record.name, term = record.term, "leader observed");
+        tracing::info!(leader = %record.name, term = record.term, "observed a new leader record");
         self.lock().leader = Some(ObservedLeader { record, revision });
         self.election_wake.wake();
     }
 
-    /// Stored machine types serve only until the cloud has been asked.
+    /// Applies stored machine types unless there are any already, because those of the cloud are
+    /// more recent.
     fn apply_stored_types(&self, types: Vec<MachineType>) {
         let mut state = self.lock();
         if state.machine_types.is_empty() {
