--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,5 +1,5 @@
-//! One controller: its settings, its clients, and the state that its parts share behind a short
-//! lock.  It must not depend on any of these parts.
+//! A controller: its settings, its clients, and the state that its parts share behind a mutex that
+//! is held only briefly.  The parts depend on this module, which must not depend on any of them.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -26,64 +26,67 @@
 pub use stall_detector::StallDetector;
 pub use state::{ControllerState, ObservedLeader};
 
-/// The controller's share of the cloud's rate limit.
+/// The share of the cloud's rate limit that a controller uses.
 const CLOUD_RATE_SHARE: f64 = 0.7;
 
-/// The burst of calls to the cloud, in seconds of its rate limit.
+/// The largest burst of calls to the cloud, in seconds of its full rate limit.
 const CLOUD_BURST_SECONDS: f64 = 1.4;
 
-/// A controller.
+/// A controller, which serves users and workers and leads the cluster when elected.
 pub struct Controller {
-    /// Settings.
+    /// The settings of this controller and of the deployment.
     pub config: Config,
-    /// The operators' policy.
+    /// The tunables, as set by the operators' policy file or by the default policy.
     pub policy: Arc<Policy>,
-    /// Client of the state store.
+    /// Client of the state store, limited to this controller's share of the store's rate limits.
     pub store: StateStore,
     /// HTTP client for the cloud.
     pub cloud_client: http::Client,
-    /// Rate limit of calls to the cloud.
+    /// Limits the rate of calls to the cloud.
     pub cloud_rate_limiter: RateLimiter,
     state: Mutex<ControllerState>,
-    /// Wakes the placement loop.
+    /// Wakes the leader's placement loop.
     pub placement_wake: WakeUp,
-    /// Wakes the commit loop.
+    /// Wakes the leader's commit loop.
     pub commit_wake: WakeUp,
-    /// Wakes the loop that fetches outcomes of dependencies.
+    /// Wakes the leader's loop that fetches outcomes of dependencies.
     pub outcome_fetch_wake: WakeUp,
-    /// The other controllers.
+    /// Connections to the other controllers, and what is known about them.
     pub peers: Peers,
     /// HTTP client for workers.
     pub worker_client: http::Client,
-    /// Wakes the loop that sends direct commands.
+    /// Wakes the leader's loop that sends direct commands.
     pub command_wake: WakeUp,
-    /// A transaction of the leader was applied.
+    /// Notifies after a transaction of the leader was applied.
     pub commit_done: event_listener::Event,
-    /// There is a cancellation of which peers have to be notified.
+    /// Notifies when peers have to be notified of a cancellation.
     pub cancellation_to_notify: event_listener::Event,
-    /// A peer has acknowledged a cancellation, or the leader found no task of its job.
+    /// Notifies when a peer has acknowledged a cancellation, or the leader has found no task of its
+    /// job.
     pub cancellation_known: event_listener::Event,
-    /// Wakes the election loop, as the leader has changed.
+    /// Wakes the election loop when the leader has changed or the initial read is complete.
     pub election_wake: WakeUp,
-    /// User requests that wait for the state store.
+    /// Queues of user requests that wait for the state store.
     pub user_requests: UserRequestQueues,
-    /// Heartbeats that wait to be forwarded to the leader.
+    /// Queue of heartbeats that wait to be forwarded to the leader.
     pub heartbeat_queue: HeartbeatQueue,
-    /// Counters and latencies.
+    /// Counters and latencies for operators.
     pub telemetry: Telemetry,
-    /// How long requests wait to be run.
+    /// How long requests of users and workers wait until the executor runs them.
     pub scheduling_delay: SchedulingDelay,
 }
 
 impl Controller {
-    /// A controller that has not started yet.
+    /// Creates a controller that has not read the state store and runs no tasks.
     pub fn new(config: Config, policy: Policy, now: Instant) -> Controller {
         let policy = Arc::new(policy);
-        // changes of the limits are not announced: both the earlier and the later ones are kept
+        // The store's limits change without an announcement, so the controller keeps within both
+        // the current and the next ones.
         let store_limits = &config.deployment.state.least();
         let store_rps = store_limits.rps;
         let cloud_rps = config.deployment.cloud.rps;
-        // no more can be stored in the time in which somebody may have to be notified of them
+        // The write rate allows at most this number of cancellations within `cancel`, the time in
+        // which peers may have to be notified of them.
         let max_cancellations = (store_limits.write_rps * policy.cancel.as_secs_f64()).ceil() as usize;
         let state = ControllerState::new(policy.ended_kept, max_cancellations, config.peers.len());
         Controller {
@@ -110,23 +113,24 @@
         }
     }
 
-    /// The shared state; never held over an await.
+    /// Locks the shared state.  The guard must not be held across an await.
     pub fn lock(&self) -> MutexGuard<'_, ControllerState> {
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// How long the next placement pass or fleet plan has to wait after one that took `elapsed`.
+    /// Returns how long the next placement pass or fleet plan has to wait after one that took
+    /// `elapsed`.
     ///
-    /// Each keeps to its share of the processor; and when requests wait to be run, decisions
-    /// wait for a multiple of that, as workers whose heartbeats are not read lose the tasks
-    /// that were assigned to them.
+    /// Passes and plans each take no more than `share` of processor time.  When requests are
+    /// delayed, they also wait for `lag_rest` times the delay, at most `lag_rest_most`, because
+    /// workers whose heartbeats are not read in time lose the tasks that were assigned to them.
     pub fn throttle_delay(&self, elapsed: Duration, share: f64) -> Duration {
-        let delay = self.scheduling_delay.now();
-        let delay_rest = delay.mul_f64(self.policy.lag_rest).min(self.policy.lag_rest_most);
-        elapsed.div_f64(share).max(delay_rest)
+        let scheduling_delay = self.scheduling_delay.recent();
+        let overload_delay = scheduling_delay.mul_f64(self.policy.lag_rest).min(self.policy.lag_rest_most);
+        elapsed.div_f64(share).max(overload_delay)
     }
 
-    /// The configured quota of each team.
+    /// Returns the configured guarantee and limit of each team, by team name.
     pub fn team_limits(&self) -> HashMap<Name, TeamLimit> {
         let resources = |cpus, gpus| Resources { cpus, gpus, memory: 0.0 };
         let limit = |team: &Team| TeamLimit {
--- a/src/controller/cancellation_view.rs
+++ b/src/controller/cancellation_view.rs
@@ -1,4 +1,4 @@
-//! How complete a controller's view of cancellations is, and what it may do with that view.
+//! Decisions that depend on how recent a controller's view of cancellations is.
 
 use std::time::Instant;
 
@@ -7,26 +7,31 @@
 use super::{Controller, ControllerState};
 
 impl Controller {
-    /// The time up to which every cancellation that was confirmed to a user is known here.
+    /// Returns the time up to which this controller knows every cancellation that was confirmed to
+    /// a user; `None` if there is no such time yet.
     pub fn cancellations_complete_as_of(&self, state: &ControllerState) -> Option<Instant> {
         state.cancellation_view.complete_as_of(self.config.peers.iter().map(|peer| peer.name.as_str()))
     }
 
-    /// Whether all controllers confirm cancellations to users only when all know of them.
+    /// Reports whether every controller confirms a cancellation to its user only when all
+    /// controllers know it.  That holds once this controller has known for `cancel` that the
+    /// feature is enabled.
     ///
-    /// A controller that does not know that the feature is enabled has a view that is older than
-    /// any on which a cancellation is confirmed that way.
+    /// A controller that does not know yet that the feature is enabled has an older view than any
+    /// on which such a confirmation relies.
     pub fn notices_required(&self, state: &ControllerState, now: Instant) -> bool {
         state.notices_enabled_at.is_some_and(|at| now.saturating_duration_since(at) >= self.policy.cancel)
     }
 
-    /// Whether the view of cancellations is recent enough to renew workers' leases by it alone.
+    /// Reports whether the view of cancellations is recent enough to renew workers' leases without
+    /// leading.
     pub fn may_renew(&self, state: &ControllerState, now: Instant) -> bool {
         let complete_as_of = self.cancellations_complete_as_of(state);
         may_renew(complete_as_of, self.notices_required(state, now), &self.policy, now)
     }
 
-    /// Whether this controller leads, and its view is recent enough to continue.
+    /// Reports whether this controller leads and its view of cancellations is recent enough to
+    /// continue.
     pub fn may_lead(&self, state: &ControllerState, now: Instant) -> bool {
         state.is_leader(now) && may_lead(self.cancellations_complete_as_of(state), &self.policy, now)
     }
--- a/src/controller/jobs.rs
+++ b/src/controller/jobs.rs
@@ -1,4 +1,4 @@
-//! New jobs and outcomes: how they enter the job index and, at the leader, the cluster's state.
+//! Applies new jobs and outcomes to the job index and, on the leader, to the cluster's state.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -7,7 +7,7 @@
 use crate::model::*;
 
 impl Controller {
-    /// Applies a job that the watch shows.
+    /// Applies a job that the watch has shown, unless it is known already.
     pub fn apply_watched_job(&self, spec: Arc<JobSpec>, revision: u64, now: Instant) {
         let mut state = self.lock();
         if state.jobs.insert_seen(spec.clone(), revision) {
@@ -15,7 +15,8 @@
         }
     }
 
-    /// Applies a job that a transaction of this controller has stored.
+    /// Applies a job that a transaction of this controller has stored, unless the watch has already
+    /// covered its revision.
     pub fn apply_own_job(&self, spec: Arc<JobSpec>, revision: u64, now: Instant) {
         let mut state = self.lock();
         if state.jobs.insert_stored(spec.clone(), revision) {
@@ -23,7 +24,8 @@
         }
     }
 
-    /// Adds an unfinished job to the cluster's state, if this controller has one.
+    /// Adds an unfinished job to the cluster's state if this controller leads and has loaded it.
+    /// Requests the outcomes of dependencies that are not in memory.
     pub(crate) fn add_job_to_cluster(
         &self,
         state: &mut ControllerState,
@@ -45,7 +47,7 @@
         self.commit_wake.wake();
     }
 
-    /// Applies a job's outcome, as stored at a revision.
+    /// Applies a job's outcome that was stored at a revision.
     pub fn apply_stored_outcome(&self, id: &str, outcome: JobOutcome, revision: u64, now: Instant) {
         let mut state = self.lock();
         if outcome == JobOutcome::Cancelled {
@@ -55,7 +57,7 @@
         self.apply_outcome_to_cluster(&mut state, id, outcome, now);
     }
 
-    /// Applies a job's outcome to the cluster's state, if this controller has one.
+    /// Applies a job's outcome to the cluster's state if this controller leads and has loaded it.
     pub(crate) fn apply_outcome_to_cluster(
         &self,
         state: &mut ControllerState,
--- a/src/controller/stall_detector.rs
+++ b/src/controller/stall_detector.rs
@@ -1,26 +1,28 @@
-//! Detection of stalls: times in which a controller did not run while its clocks did.
+//! Detection of stalls: times in which the controller's process did not run while its clock
+//! advanced.
 
 use std::time::{Duration, Instant};
 
 use super::{Controller, ControllerState};
 
-/// Detects stalls from the gaps between its ticks.
+/// Detects stalls by the time between ticks.
 #[derive(Debug, Clone, Copy)]
 pub struct StallDetector {
-    /// The last tick.
+    /// When the detector last ticked.
     pub last_tick: Instant,
-    /// Since when the controller has run without a stall.
+    /// Since when the controller has been running without a stall.
     pub running_since: Instant,
 }
 
 impl StallDetector {
-    /// The controller runs at `now`; returns how long it was stalled before, if it was for
-    /// longer than `limit`.  The first tick creates the detector.
-    pub fn tick(detector: &mut Option<StallDetector>, limit: Duration, now: Instant) -> Option<Duration> {
+    /// Records that the controller runs at `now`.  Returns the time since the previous tick if that
+    /// is longer than `threshold`, which means that the controller was stalled.  The first tick
+    /// creates the detector.
+    pub fn tick(detector: &mut Option<StallDetector>, threshold: Duration, now: Instant) -> Option<Duration> {
         let detector = detector.get_or_insert(StallDetector { last_tick: now, running_since: now });
         let gap = now.saturating_duration_since(detector.last_tick);
         detector.last_tick = detector.last_tick.max(now);
-        if gap <= limit {
+        if gap <= threshold {
             return None;
         }
         detector.running_since = now;
@@ -29,15 +31,19 @@
 }
 
 impl Controller {
-    /// Ticks the stall detector.  Called before every decision that rests on missing messages.
+    /// Ticks the stall detector.  Has to be called before every decision that depends on missing
+    /// messages.
     ///
-    /// After a stall they are missing because this controller did not read them: everything
-    /// measured from the last message starts anew, so that nobody is taken for dead, cut off or
-    /// refusing whose messages were merely not read.
+    /// After a stall, messages are missing because this controller has not read them yet.  So all
+    /// times since a last message are reset, and no worker, peer or service is considered dead,
+    /// isolated or failing because of the stall.
     pub fn detect_stall(&self, state: &mut ControllerState, now: Instant) {
         let Some(gap) = StallDetector::tick(&mut state.stall_detector, self.policy.stood_still, now) else { return };
         let seconds = gap.as_secs_f64();
-        tracing::info!(seconds = %format_args!("{seconds:.1}"), "controller stalled, heartbeat ages reset");
+        tracing::info!(
+            seconds = %format_args!("{seconds:.1}"),
+            "controller was stalled, resetting the times since the last messages"
+        );
         self.store.reset_after_stall(now);
         self.peers.reset_after_stall();
         if let Some(cluster) = state.cluster.as_mut() {
@@ -45,7 +51,7 @@
         }
     }
 
-    /// Ticks the stall detector regularly.
+    /// Ticks the stall detector periodically.  Never returns.
     pub async fn run_stall_detector(&self) {
         loop {
             smol::Timer::after(self.policy.renew / 2).await;
--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -1,4 +1,4 @@
-//! The state that the parts of a controller share.
+//! The state that the parts of a controller share behind a mutex.
 
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
@@ -12,67 +12,75 @@
 use crate::leadership::lease::{LeaderLease, LeaderRecord};
 use crate::model::*;
 
-/// The leader as seen in the store.
+/// The leader, as last read from the state store or shown by the watch.
 #[derive(Debug, Clone)]
 pub struct ObservedLeader {
-    /// Its name and term.
+    /// Name and term of the leader.
     pub record: LeaderRecord,
-    /// Revision of the leader key.
+    /// Revision of the leader key with this record.
     pub revision: u64,
 }
 
-/// The state that the parts of a controller share.
+/// The state of a controller; see [`Controller::lock`](super::Controller::lock).
 pub struct ControllerState {
-    /// Jobs by id.
+    /// The unfinished jobs, and a limited number of ended jobs.
     pub jobs: JobIndex,
-    /// The store has been read completely once.
+    /// Whether the initial read of the state store has been completed once.
     pub synced: bool,
-    /// Job dependencies are enabled.
+    /// Whether the feature of job dependencies is enabled.
     pub dependencies_enabled: bool,
-    /// Forwarding of heartbeats is enabled.
+    /// Whether the feature of forwarded heartbeats is enabled.
     pub forwarding_enabled: bool,
-    /// The leader asks the other controllers to accept heartbeats, as far as known here.
+    /// Whether the leader requests that the other controllers accept and forward heartbeats, as
+    /// last known here.
     pub forwarding_requested: bool,
-    /// Revision up to which the watch has shown all changes.
+    /// Revision of the state store up to which the watch has shown all changes.
     pub revision: u64,
-    /// The cancellations that are known here, to be sent to peers.
+    /// The cancellations known to this controller, from which peers are notified.
     pub cancellations: CancellationLog,
-    /// Since when no cancellation is missing here.
+    /// How recent this controller's view of cancellations is.
     pub cancellation_view: CancellationView,
-    /// Cancellations that are still to be confirmed to users.
+    /// Cancellations that still have to be confirmed to users, and which peers have acknowledged
+    /// them.
     pub cancellation_notices: CancellationNotices,
-    /// Since when this controller knows that confirmed cancellations are enabled; see
-    /// `coralnotch_core::feature_gate::CONFIRMED_CANCELLATIONS`.
+    /// When this controller learned that confirmed cancellations
+    /// (`coralnotch_core::feature_gate::CONFIRMED_CANCELLATIONS`) are enabled; `None` if they are
+    /// not known to be.
     pub notices_enabled_at: Option<Instant>,
-    /// Revision of the stored feature gates.
+    /// Revision of the stored feature gates, as last seen; 0 if there are none.
     pub features_revision: u64,
-    /// The leader.
+    /// The current leader, as observed in the state store; `None` if there is none.
     pub leader: Option<ObservedLeader>,
-    /// This controller's own lease, while it leads.
+    /// This controller's leadership lease; `None` while it does not lead.
     pub lease: Option<LeaderLease>,
-    /// The leader's state of the cluster, once it is loaded.
+    /// The leader's state of the cluster; `None` while this controller does not lead or is still
+    /// loading the state.
     pub cluster: Option<Cluster>,
-    /// Machine types as last seen.
+    /// The machine types, as last reported by the cloud, or read from the state store until then.
     pub machine_types: Vec<MachineType>,
-    /// What the last placement pass could not place.
+    /// The demand that the last placement pass could not place.
     pub unmet_demand: Vec<UnmetDemand>,
-    /// When this controller last received a heartbeat from a worker of another zone.
+    /// When this controller last received a heartbeat from a worker in another zone; `None` if
+    /// never.
     pub last_remote_zone_heartbeat: Option<Instant>,
-    /// When this controller last received a heartbeat.
+    /// When this controller last received a heartbeat of any worker, directly or forwarded; `None`
+    /// if never.
     pub last_heartbeat: Option<Instant>,
-    /// When a user, or a load balancer's probe, last reached this controller.
+    /// When a request of a user or a probe of a load balancer last reached this controller; `None`
+    /// if never.
     pub last_user_request: Option<Instant>,
-    /// Detects stalls of this controller.
+    /// The stall detector; `None` before its first tick.
     pub stall_detector: Option<StallDetector>,
-    /// No placement pass before this time.
+    /// Earliest time of the next placement pass; `None` if there was no pass yet.
     pub next_pass_at: Option<Instant>,
 }
 
 impl ControllerState {
-    /// The state of a controller that has read nothing yet.  It will keep up to `ended_kept`
-    /// ended jobs and up to `max_cancellations` cancellations.
+    /// Creates the state of a controller that has read nothing.  It keeps at most `ended_kept`
+    /// ended jobs and `max_cancellations` cancellations.  `peers` is the number of other
+    /// controllers.
     pub fn new(ended_kept: usize, max_cancellations: usize, peers: usize) -> ControllerState {
-        // distinguishes this incarnation of the controller from every other one
+        // A random number, which distinguishes this incarnation of the controller from all others.
         let incarnation = RandomState::new().build_hasher().finish();
         ControllerState {
             cancellations: CancellationLog::new(incarnation, max_cancellations),
@@ -99,22 +107,24 @@
         }
     }
 
-    /// Whether this controller leads and its lease is valid.
+    /// Reports whether this controller has been elected and its lease is valid at `now`.
     pub fn is_leader(&self, now: Instant) -> bool {
         self.lease.is_some_and(|lease| now < lease.valid_until)
     }
 
-    /// Whether all features of this version are enabled.
+    /// Reports whether all features of this version are enabled.
     pub fn all_features_enabled(&self) -> bool {
         self.dependencies_enabled && self.notices_enabled_at.is_some() && self.forwarding_enabled
     }
 
-    /// Whether all controllers accept heartbeats and forward them to the leader.
+    /// Reports whether controllers other than the leader accept heartbeats and forward them to the
+    /// leader.
     pub fn forwards_heartbeats(&self) -> bool {
         self.forwarding_requested && self.forwarding_enabled
     }
 
-    /// Whether this controller leads and knows of no task of a job on any machine.
+    /// Reports whether this controller leads and knows that no machine has, or may still get, a
+    /// task of an ended job.
     pub fn has_no_task_of(&self, id: &Name, now: Instant) -> bool {
         self.is_leader(now) && self.cluster.as_ref().is_some_and(|cluster| cluster.has_no_task_of(id))
     }
--- a/src/leader/fleet.rs
+++ b/src/leader/fleet.rs
@@ -55,7 +55,7 @@
         }
         let Some(cluster) = state.cluster.as_mut() else { return Some(FleetPlan::default()) };
         let machines = cluster.machine_count();
-        cluster.fleet.adapt_heartbeat_capacity(self.scheduling_delay.now(), machines, &self.policy, now);
+        cluster.fleet.adapt_heartbeat_capacity(self.scheduling_delay.recent(), machines, &self.policy, now);
         let plan = cluster.plan_fleet(&state.unmet_demand, now);
         state.forwarding_requested = should_forward(machines, self.policy.spread_from, state.forwarding_requested);
         Some(plan)
--- a/src/leader/mod.rs
+++ b/src/leader/mod.rs
@@ -20,7 +20,7 @@
 use crate::controller::Controller;
 use crate::leadership::lease::LeaderLease;
 use crate::leadership::step_down::StepDownReason;
-use crate::runtime::race::{race, racer};
+use crate::runtime::race::{boxed, race};
 
 impl Controller {
     /// Loads the cluster's state and runs the leader's control loops until one of them ends the
@@ -32,14 +32,14 @@
         }
         self.placement_wake.wake();
         race(vec![
-            racer(self.run_commits(lease)),
-            racer(self.run_placement()),
-            racer(self.run_direct_commands()),
-            racer(self.run_feature_gate(lease)),
-            racer(self.run_outcome_fetches()),
-            racer(self.run_machine_listing(lease)),
-            racer(self.run_fleet(lease)),
-            racer(self.run_contact_check()),
+            boxed(self.run_commits(lease)),
+            boxed(self.run_placement()),
+            boxed(self.run_direct_commands()),
+            boxed(self.run_feature_gate(lease)),
+            boxed(self.run_outcome_fetches()),
+            boxed(self.run_machine_listing(lease)),
+            boxed(self.run_fleet(lease)),
+            boxed(self.run_contact_check()),
         ])
         .await
     }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -8,7 +8,7 @@
 use crate::controller::{Controller, ObservedLeader};
 use crate::leadership::lease::{lease_valid_until, LeaderLease, LeaderRecord};
 use crate::leadership::step_down::{StepDownBackoff, StepDownReason};
-use crate::runtime::race::{race, racer};
+use crate::runtime::race::{boxed, race};
 use crate::state_store::client::{key, read_value, Precondition, StoreError, Txn, TxnOutcome, Write};
 
 /// The value of the term key: the latest term of any leader.
@@ -90,7 +90,7 @@
     /// Leads until the term ends, then revokes the lease and returns the reason.
     async fn run_term(&self, lease: LeaderLease) -> StepDownReason {
         self.lock().lease = Some(lease);
-        let reason = race(vec![racer(self.renew_lease(lease)), racer(self.lead(lease))]).await;
+        let reason = race(vec![boxed(self.renew_lease(lease)), boxed(self.lead(lease))]).await;
         tracing::info!(term = lease.term, %reason, "stepping down as leader");
         self.clear_leadership(lease);
         let _ = self.store.revoke(lease.lease_id).await;
--- a/src/runtime/executor/tests.rs
+++ b/src/runtime/executor/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use std::cell::Cell;
 
-/// However many requests are ready, a control task that becomes ready runs next.
+/// A control task that becomes ready runs before the next request, however many requests are ready.
 #[test]
-fn a_control_task_waits_for_no_more_than_one_request() {
+fn a_ready_control_task_runs_before_the_next_request() {
     let executor = PriorityExecutor::default();
     let (served, worst_delay) = (Rc::new(Cell::new(0u32)), Rc::new(Cell::new(0u32)));
     let (wake, woken) = smol::channel::unbounded::<u32>();
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,5 +1,5 @@
-//! The single-threaded executor with two priorities, wake-ups, time limits, races, rate limits
-//! and the measurement of scheduling delays.
+//! Utilities for asynchronous tasks: the single-threaded executor with two priorities, wake-ups,
+//! timeouts, races, rate limiters and the measurement of scheduling delays.
 
 pub mod executor;
 pub mod race;
--- a/src/runtime/race.rs
+++ b/src/runtime/race.rs
@@ -1,23 +1,24 @@
-//! Running futures together until the first of them ends.
+//! Runs several futures concurrently until the first of them completes.
 
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
 use std::task::Poll;
 
-/// A future that takes part in a race.
-pub type Racer<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
+/// A pinned and boxed future, so that futures of different types can be passed to [`race`].
+pub type BoxedFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// Boxes a future for [`race`].
-pub fn racer<'a, T>(future: impl Future<Output = T> + 'a) -> Racer<'a, T> {
+/// Pins and boxes a future for [`race`].
+pub fn boxed<'a, T>(future: impl Future<Output = T> + 'a) -> BoxedFuture<'a, T> {
     Box::pin(future)
 }
 
-/// Runs all futures until the first one ends, returns its result and drops the others.
+/// Runs all futures concurrently until one completes, returns its result and drops the others.
 ///
-/// They are polled in the order of the list: if several are ready, the first one wins.
-pub async fn race<T>(mut racers: Vec<Racer<'_, T>>) -> T {
+/// The futures are polled in the order of the list, so if several are ready, the first of them in
+/// the list determines the result.
+pub async fn race<T>(mut futures: Vec<BoxedFuture<'_, T>>) -> T {
     poll_fn(|context| {
-        for future in &mut racers {
+        for future in &mut futures {
             if let Poll::Ready(result) = future.as_mut().poll(context) {
                 return Poll::Ready(result);
             }
--- a/src/runtime/race/tests.rs
+++ b/src/runtime/race/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use std::cell::RefCell;
 
-/// The order of the list is the order of polling, and the first that is ready wins.
+/// Futures are polled in the order of the list, up to the first one that is ready.
 #[test]
-fn polls_in_order_and_returns_the_first_ready() {
+fn futures_are_polled_in_order_up_to_the_first_ready() {
     let polled = RefCell::new(Vec::new());
     let pending = async {
         polled.borrow_mut().push("pending");
@@ -16,7 +16,7 @@
             name
         }
     };
-    let winner = smol::block_on(race(vec![racer(pending), racer(ready("first")), racer(ready("second"))]));
-    assert_eq!(winner, "first");
+    let result = smol::block_on(race(vec![boxed(pending), boxed(ready("first")), boxed(ready("second"))]));
+    assert_eq!(result, "first");
     assert_eq!(*polled.borrow(), ["pending", "first"]);
 }
--- a/src/runtime/rate_limiter.rs
+++ b/src/runtime/rate_limiter.rs
@@ -1,34 +1,36 @@
-//! A token bucket that limits the calls to another service.
+//! A token bucket that limits the rate of calls to another service.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
 use crate::runtime::wake_up::pause;
 
-/// A token bucket: a rate of calls a second, and a burst.
+/// A token bucket with a refill rate and a maximum burst.
 #[derive(Debug)]
 pub struct RateLimiter {
-    /// Tokens added a second.
+    /// Tokens added per second.
     rate: f64,
-    /// Most tokens in the bucket.
+    /// Largest number of tokens in the bucket.
     burst: f64,
     bucket: Mutex<Bucket>,
 }
 
 #[derive(Debug)]
 struct Bucket {
-    /// Negative if tokens were reserved ahead of time.
+    /// Tokens in the bucket at `updated_at`; negative if tokens were reserved before they were
+    /// added.
     tokens: f64,
     updated_at: Instant,
 }
 
 impl RateLimiter {
-    /// A limiter with a full bucket.
+    /// Creates a limiter with a full bucket.  `rate` is in tokens per second, `burst` in tokens.
     pub fn new(rate: f64, burst: f64, now: Instant) -> RateLimiter {
         RateLimiter { rate, burst, bucket: Mutex::new(Bucket { tokens: burst, updated_at: now }) }
     }
 
-    /// Takes tokens, if need be ahead of time; returns how long to wait before they may be used.
+    /// Takes tokens, even if the bucket does not hold them yet; returns how long the caller has to
+    /// wait before using them.
     pub fn reserve(&self, tokens: f64, now: Instant) -> Duration {
         let mut bucket = self.bucket.lock().unwrap_or_else(|e| e.into_inner());
         let added = now.duration_since(bucket.updated_at).as_secs_f64() * self.rate;
--- a/src/runtime/scheduling_delay.rs
+++ b/src/runtime/scheduling_delay.rs
@@ -1,28 +1,31 @@
-//! How long requests wait to be run.
+//! Measurement of how long requests wait until the executor runs them.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// The recent scheduling delay of requests, measured as how late a timer among them fires.
+/// The recent scheduling delay of requests, in microseconds: how late a timer fires in a task that
+/// runs among them.
 ///
-/// It shows an overload from any cause and needs no estimate of costs; work that can wait is
-/// throttled by it.  Stored in microseconds.
+/// The delay indicates an overload whatever the cause, without an estimate of the cost of each
+/// request.  Work that can wait, such as placement passes, is throttled by it.
 #[derive(Debug, Default)]
 pub struct SchedulingDelay(AtomicU64);
 
 impl SchedulingDelay {
-    /// The recent delay.
-    pub fn now(&self) -> Duration {
+    /// Returns the recent delay.
+    pub fn recent(&self) -> Duration {
         Duration::from_micros(self.0.load(Ordering::Relaxed))
     }
 
-    /// Records a delay.  Earlier delays decay by half with each one.
+    /// Records a measured delay.  The recent delay is this one or half of the previous value,
+    /// whichever is larger.
     fn record(&self, delay: Duration) {
         let delay = u64::try_from(delay.as_micros()).unwrap_or(u64::MAX);
         self.0.store(delay.max(self.0.load(Ordering::Relaxed) / 2), Ordering::Relaxed);
     }
 
-    /// Measures regularly; to be run as one of the requests.
+    /// Measures the delay at this interval.  Never returns.  Has to be spawned as a request, not as
+    /// a control task.
     pub async fn measure(&self, interval: Duration) {
         loop {
             let due = Instant::now() + interval;
--- a/src/runtime/wake_up.rs
+++ b/src/runtime/wake_up.rs
@@ -1,4 +1,4 @@
-//! Waiting: wake-ups, pauses and time limits.
+//! Primitives for waiting: wake-up signals, pauses and timeouts.
 
 use std::future::Future;
 use std::time::Duration;
@@ -6,7 +6,8 @@
 use futures_lite::future::or;
 use smol::channel::{Receiver, Sender};
 
-/// A wake-up signal that is never lost, and of which at most one is pending.
+/// A wake-up signal for a waiting task.  A signal sent while no task waits is kept, and several
+/// such signals wake only once.
 pub struct WakeUp {
     sender: Sender<()>,
     receiver: Receiver<()>,
@@ -20,36 +21,36 @@
 }
 
 impl WakeUp {
-    /// Wakes the task that waits, or the next one that will wait.
+    /// Wakes the waiting task, or else makes the next wait return immediately.
     pub fn wake(&self) {
-        // a full channel means that a wake-up is pending already
+        // A full channel means that a wake-up is pending already.
         let _ = self.sender.try_send(());
     }
 
-    /// Waits for a wake-up, at most for `limit`.
-    pub async fn wait(&self, limit: Duration) {
+    /// Waits for a wake-up, at most for `timeout`.
+    pub async fn wait(&self, timeout: Duration) {
         let woken = async {
             let _ = self.receiver.recv().await;
         };
         let expired = async {
-            smol::Timer::after(limit).await;
+            smol::Timer::after(timeout).await;
         };
         or(woken, expired).await;
     }
 }
 
-/// Waits for a time.  If it is zero, returns without yielding to other tasks.
-pub async fn pause(time: Duration) {
-    if !time.is_zero() {
-        smol::Timer::after(time).await;
+/// Sleeps for a duration.  If the duration is zero, returns without yielding to other tasks.
+pub async fn pause(duration: Duration) {
+    if !duration.is_zero() {
+        smol::Timer::after(duration).await;
     }
 }
 
-/// Runs a future for at most `limit`; `None` if it did not end by then.
-pub async fn with_timeout<T>(limit: Duration, work: impl Future<Output = T>) -> Option<T> {
+/// Runs a future for at most `timeout`; returns `None` if it has not completed by then.
+pub async fn with_timeout<T>(timeout: Duration, work: impl Future<Output = T>) -> Option<T> {
     let result = async { Some(work.await) };
     let expired = async {
-        smol::Timer::after(limit).await;
+        smol::Timer::after(timeout).await;
         None
     };
     or(result, expired).await
