--- a/src/controller.rs
+++ b/src/controller.rs
@@ -57,12 +57,12 @@
     pub worker_client: http::Client,
     /// Wakes the leader's loop that sends direct commands.
     pub command_wake: WakeUp,
-    /// Notifies after a transaction of the leader was applied.
+    /// Signals that a transaction of the leader was applied.
     pub commit_done: event_listener::Event,
-    /// Notifies when peers have to be notified of a cancellation.
+    /// Signals that peers have to be notified of a cancellation.
     pub cancellation_to_notify: event_listener::Event,
-    /// Notifies when a peer has acknowledged a cancellation, or the leader has found no task of its
-    /// job.
+    /// Signals that a peer has acknowledged a cancellation, or that the leader has found no task of
+    /// its job.
     pub cancellation_known: event_listener::Event,
     /// Wakes the election loop when the leader has changed or the initial read is complete.
     pub election_wake: WakeUp,
@@ -118,12 +118,13 @@
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Returns how long the next placement pass or fleet plan has to wait after one that took
-    /// `elapsed`.
+    /// Returns the least time from the beginning of a placement pass or fleet plan that took
+    /// `elapsed` to the beginning of the next one.
     ///
     /// Passes and plans each take no more than `share` of processor time.  When requests are
-    /// delayed, they also wait for `lag_rest` times the delay, at most `lag_rest_most`, because
-    /// workers whose heartbeats are not read in time lose the tasks that were assigned to them.
+    /// delayed, the time is at least `lag_rest` times that delay, limited to `lag_rest_most`,
+    /// because workers whose heartbeats are not read in time lose the tasks that were assigned to
+    /// them.
     pub fn throttle_delay(&self, elapsed: Duration, share: f64) -> Duration {
         let scheduling_delay = self.scheduling_delay.recent();
         let overload_delay = scheduling_delay.mul_f64(self.policy.lag_rest).min(self.policy.lag_rest_most);
--- a/src/leader/load.rs
+++ b/src/leader/load.rs
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     ///
-    /// Returns every other error, as it says nothing about the record.
+    /// Returns every other error, because such an error says nothing about the record.
     pub(super) fn add_job(
         &mut self,
         id: Name,
--- a/src/leader/mod.rs
+++ b/src/leader/mod.rs
@@ -20,7 +20,7 @@
 use crate::controller::Controller;
 use crate::leadership::lease::LeaderLease;
 use crate::leadership::step_down::StepDownReason;
-use crate::runtime::race::{boxed, race};
+use crate::runtime::race::{race, race_future};
 
 impl Controller {
     /// Loads the cluster's state and runs the leader's control loops until one of them ends the
@@ -32,14 +32,14 @@
         }
         self.placement_wake.wake();
         race(vec![
-            boxed(self.run_commits(lease)),
-            boxed(self.run_placement()),
-            boxed(self.run_direct_commands()),
-            boxed(self.run_feature_gate(lease)),
-            boxed(self.run_outcome_fetches()),
-            boxed(self.run_machine_listing(lease)),
-            boxed(self.run_fleet(lease)),
-            boxed(self.run_contact_check()),
+            race_future(self.run_commits(lease)),
+            race_future(self.run_placement()),
+            race_future(self.run_direct_commands()),
+            race_future(self.run_feature_gate(lease)),
+            race_future(self.run_outcome_fetches()),
+            race_future(self.run_machine_listing(lease)),
+            race_future(self.run_fleet(lease)),
+            race_future(self.run_contact_check()),
         ])
         .await
     }
--- a/src/leader/takeover.rs
+++ b/src/leader/takeover.rs
@@ -24,8 +24,9 @@
 
 impl Controller {
     /// Builds and installs the leader's state of the cluster, under one lock and without an await.
-    /// So every watch event is either included in the state or applied to it afterwards; an event
-    /// in between would be lost, and the tasks of a cancelled job would keep running.
+    /// So every watch event is either included in the state or applied to it afterwards.  With a
+    /// gap between the two, a cancellation could be lost, and the tasks of the job would keep
+    /// running.
     ///
     /// The state holds the unfinished jobs, and the ended jobs that may still have running tasks.
     ///
@@ -57,7 +58,7 @@
         cluster.machine_hints = self.peers.machine_hints();
         cluster.zones_with_controller = self.zones_with_controller();
         let (jobs, machines) = (cluster.jobs.len(), cluster.machines.len());
-        tracing::info!(term = lease.term, jobs, machines, "loaded the state of the cluster");
+        tracing::info!(term = lease.term, jobs, machines, "state of the cluster loaded");
         state.cluster = Some(cluster);
         Ok(())
     }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -8,7 +8,7 @@
 use crate::controller::{Controller, ObservedLeader};
 use crate::leadership::lease::{lease_valid_until, LeaderLease, LeaderRecord};
 use crate::leadership::step_down::{StepDownBackoff, StepDownReason};
-use crate::runtime::race::{boxed, race};
+use crate::runtime::race::{race, race_future};
 use crate::state_store::client::{key, read_value, Precondition, StoreError, Txn, TxnOutcome, Write};
 
 /// The value of the term key: the latest term of any leader.
@@ -90,7 +90,7 @@
     /// Leads until the term ends, then revokes the lease and returns the reason.
     async fn run_term(&self, lease: LeaderLease) -> StepDownReason {
         self.lock().lease = Some(lease);
-        let reason = race(vec![boxed(self.renew_lease(lease)), boxed(self.lead(lease))]).await;
+        let reason = race(vec![race_future(self.renew_lease(lease)), race_future(self.lead(lease))]).await;
         tracing::info!(term = lease.term, %reason, "stepping down as leader");
         self.clear_leadership(lease);
         let _ = self.store.revoke(lease.lease_id).await;
@@ -123,7 +123,7 @@
         match self.store.txn(&view.txn(&record, lease_id)).await? {
             TxnOutcome::Done(revision) => {
                 let term = record.term;
-                tracing::info!(term, "elected as leader");
+                tracing::info!(term, "elected leader");
                 self.lock().leader = Some(ObservedLeader { record, revision });
                 let valid_until = lease_valid_until(sent_at, self.policy.ttl, self.policy.drift);
                 Ok(Some(LeaderLease { term, revision, lease_id, valid_until }))
--- a/src/leadership/feature_gate.rs
+++ b/src/leadership/feature_gate.rs
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Records the features of a member record, unless the controller contradicts it: a
-    /// recent message of that controller has come from a version that does not advertise features.
+    /// Records the features of a member record, unless the controller contradicts it: a recent
+    /// message of that controller has come from a version that does not advertise features.
     fn record_member(&self, name: &str, member: MemberRecord, now: Instant) {
         let mut member_features = lock(&self.peers.member_features);
         let contradicts_record = |known: &AdvertisedFeatures| {
--- a/src/runtime/race.rs
+++ b/src/runtime/race.rs
@@ -8,7 +8,7 @@
 pub type BoxedFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
 /// Pins and boxes a future for [`race`].
-pub fn boxed<'a, T>(future: impl Future<Output = T> + 'a) -> BoxedFuture<'a, T> {
+pub fn race_future<'a, T>(future: impl Future<Output = T> + 'a) -> BoxedFuture<'a, T> {
     Box::pin(future)
 }
 
--- a/src/runtime/race/tests.rs
+++ b/src/runtime/race/tests.rs
@@ -16,7 +16,8 @@
             name
         }
     };
-    let result = smol::block_on(race(vec![boxed(pending), boxed(ready("first")), boxed(ready("second"))]));
+    let result =
+        smol::block_on(race(vec![race_future(pending), race_future(ready("first")), race_future(ready("second"))]));
     assert_eq!(result, "first");
     assert_eq!(*polled.borrow(), ["pending", "first"]);
 }
--- a/src/state_store/client.rs
+++ b/src/state_store/client.rs
@@ -111,7 +111,8 @@
 /// Most keys that the state store returns in one page.
 const MAX_PAGE_KEYS: usize = 1000;
 
-/// Timeout of a request that neither lists keys nor watches.
+/// Timeout of a request.  Reading a page of keys may take twice as long, and a watch request may
+/// take twice as long on top of the time for which it blocks.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// The body of a request without parameters: an empty MessagePack map.
--- a/src/state_store/initial_read.rs
+++ b/src/state_store/initial_read.rs
@@ -37,15 +37,17 @@
         }
     }
 
-    /// Reads the single records and all unfinished jobs; returns the revision from which to watch.
+    /// Reads the leader, the machine types, the feature gates and all unfinished jobs; returns the
+    /// revision from which to watch.
     ///
     /// The read holds no more than the unfinished jobs and one page of each listing in memory,
     /// however many jobs have ended.
     ///
     /// # Errors
     ///
-    /// Fails if a single record or the shards cannot be read, or with [`StoreError::WatchExpired`]
-    /// if the read has taken too long.  The caller starts the read again.
+    /// Fails if one of the first three records or the shards cannot be read, or with
+    /// [`StoreError::WatchExpired`] if the store has dropped changes that the read has not applied
+    /// yet.  The caller starts the read again.
     pub(super) async fn catch_up(&self) -> Result<u64, StoreError> {
         let is_first = !self.lock().synced;
         let sent_at = Instant::now();
@@ -143,8 +145,8 @@
         }
     }
 
-    /// Moves the jobs of which the scan has read both record and outcome into the job index and the
-    /// leader's state of the cluster.
+    /// Moves the jobs whose state the scan has determined into the job index and the leader's state
+    /// of the cluster.
     fn apply_scan(&self, scan: &mut InitialScan) {
         let (mut guard, now) = (self.lock(), Instant::now());
         let state = &mut *guard;
--- a/src/state_store/watch.rs
+++ b/src/state_store/watch.rs
@@ -86,8 +86,8 @@
     }
 
     /// Applies all changes up to a revision in their order, and returns the revision.  There is no
-    /// await between them, because the job index's floor covers all of them only when it is raised
-    /// at the end.
+    /// await between the changes, because the job index's floor covers all of them only when it is
+    /// raised at the end.
     pub(super) fn apply_changes(&self, mut events: Vec<WatchEvent>, revision: u64) -> u64 {
         // One transaction may write a job and its outcome.  An outcome that is applied first would
         // find no job, and the job would never end in this view.
@@ -100,7 +100,7 @@
         revision
     }
 
-    /// Applies one change.  Of the deletions, only that of the leader key has an effect.
+    /// Applies one change.  Among deletions, only that of the leader key has an effect.
     pub(super) fn apply_event(&self, event: WatchEvent) {
         match (event.set, event.delete, event.value) {
             (Some(path), _, Some(value)) => self.apply_write(&path, value, event.revision),
