--- a/src/heartbeats.rs
+++ b/src/heartbeats.rs
@@ -1,8 +1,9 @@
-//! Workers' heartbeats: accepted by the leader, redirected by the other controllers.
+//! Handling of workers' heartbeats.  The leader accepts them; the other controllers forward them to
+//! the leader, or redirect the worker to it.
 //!
 //! Without a leader, a controller still renews workers' leases where that is safe: in an outage of
-//! the state service, and in a zone that is partitioned from the rest.  Such a reply never carries
-//! a command that starts a task.
+//! the state service, and in a zone that is partitioned from the rest.  A reply that renews a lease
+//! in this way never carries a command that starts a task.
 
 use std::time::Instant;
 
@@ -26,34 +27,37 @@
     controller: &'a str,
 }
 
-/// A reply that sends a worker to another controller, by that one's name.
+/// Returns a reply that redirects a worker to the controller with this name.
 pub(crate) fn redirect(controller: &str) -> Response {
     Response::new(421, &Redirect { controller })
 }
 
-/// How a heartbeat reached this controller.
+/// The way by which a heartbeat reached this controller.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum HeartbeatRoute {
-    /// From the worker itself.
+    /// The worker sent it to this controller.
     Direct,
-    /// From another controller, in a batch.
+    /// Another controller forwarded it in a batch.
     Forwarded,
 }
 
-/// When an accepted heartbeat may be answered.
+/// The time at which the reply to an accepted heartbeat is made.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum ReplyTiming {
-    /// At once.
+    /// Immediately.
     Immediate,
-    /// After the commit of a start on the worker's machine, if that does not take too long.
+    /// Once the pending task starts on the worker's machine are committed, but at the latest after
+    /// `policy.commit_wait`.
     AfterCommit,
 }
 
 impl Controller {
-    /// Answers a worker's heartbeat: through the leader, by a redirect, or from the leader's state.
+    /// Replies to a worker's heartbeat: with the leader's reply if the heartbeat was forwarded, with
+    /// a redirect, or from this controller's own state.
     pub(crate) async fn handle_heartbeat(&self, body: &[u8]) -> Response {
         if self.may_forward(Instant::now()) {
-            // boxed, so that a connection stays small: few of them wait for the leader at once
+            // boxed to keep the future of a connection small: only few connections wait for the
+            // leader at the same time
             if let Some(reply) = Box::pin(self.forward_heartbeat(body)).await {
                 return reply;
             }
@@ -77,7 +81,7 @@
         self.reply_to_heartbeat(&heartbeat)
     }
 
-    /// Records that a worker of this zone has reached this controller by itself.
+    /// Records that a worker of `zone` has reached this controller directly.
     pub(crate) fn record_worker_contact(&self, state: &mut ControllerState, zone: &str, now: Instant) {
         state.last_heartbeat = Some(now);
         if *zone != *self.config.zone {
@@ -85,10 +89,12 @@
         }
     }
 
-    /// Redirects a worker to the leader after decoding no more than the heartbeat's origin: after a
-    /// change of leader all workers come here first.  `None` where this controller may have to renew
-    /// leases (it has a lease or a leader's state, or the state service fails), and where no other
-    /// leader is known.
+    /// Returns a redirect to the leader.  Only the origin of the heartbeat is decoded, which keeps
+    /// the reply cheap: after a change of leader, every worker first has to be redirected.
+    ///
+    /// Returns `None` if the origin cannot be decoded, if no other leader is known, or if this
+    /// controller may have to renew leases: it holds the leader lease or a leader's state, or the
+    /// state service fails.
     fn redirect_to_leader(&self, body: &[u8]) -> Option<Response> {
         let origin: HeartbeatOrigin = http::decode(body).ok()?;
         let mut state = self.lock();
@@ -103,13 +109,15 @@
         Some(reply)
     }
 
-    /// Waits for the commit of starts on the machines of these heartbeats, at most
-    /// `policy.commit_wait`: capacity that a heartbeat frees is filled by the reply to that very
-    /// heartbeat, and commands are sent only once they are stored.
+    /// Waits until the starts on the machines of these heartbeats are committed, for at most
+    /// `policy.commit_wait`.
+    ///
+    /// Commands are sent only after they are stored.  With this wait, the reply to a heartbeat can
+    /// already start tasks on the capacity that the same heartbeat has reported as free.
     pub(crate) async fn wait_for_commit(&self, heartbeats: &[&Heartbeat]) {
         let _ = with_timeout(self.policy.commit_wait, async {
             loop {
-                // registered before the check, so that no commit in between is missed
+                // register before the check, so that a commit between the two is not missed
                 let committed = self.commit_done.listen();
                 let is_pending =
                     self.lock().cluster.as_ref().is_some_and(|c| heartbeats.iter().any(|h| c.has_pending_write(h)));
@@ -122,11 +130,11 @@
         .await;
     }
 
-    /// The leader's reply to a heartbeat that it has accepted.
+    /// Returns the leader's reply to a heartbeat that it has accepted.
     pub(crate) fn reply_to_heartbeat(&self, heartbeat: &Heartbeat) -> Response {
         let mut state = self.lock();
         let now = Instant::now();
-        // checked at the moment of the reply: the lease may have expired meanwhile
+        // check again: the lease may have expired since the heartbeat was accepted
         if self.may_lead(&state, now) {
             if let Some(cluster) = state.cluster.as_mut() {
                 return Response::new(200, &cluster.reply_to_heartbeat(heartbeat, now));
@@ -135,8 +143,12 @@
         Response::refuse(503, "leads no more")
     }
 
-    /// Applies a heartbeat to the leader's state.  The error is the reply of a controller that
-    /// does not lead, or cannot accept the heartbeat.
+    /// Applies a heartbeat to the leader's state, and returns when to reply.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reply to the worker if this controller does not lead or cannot accept the
+    /// heartbeat.
     pub(crate) fn accept_heartbeat(
         &self,
         heartbeat: &Heartbeat,
@@ -147,7 +159,8 @@
         self.detect_stall(&mut state, now);
         match route {
             HeartbeatRoute::Direct => self.record_worker_contact(&mut state, &heartbeat.zone, now),
-            // workers are alive, but only direct heartbeats prove that workers reach this controller
+            // a forwarded heartbeat shows that the worker is alive, but not that it can reach this
+            // controller
             HeartbeatRoute::Forwarded => state.last_heartbeat = Some(now),
         }
         if !state.is_leader(now) {
@@ -159,7 +172,8 @@
         self.accept_as_leader(&mut state, heartbeat, now)
     }
 
-    /// Applies a heartbeat and starts what follows from it: a pass or a commit.
+    /// Applies a heartbeat as the leader, then starts a scheduling pass if the queue has changed and
+    /// a commit otherwise.
     fn accept_as_leader(
         &self,
         state: &mut ControllerState,
@@ -171,7 +185,7 @@
             HeartbeatOutcome::Applied => {}
             HeartbeatOutcome::Stale => return Ok(ReplyTiming::Immediate),
             HeartbeatOutcome::Superseded => {
-                tracing::error!(machine = %heartbeat.machine, "worker has seen a newer fencing token");
+                tracing::error!(machine = %heartbeat.machine, "rejected a heartbeat: the worker has seen a newer fencing token");
                 return Err(Response::refuse(503, "outdated"));
             }
         }
@@ -185,7 +199,8 @@
             machine.reply_pending = has_pending_start;
         }
         if cluster.queue_changed {
-            // the next pass fills what this heartbeat has freed, and one transaction stores both
+            // the next pass assigns the capacity that this heartbeat has freed, and one transaction
+            // stores both changes
             self.placement_wake.wake();
         } else if !queue_changed {
             self.commit_wake.wake();
@@ -193,8 +208,9 @@
         Ok(if has_pending_start { ReplyTiming::AfterCommit } else { ReplyTiming::Immediate })
     }
 
-    /// The reply of a controller without a valid leader lease: a renewal of the worker's lease
-    /// where that is safe, else a redirect.
+    /// Returns the reply of a controller without a valid leader lease: a renewal of the worker's
+    /// lease if that is safe, otherwise a redirect to the leader, or a refusal if no other leader
+    /// is known.
     fn reply_without_lease(&self, state: &mut ControllerState, heartbeat: &Heartbeat, now: Instant) -> Response {
         let renewal = if self.is_store_outage(state, now) && state.cluster.is_some() {
             self.renew_in_outage(state, heartbeat, now)
@@ -209,18 +225,22 @@
         })
     }
 
-    /// Whether the state service is down for all controllers, as the peers confirm, so that nobody
-    /// can succeed this former leader, and no cancellation can have been missed here yet.
+    /// Reports whether the state service is down for all controllers and this former leader may renew
+    /// leases.  The peers have to confirm the outage, so that no other controller can have become
+    /// leader, and the view of cancellations has to be recent enough.
     fn is_store_outage(&self, state: &ControllerState, now: Instant) -> bool {
-        let fresh = self.policy.peer_limit * 3;
-        let is_confirmed =
-            state.lease.is_some_and(|l| self.store.is_failing() && self.peers.confirm_outage(l.term, fresh, now));
+        let max_status_age = self.policy.peer_limit * 3;
+        let is_confirmed = state
+            .lease
+            .is_some_and(|l| self.store.is_failing() && self.peers.confirm_outage(l.term, max_status_age, now));
         is_confirmed && self.may_renew(state, now)
     }
 
     /// Renews a worker's lease in an outage of the state service, without commands that start
-    /// tasks.  As a missing answer is never taken as proof that a machine is lost, this is safe
-    /// even if the peers were wrong about the outage.  `None`: the worker has seen a newer token.
+    /// tasks.  The renewal is safe even if the peers were wrong about the outage, because a leader
+    /// never takes a missing response as proof that a machine is lost.
+    ///
+    /// Returns `None` if the worker has seen a newer fencing token.
     fn renew_in_outage(&self, state: &mut ControllerState, heartbeat: &Heartbeat, now: Instant) -> Option<Response> {
         let cluster = state.cluster.as_mut()?;
         if cluster.apply_heartbeat(heartbeat, HeartbeatSource::Worker, now) == HeartbeatOutcome::Superseded {
@@ -230,10 +250,10 @@
         Some(Response::new(200, &self.renew_worker_lease(state, heartbeat, token)))
     }
 
-    /// Renews a worker's lease in a partitioned zone.
+    /// Renews the lease of a worker in the zone with which this controller is partitioned.
     fn renew_in_partition(&self, state: &ControllerState, heartbeat: &Heartbeat, now: Instant) -> Response {
-        // a delayed start meets a higher token then: a cancellation that is known here could not
-        // stop it otherwise
+        // with the raised token the worker rejects a start command that arrives late, which could
+        // otherwise start a task whose cancellation is known here
         let token = if self.notices_required(state, now) {
             raise_token(heartbeat.fencing_token)
         } else {
@@ -242,15 +262,19 @@
         Response::new(200, &self.renew_worker_lease(state, heartbeat, token))
     }
 
-    /// Whether this controller seems to be partitioned from the others together with its zone:
-    /// neither the state service nor any peer answers, not even with a refusal, and only workers of
-    /// its own zone come here.
+    /// Reports whether this controller seems to be partitioned from the others together with its
+    /// zone: neither the state service nor any peer responds, not even with a refusal, and only
+    /// workers of its own zone reach this controller.
+    ///
+    /// These workers cannot reach any other controller, and their tasks keep running if their leases
+    /// are renewed.  The leader outside the partition does not start these tasks again, because it
+    /// never takes a missing response as proof that a machine is lost.  Cancellations that are stored
+    /// outside the partition are not known here, so renewals end before such a cancellation has to
+    /// take effect (`may_renew`).
     ///
-    /// Such workers reach no other controller, and their tasks keep running if their leases are
-    /// renewed.  The leader outside starts none of these tasks again, as it never takes a missing
-    /// answer as proof.  Cancellations made outside are not known in here: renewals end in time for
-    /// them.  Users belong to no zone: where a user, or a health probe of the load balancer, comes
-    /// here, this controller alone is cut off, and its zone's workers can reach another one.
+    /// Users belong to no zone.  If a user or a health probe of the load balancer reaches this
+    /// controller, only this controller is isolated, and the workers of its zone can reach another
+    /// one.
     fn is_partitioned_with_zone(&self, state: &ControllerState, heartbeat: &Heartbeat, now: Instant) -> bool {
         let age = |t: Instant| now.saturating_duration_since(t);
         let suspicion = PartitionSuspicion {
@@ -265,7 +289,8 @@
             && self.may_renew(state, now)
     }
 
-    /// A reply that renews the worker's lease without leading, and stops tasks of ended jobs.
+    /// Returns a reply that renews the worker's lease and stops the tasks of ended jobs, for a
+    /// controller that does not lead.
     fn renew_worker_lease(&self, state: &ControllerState, heartbeat: &Heartbeat, token: u64) -> HeartbeatReply {
         count(&self.telemetry.counters.leases_renewed);
         let outcome_in_cluster =
--- a/src/peers/cancellation_notices.rs
+++ b/src/peers/cancellation_notices.rs
@@ -1,5 +1,7 @@
-//! Cancellations between controllers: batches with a cursor on request, and notices to all peers
-//! while users wait for the reply to their cancellations.
+//! Exchange of cancellations between controllers.
+//!
+//! A peer requests the cancellations that it does not know in batches with a cursor.  While a user
+//! waits for the reply to a cancellation, the controller also sends notices of it to all peers.
 
 use std::time::Instant;
 
@@ -14,7 +16,7 @@
 }
 
 impl Controller {
-    /// Applies a batch of cancellations from a peer, which was requested at `sent_at`.
+    /// Applies a batch of cancellations that was requested from a peer at `sent_at`.
     pub(super) fn apply_cancellation_batch(&self, peer: &str, batch: wire::Account, sent_at: Instant, now: Instant) {
         let known = batch.known.into_iter().map(|c| Cancellation { revision: c.stamp, id: c.id.into() });
         let batch = CancellationBatch {
@@ -29,7 +31,8 @@
         self.lock().cancellation_view.peer_answered(peer, sent_at, &batch);
     }
 
-    /// The batch of cancellations that a peer requests; `None` if one may be missing from it.
+    /// Returns the batch of cancellations that a peer requests, or `None` if a cancellation may be
+    /// missing from it.
     pub(super) fn cancellation_batch(&self, request: &wire::StatusRequest) -> Option<wire::Account> {
         let state = self.lock();
         let since = request.withdrawn_since.filter(|_| state.synced)?;
@@ -44,29 +47,32 @@
         })
     }
 
-    /// Notifies the peers of cancellations whose users wait, each peer as soon as it can be reached,
-    /// and learns from the leader among them which jobs have no task left.
+    /// Notifies the peers of cancellations for which users wait, for as long as the controller runs.
+    ///
+    /// Each peer is notified as soon as it can be reached.  The leader's acknowledgement also names
+    /// the jobs that have no task left on any machine.
     pub async fn run_cancellation_notices(&self) {
         let notices = self.peers.links.iter().enumerate().map(|(index, link)| self.notify_peer(index, link));
         futures_util::future::join_all(notices).await;
     }
 
-    /// Notifies one peer, by its index in the settings, for as long as the controller runs.
+    /// Notifies the peer with this index in the settings, for as long as the controller runs.
     async fn notify_peer(&self, index: usize, link: &PeerLink) {
         loop {
-            // registered before the state is read, so that no cancellation in between is missed
-            let more = self.cancellation_to_notify.listen();
-            let PeerNotice { cancellations, has_unacknowledged: has_new } = {
+            // register before the state is read, so that a cancellation between the two is not missed
+            let next_cancellation = self.cancellation_to_notify.listen();
+            let PeerNotice { cancellations, has_unacknowledged: needs_acknowledgement } = {
                 let mut guard = self.lock();
                 let state = &mut *guard;
                 state.cancellation_notices.for_peer(index, &state.cancellations, &self.policy, Instant::now())
             };
             if cancellations.is_empty() {
-                more.await;
+                next_cancellation.await;
                 continue;
             }
-            if !has_new {
-                // acknowledged already; the leader may say later that no task is left
+            if !needs_acknowledgement {
+                // all are acknowledged; send them again after a pause, because the leader may by then
+                // report that a job has no task left
                 smol::Timer::after(self.policy.renew / 2).await;
             }
             if !self.send_notice(index, link, &cancellations).await {
@@ -75,7 +81,7 @@
         }
     }
 
-    /// Sends cancellations to one peer; false without an acknowledgement.
+    /// Sends cancellations to one peer, and reports whether the peer has acknowledged them.
     async fn send_notice(&self, index: usize, link: &PeerLink, cancellations: &[Cancellation]) -> bool {
         let request = wire::TellRequest { known: cancellations.iter().map(encode_cancellation).collect() };
         let answer =
--- a/src/peers/forwarding.rs
+++ b/src/peers/forwarding.rs
@@ -1,11 +1,12 @@
-//! Workers' heartbeats between controllers: a controller that does not lead forwards them to the
-//! leader in batches and passes the leader's replies on to the workers; the leader accepts batches.
+//! Forwarding of workers' heartbeats between controllers.  A controller that does not lead forwards
+//! heartbeats to the leader in batches, and passes the leader's replies on to the workers.
 //!
-//! Enabled once all controllers have the feature and there are more machines than one leader serves
-//! directly.  The leader replies to each heartbeat as if it had come directly, and checks its lease
-//! at that moment; a worker drops a reply that comes later than it waits.
+//! Forwarding is enabled once all controllers support the feature and there are more machines than
+//! one leader serves directly.  The leader replies to each heartbeat as if the worker had sent it
+//! directly, and checks its lease when it makes the reply.  A worker drops a reply that arrives after
+//! its timeout.
 //!
-//! Must not know what a heartbeat means: that is decided in core.
+//! This module must not interpret the content of heartbeats; `coralnotch_core` does that.
 
 mod inbound;
 mod outbound;
--- a/src/peers/forwarding/inbound.rs
+++ b/src/peers/forwarding/inbound.rs
@@ -1,4 +1,5 @@
-//! Batches of workers' heartbeats from other controllers, answered by the leader.
+//! The leader's side of forwarding: accepts batches of heartbeats from other controllers and replies
+//! to each heartbeat.
 
 use std::time::Instant;
 
@@ -11,17 +12,17 @@
 use crate::peers::links::wire;
 use crate::workers::Heartbeat;
 
-/// A heartbeat of a batch, after the leader has looked at it.
+/// The state of one heartbeat of a batch after the leader has tried to accept it.
 enum ForwardedReply {
-    /// The reply is known, and waits for nothing.
+    /// The reply is known already.
     Ready(wire::ReportAnswer),
-    /// Accepted: the reply is made once the whole batch is in.
+    /// The heartbeat was accepted; the reply is made after the whole batch has been processed.
     Accepted { heartbeat: Heartbeat, timing: ReplyTiming },
 }
 
 impl Controller {
-    /// Accepts a batch of heartbeats, and answers each; no answers if this controller does not lead
-    /// in the batch's term, or has not read the leader's state yet.
+    /// Accepts a batch of heartbeats, and returns an answer to each.  Returns no answers if this
+    /// controller does not lead in the batch's term, or has not read the leader's state yet.
     pub(crate) async fn accept_batch(&self, batch: wire::ReportBatch) -> wire::ReportAnswers {
         let term = {
             let state = self.lock();
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Accepts a heartbeat that repeats an earlier one; the default answer wants it in full.
+    /// Accepts a heartbeat whose content is that of an earlier one.  The default answer, with status
+    /// 0, requests the full heartbeat.
     fn accept_unchanged(&self, forwarded: wire::Report) -> wire::ReportAnswer {
         let unchanged = UnchangedHeartbeat {
             machine: forwarded.machine.into(),
@@ -70,7 +72,8 @@
         self.detect_stall(&mut state, now);
         state.last_heartbeat = Some(now);
         if !self.may_lead(&state, now) {
-            // the full heartbeat is handled as any other
+            // the sender repeats the heartbeat in full, and it is then refused or answered like any
+            // other heartbeat
             return wire::ReportAnswer::default();
         }
         match state.cluster.as_mut().and_then(|c| c.apply_unchanged(&unchanged, now)) {
@@ -79,7 +82,8 @@
         }
     }
 
-    /// The answer to a heartbeat of a batch, by the leader's state at this moment.
+    /// Returns the answer to a heartbeat of a batch; for an accepted one it is made from the leader's
+    /// current state.
     fn reply_to_forwarded(&self, reply: ForwardedReply) -> wire::ReportAnswer {
         match reply {
             ForwardedReply::Ready(answer) => answer,
@@ -88,7 +92,7 @@
     }
 }
 
-/// A worker's reply as it goes to the controller that forwarded the heartbeat.
+/// Encodes the reply to a worker for the controller that forwarded the heartbeat.
 fn encode_reply(reply: &Response) -> wire::ReportAnswer {
     wire::ReportAnswer { status: reply.status.into(), token: 0, body: reply.body.clone() }
 }
--- a/src/peers/forwarding/outbound.rs
+++ b/src/peers/forwarding/outbound.rs
@@ -1,4 +1,5 @@
-//! Batches of workers' heartbeats to the leader, and its replies to the workers.
+//! The sending side of forwarding: sends workers' heartbeats to the leader in batches, and passes the
+//! leader's replies on to the workers.
 
 use std::sync::MutexGuard;
 use std::time::{Duration, Instant};
@@ -13,29 +14,33 @@
 use crate::users::queues::QueuedHeartbeat;
 use crate::workers::{Heartbeat, HeartbeatReply};
 
-/// Heartbeats in one batch, and batches that are under way at once.
-const MAX_BATCH: usize = 256;
+/// Maximum number of heartbeats in one batch.
+const MAX_BATCH_LEN: usize = 256;
+/// Maximum number of batches that are in flight at the same time.
 const MAX_CONCURRENT_CALLS: usize = 4;
-/// A worker waits 4 s for a reply, and then tries another controller.
+/// How long a heartbeat waits for the leader's reply.  A worker waits 4 s, and then tries another
+/// controller.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(3400);
-/// What a call may take besides the wait for the leader's commit.
+/// Time limit of a call to the leader, in addition to the wait for the leader's commit.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Accepted heartbeats of idle machines are evicted after, and once in, this many lease terms.
+/// Interval between evictions of remembered heartbeats, and the idle time after which a machine's
+/// heartbeat is evicted, as a multiple of the leader lease.
 const EVICTION_PERIOD_LEASES: f64 = 2.0;
 
 /// The result of a batch.
 enum BatchResult {
-    /// The leader's answers, in the order of the heartbeats.
+    /// The leader has answered; the answers are in the order of the heartbeats.
     Answered { term: u64, answers: Vec<wire::ReportAnswer> },
-    /// The controller that was called does not lead, or not yet.
+    /// No leader is known, or the called controller does not lead yet or any more.
     NotLeading,
-    /// No answer.
+    /// The call failed or timed out.
     Failed,
 }
 
 impl Controller {
-    /// Forwards a heartbeat, and returns the leader's reply; `None` if this controller has to handle
-    /// the heartbeat itself.
+    /// Forwards a heartbeat and returns the leader's reply, or a refusal if the queue is full or no
+    /// reply arrives within [`REPLY_TIMEOUT`].  Returns `None` if this controller has to handle the
+    /// heartbeat itself, because the body cannot be decoded or the call to the leader failed.
     pub(crate) async fn forward_heartbeat(&self, body: &[u8]) -> Option<Response> {
         let heartbeat: Heartbeat = http::decode(body).ok()?;
         {
@@ -52,22 +57,23 @@
         }
         match with_timeout(REPLY_TIMEOUT, leader_reply.recv()).await {
             Some(Ok(response)) => Some(response),
-            // the batch was dropped: the leader cannot be reached from here
+            // the batch was dropped because the call to the leader failed
             Some(Err(_)) => None,
             None => Some(Response::refuse(503, "no leader has answered")),
         }
     }
 
-    /// Whether this controller forwards heartbeats to the leader now.
+    /// Reports whether this controller currently forwards heartbeats to the leader.  It does not while
+    /// it leads itself, nor for `policy.peer_limit` after a failed call.
     pub(crate) fn may_forward(&self, now: Instant) -> bool {
         let failed_at = *lock(&self.heartbeat_queue.failed_at);
         if failed_at.is_some_and(|t| now.saturating_duration_since(t) < self.policy.peer_limit) {
             return false;
         }
         let state = self.lock();
-        let leads_here =
+        let is_leader =
             state.lease.is_some() || state.leader.as_ref().is_some_and(|l| l.record.name == self.config.name);
-        state.forwards_heartbeats() && !leads_here
+        state.forwards_heartbeats() && !is_leader
     }
 
     /// Forwards queued heartbeats, for as long as the controller runs.
@@ -76,10 +82,10 @@
         futures_util::future::join_all((0..MAX_CONCURRENT_CALLS).map(|_| self.forward_batches(&collecting))).await;
     }
 
-    /// Forwards one batch after another.  Whoever holds `collecting` collects the next batch, so that
-    /// batches are full.
+    /// Forwards one batch after another.  Only the task that holds `collecting` takes heartbeats from
+    /// the queue, so that they are not split into several small batches.
     async fn forward_batches(&self, collecting: &smol::lock::Mutex<()>) {
-        let mut evicted_at = Instant::now();
+        let mut last_eviction = Instant::now();
         loop {
             let batch = {
                 let _guard = collecting.lock().await;
@@ -87,9 +93,9 @@
             };
             self.deliver_batch(batch).await;
             let idle_limit = self.policy.lease.mul_f64(EVICTION_PERIOD_LEASES);
-            if evicted_at.elapsed() > idle_limit {
-                evicted_at = Instant::now();
-                self.forwarding().evict_idle(idle_limit, evicted_at);
+            if last_eviction.elapsed() > idle_limit {
+                last_eviction = Instant::now();
+                self.forwarding().evict_idle(idle_limit, last_eviction);
             }
         }
     }
@@ -98,17 +104,19 @@
         lock(&self.heartbeat_queue.forwarding)
     }
 
-    /// The heartbeats that are queued within `policy.batch_gap` of the first one.
+    /// Returns the heartbeats that are queued within `policy.batch_gap` after the first one, at most
+    /// [`MAX_BATCH_LEN`].
     async fn collect_batch(&self) -> Vec<QueuedHeartbeat> {
         let queue = &self.heartbeat_queue.queued;
         let Ok(first) = queue.receiver.recv().await else { return std::future::pending().await };
         let mut batch = vec![first];
         smol::Timer::after(self.policy.batch_gap).await;
-        queue.fill_batch(&mut batch, MAX_BATCH);
+        queue.fill_batch(&mut batch, MAX_BATCH_LEN);
         batch
     }
 
-    /// Has the leader answer a batch; during a failover, retries until the workers' deadlines.
+    /// Sends a batch to the leader and passes the answers on to the workers.  During a failover the
+    /// batch is sent again until the workers' deadlines.
     async fn deliver_batch(&self, mut batch: Vec<QueuedHeartbeat>) {
         loop {
             let now = Instant::now();
@@ -125,7 +133,8 @@
                 }
                 BatchResult::NotLeading => drop(smol::Timer::after(self.policy.renew / 4).await),
                 BatchResult::Failed => {
-                    // the reply senders are dropped with the batch: each heartbeat is handled here
+                    // the reply senders are dropped with the batch, and `forward_heartbeat` returns
+                    // `None`, so that this controller handles each heartbeat itself
                     *lock(&self.heartbeat_queue.failed_at) = Some(Instant::now());
                     return;
                 }
@@ -133,7 +142,7 @@
         }
     }
 
-    /// Sends a batch to the leader, as far as it is known here.
+    /// Sends a batch to the leader that this controller knows.
     async fn send_batch(&self, batch: &[QueuedHeartbeat]) -> BatchResult {
         let (leader, term) = {
             let state = self.lock();
@@ -159,7 +168,8 @@
         }
     }
 
-    /// Passes the leader's answers on to the workers; the heartbeats that the leader wants in full.
+    /// Passes the leader's answers on to the workers, and returns the heartbeats that the leader
+    /// requests in full.
     fn reply_to_workers(
         &self,
         batch: Vec<QueuedHeartbeat>,
@@ -167,12 +177,12 @@
         term: u64,
     ) -> Vec<QueuedHeartbeat> {
         let now = Instant::now();
-        let mut wanted_in_full = Vec::new();
+        let mut requested_in_full = Vec::new();
         for (queued, answer) in batch.into_iter().zip(answers) {
             let Ok(status) = u16::try_from(answer.status) else { continue };
             if status == 0 {
                 self.forwarding().forget(&queued.heartbeat.machine);
-                wanted_in_full.push(queued);
+                requested_in_full.push(queued);
                 continue;
             }
             let response = decode_reply(status, answer);
@@ -183,25 +193,28 @@
             }
             let _ = queued.reply.try_send(response);
         }
-        wanted_in_full
+        requested_in_full
     }
 
-    /// Redirects a worker to the controller that forwards its heartbeats to this leader, if there is
-    /// one: only controllers that have lately reached this leader are taken.
+    /// Returns a redirect to the controller that is to forward this worker's heartbeats to this
+    /// leader.  Only controllers that have recently reached this leader are considered; returns
+    /// `None` if there are none, or if heartbeats are not forwarded.
     pub(crate) fn redirect_to_forwarder(&self, machine: &str, zone: &str, now: Instant) -> Option<Response> {
         if !self.lock().forwards_heartbeats() {
             return None;
         }
-        let fresh = self.policy.peer_limit * 4;
+        let max_request_age = self.policy.peer_limit * 4;
         let requested_at = lock(&self.peers.progress_requested_at);
-        let is_fresh = |name: &str| requested_at.get(name).is_some_and(|t| now.saturating_duration_since(*t) < fresh);
-        let peers = self.config.peers.iter().filter(|p| is_fresh(&p.name));
+        let is_connected =
+            |name: &str| requested_at.get(name).is_some_and(|t| now.saturating_duration_since(*t) < max_request_age);
+        let peers = self.config.peers.iter().filter(|p| is_connected(&p.name));
         let forwarders: Vec<Forwarder<'_>> = peers.map(|p| Forwarder { name: &p.name, zone: &p.zone }).collect();
         assigned_forwarder(machine, zone, &forwarders).map(redirect)
     }
 }
 
-/// A worker's reply from the leader's answer; an empty body stands for a reply without commands.
+/// Decodes the leader's answer into the reply to a worker.  An empty body stands for a reply without
+/// commands.
 fn decode_reply(status: u16, answer: wire::ReportAnswer) -> Response {
     let reply = if answer.body.is_empty() {
         Response::new(status, &HeartbeatReply { fencing_token: answer.token, commands: Vec::new() })
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -1,5 +1,5 @@
-//! Connections to the peers and calls over them: gRPC with tonic, over hyper's HTTP/2 on smol; and
-//! what this controller knows of the peers.
+//! Connections to the peers and gRPC calls over them, with tonic over hyper's HTTP/2 on smol, and
+//! what this controller knows about its peers.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -21,7 +21,7 @@
 use crate::model::Name;
 use crate::runtime::wake_up::with_timeout;
 
-/// Messages, client and server generated from `proto/peer.proto`.
+/// Messages, client and server that are generated from `proto/peer.proto`.
 #[allow(missing_docs, clippy::all, clippy::too_many_lines)]
 pub mod wire {
     tonic::include_proto!("coralnotch.peer");
@@ -32,7 +32,7 @@
 /// A future that drives a connection, or a call on one.
 pub(crate) type ConnectionTask = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// Hyper's executor: queues futures for the controller's own executor.
+/// The executor for hyper, which queues futures for the controller's own executor.
 #[derive(Clone)]
 pub struct Spawner(pub(crate) smol::channel::Sender<ConnectionTask>);
 
@@ -45,33 +45,33 @@
             future.await;
         });
         if self.0.try_send(task).is_err() {
-            tracing::error!("too many pending tasks for peer connections");
+            tracing::error!("dropped a task of a peer connection: the queue of tasks to spawn is full");
         }
     }
 }
 
-/// Tasks that may wait to be spawned; more are dropped.
+/// Maximum number of tasks that wait to be spawned; further ones are dropped.
 const MAX_PENDING_TASKS: usize = 1024;
 
-/// A peer's status, as it last replied.
+/// The status of a peer, from its last reply.
 #[derive(Debug, Clone, Copy)]
 pub struct PeerStatus {
-    /// When the reply came.
+    /// When the reply arrived.
     pub(crate) answered_at: Instant,
-    /// The state service serves the peer.
+    /// Whether the state service serves the peer.
     pub(crate) served: bool,
-    /// Highest term that the peer knew.
+    /// Term of the leader that the peer knew; 0 if it knew none.
     pub(crate) term: u64,
     /// When a worker's heartbeat last reached the peer.
     pub(crate) last_heartbeat: Option<Instant>,
 }
 
-/// How far a job has come.
+/// The progress of a job.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct JobProgress {
-    /// Tasks that are done.
+    /// Number of its tasks that are done.
     pub done: u32,
-    /// Tasks that are running.
+    /// Number of its tasks that are running.
     pub running: u32,
 }
 
@@ -83,21 +83,21 @@
     connection: Mutex<Option<SendRequest<Body>>>,
 }
 
-/// Progress that was counted for peers, and when.
+/// The progress of all jobs and when it was counted; `None` before the first request of a peer.
 pub(crate) type ProgressCache = Option<(Instant, Vec<wire::Progress>)>;
 
 /// The other controllers of the deployment.
 pub struct Peers {
     pub(crate) links: Vec<PeerLink>,
-    /// The peers' last statuses by name.
+    /// The last status of each peer, by the peer's name.
     pub(crate) statuses: Mutex<HashMap<String, PeerStatus>>,
-    /// Progress of jobs, as the leader last replied.
+    /// The progress of jobs, from the leader's last reply.
     pub(crate) progress: Mutex<HashMap<Name, JobProgress>>,
-    /// When each peer last asked this controller for the progress of jobs.
+    /// When each peer last requested the progress of jobs from this controller.
     pub(crate) progress_requested_at: Mutex<HashMap<String, Instant>>,
-    /// The progress that this controller last replied, for peers that ask soon after.
+    /// The progress that this controller last counted, for requests that follow shortly after.
     pub(crate) progress_cache: Mutex<ProgressCache>,
-    /// What the leader has learned of machines, as it last replied.
+    /// What the leader has learned about machines, from its last reply.
     pub(crate) machine_hints: Mutex<HashMap<Name, MachineHints>>,
     /// The features that each peer has advertised.
     pub(crate) member_features: Mutex<MemberFeatures>,
@@ -105,7 +105,7 @@
     pub(crate) connection_tasks: smol::channel::Receiver<ConnectionTask>,
 }
 
-/// One HTTP/2 connection as tonic's transport.
+/// An HTTP/2 connection that serves as tonic's transport.
 pub(crate) struct Channel(SendRequest<Body>);
 
 impl tower_service::Service<http::Request<Body>> for Channel {
@@ -122,13 +122,13 @@
     }
 }
 
-/// Locks a mutex, also one that a panic has poisoned.
+/// Locks a mutex, even if a panic has poisoned it.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
 impl Peers {
-    /// The peers of the settings, not connected yet.
+    /// Creates the peers of the settings, without opening connections.
     pub fn new(peers: &[crate::config::Peer]) -> Peers {
         let (task_sender, connection_tasks) = smol::channel::bounded(MAX_PENDING_TASKS);
         let link = |peer: &crate::config::Peer| PeerLink {
@@ -149,7 +149,8 @@
         }
     }
 
-    /// A client on the link's open connection, or on a new one.
+    /// Returns a client on the link's open connection, or on a new one if there is none; `None` if
+    /// the peer cannot be reached.
     async fn connect(&self, link: &PeerLink) -> Option<PeerClient<Channel>> {
         let open = lock(&link.connection).clone().filter(|c| !c.is_closed());
         let connection = match open {
@@ -161,7 +162,7 @@
         Some(PeerClient::with_origin(Channel(connection), origin))
     }
 
-    /// Opens a connection to a peer, and keeps it for the next calls.
+    /// Opens a connection to a peer, and keeps it for later calls.
     async fn open_connection(&self, link: &PeerLink) -> Option<SendRequest<Body>> {
         let stream = TcpStream::connect(link.address).await.ok()?;
         let _ = stream.set_nodelay(true);
@@ -177,8 +178,8 @@
         Some(connection)
     }
 
-    /// Makes one call, for at most `limit`; `None` without an answer.  After that the link is opened
-    /// anew for the next call.
+    /// Makes one call that may take at most `limit`.  Returns `None` if the call fails or times out;
+    /// the next call then opens a new connection.
     pub(crate) async fn call<T, F>(
         &self,
         link: &PeerLink,
@@ -200,36 +201,38 @@
         answer.map(tonic::Response::into_inner)
     }
 
-    /// The progress of a job, as the leader last replied.
+    /// Returns the progress of a job from the leader's last reply; zero if the reply does not have
+    /// the job.
     pub fn progress(&self, id: &str) -> JobProgress {
         lock(&self.progress).get(id).copied().unwrap_or_default()
     }
 
-    /// What the leader has learned of machines, as it last replied.
+    /// Returns what the leader has learned about machines, from its last reply.
     pub fn machine_hints(&self) -> HashMap<Name, MachineHints> {
         lock(&self.machine_hints).clone()
     }
 
-    /// Whether peers answered within `fresh`, all of them refused by the state service and none of
-    /// them with a later term than `term`: an outage, not a failure of this controller alone.
-    pub fn confirm_outage(&self, term: u64, fresh: Duration, now: Instant) -> bool {
+    /// Reports whether the peers confirm an outage of the state service, rather than a failure of
+    /// this controller alone: at least one peer has replied within `max_age`, and of those that have,
+    /// the state service serves none and none knows a later term than `term`.
+    pub fn confirm_outage(&self, term: u64, max_age: Duration, now: Instant) -> bool {
         let statuses = lock(&self.statuses);
-        let mut recent = statuses.values().filter(|s| now.duration_since(s.answered_at) < fresh).peekable();
+        let mut recent = statuses.values().filter(|s| now.duration_since(s.answered_at) < max_age).peekable();
         recent.peek().is_some() && recent.all(|s| !s.served && s.term <= term)
     }
 
-    /// Forgets the peers' statuses, which are old after a stall of this controller.
+    /// Forgets the statuses of the peers, which are outdated after a stall of this controller.
     pub fn reset_after_stall(&self) {
         lock(&self.statuses).clear();
     }
 
-    /// When a worker's heartbeat last reached any peer, as far as the peers have replied.
+    /// Returns when a worker's heartbeat last reached any peer, according to the peers' last replies.
     pub fn last_worker_contact(&self) -> Option<Instant> {
         lock(&self.statuses).values().filter_map(|s| s.last_heartbeat).max()
     }
 
-    /// Whether some peer answered within `fresh`.
-    pub fn any_reachable(&self, fresh: Duration, now: Instant) -> bool {
-        lock(&self.statuses).values().any(|s| now.duration_since(s.answered_at) < fresh)
+    /// Reports whether any peer has replied within `max_age`.
+    pub fn any_reachable(&self, max_age: Duration, now: Instant) -> bool {
+        lock(&self.statuses).values().any(|s| now.duration_since(s.answered_at) < max_age)
     }
 }
--- a/src/peers/machine_hints.rs
+++ b/src/peers/machine_hints.rs
@@ -1,4 +1,5 @@
-//! What the leader has learned of machines, to and from the wire: hints for the next leader.
+//! Encoding and decoding of what the leader has learned about machines, which the peers keep as hints
+//! for the next leader.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,11 +8,11 @@
 use crate::model::Name;
 use crate::peers::links::wire;
 
-/// Speeds beyond these bounds, or not finite, are no hints.
-const SANE_SPEEDS: std::ops::RangeInclusive<f64> = 0.01..=100.0;
+/// Range of plausible machine speeds.  Hints with another speed are dropped.
+const VALID_SPEEDS: std::ops::RangeInclusive<f64> = 0.01..=100.0;
 
-/// Encodes the hints of machines; each image is encoded once, and machines refer to it by index.
-/// Machines without any hint are left out.
+/// Encodes the hints about machines.  Each image is encoded once, and the machines refer to it by
+/// index.  Machines without hints are left out.
 pub(crate) fn encode_machine_hints<'a>(
     hints: impl Iterator<Item = (&'a Name, MachineHints)>,
     now: Instant,
@@ -39,14 +40,15 @@
     (machines, images)
 }
 
-/// Decodes the hints of machines.
+/// Decodes the hints about machines.  Machines whose speed is not finite or outside
+/// [`VALID_SPEEDS`] are left out.
 pub(crate) fn decode_machine_hints(
     machines: Vec<wire::Learned>,
     images: &[wire::Image],
     now: Instant,
 ) -> HashMap<Name, MachineHints> {
     let images: Vec<(Name, f64)> = images.iter().map(|i| (i.name.as_str().into(), i.gb)).collect();
-    let is_sane = |m: &wire::Learned| m.speed.is_finite() && SANE_SPEEDS.contains(&m.speed);
+    let has_valid_speed = |m: &wire::Learned| m.speed.is_finite() && VALID_SPEEDS.contains(&m.speed);
     let decode = |m: wire::Learned| {
         let hints = MachineHints {
             speed: m.speed,
@@ -56,7 +58,7 @@
         };
         (m.machine.as_str().into(), hints)
     };
-    machines.into_iter().filter(is_sane).map(decode).collect()
+    machines.into_iter().filter(has_valid_speed).map(decode).collect()
 }
 
 #[cfg(test)]
--- a/src/peers/machine_hints/tests.rs
+++ b/src/peers/machine_hints/tests.rs
@@ -2,9 +2,10 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// What one leader has learned reaches the next one unchanged.
+    /// Hints about machines are the same after they are encoded and decoded, so that the next leader
+    /// receives what the previous one has learned.
     #[test]
-    fn machine_hints_survive_the_wire(
+    fn machine_hints_are_unchanged_by_encoding_and_decoding(
         all in prop::collection::btree_map(
             "i-[0-9]{4}",
             (0.1f64..10.0, 1u32..9, prop::collection::vec(0usize..5, 0..4), prop::option::of(0u64..9000)),
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! Controllers among themselves: connections, status, cancellation notices, relayed requests and
-//! forwarded heartbeats.
+//! Communication between controllers: connections, status, cancellation notices, relayed requests
+//! and forwarded heartbeats.
 
 pub mod cancellation_notices;
 pub mod forwarding;
--- a/src/peers/polling.rs
+++ b/src/peers/polling.rs
@@ -1,5 +1,6 @@
-//! Polls the peers' statuses: the leader's for the progress of jobs; in trouble, and until all
-//! features are enabled, every peer's.
+//! Polling of the peers' statuses.  The leader is polled for the progress of jobs.  All peers are
+//! polled while the state service does not serve this controller, while the watch of the state
+//! service shows no changes, and until all features are enabled.
 
 use std::time::{Duration, Instant};
 
@@ -9,16 +10,16 @@
 use crate::peers::machine_hints::decode_machine_hints;
 use crate::state_store::client::key;
 
-/// Controllers that keep what the leader has learned of machines.
-const MACHINE_HINT_KEEPERS: usize = 3;
+/// Number of controllers that keep what the leader has learned about machines.
+const MACHINE_HINT_REPLICAS: usize = 3;
 
 impl Controller {
-    /// Polls peers for as long as the controller runs.
+    /// Polls the peers for as long as the controller runs.
     pub async fn run_peer_polling(&self) {
         loop {
-            let in_trouble = self.is_cut_off_from_changes();
+            let may_miss_changes = self.may_miss_changes();
             if self.store.is_unresponsive() {
-                // a probe, so that the end of a partition is noticed soon
+                // probe the state service, so that the end of a partition is noticed early
                 let _ = self.store.get(key::LEADER).await;
             }
             let (leader, features_pending) = {
@@ -26,22 +27,23 @@
                 (state.leader.as_ref().map(|l| l.record.name.clone()), !state.all_features_enabled())
             };
             let is_leader = |link: &PeerLink| leader.as_deref() == Some(&link.name);
-            // while features are pending, a poll also advertises those of this controller
-            let polled = self.peers.links.iter().filter(|l| in_trouble || features_pending || is_leader(l));
+            // a poll also advertises the features of this controller, so all peers are polled while
+            // features are pending
+            let polled = self.peers.links.iter().filter(|l| may_miss_changes || features_pending || is_leader(l));
             futures_util::future::join_all(polled.map(|l| self.poll_peer(l, is_leader(l)))).await;
-            smol::Timer::after(self.poll_interval(in_trouble, features_pending)).await;
+            smol::Timer::after(self.poll_interval(may_miss_changes, features_pending)).await;
         }
     }
 
-    /// Polls all peers once; `with_progress` also for the progress of jobs and for what a previous
-    /// leader had learned of machines.
+    /// Polls all peers once.  With `with_progress`, also requests the progress of jobs and what a
+    /// previous leader has learned about machines.
     pub async fn poll_all_peers(&self, with_progress: bool) {
         futures_util::future::join_all(self.peers.links.iter().map(|l| self.poll_peer(l, with_progress))).await;
     }
 
-    /// Whether the state service does not serve this controller, or serves it while the watch shows
-    /// nothing: then peers may know more.
-    fn is_cut_off_from_changes(&self) -> bool {
+    /// Reports whether this controller may miss changes that its peers know of: the state service
+    /// does not serve it, or serves it while the watch shows no changes.
+    fn may_miss_changes(&self) -> bool {
         if self.store.is_failing() {
             return true;
         }
@@ -49,9 +51,9 @@
         state.synced && self.cancellations_complete_as_of(&state).is_some_and(|t| t.elapsed() > self.policy.ttl * 3)
     }
 
-    /// The pause until the next round of polls.
-    fn poll_interval(&self, in_trouble: bool, features_pending: bool) -> Duration {
-        let interval = if in_trouble { self.policy.peer_limit / 2 } else { self.policy.peer_limit * 3 };
+    /// Returns the pause until the next round of polls.
+    fn poll_interval(&self, may_miss_changes: bool, features_pending: bool) -> Duration {
+        let interval = if may_miss_changes { self.policy.peer_limit / 2 } else { self.policy.peer_limit * 3 };
         if features_pending {
             interval.min(self.policy.renew / 2)
         } else {
@@ -70,7 +72,8 @@
         }
     }
 
-    /// The request for a peer's status: asks for the cancellations that are not known here.
+    /// Returns the request for a peer's status, which also requests the cancellations that are not
+    /// known here.
     fn status_request(&self, link: &PeerLink, with_progress: bool) -> wire::StatusRequest {
         let state = self.lock();
         let cursor = state.cancellation_view.next_cursor(&link.name);
@@ -85,7 +88,7 @@
         }
     }
 
-    /// Applies a peer's status, which was requested at `sent_at`.
+    /// Applies a peer's status that was requested at `sent_at`.
     fn apply_peer_status(&self, name: &str, status: wire::StatusResponse, sent_at: Instant, with_progress: bool) {
         let now = Instant::now();
         if let Some(batch) = status.account {
@@ -93,8 +96,8 @@
         }
         self.record_peer_features(name, status.knows, status.version, now);
         let last_heartbeat = status.heard_ms.and_then(|ms| now.checked_sub(Duration::from_millis(ms)));
-        let seen = PeerStatus { answered_at: now, served: status.served, term: status.term, last_heartbeat };
-        lock(&self.peers.statuses).insert(name.to_owned(), seen);
+        let peer_status = PeerStatus { answered_at: now, served: status.served, term: status.term, last_heartbeat };
+        lock(&self.peers.statuses).insert(name.to_owned(), peer_status);
         if !with_progress {
             return;
         }
@@ -109,9 +112,9 @@
         *lock(&self.peers.progress) = status.jobs.into_iter().map(progress_of).collect();
     }
 
-    /// Whether this controller is one of the few that keep what the leader has learned of machines
-    /// for the next leader: the first ones by name.
+    /// Reports whether this controller keeps what the leader has learned about machines for the next
+    /// leader.  The first [`MACHINE_HINT_REPLICAS`] controllers by name do.
     fn keeps_machine_hints(&self) -> bool {
-        self.config.peers.iter().filter(|p| p.name < self.config.name).count() < MACHINE_HINT_KEEPERS
+        self.config.peers.iter().filter(|p| p.name < self.config.name).count() < MACHINE_HINT_REPLICAS
     }
 }
--- a/src/peers/relay.rs
+++ b/src/peers/relay.rs
@@ -1,4 +1,4 @@
-//! Relays users' requests to a peer that the state service serves.
+//! Relaying of users' requests to a peer that the state service serves.
 
 use std::time::Instant;
 
@@ -8,7 +8,8 @@
 use crate::peers::links::{lock, wire, PeerLink};
 
 impl Controller {
-    /// Has a peer answer a user's request; `None` if none can.
+    /// Relays a user's request to the peers one after another, until one of them answers it with a
+    /// status other than 503.  Returns `None` if none does.
     pub async fn relay_to_peer(&self, request: &Request) -> Option<Response> {
         for link in self.relay_candidates(Instant::now()) {
             let message = wire::RelayRequest {
@@ -32,13 +33,14 @@
         None
     }
 
-    /// The peers that may answer: first those that said lately that they are served, then those of
-    /// which nothing is known, and never those that said that they are not.
+    /// Returns the peers that may be able to answer a request: first those that the state service
+    /// serves according to a recent status, then those without a recent status.  Peers that are not
+    /// served according to a recent status are left out.
     fn relay_candidates(&self, now: Instant) -> Vec<&PeerLink> {
-        let fresh = self.policy.peer_limit * 3;
+        let max_status_age = self.policy.peer_limit * 3;
         let statuses = lock(&self.peers.statuses);
         let is_served = |link: &PeerLink| {
-            let status = statuses.get(&link.name).filter(|s| now.duration_since(s.answered_at) < fresh);
+            let status = statuses.get(&link.name).filter(|s| now.duration_since(s.answered_at) < max_status_age);
             status.map(|s| s.served)
         };
         let candidates = self.peers.links.iter().filter(|l| is_served(l) != Some(false));
--- a/src/peers/service.rs
+++ b/src/peers/service.rs
@@ -1,8 +1,9 @@
-//! The gRPC service for the peers: tonic over hyper's HTTP/2 on smol.
+//! The gRPC service for the peers, with tonic over hyper's HTTP/2 on smol.
 //!
 //! A controller that the state service refuses relays its users' requests to a peer that is served.
-//! A leader in that state asks its peers whether they are refused too: then it is an outage, nobody
-//! can succeed the leader, and it may keep renewing the workers' leases, without commands.
+//! A leader that is refused requests its peers' statuses.  If the state service refuses the peers
+//! too, it is an outage: no other controller can become leader, and the leader may continue to renew
+//! the workers' leases, without commands that start tasks.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -21,27 +22,28 @@
 use crate::peers::links::{lock, wire, ConnectionTask};
 use crate::peers::machine_hints::encode_machine_hints;
 
-/// Requests of one peer at once.
+/// Maximum number of concurrent requests on a peer's connection.
 const MAX_CONCURRENT_STREAMS: u32 = 64;
-/// Pause after a connection could not be accepted.
+/// Pause after a failure to accept a connection.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 impl Controller {
-    /// Spawns the tasks that drive the connections, for as long as the controller runs.
+    /// Spawns the tasks that drive the connections to and from peers, for as long as the controller
+    /// runs.
     pub async fn run_peer_connections(self: Arc<Self>, spawn: impl Fn(ConnectionTask)) {
         while let Ok(task) = self.peers.connection_tasks.recv().await {
             spawn(task);
         }
     }
 
-    /// Serves the peers, for as long as the controller runs.
+    /// Accepts and serves connections of peers, for as long as the controller runs.
     pub async fn serve_peers(self: Arc<Self>, listener: TcpListener) {
         let service = PeerServer::new(PeerService { controller: self.clone() });
         loop {
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(e) => {
-                    tracing::error!(error = %e, "peer connection not accepted");
+                    tracing::error!(error = %e, "failed to accept a peer connection");
                     smol::Timer::after(ACCEPT_RETRY_PAUSE).await;
                     continue;
                 }
@@ -62,8 +64,8 @@
         }
     }
 
-    /// Applies a peer's notice of cancellations; the ids of those jobs that have no task left, if
-    /// this controller leads.
+    /// Applies a peer's notice of cancellations.  If this controller leads, the response has the ids
+    /// of those jobs that have no task left on any machine.
     fn accept_notice(&self, notice: wire::TellRequest) -> wire::TellResponse {
         let now = Instant::now();
         for cancellation in &notice.known {
@@ -74,12 +76,12 @@
         wire::TellResponse { clear: ids.filter(|id| state.has_no_task_of(&id.as_str().into(), now)).collect() }
     }
 
-    /// Answers a peer's request for this controller's status.
+    /// Returns the response to a peer's request for this controller's status.
     fn reply_to_status(&self, request: wire::StatusRequest) -> wire::StatusResponse {
         let now = Instant::now();
         let account = self.cancellation_batch(&request);
         if !request.from.is_empty() {
-            // a request has no version: the peer's replies have it
+            // a request does not contain the peer's version; its status responses do
             self.record_peer_features(&request.from, request.knows, String::new(), now);
             if request.progress {
                 lock(&self.peers.progress_requested_at).insert(request.from, now);
@@ -109,7 +111,8 @@
         }
     }
 
-    /// What has been learned of machines: from the leader's state, or as the leader last replied.
+    /// Encodes what has been learned about machines: from the leader's state if this controller has
+    /// it, otherwise from the leader's last reply.
     fn encode_known_machine_hints(&self, now: Instant) -> (Vec<wire::Learned>, Vec<wire::Image>) {
         let state = self.lock();
         match state.cluster.as_ref() {
@@ -125,7 +128,7 @@
     }
 }
 
-/// What the leader has learned of a machine.
+/// Returns what the leader has learned about a machine.
 fn hints_of(cluster: &Cluster, machine: &Machine) -> MachineHints {
     let last_heartbeat = machine.last_heartbeat.or_else(|| cluster.machine_hints.get(&machine.name)?.last_heartbeat);
     MachineHints {
@@ -149,7 +152,7 @@
     ) -> Result<tonic::Response<wire::RelayResponse>, tonic::Status> {
         let relayed = request.into_inner();
         let request = Request { method: relayed.method, path: relayed.path, query: String::new(), body: relayed.body };
-        // answered here or not at all: a relayed request is not relayed again
+        // a relayed request is not relayed again: it is answered here or refused
         let response = self.controller.handle_user_request(&request).await;
         Ok(tonic::Response::new(wire::RelayResponse {
             status: response.status.into(),
