--- a/src/http_api.rs
+++ b/src/http_api.rs
@@ -1,4 +1,4 @@
-//! The HTTP routes: users' requests, workers' heartbeats, health and status.
+//! The HTTP routes for users' requests, workers' heartbeats, health probes and the status.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -10,22 +10,23 @@
 use crate::users::query::QueryDetail;
 
 impl Controller {
-    /// Answers one HTTP request.
+    /// Handles an HTTP request and returns the response.
     pub async fn handle_request(self: Arc<Self>, request: Request) -> Response {
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/healthz") => {
                 self.lock().last_user_request = Some(Instant::now());
                 self.health()
             }
-            // a worker sends one heartbeat per interval, and there may be more workers than sockets
+            // a worker sends only one heartbeat per interval, and there may be more workers than
+            // sockets, so its connection may be closed after the response
             ("POST", "/hello") => Response { seldom: true, ..self.handle_heartbeat(&request.body).await },
             ("GET", "/v2/status") => Response::new(200, &self.status(Instant::now())),
             (_, "/healthz" | "/hello" | "/v2/status") => Response::refuse(405, "wrong method"),
             _ => {
                 count(&self.telemetry.counters.requests);
                 self.lock().last_user_request = Some(Instant::now());
-                // boxed, or every connection, most of which are workers', would be as large as the
-                // largest future of a user's request
+                // boxed, because otherwise the future of every connection would be as large as that of
+                // the largest user's request, although most connections are those of workers
                 let response = Box::pin(self.route_user_request(&request)).await;
                 if response.status == 503 {
                     count(&self.telemetry.counters.refused);
@@ -35,8 +36,8 @@
         }
     }
 
-    /// Answers a user's request here, or through a peer while the state service refuses this
-    /// controller or does not answer it: it may serve the peer.
+    /// Handles a user's request here, or relays it to a peer while the state service refuses this
+    /// controller or does not respond to it, because the state service may still serve the peer.
     async fn route_user_request(&self, request: &Request) -> Response {
         let was_failing = self.store.is_failing();
         if was_failing {
@@ -51,7 +52,7 @@
         response
     }
 
-    /// Answers a user's request here.
+    /// Handles a user's request on this controller and returns the response.
     pub async fn handle_user_request(&self, request: &Request) -> Response {
         let jobs_path = request.path.strip_prefix("/v2/runs");
         let started_at = Instant::now();
@@ -86,17 +87,19 @@
         response
     }
 
-    /// Answers the load balancer's health probe.
+    /// Returns the response to the load balancer's health probe.
     fn health(&self) -> Response {
         let is_ready = {
             let state = self.lock();
             state.synced && !state.machine_types.is_empty()
         };
-        // without the state service a controller can still relay requests, and in an outage it
-        // refuses them at once: only one that reaches nobody is of no use
+        // without the state service, a controller can still relay requests to its peers, and in an
+        // outage it refuses them immediately; it is unhealthy only if it reaches neither the state
+        // service nor any peer
         let now = Instant::now();
-        let is_cut_off = self.store.is_failing() && now.duration_since(self.store.last_served()) > self.policy.ttl;
-        if is_ready && (!is_cut_off || self.peers.any_reachable(self.policy.peer_limit * 3, now)) {
+        let lost_state_service =
+            self.store.is_failing() && now.duration_since(self.store.last_served()) > self.policy.ttl;
+        if is_ready && (!lost_state_service || self.peers.any_reachable(self.policy.peer_limit * 3, now)) {
             Response::new(200, &JobState { id: "ok".into(), stage: "ok".into(), done: 0, running: 0 })
         } else {
             Response::refuse(503, "not ready")
--- a/src/http_api/tests.rs
+++ b/src/http_api/tests.rs
@@ -3,8 +3,9 @@
 use crate::policy::Policy;
 use coralnotch_policy::example::SETTINGS;
 
-/// A controller holds thousands of connections, most of them workers', and opens many anew: each
-/// once took seven KiB, the size of the largest future of a user's request.
+/// A controller holds thousands of connections, most of them from workers, and opens new ones at a
+/// high rate.  Without boxing, each took seven KiB, the size of the largest future of a user's
+/// request.
 #[test]
 fn the_future_of_a_waiting_connection_is_small() {
     let config = Config::parse("test", SETTINGS).expect("settings of the tests");
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,7 @@
-//! coralnotch: a cluster scheduler.  The leading controller places the tasks
-//! at the head of the queue, switching between best-fit and fastest-first
-//! machines by speed variance, load and an AI2 lookahead.
+//! coralnotch is a cluster scheduler.  The leading controller places the tasks
+//! at the head of the queue.  It chooses between the best-fit and the
+//! fastest-first policy by the variance of the machines' speeds, the load, and
+//! the lookahead score of the AI2 algorithm.
 
 pub mod commands;
 pub mod controller;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon and its command line.
+//! Entry point of the `coralnotch` program: the controller daemon and the client commands.
 fn main() -> std::process::ExitCode {
     coralnotch::commands::cli::main()
 }
--- a/src/operators/status.rs
+++ b/src/operators/status.rs
@@ -1,5 +1,5 @@
-//! The status that operators read from `/v2/status`: who leads and since when, which jobs wait and
-//! why, and which machines are in doubt.
+//! The status that operators read from `/v2/status`: the leader and how long it has led, the jobs
+//! that wait and the reasons, and the number of machines whose task starts are uncertain.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
@@ -12,37 +12,37 @@
 use crate::model::Name;
 use crate::operators::telemetry::{Latency, Telemetry};
 
-/// Waiting jobs that a status names.
+/// Maximum number of waiting jobs that a status lists.
 const MAX_WAITING_JOBS: usize = 12;
 
-/// A job with tasks that wait.
+/// A job with tasks that wait to be assigned to machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WaitingJob {
-    /// The job.
+    /// Id of the job.
     pub id: Name,
-    /// Its class.
+    /// Class of the job.
     pub class: Name,
-    /// Number of its tasks that wait.
+    /// Number of the job's tasks that wait.
     pub tasks: u32,
-    /// How long it is known here, in seconds.
+    /// How long the leader has known the job, in seconds.
     pub since_s: f64,
-    /// Why its tasks wait; empty if no pass has considered it yet.
+    /// Why the job's tasks wait; empty if no scheduling pass has considered the job yet.
     pub why: String,
 }
 
 /// The leader's part of the status.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaderStatus {
-    /// Its term.
+    /// Term of the leader.
     pub term: u64,
-    /// How long it has led, in seconds.
+    /// How long the leader has led, in seconds.
     pub since_s: f64,
-    /// Unfinished jobs.
+    /// Number of unfinished jobs.
     pub jobs: usize,
-    /// Tasks that wait.
+    /// Number of tasks that wait to be assigned to machines.
     #[serde(rename = "waiting")]
     pub waiting_tasks: u64,
-    /// Tasks that are, or may be, on machines.
+    /// Number of assignments of tasks that are, or may be, on machines.
     #[serde(rename = "placed")]
     pub assigned_tasks: usize,
     /// Number of machines by zone and state.
@@ -50,59 +50,60 @@
     /// Zones that seem to be partitioned from the leader.
     #[serde(rename = "cut")]
     pub partitioned_zones: Vec<Name>,
-    /// Machines where it is unknown whether a task has started.
+    /// Number of machines for which it is unknown whether a task has started.
     pub in_doubt: usize,
-    /// Starts that are not stored yet.
+    /// Number of task starts that are not stored yet.
     #[serde(rename = "unstored")]
     pub unstored_starts: usize,
-    /// Shards of assignments in the state service.
+    /// Number of shards of assignments in the state service.
     #[serde(rename = "pages")]
     pub shards: usize,
-    /// Jobs that wait for their dependencies.
+    /// Number of jobs that wait for their dependencies.
     #[serde(default)]
     #[serde(rename = "held")]
     pub dependent_jobs: usize,
-    /// Rentals that are under way or in doubt.
+    /// Number of rentals whose request is in progress, or whose result is unknown.
     pub rentals: usize,
-    /// The jobs that wait longest, longest first.
+    /// The jobs with waiting tasks that the leader has known for longest, the oldest first.
     #[serde(rename = "longest")]
     pub longest_waiting: Vec<WaitingJob>,
 }
 
-/// A controller's status, as `/v2/status` replies it.
+/// A controller's status, as `/v2/status` returns it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// Name of the controller.
     pub name: String,
     /// Version of the program.
     pub version: String,
-    /// Name of the leader, as far as it is known here.
+    /// Name of the leader; `None` if this controller knows none.
     pub leader: Option<String>,
     /// Whether the state service serves this controller.
     pub served: bool,
-    /// Unfinished jobs known here.
+    /// Number of unfinished jobs that this controller knows.
     pub known_jobs: usize,
-    /// Ended jobs kept in memory; the others are read on request.
+    /// Number of ended jobs in memory.  Other ended jobs are read from the state service on request.
     #[serde(default)]
     pub ended_jobs: usize,
-    /// The leader's part, on the leader.
+    /// The leader's part of the status; `None` on other controllers.
     pub leading: Option<LeaderStatus>,
-    /// Whether jobs with dependencies are accepted: every controller has the feature.
+    /// Whether jobs with dependencies are accepted, which requires that every controller supports
+    /// the feature.
     #[serde(default)]
     #[serde(rename = "chains")]
     pub dependencies_enabled: bool,
-    /// Versions of the peers, as far as they have advertised them; `earlier` for a version without
-    /// feature gates.
+    /// Versions of the peers by the peers' names, as far as they have advertised them.  `earlier`
+    /// stands for a version without feature gates.
     #[serde(default)]
     pub versions: BTreeMap<String, String>,
-    /// Counters by name.
+    /// Values of the counters by name, since the start of the controller.
     pub counters: BTreeMap<String, u64>,
-    /// Latencies by operation.
+    /// Summaries of latencies by operation; operations that have not occurred are left out.
     pub latencies: BTreeMap<String, Latency>,
 }
 
 impl Controller {
-    /// The status of this controller.
+    /// Returns the status of this controller.
     pub fn status(&self, now: Instant) -> Status {
         let state = self.lock();
         let leading = state.cluster.as_ref().filter(|_| state.is_leader(now));
@@ -122,35 +123,36 @@
     }
 }
 
-/// The leader's part of the status; machines whose last heartbeat is older than `fresh` miss heartbeats.
-fn leader_status(cluster: &Cluster, fresh: Duration, now: Instant) -> LeaderStatus {
-    let open: Vec<&Job> = cluster.jobs.values().filter(|j| j.outcome.is_none()).collect();
+/// Returns the leader's part of the status.  Machines whose last heartbeat is older than
+/// `max_heartbeat_age` are counted as silent.
+fn leader_status(cluster: &Cluster, max_heartbeat_age: Duration, now: Instant) -> LeaderStatus {
+    let unfinished_jobs: Vec<&Job> = cluster.jobs.values().filter(|j| j.outcome.is_none()).collect();
     let mut status = LeaderStatus {
         term: cluster.term,
         since_s: now.duration_since(cluster.term_started_at).as_secs_f64(),
-        jobs: open.len(),
-        waiting_tasks: open.iter().map(|j| u64::from(j.pending.len())).sum(),
+        jobs: unfinished_jobs.len(),
+        waiting_tasks: unfinished_jobs.iter().map(|j| u64::from(j.pending.len())).sum(),
         partitioned_zones: cluster.fleet.partitioned_zones.iter().cloned().collect(),
         unstored_starts: cluster.unstored_starts.len(),
         shards: cluster.shards.len(),
         dependent_jobs: cluster.dependency.len(),
         rentals: cluster.fleet.open_rentals.len(),
-        longest_waiting: longest_waiting(open, now),
+        longest_waiting: longest_waiting(unfinished_jobs, now),
         ..LeaderStatus::default()
     };
     for machine in cluster.machines.values().filter(|m| m.removed_at.is_none()) {
-        let states = status.machines.entry(machine.zone.to_string()).or_default();
-        *states.entry(machine_state(machine, fresh, now).into()).or_default() += 1;
+        let counts = status.machines.entry(machine.zone.to_string()).or_default();
+        *counts.entry(machine_state(machine, max_heartbeat_age, now).into()).or_default() += 1;
         status.assigned_tasks += machine.tasks.len();
         status.in_doubt += usize::from(machine.in_doubt_token.is_some());
     }
     status
 }
 
-/// The jobs with waiting tasks that are known here for longest.
-fn longest_waiting(open: Vec<&Job>, now: Instant) -> Vec<WaitingJob> {
-    let mut waiting: Vec<&Job> = open.into_iter().filter(|j| !j.pending.is_empty()).collect();
-    waiting.sort_by_key(|j| j.first_seen);
+/// Returns the jobs with waiting tasks that the leader has known for longest, the oldest first.
+fn longest_waiting(unfinished_jobs: Vec<&Job>, now: Instant) -> Vec<WaitingJob> {
+    let mut waiting_jobs: Vec<&Job> = unfinished_jobs.into_iter().filter(|j| !j.pending.is_empty()).collect();
+    waiting_jobs.sort_by_key(|j| j.first_seen);
     let describe = |job: &Job| WaitingJob {
         id: job.spec.id.clone(),
         class: job.spec.class.clone(),
@@ -158,15 +160,15 @@
         since_s: now.duration_since(job.first_seen).as_secs_f64(),
         why: job.pending_reason.to_owned(),
     };
-    waiting.into_iter().take(MAX_WAITING_JOBS).map(describe).collect()
+    waiting_jobs.into_iter().take(MAX_WAITING_JOBS).map(describe).collect()
 }
 
-/// A machine's state as the status names it; the first that applies.
-fn machine_state(machine: &Machine, fresh: Duration, now: Instant) -> &'static str {
+/// Returns a machine's state as the status shows it.  If several states apply, the first one counts.
+fn machine_state(machine: &Machine, max_heartbeat_age: Duration, now: Instant) -> &'static str {
     match machine.last_heartbeat {
         _ if machine.deletion_sent_at.is_some() => "being returned",
         None => "not up",
-        Some(t) if now.duration_since(t) > fresh => "silent",
+        Some(t) if now.duration_since(t) > max_heartbeat_age => "silent",
         _ if machine.cordon_reason.is_some() => "drained",
         _ if machine.reclaim_at.is_some() => "taken back soon",
         _ if machine.tasks.is_empty() => "idle",
@@ -174,7 +176,7 @@
     }
 }
 
-/// The counters by the names that the status gives them.
+/// Returns the values of the counters by their names in the status.
 fn counters(telemetry: &Telemetry) -> BTreeMap<String, u64> {
     let counters = &telemetry.counters;
     let named = [
--- a/src/operators/telemetry.rs
+++ b/src/operators/telemetry.rs
@@ -21,12 +21,12 @@
     Commit,
     /// A scheduling pass over the queue.
     Pass,
-    /// A task, from its job's arrival at the leader to its placement.
+    /// The placement of a task, from the arrival of its job at the leader.
     Placement,
 }
 
 impl TimedOperation {
-    /// All operations in the order of their values, with their keys in `/v2/status`.
+    /// All operations in the order of their discriminants, with their keys in `/v2/status`.
     const ALL: [(TimedOperation, &'static str); 6] = [
         (TimedOperation::Submission, "submission"),
         (TimedOperation::Query, "query"),
@@ -37,28 +37,28 @@
     ];
 }
 
-/// Counters since the start of the controller.
+/// Counters of events since the start of the controller.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Users' requests.
+    /// Users' requests that reached this controller directly.
     pub requests: AtomicU64,
     /// Users' requests that were refused with 503.
     pub refused: AtomicU64,
     /// Users' requests that a peer answered.
     pub relayed: AtomicU64,
-    /// Lookups of unknown ids that were refused, as too many waited.
+    /// Lookups of unknown ids that were refused because too many others waited.
     pub lookups_refused: AtomicU64,
-    /// Heartbeats that were handled here.
+    /// Heartbeats that this controller has handled itself, including those that others forwarded.
     pub heartbeats: AtomicU64,
-    /// Heartbeats that another controller forwarded.
+    /// Heartbeats that this controller has received from others that forward them.
     pub heartbeats_forwarded: AtomicU64,
-    /// Heartbeats whose reply only renewed a lease.
+    /// Heartbeats whose reply renewed the worker's lease although this controller did not lead.
     pub leases_renewed: AtomicU64,
     /// Direct calls to workers.
     pub direct_calls: AtomicU64,
-    /// Direct calls to workers without an answer.
+    /// Direct calls to workers that were not answered.
     pub direct_calls_lost: AtomicU64,
-    /// The leader's transactions in conflict or without an answer.
+    /// The leader's transactions that were in conflict or not answered.
     pub commits_failed: AtomicU64,
 }
 
@@ -67,20 +67,20 @@
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
-/// Counters and latencies of one controller.
+/// The counters and latency histograms of one controller.
 pub struct Telemetry {
-    /// Counters.
+    /// The counters, which any part of the controller may increase.
     pub counters: Counters,
-    /// One histogram per operation, in microseconds.
+    /// One histogram per operation, in microseconds, in the order of [`TimedOperation::ALL`].
     latencies: Mutex<Vec<Histogram<u32>>>,
 }
 
-/// Longer latencies are recorded as this one.
+/// Longest latency that is recorded, in microseconds; longer ones count as this one.
 const MAX_LATENCY_US: u64 = 3_600_000_000;
 
 impl Default for Telemetry {
     fn default() -> Self {
-        // two significant digits are enough to read, and keep a histogram at some KiB
+        // two significant digits are precise enough for operators and limit a histogram to a few KiB
         let histogram = || Histogram::new_with_bounds(1, MAX_LATENCY_US, 2).ok();
         let latencies = TimedOperation::ALL.iter().filter_map(|_| histogram()).collect();
         Telemetry { counters: Counters::default(), latencies: Mutex::new(latencies) }
@@ -92,11 +92,11 @@
 pub struct Latency {
     /// Number of operations.
     pub count: u64,
-    /// Median.
+    /// Median, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile.
+    /// 99th percentile, in milliseconds.
     pub p99_ms: f64,
-    /// Maximum.
+    /// Maximum, in milliseconds.
     pub max_ms: f64,
 }
 
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The latencies of those operations that have been recorded, by their keys.
+    /// Returns the latencies of the operations that have been recorded, by their keys in `/v2/status`.
     pub fn latencies(&self) -> BTreeMap<String, Latency> {
         let histograms = self.latencies.lock().unwrap_or_else(|e| e.into_inner());
         let summary = |h: &Histogram<u32>| Latency {
--- a/src/run.rs
+++ b/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts a controller and runs all of its parts.
+//! Startup of a controller: creates it and runs its servers and background loops.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -18,22 +18,27 @@
 use crate::runtime::executor::PriorityExecutor;
 use crate::state_store::initial_read::UnsupportedLayout;
 
-/// File descriptors kept free for the state store, the cloud, peers and files.
+/// Number of file descriptors that are reserved for the state service, the cloud, peers and files.
 const RESERVED_FILE_DESCRIPTORS: usize = 64;
 
-/// The server accepts at least so many connections, whatever the limit of file descriptors.
+/// Minimum number of connections that the server accepts, whatever the limit of file descriptors.
 const MIN_CONNECTIONS: usize = 16;
 
-/// Why a controller ends.
+/// The reason for which a controller stops.
 #[derive(Debug, thiserror::Error)]
 enum RunError {
     #[error(transparent)]
     UnsupportedLayout(#[from] UnsupportedLayout),
-    #[error("the listener failed")]
+    #[error("the HTTP server for users and workers stopped accepting connections")]
     ListenerFailed,
 }
 
-/// Runs a controller on this thread; returns only with an error.
+/// Runs a controller on this thread.
+///
+/// # Errors
+///
+/// Returns only with an error: if a listener cannot be bound, if the stored data has an unsupported
+/// layout, or if the HTTP server stops.
 pub fn run(config: Config, policy: Policy) -> std::io::Result<()> {
     let executor = PriorityExecutor::default();
     let limits = server_limits(&config, &policy);
@@ -43,7 +48,7 @@
     smol::block_on(executor.run(main))
 }
 
-/// The limits of the server for users and workers.
+/// Returns the limits of the HTTP server for users and workers.
 fn server_limits(config: &Config, policy: &Policy) -> ServerLimits {
     let reserved = RESERVED_FILE_DESCRIPTORS + policy.direct_calls;
     let connections = config.deployment.quota.fd_limit.saturating_sub(reserved).max(MIN_CONNECTIONS);
@@ -52,12 +57,13 @@
         scarce: (connections as f64 * policy.scarce_share) as usize,
         idle: policy.connection_idle,
         arrive: Duration::from_secs(10),
-        // users that submit wait longest
+        // users wait longest for the reply to a submission
         answer: Duration::from_secs(5),
     }
 }
 
-/// Runs a controller until the watch or the server ends.
+/// Runs a controller until the watch of the state service or the HTTP server ends, and returns the
+/// error.
 async fn run_controller(
     executor: PriorityExecutor,
     controller: Arc<Controller>,
@@ -70,13 +76,14 @@
     let peer_listener = TcpListener::bind(peer_bind).await?;
     let watch = spawn_control_loops(&executor, &controller, peer_listener);
     let requests = executor.requests.clone();
-    let measured = controller.clone();
-    let measurement = async move { measured.scheduling_delay.measure(measured.policy.pass_gap * 2).await };
-    requests.spawn(measurement).detach();
+    let measured_controller = controller.clone();
+    let delay_measurement =
+        async move { measured_controller.scheduling_delay.measure(measured_controller.policy.pass_gap * 2).await };
+    requests.spawn(delay_measurement).detach();
     let handler = Rc::new(move |request| controller.clone().handle_request(request));
-    let serving = serve(requests.clone(), listener, limits, handler);
+    let server_future = serve(requests.clone(), listener, limits, handler);
     let server = requests.spawn(async move {
-        serving.await;
+        server_future.await;
         RunError::ListenerFailed
     });
     let watch_error = async {
@@ -88,8 +95,9 @@
     Err(std::io::Error::other(or(watch_error, server).await))
 }
 
-/// Spawns the loops of the controller with control priority; returns the watch, which ends if
-/// the store cannot be used.  The others run until the executor is dropped.
+/// Spawns the background loops of the controller with control priority.  Returns the watch of the
+/// state service, which ends if the layout of the stored data is not supported.  The other loops run
+/// until the executor is dropped.
 fn spawn_control_loops(
     executor: &PriorityExecutor,
     controller: &Arc<Controller>,
@@ -104,8 +112,8 @@
     spawn_loop(executor, controller, |c| async move { c.run_cancellation_notices().await });
     spawn_loop(executor, controller, |c| async move { c.publish_features().await });
     spawn_loop(executor, controller, |c| async move { c.run_stall_detector().await });
-    let watching = controller.clone();
-    let watch = executor.control.spawn(async move { watching.run_watch().await });
+    let watch_controller = controller.clone();
+    let watch = executor.control.spawn(async move { watch_controller.run_watch().await });
     spawn_loop(executor, controller, |c| async move { c.run_elections().await });
     spawn_loop(executor, controller, |c| async move { c.run_submissions().await });
     spawn_loop(executor, controller, |c| async move { c.run_confirmations().await });
@@ -115,7 +123,7 @@
     watch
 }
 
-/// Spawns one loop of the controller with control priority.
+/// Spawns one background loop of the controller with control priority.
 fn spawn_loop<F>(executor: &PriorityExecutor, controller: &Arc<Controller>, run: impl FnOnce(Arc<Controller>) -> F)
 where
     F: Future<Output = ()> + 'static,
--- a/src/users/cancel.rs
+++ b/src/users/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancellations by users.
+//! Cancellation of jobs by users.
 
 use std::time::Instant;
 
@@ -13,7 +13,7 @@
 use crate::users::request::SUBMIT_TIMEOUT;
 
 impl Controller {
-    /// Answers a cancellation.
+    /// Replies to a user's cancellation of a job.
     pub(crate) async fn cancel_job(&self, id: &str) -> Response {
         if !valid_id(id) {
             return Response::refuse(404, "no such job");
@@ -23,12 +23,18 @@
         self.reply_to_user(&id, reply.unwrap_or(Reply::RetryLater("the state service does not answer")))
     }
 
-    /// Stores the cancellation of a job, together with those of as many of its dependents as fit
-    /// (the leader stores the rest); the outcome that the job has by then, this one or another.
+    /// Stores the cancellation of a job, together with those of as many of its dependents as fit into
+    /// one transaction; the leader stores the rest.  Returns the job's stored outcome, which is
+    /// another one if the job has ended before.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the state service does not carry out the transaction, or if the outcome
+    /// of a job that has ended before cannot be read.
     pub(super) async fn store_cancellation(&self, id: &str) -> Result<JobOutcome, StoreError> {
         let mut cancelled = vec![Name::from(id)];
         cancelled.extend(self.lock().jobs.dependents(id, self.store.txn_limits.writes.saturating_sub(1)));
-        let path = outcome_key(id);
+        let key = outcome_key(id);
         loop {
             let txn = cancellations_txn(&cancelled);
             match self.store.txn(&txn).await? {
@@ -39,10 +45,10 @@
                     }
                     return Ok(JobOutcome::Cancelled);
                 }
-                // a dependent has ended by itself: only this job then
-                TxnOutcome::Conflict(keys) if cancelled.len() > 1 && !keys.contains(&path) => cancelled.truncate(1),
-                // the job has ended meanwhile: its stored outcome is the reply
-                TxnOutcome::Conflict(_) => return self.read_outcome(&path).await.ok_or(StoreError::Refused(503)),
+                // a dependent has an outcome already: cancel only this job
+                TxnOutcome::Conflict(keys) if cancelled.len() > 1 && !keys.contains(&key) => cancelled.truncate(1),
+                // the job has an outcome already: return the stored one
+                TxnOutcome::Conflict(_) => return self.read_outcome(&key).await.ok_or(StoreError::Refused(503)),
             }
         }
     }
--- a/src/users/confirmation.rs
+++ b/src/users/confirmation.rs
@@ -1,5 +1,5 @@
-//! Confirmations by the state service that jobs have no outcome; those that wait together share one
-//! compare-and-swap.
+//! Confirmation by the state service that jobs have no outcome.  Jobs that wait for confirmation at
+//! the same time share one compare-and-swap.
 
 use std::time::Duration;
 
@@ -13,12 +13,14 @@
 use crate::users::queues::ConfirmationRequest;
 use crate::users::request::QUERY_TIMEOUT;
 
-/// Retries of a batch that the state service's rate limit refuses, and the pause before each.
+/// Maximum number of retries of a batch that the state service's rate limit refuses.
 const MAX_RETRIES: u32 = 3;
+/// Pause before each retry.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 impl Controller {
-    /// Has the state service confirm that a job has no outcome, asked from now on.
+    /// Requests the state service to confirm that a job has no outcome.  The state service is asked
+    /// after the call of this function, so the confirmation is not older than the call.
     pub(super) async fn confirm_unfinished(&self, id: &Name) -> Confirmation {
         let (reply, confirmation) = smol::channel::bounded(1);
         let request = ConfirmationRequest { id: id.clone(), reply };
@@ -28,7 +30,7 @@
         with_timeout(QUERY_TIMEOUT, confirmation.recv()).await.and_then(Result::ok).unwrap_or(Confirmation::Unavailable)
     }
 
-    /// Confirms queued jobs in batches, for as long as the controller runs.
+    /// Confirms the queued jobs in batches, for as long as the controller runs.
     pub async fn run_confirmations(&self) {
         let queue = &self.user_requests.confirmations;
         while let Ok(first) = queue.receiver.recv().await {
@@ -39,7 +41,8 @@
         }
     }
 
-    /// Confirms a batch of jobs, and replies to each.
+    /// Confirms a batch of jobs, and replies to each request.  Jobs that turn out to have an outcome
+    /// are removed, and the rest of the batch is tried again.
     async fn confirm_batch(&self, mut batch: Vec<ConfirmationRequest>) {
         let mut retries = 0;
         while !batch.is_empty() {
@@ -55,14 +58,15 @@
                     smol::Timer::after(RETRY_PAUSE).await;
                 }
                 Err(e) => {
-                    tracing::debug!(error = %e, "unfinished jobs not confirmed");
+                    tracing::debug!(error = %e, "failed to confirm that jobs are unfinished");
                     reply_to_all(&mut batch, Confirmation::Unavailable);
                 }
             }
         }
     }
 
-    /// Reads the outcomes that a transaction has met, and replies to those that wait for them.
+    /// Reads the outcomes at the keys that were in conflict, and replies to the requests for these
+    /// jobs.
     async fn confirm_conflicts(&self, batch: &mut Vec<ConfirmationRequest>, conflicting_keys: Vec<String>) {
         for path in conflicting_keys {
             let confirmation = self.read_outcome(&path).await.map_or(Confirmation::Unavailable, Confirmation::Ended);
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -1,4 +1,4 @@
-//! Jobs that this controller does not know, looked up in the state service.
+//! Lookups in the state service of jobs that this controller does not know.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -14,30 +14,34 @@
 use crate::users::queues::LookupRequest;
 use crate::users::request::QUERY_TIMEOUT;
 
-/// Key of a job's record.
+/// Returns the key of a job's record.
 pub(super) fn job_key(id: &str) -> String {
     format!("{}{id}", key::JOB)
 }
 
-/// Key of a job's outcome.
+/// Returns the key of a job's outcome.
 pub(super) fn outcome_key(id: &str) -> String {
     format!("{}{id}", key::OUTCOME)
 }
 
-/// A job as stored.
+/// A job as it is stored in the state service.
 pub(crate) struct JobRecord {
-    /// The job.
     pub(crate) job: OpenJob,
-    /// Its outcome, if it has ended.
+    /// The outcome of the job; `None` if it has not ended.
     pub(crate) outcome: Option<JobOutcome>,
 }
 
 impl Controller {
-    /// Reads a job and its outcome; `None` if it was never accepted.  An ended job is kept for the
-    /// next request, and an unfinished one comes by the watch.
+    /// Reads a job and its outcome from the state service; `None` if the job was never accepted.  An
+    /// ended job is kept in memory for later requests.  An unfinished one is not, because the watch
+    /// delivers it.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the state service does not answer, or if a record cannot be decoded.
     pub(crate) async fn read_stored_job(&self, id: &str) -> Result<Option<JobRecord>, StoreError> {
         let path = job_key(id);
-        // the outcome last: it may be stored in between
+        // read the outcome after the job: it may be stored between the two reads
         let Some(job_item) = self.store.get(&path).await? else { return Ok(None) };
         let outcome_item = self.store.get(&outcome_key(id)).await?;
         let spec = read_value::<JobSpec>(&path, job_item.value).ok_or(StoreError::Unreadable)?;
@@ -53,7 +57,9 @@
         Ok(Some(JobRecord { job, outcome: Some(outcome) }))
     }
 
-    /// Looks up an id, asked from now on; `None` if the state service cannot say now.
+    /// Looks up an id.  The state service is asked after the call of this function, so the result is
+    /// not older than the call.  Returns `None` if too many lookups wait, or if the state service
+    /// gives no conclusive answer in time.
     pub(super) async fn look_up_job(&self, id: &Name) -> Option<LookupResult> {
         let (reply, result) = smol::channel::bounded(1);
         let request = LookupRequest { id: id.clone(), reply };
@@ -64,11 +70,13 @@
         with_timeout(QUERY_TIMEOUT, result.recv()).await?.ok()?
     }
 
-    pub(crate) async fn throttle_lookup(&self, calls: f64) {
-        self.user_requests.lookup_calls.acquire(calls).await;
+    /// Waits until the rate limit of lookups permits this number of requests to the state service.
+    pub(crate) async fn throttle_lookup(&self, requests: f64) {
+        self.user_requests.lookup_limiter.acquire(requests).await;
     }
 
-    /// Sends a lookup's transactions until it is settled; false if the state service cannot say now.
+    /// Sends the transactions of a lookup until the lookup is settled.  Returns `false` if the state
+    /// service does not answer, or if a conflict names no key that the lookup did not know to exist.
     pub(super) async fn run_lookup(&self, lookup: &mut Lookup) -> bool {
         while let Some(txn) = lookup.txn() {
             self.throttle_lookup(1.0).await;
@@ -81,15 +89,15 @@
         true
     }
 
-    /// Looks up queued ids in batches, for as long as the controller runs: users ask about jobs that
-    /// ended long ago, and about ids that nobody submitted.
+    /// Looks up queued ids in batches, for as long as the controller runs.  Such ids are those of jobs
+    /// that ended long ago and those that nobody has submitted.
     pub async fn run_lookups(&self) {
         let queue = &self.user_requests.lookups;
         while let Ok(first) = queue.receiver.recv().await {
             smol::Timer::after(self.policy.confirm_gap).await;
             let mut batch = vec![first];
             queue.fill_batch(&mut batch, self.store.txn_limits.preconditions / 2);
-            // a request whose user has given up costs nothing
+            // skip requests whose users have stopped waiting
             batch.retain(|request| !request.reply.is_closed());
             if !batch.is_empty() {
                 self.look_up_batch(batch).await;
@@ -97,7 +105,7 @@
         }
     }
 
-    /// Looks up a batch of ids, and replies to each.
+    /// Looks up a batch of ids, and replies to each request.
     async fn look_up_batch(&self, mut batch: Vec<LookupRequest>) {
         let mut lookup = Lookup::new(batch.iter().map(|request| &request.id));
         let is_settled = self.run_lookup(&mut lookup).await;
@@ -117,7 +125,8 @@
         }
     }
 
-    /// Reads the outcome at a key, and applies it; `None` if there is none or it cannot be read now.
+    /// Reads the outcome at a key and applies it.  Returns `None` if there is none or it cannot be
+    /// read.
     pub(super) async fn read_outcome(&self, path: &str) -> Option<JobOutcome> {
         let item = self.store.get(path).await.ok()??;
         let outcome = read_value::<OutcomeRecord>(path, item.value)?.outcome;
--- a/src/users/mod.rs
+++ b/src/users/mod.rs
@@ -1,8 +1,9 @@
-//! Users' requests: submissions, queries and cancellations.
+//! Handling of users' requests: submissions, queries and cancellations.
 //!
-//! "Accepted", "done" and "cancelled" are replied only after the commit.  "Unfinished" is replied
-//! only after the state service has confirmed that no outcome is stored; many queries share one
-//! compare-and-swap.  So no controller ever gives an older answer than another one before it.
+//! A controller replies that a job is accepted, done or cancelled only after that state is
+//! committed.  It replies that a job is unfinished only after the state service has confirmed that no
+//! outcome is stored; many queries share one compare-and-swap for this.  As a result, no reply shows
+//! an older state of a job than an earlier reply of any controller.
 
 pub mod cancel;
 pub mod confirmation;
--- a/src/users/progress.rs
+++ b/src/users/progress.rs
@@ -1,4 +1,4 @@
-//! The progress of jobs: how many of their tasks are done and running.
+//! The progress of jobs: the numbers of their tasks that are done and running.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -8,11 +8,11 @@
 use crate::model::*;
 use crate::peers::links::{lock, wire, JobProgress};
 
-/// How long counted progress is replied to peers before it is counted again.
+/// How long counted progress is used for replies to peers before it is counted again.
 const PROGRESS_CACHE_TTL: Duration = Duration::from_secs(1);
 
 impl Controller {
-    /// A job's state for display.
+    /// Returns a job's state as users receive it.
     pub(super) fn job_state(&self, id: &Name, outcome: Option<JobOutcome>) -> JobState {
         let state = self.lock();
         let JobProgress { done, running } = match outcome {
@@ -31,7 +31,8 @@
         JobState { id: id.clone(), stage: stage.into(), done, running }
     }
 
-    /// The progress of all jobs, from the cache if that is recent: many peers ask.
+    /// Returns the progress of all jobs for the peers.  It is taken from the cache if that is recent,
+    /// because many peers request it.
     pub fn recent_progress(&self, now: Instant) -> Vec<wire::Progress> {
         let mut cache = lock(&self.peers.progress_cache);
         match cache.as_ref() {
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Counts the done and running tasks of all unfinished jobs; empty unless this controller has
-    /// the leader's state.
+    /// Counts the done and running tasks of all unfinished jobs.  Jobs without any are left out.
+    /// Returns an empty list if this controller does not have the leader's state.
     pub fn count_progress(&self) -> Vec<wire::Progress> {
         let state = self.lock();
         let Some(cluster) = state.cluster.as_ref() else { return Vec::new() };
@@ -64,7 +65,8 @@
     }
 }
 
-/// The progress of a job in the leader's state.
+/// Returns the progress of a job according to the leader's state.  A task that runs on several
+/// machines counts once.
 fn progress_of(cluster: &Cluster, job: &Job) -> JobProgress {
     let mut running = 0;
     for (index, machines) in &job.assignments {
--- a/src/users/query.rs
+++ b/src/users/query.rs
@@ -1,4 +1,4 @@
-//! Queries of one job.
+//! Users' queries about one job.
 
 use futures_util::stream::StreamExt;
 
@@ -12,22 +12,23 @@
 use crate::users::lookup::outcome_key;
 use crate::users::request::QUERY_TIMEOUT;
 
-/// Outcomes of dependencies that one query reads; the next query reads the rest.
+/// Maximum number of outcomes of dependencies that one query reads; the next query reads the rest.
 const MAX_OUTCOMES_READ: usize = 64;
-/// Reads of outcomes that are under way at once.
+/// Maximum number of outcomes that are read concurrently.
 const MAX_CONCURRENT_READS: usize = 8;
 
-/// How much a query replies of a job.
+/// The level of detail of the reply to a query.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum QueryDetail {
-    /// Its state.
+    /// The state of the job.
     State,
-    /// Its state, and which of its dependencies it waits for or was cancelled with.
+    /// The state of the job, and the dependencies that it waits for or the one with which it was
+    /// cancelled.
     Explanation,
 }
 
 impl Controller {
-    /// Answers a query.
+    /// Replies to a user's query about a job.
     pub(crate) async fn query_job(&self, id: &str, detail: QueryDetail) -> Response {
         if !valid_id(id) {
             return Response::refuse(404, "no such job");
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Adds to a job's state how it hangs on its dependencies, as far as is known here.
+    /// Adds to a job's state the dependencies that it waits for, or the one with which it was
+    /// cancelled, as far as this controller knows them.
     fn explain(&self, job: JobState) -> JobExplanation {
         let mut state = self.lock();
         let spec = match state.jobs.status_of(&job.id) {
@@ -64,14 +66,14 @@
         JobExplanation { state: job, waits_for, cancelled_with }
     }
 
-    /// Reads the outcomes of jobs that ended before this controller started, and keeps them.
-    /// Whether all of those that were read have one.
+    /// Reads and keeps the outcomes of jobs that ended before this controller started, at most
+    /// [`MAX_OUTCOMES_READ`].  Reports whether each job that was read has an outcome.
     pub(super) async fn read_outcomes(&self, ids: Vec<Name>) -> bool {
         let reads = ids
             .into_iter()
             .take(MAX_OUTCOMES_READ)
             .map(|id: Name| async move { self.read_outcome(&outcome_key(&id)).await.is_some() });
-        let all = futures_util::stream::iter(reads).buffer_unordered(MAX_CONCURRENT_READS).collect::<Vec<_>>();
-        with_timeout(QUERY_TIMEOUT, all).await.is_some_and(|known| known.into_iter().all(|is_known| is_known))
+        let outcomes = futures_util::stream::iter(reads).buffer_unordered(MAX_CONCURRENT_READS).collect::<Vec<_>>();
+        with_timeout(QUERY_TIMEOUT, outcomes).await.is_some_and(|known| known.into_iter().all(|is_known| is_known))
     }
 }
--- a/src/users/queues.rs
+++ b/src/users/queues.rs
@@ -1,5 +1,5 @@
-//! Bounded queues of requests that wait for another service: users' requests for the state
-//! service, workers' heartbeats for the leader.
+//! Bounded queues of requests: users' requests that wait for the state service, and workers'
+//! heartbeats that wait for the leader.
 
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
@@ -13,10 +13,11 @@
 use crate::runtime::rate_limiter::RateLimiter;
 use crate::workers::Heartbeat;
 
-/// Sends the one reply to a queued request; dropped without one if the request is given up.
+/// The sender of the only reply to a queued request.  It is dropped without a reply if the request is
+/// given up.
 pub(crate) type ReplySender<T> = smol::channel::Sender<T>;
 
-/// A bounded queue: senders are refused while it is full.
+/// A bounded queue, which refuses further entries while it is full.
 pub(crate) struct Queue<T> {
     pub(crate) sender: smol::channel::Sender<T>,
     pub(crate) receiver: smol::channel::Receiver<T>,
@@ -28,80 +29,82 @@
         Queue { sender, receiver }
     }
 
-    /// Adds what is queued already to a batch, until the batch has `max` entries.
-    pub(crate) fn fill_batch(&self, batch: &mut Vec<T>, max: usize) {
-        while batch.len() < max {
+    /// Moves entries that are already queued to a batch, until the batch has `max` entries.
+    pub(crate) fn fill_batch(&self, batch: &mut Vec<T>, max_len: usize) {
+        while batch.len() < max_len {
             let Ok(next) = self.receiver.try_recv() else { break };
             batch.push(next);
         }
     }
 }
 
-/// A submission that is to be stored.
+/// A submission that waits to be stored.
 pub(crate) struct SubmissionRequest {
     pub(crate) spec: Arc<JobSpec>,
-    /// It needs a cancelled job, and is stored together with its own cancellation.
+    /// Whether the job depends on a cancelled one.  Its own cancellation is then stored with it.
     pub(crate) needs_cancelled_job: bool,
     pub(crate) reply: ReplySender<StoreResult>,
 }
 
-/// A job that is to be confirmed as unfinished.
+/// A job that waits for the confirmation that it is unfinished.
 pub(crate) struct ConfirmationRequest {
     pub(crate) id: Name,
     pub(crate) reply: ReplySender<Confirmation>,
 }
 
-/// An id that is not known here.
+/// An id that is not known here and waits to be looked up in the state service.
 pub(crate) struct LookupRequest {
     pub(crate) id: Name,
-    /// Receives `None` if the state service cannot say now.
+    /// Sends `None` if the state service has given no conclusive answer.
     pub(crate) reply: ReplySender<Option<LookupResult>>,
 }
 
-/// Users' requests that wait for the state service; each queue is drained in batches.
+/// The queues of users' requests that wait for the state service.  Each is processed in batches.
 pub struct UserRequestQueues {
     pub(crate) submissions: Queue<SubmissionRequest>,
     pub(crate) confirmations: Queue<ConfirmationRequest>,
     pub(crate) lookups: Queue<LookupRequest>,
-    /// Requests to the store for these.
-    pub(crate) lookup_calls: RateLimiter,
+    /// The rate limit of the requests to the state service for `lookups`.
+    pub(crate) lookup_limiter: RateLimiter,
 }
 
-/// Requests that may wait in one queue; more are refused.
+/// Maximum number of requests that wait in one queue; further ones are refused.
 const MAX_QUEUED_REQUESTS: usize = 512;
 
 impl UserRequestQueues {
-    /// Empty queues.  Lookups of unknown ids may take `lookup_rate` requests per second to the state
-    /// service; at most as many lookups wait as a second serves, the rest is refused.
+    /// Creates empty queues.  Lookups of unknown ids may send `lookup_rate` requests per second to the
+    /// state service.  At most as many lookups wait as are served in one second; further ones are
+    /// refused.
     pub fn new(lookup_rate: f64, now: Instant) -> UserRequestQueues {
         let max_lookups = (lookup_rate as usize).clamp(1, MAX_QUEUED_REQUESTS);
         UserRequestQueues {
             submissions: Queue::bounded(MAX_QUEUED_REQUESTS),
             confirmations: Queue::bounded(MAX_QUEUED_REQUESTS),
             lookups: Queue::bounded(max_lookups),
-            lookup_calls: RateLimiter::new(lookup_rate, lookup_rate, now),
+            lookup_limiter: RateLimiter::new(lookup_rate, lookup_rate, now),
         }
     }
 }
 
-/// Heartbeats that may wait to be forwarded; there are no more than connections.
+/// Maximum number of heartbeats that wait to be forwarded.  Each open connection has at most one.
 const MAX_QUEUED_HEARTBEATS: usize = 8192;
 
 /// A heartbeat that waits to be forwarded to the leader.
 pub(crate) struct QueuedHeartbeat {
     pub(crate) heartbeat: Heartbeat,
-    /// Its encoding, as the worker sent it.
+    /// The encoded heartbeat, as the worker sent it.
     pub(crate) body: Vec<u8>,
-    /// The worker waits no longer than this.
+    /// After this time the reply is of no use, because the worker has stopped waiting.
     pub(crate) deadline: Instant,
     pub(crate) reply: ReplySender<Response>,
 }
 
-/// The heartbeats that wait to be forwarded, and which ones the leader has accepted.
+/// The heartbeats that wait to be forwarded, and those that the leader has accepted.
 pub struct HeartbeatQueue {
     pub(crate) queued: Queue<QueuedHeartbeat>,
     pub(crate) forwarding: Mutex<HeartbeatForwarding>,
-    /// When the leader last did not answer: for a while after that, heartbeats are handled here.
+    /// When a call to the leader last failed.  For `policy.peer_limit` after that, this controller
+    /// handles heartbeats itself.
     pub(crate) failed_at: Mutex<Option<Instant>>,
 }
 
--- a/src/users/request.rs
+++ b/src/users/request.rs
@@ -1,5 +1,5 @@
-//! Drives a user's request to its reply: carries out the actions that
-//! [`coralnotch_core::user_request`] decides on.
+//! Execution of a user's request up to its reply: carries out the actions on which
+//! [`coralnotch_core::user_request`] decides.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,21 +11,22 @@
 use crate::model::*;
 use crate::runtime::wake_up::with_timeout;
 
-/// A user waits 5 s for a submission or a cancellation; a later reply is lost.
+/// Time limit for a submission or a cancellation.  A user waits 5 s and does not receive a later reply.
 pub(super) const SUBMIT_TIMEOUT: Duration = Duration::from_millis(4000);
-/// A user waits 2 s for a query.
+/// Time limit for a query.  A user waits 2 s.
 pub(super) const QUERY_TIMEOUT: Duration = Duration::from_millis(1700);
-/// How long a reply waits for all peers to know of a cancellation.
+/// How long a reply is delayed until all peers know of a cancellation.
 const PEER_NOTICE_TIMEOUT: Duration = Duration::from_millis(1200);
 
 impl Controller {
-    /// Resolves a request about one job.  `spec` is the submission, for [`RequestKind::Submit`].
+    /// Carries out a request about one job and returns the reply.  `spec` is the submitted job for
+    /// [`RequestKind::Submit`], otherwise `None`.
     pub(super) async fn resolve_request(&self, id: &Name, kind: RequestKind, spec: Option<Arc<JobSpec>>) -> Reply {
         let mut request = UserRequest::new(id.clone(), kind);
         let started_at = Instant::now();
         let mut notice_deadline = None;
         loop {
-            // registered before the state is read, so that no notice in between is missed
+            // register before the state is read, so that a notice between the two is not missed
             let cancellation_known = self.cancellation_known.listen();
             let now = Instant::now();
             match (self.next_action(id, &mut request, now), &spec) {
@@ -75,7 +76,7 @@
         })
     }
 
-    /// The HTTP response for a reply about a job.
+    /// Returns the HTTP response for a reply about a job.
     pub(super) fn reply_to_user(&self, id: &Name, reply: Reply) -> Response {
         match reply {
             Reply::Accepted => {
--- a/src/users/submit.rs
+++ b/src/users/submit.rs
@@ -1,5 +1,5 @@
-//! Submissions, which are idempotent by their ids.  Those that wait together are stored in one
-//! compare-and-swap.
+//! Submission of jobs.  A submission is idempotent by the id of its job.  Submissions that wait at
+//! the same time are stored in one compare-and-swap.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,14 +15,15 @@
 use crate::users::queues::SubmissionRequest;
 use crate::users::request::SUBMIT_TIMEOUT;
 
-/// A batch takes no further submissions once it has this many bytes.
+/// Size in bytes from which on a batch takes no further submissions.
 const MAX_BATCH_BYTES: usize = 20_000;
-/// Retries of a batch that the state service's rate limit refuses, and the pause before each.
+/// Maximum number of retries of a batch that the state service's rate limit refuses.
 const MAX_RETRIES: u32 = 4;
+/// Pause before each retry.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 impl Controller {
-    /// Answers a submission.
+    /// Replies to a user's submission of a job.
     pub(crate) async fn submit_job(&self, body: &[u8]) -> Response {
         let spec: JobSpec = match http::decode(body) {
             Ok(spec) => spec,
@@ -54,9 +55,10 @@
         }
     }
 
-    /// The first submission, and those queued behind it that fit into one transaction.
+    /// Returns a batch of the first submission and the queued ones that fit into the same
+    /// transaction.
     fn collect_submissions(&self, first: SubmissionRequest) -> Vec<SubmissionRequest> {
-        // one that needs a cancelled job is stored together with its own outcome
+        // a submission that needs a cancelled job is stored together with its own cancellation
         let writes_of = |s: &SubmissionRequest| 1 + usize::from(s.needs_cancelled_job);
         let mut writes = writes_of(&first);
         let mut batch = vec![first];
@@ -70,7 +72,8 @@
         batch
     }
 
-    /// Stores a batch of submissions, and replies to each.
+    /// Stores a batch of submissions, and replies to each of them.  Submissions that turn out to be
+    /// stored already are removed, and the rest of the batch is tried again.
     async fn store_submissions(&self, mut batch: Vec<SubmissionRequest>) {
         let mut retries = 0;
         while !batch.is_empty() {
@@ -88,7 +91,7 @@
                     smol::Timer::after(RETRY_PAUSE).await;
                 }
                 Err(e) => {
-                    tracing::debug!(error = %e, "submissions not stored");
+                    tracing::debug!(error = %e, "failed to store a batch of submissions");
                     for submission in batch.drain(..) {
                         let _ = submission.reply.try_send(StoreResult::Unknown);
                     }
@@ -97,15 +100,16 @@
         }
     }
 
-    /// Applies a batch that was stored at `revision`, and replies to each submission.
+    /// Applies a batch that was sent at `sent_at` and stored at `revision`, and replies to each
+    /// submission.
     fn apply_stored_submissions(&self, batch: Vec<SubmissionRequest>, txn: &Txn, revision: u64, sent_at: Instant) {
         let now = Instant::now();
         let slow = now.duration_since(sent_at) > self.policy.renew;
         for submission in batch {
             let id = submission.spec.id.clone();
             self.apply_own_job(submission.spec, revision, now);
-            // read from what was stored: the same id may have come twice, one of them before the
-            // outcome of the job that it needs was known
+            // look for the cancellation in the stored writes rather than in the submission: the batch
+            // may contain the same id twice, once from before the needed job was known as cancelled
             let outcome_key = outcome_key(&id);
             if txn.writes.iter().any(|w| matches!(w, Write::Set { set, .. } if *set == outcome_key)) {
                 self.apply_stored_outcome(&id, JobOutcome::Cancelled, revision, now);
@@ -115,8 +119,8 @@
     }
 }
 
-/// Removes the submissions whose records exist already, perhaps from an earlier attempt of this
-/// controller, and replies to them.
+/// Removes the submissions whose records exist already and replies to them.  An earlier attempt of
+/// this controller may have stored such a record.
 fn reply_already_stored(batch: &mut Vec<SubmissionRequest>, conflicting_keys: &[String]) {
     for conflicting in conflicting_keys {
         let Some(id) = conflicting.strip_prefix(key::JOB) else { continue };
--- a/src/users/validation.rs
+++ b/src/users/validation.rs
@@ -1,4 +1,4 @@
-//! Validation of submissions: their size, their team's quota, and the jobs that they need.
+//! Validation of submissions: their size, the quota of their team, and their dependencies.
 
 use coralnotch_core::lookup::{Lookup, LookupResult};
 use coralnotch_core::user_request::{unsatisfiable_reason, Validation};
@@ -15,27 +15,27 @@
 const NEEDS_SERVICE: &str = "needs a service, which is never done";
 const NO_ANSWER: &str = "the state service does not answer";
 
-/// What is known here of the jobs that a submission needs.
+/// What this controller knows about the jobs that a submission needs.
 #[derive(Default)]
 struct KnownDependencies {
-    /// Those that are not known here.
+    /// The needed jobs that this controller does not know.
     unknown: Vec<Name>,
-    /// One of them is cancelled.
+    /// Whether one of the needed jobs is cancelled.
     has_cancelled: bool,
-    /// Why the submission can never run.
-    fault: Option<&'static str>,
+    /// Why the submitted job can never run; `None` if no such reason is known.
+    rejection_reason: Option<&'static str>,
 }
 
-/// Upper bound of the bytes that a submission takes in the state service, in the encoding that its
-/// limit counts.
+/// Returns an upper bound of the size in bytes of a submission in the state service, in the encoding
+/// on which the service's size limit is based.
 fn max_stored_bytes(spec: &JobSpec) -> usize {
-    // a quarter for commas and colons, and for numbers as text
+    // the quarter covers commas, colons, and numbers that are written as text
     let bytes = http::encode(spec).len();
     bytes + bytes / 4 + 128
 }
 
 impl Controller {
-    /// Validates a submission whose id is not known here.
+    /// Validates a submission whose id this controller does not know.
     pub(super) async fn validate_submission(&self, spec: &JobSpec) -> Validation {
         {
             let state = self.lock();
@@ -52,9 +52,9 @@
         self.validate_dependencies(spec).await
     }
 
-    /// Validates the jobs that a submission needs, and finds out whether one of them is known to be
-    /// cancelled, so that the submission is cancelled with it.  That a job was never accepted only
-    /// the state service can say: what is known here may lag behind it.
+    /// Validates the jobs that a submission needs, and determines whether one of them is known to be
+    /// cancelled, so that the submitted job is cancelled too.  Only the state service can tell that a
+    /// needed job was never accepted, because the jobs known here may lag behind it.
     async fn validate_dependencies(&self, spec: &JobSpec) -> Validation {
         if spec.needs.is_empty() {
             return Validation::Valid { needs_cancelled_job: false };
@@ -62,8 +62,9 @@
         let Some(known) = self.known_dependencies(spec) else {
             return Validation::Undetermined("not every controller knows of jobs that wait for others yet");
         };
-        let fault = if spec.needs.contains(&spec.id) { Some("needs itself") } else { known.fault };
-        if let Some(why) = fault {
+        let rejection_reason =
+            if spec.needs.contains(&spec.id) { Some("needs itself") } else { known.rejection_reason };
+        if let Some(why) = rejection_reason {
             return Validation::Unsatisfiable(why);
         }
         let valid = Validation::Valid { needs_cancelled_job: known.has_cancelled };
@@ -77,8 +78,8 @@
         }
     }
 
-    /// What is known here of the jobs that a submission needs; `None` while not every controller
-    /// has dependencies.
+    /// Returns what this controller knows about the jobs that a submission needs; `None` while not
+    /// every controller supports dependencies.
     fn known_dependencies(&self, spec: &JobSpec) -> Option<KnownDependencies> {
         let mut state = self.lock();
         if !state.dependencies_enabled {
@@ -98,13 +99,14 @@
                 }
             };
             if needed.shape == Shape::Service {
-                known.fault = Some(NEEDS_SERVICE);
+                known.rejection_reason = Some(NEEDS_SERVICE);
             }
         }
         Some(known)
     }
 
-    /// Validates dependencies that are not known here, many in one compare-and-swap.
+    /// Validates dependencies that this controller does not know, many of them in one
+    /// compare-and-swap.
     async fn validate_unknown_dependencies(&self, ids: &[Name]) -> Validation {
         for chunk in ids.chunks((self.store.txn_limits.preconditions / 2).max(1)) {
             let mut lookup = Lookup::new(chunk.iter());
@@ -116,7 +118,7 @@
                     Some(LookupResult::NotFound) => {
                         return Validation::Unsatisfiable("needs a job that was never accepted")
                     }
-                    // unfinished, and the watch has not shown it yet
+                    // the job is unfinished, and the watch has not delivered it yet
                     Some(_) => match self.read_shape(id).await {
                         Some(Shape::Service) => return Validation::Unsatisfiable(NEEDS_SERVICE),
                         Some(_) => {}
@@ -129,7 +131,7 @@
         Validation::Valid { needs_cancelled_job: false }
     }
 
-    /// Reads the shape of a stored job; `None` if it cannot be read now.
+    /// Reads the shape of a stored job; `None` if it cannot be read.
     async fn read_shape(&self, id: &Name) -> Option<Shape> {
         self.throttle_lookup(1.0).await;
         let path = job_key(id);
