--- a/src/heartbeats.rs
+++ b/src/heartbeats.rs
@@ -1,9 +1,9 @@
 //! Handling of workers' heartbeats.  The leader accepts them; the other controllers forward them to
 //! the leader, or redirect the worker to it.
 //!
-//! Without a leader, a controller still renews workers' leases where that is safe: in an outage of
-//! the state service, and in a zone that is partitioned from the rest.  A reply that renews a lease
-//! in this way never carries a command that starts a task.
+//! Without a valid leader lease, a controller still renews workers' leases where that is safe: as the
+//! former leader in an outage of the state service, and in a zone that is partitioned from the rest.
+//! A reply that renews a lease in this way never carries a command that starts a task.
 
 use std::time::Instant;
 
@@ -20,7 +20,7 @@
     lease_renewal_reply, Heartbeat, HeartbeatOrigin, HeartbeatOutcome, HeartbeatReply, HeartbeatSource,
 };
 
-/// Body of the reply that sends a worker to another controller.
+/// Body of the reply that redirects a worker to another controller.
 #[derive(Serialize)]
 struct Redirect<'a> {
     #[serde(rename = "answerTo")]
@@ -81,7 +81,7 @@
         self.reply_to_heartbeat(&heartbeat)
     }
 
-    /// Records that a worker of `zone` has reached this controller directly.
+    /// Records that a heartbeat from a worker of `zone` has reached this controller directly.
     pub(crate) fn record_worker_contact(&self, state: &mut ControllerState, zone: &str, now: Instant) {
         state.last_heartbeat = Some(now);
         if *zone != *self.config.zone {
@@ -172,8 +172,8 @@
         self.accept_as_leader(&mut state, heartbeat, now)
     }
 
-    /// Applies a heartbeat as the leader, then starts a scheduling pass if the queue has changed and
-    /// a commit otherwise.
+    /// Applies a heartbeat as the leader, then runs a scheduling pass if the queue has changed, and
+    /// otherwise requests a commit.
     fn accept_as_leader(
         &self,
         state: &mut ControllerState,
@@ -185,7 +185,7 @@
             HeartbeatOutcome::Applied => {}
             HeartbeatOutcome::Stale => return Ok(ReplyTiming::Immediate),
             HeartbeatOutcome::Superseded => {
-                tracing::error!(machine = %heartbeat.machine, "rejected a heartbeat: the worker has seen a newer fencing token");
+                tracing::error!(machine = %heartbeat.machine, "rejected a heartbeat with a newer fencing token");
                 return Err(Response::refuse(503, "outdated"));
             }
         }
@@ -226,8 +226,8 @@
     }
 
     /// Reports whether the state service is down for all controllers and this former leader may renew
-    /// leases.  The peers have to confirm the outage, so that no other controller can have become
-    /// leader, and the view of cancellations has to be recent enough.
+    /// leases.  The peers have to confirm the outage, so that no other controller can become leader,
+    /// and the view of cancellations has to be so recent that none can have been missed.
     fn is_store_outage(&self, state: &ControllerState, now: Instant) -> bool {
         let max_status_age = self.policy.peer_limit * 3;
         let is_confirmed = state
--- a/src/operators/status.rs
+++ b/src/operators/status.rs
@@ -35,7 +35,7 @@
 pub struct LeaderStatus {
     /// Term of the leader.
     pub term: u64,
-    /// How long the leader has led, in seconds.
+    /// Time since the start of the leader's term, in seconds.
     pub since_s: f64,
     /// Number of unfinished jobs.
     pub jobs: usize,
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -58,7 +58,7 @@
 pub struct PeerStatus {
     /// When the reply arrived.
     pub(crate) answered_at: Instant,
-    /// Whether the state service serves the peer.
+    /// Whether the state service served the peer when it replied.
     pub(crate) served: bool,
     /// Term of the leader that the peer knew; 0 if it knew none.
     pub(crate) term: u64,
@@ -69,9 +69,9 @@
 /// The progress of a job.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct JobProgress {
-    /// Number of its tasks that are done.
+    /// Number of the job's tasks that are done.
     pub done: u32,
-    /// Number of its tasks that are running.
+    /// Number of the job's tasks that are running.
     pub running: u32,
 }
 
@@ -97,7 +97,7 @@
     pub(crate) progress_requested_at: Mutex<HashMap<String, Instant>>,
     /// The progress that this controller last counted, for requests that follow shortly after.
     pub(crate) progress_cache: Mutex<ProgressCache>,
-    /// What the leader has learned about machines, from its last reply.
+    /// Hints about machines (speed, images, last heartbeat), from the leader's last reply.
     pub(crate) machine_hints: Mutex<HashMap<Name, MachineHints>>,
     /// The features that each peer has advertised.
     pub(crate) member_features: Mutex<MemberFeatures>,
@@ -117,8 +117,8 @@
         self.0.poll_ready(cx)
     }
 
-    fn call(&mut self, r: http::Request<Body>) -> Self::Future {
-        Box::pin(self.0.send_request(r))
+    fn call(&mut self, request: http::Request<Body>) -> Self::Future {
+        Box::pin(self.0.send_request(request))
     }
 }
 
@@ -207,7 +207,7 @@
         lock(&self.progress).get(id).copied().unwrap_or_default()
     }
 
-    /// Returns what the leader has learned about machines, from its last reply.
+    /// Returns the hints about machines from the leader's last reply.
     pub fn machine_hints(&self) -> HashMap<Name, MachineHints> {
         lock(&self.machine_hints).clone()
     }
--- a/src/peers/machine_hints.rs
+++ b/src/peers/machine_hints.rs
@@ -1,5 +1,5 @@
-//! Encoding and decoding of what the leader has learned about machines, which the peers keep as hints
-//! for the next leader.
+//! Encoding and decoding of hints about machines.  A leader measures the speeds of machines and
+//! observes their images and heartbeats; its peers keep these data as hints for the next leader.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/src/peers/machine_hints/tests.rs
+++ b/src/peers/machine_hints/tests.rs
@@ -3,7 +3,7 @@
 
 proptest! {
     /// Hints about machines are the same after they are encoded and decoded, so that the next leader
-    /// receives what the previous one has learned.
+    /// receives those of the previous one unchanged.
     #[test]
     fn machine_hints_are_unchanged_by_encoding_and_decoding(
         all in prop::collection::btree_map(
--- a/src/peers/polling.rs
+++ b/src/peers/polling.rs
@@ -10,7 +10,7 @@
 use crate::peers::machine_hints::decode_machine_hints;
 use crate::state_store::client::key;
 
-/// Number of controllers that keep what the leader has learned about machines.
+/// Number of controllers that keep the leader's hints about machines.
 const MACHINE_HINT_REPLICAS: usize = 3;
 
 impl Controller {
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Polls all peers once.  With `with_progress`, also requests the progress of jobs and what a
-    /// previous leader has learned about machines.
+    /// Polls all peers once.  With `with_progress`, also requests the progress of jobs and the hints
+    /// about machines that a previous leader has left.
     pub async fn poll_all_peers(&self, with_progress: bool) {
         futures_util::future::join_all(self.peers.links.iter().map(|l| self.poll_peer(l, with_progress))).await;
     }
@@ -112,8 +112,8 @@
         *lock(&self.peers.progress) = status.jobs.into_iter().map(progress_of).collect();
     }
 
-    /// Reports whether this controller keeps what the leader has learned about machines for the next
-    /// leader.  The first [`MACHINE_HINT_REPLICAS`] controllers by name do.
+    /// Reports whether this controller keeps the leader's hints about machines for the next leader.
+    /// The first [`MACHINE_HINT_REPLICAS`] controllers by name do.
     fn keeps_machine_hints(&self) -> bool {
         self.config.peers.iter().filter(|p| p.name < self.config.name).count() < MACHINE_HINT_REPLICAS
     }
--- a/src/peers/service.rs
+++ b/src/peers/service.rs
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Encodes what has been learned about machines: from the leader's state if this controller has
-    /// it, otherwise from the leader's last reply.
+    /// Encodes the known hints about machines: from the leader's state if this controller has it,
+    /// otherwise from the leader's last reply.
     fn encode_known_machine_hints(&self, now: Instant) -> (Vec<wire::Learned>, Vec<wire::Image>) {
         let state = self.lock();
         match state.cluster.as_ref() {
@@ -128,7 +128,7 @@
     }
 }
 
-/// Returns what the leader has learned about a machine.
+/// Returns the hints about a machine from the leader's state.
 fn hints_of(cluster: &Cluster, machine: &Machine) -> MachineHints {
     let last_heartbeat = machine.last_heartbeat.or_else(|| cluster.machine_hints.get(&machine.name)?.last_heartbeat);
     MachineHints {
--- a/src/run.rs
+++ b/src/run.rs
@@ -30,7 +30,7 @@
     #[error(transparent)]
     UnsupportedLayout(#[from] UnsupportedLayout),
     #[error("the HTTP server for users and workers stopped accepting connections")]
-    ListenerFailed,
+    HttpServerStopped,
 }
 
 /// Runs a controller on this thread.
@@ -84,7 +84,7 @@
     let server_future = serve(requests.clone(), listener, limits, handler);
     let server = requests.spawn(async move {
         server_future.await;
-        RunError::ListenerFailed
+        RunError::HttpServerStopped
     });
     let watch_error = async {
         match watch.await {
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -89,8 +89,8 @@
         true
     }
 
-    /// Looks up queued ids in batches, for as long as the controller runs.  Such ids are those of jobs
-    /// that ended long ago and those that nobody has submitted.
+    /// Looks up queued ids in batches, for as long as the controller runs.  Users request such ids for
+    /// jobs that ended long ago, and for jobs that nobody has submitted.
     pub async fn run_lookups(&self) {
         let queue = &self.user_requests.lookups;
         while let Ok(first) = queue.receiver.recv().await {
--- a/src/users/queues.rs
+++ b/src/users/queues.rs
@@ -29,7 +29,8 @@
         Queue { sender, receiver }
     }
 
-    /// Moves entries that are already queued to a batch, until the batch has `max` entries.
+    /// Moves entries that are already queued to a batch, until the batch has `max_len` entries or the
+    /// queue is empty.
     pub(crate) fn fill_batch(&self, batch: &mut Vec<T>, max_len: usize) {
         while batch.len() < max_len {
             let Ok(next) = self.receiver.try_recv() else { break };
@@ -52,7 +53,7 @@
     pub(crate) reply: ReplySender<Confirmation>,
 }
 
-/// An id that is not known here and waits to be looked up in the state service.
+/// A job id that this controller does not know and that waits to be looked up in the state service.
 pub(crate) struct LookupRequest {
     pub(crate) id: Name,
     /// Sends `None` if the state service has given no conclusive answer.
