--- a/packages/wire/src/cloud.rs
+++ b/packages/wire/src/cloud.rs
@@ -1,59 +1,63 @@
-//! Types of the cloud's interface: rental requests and the list of machines.
+//! Message types of the cloud's API: rental requests and entries of the machine list.
 
 use serde::{Deserialize, Serialize};
 
 use crate::model::Name;
 
-/// State of a machine in the cloud's list.
+/// State of a machine in the machine list of the cloud.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// It is booting.
+    /// The machine is booting.
     Booting,
-    /// It is up.
+    /// The machine is up.
     Running,
-    /// It has stopped unexpectedly.
+    /// The machine has stopped unexpectedly.
     Failed,
 }
 
-/// A request to rent machines.  Its id makes it idempotent and is never used for another request.
+/// A request to rent machines of one type in one zone.
+///
+/// The request is idempotent: when it is repeated with the same id, the cloud rents no further machines
+/// and returns the same response.  The cloud may rent fewer machines than requested.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Rental {
-    /// Id of the request.
+    /// Id of the request, by which the cloud recognizes a repetition.  An id is never used again for
+    /// another request.
     #[serde(rename = "charter")]
     pub request_id: Name,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "hull")]
     pub kind: Name,
-    /// Zone.
+    /// Name of the zone.
     #[serde(rename = "bay")]
     pub zone: Name,
-    /// Whether to rent spot machines.
+    /// Whether to rent spot machines instead of on-demand machines.
     #[serde(rename = "driftwood")]
     pub spot: bool,
-    /// Number of machines.
+    /// Number of machines requested, at least 1.
     pub count: u32,
 }
 
-/// A machine in the list of the cloud.
+/// An entry of the machine list of the cloud.  The list may lag behind the actual state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Name.
+    /// Name of the machine, which its worker also reports.
     #[serde(rename = "nameId")]
     pub name: Name,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "hull")]
     pub kind: Name,
-    /// Zone.
+    /// Name of the zone.
     #[serde(rename = "bay")]
     pub zone: Name,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "driftwood")]
     pub spot: bool,
-    /// State.
+    /// State of the machine when the list was taken.
     #[serde(rename = "stage")]
     pub state: MachineState,
-    /// Time since it was rented, in seconds.
+    /// Time since the machine was rented, in seconds; 0 if the cloud does not report it.
     #[serde(rename = "heldS", default)]
     pub age_s: f64,
 }
--- a/packages/wire/src/example.rs
+++ b/packages/wire/src/example.rs
@@ -1,10 +1,13 @@
-//! An example of a submission, for tests and benchmarks.
+//! An example job for tests, benchmarks and the emulator.
 
 use std::sync::Arc;
 
 use crate::model::*;
 
-/// Returns a job array whose tasks need one core each.
+/// Returns a job array with `tasks` tasks, each of which needs one core and 1 GB of memory.
+///
+/// The job has class `c`, team `x`, normal priority and an estimated run time of 10 s per task.  Its
+/// tasks may run on every machine type, in every zone and on spot machines.
 pub fn spec(id: &str, tasks: u32) -> Arc<JobSpec> {
     Arc::new(JobSpec {
         id: id.into(),
--- a/packages/wire/src/history.rs
+++ b/packages/wire/src/history.rs
@@ -1,6 +1,8 @@
-//! A checker of histories: compares the states of jobs that answers report, from
-//! whichever controller, with those that users had received before they asked.  It knows the states of the protocol, but
-//! neither who answered nor which clock the times are of.
+//! A consistency checker for histories of answers, for tests and simulations.
+//!
+//! A history consists of the answers that users have received from any of the controllers.  The checker
+//! finds answers that contradict an earlier answer or a submission.  It does not consider
+//! which controller has sent an answer.  All times have to come from one clock.
 
 use std::cmp::Ordering;
 use std::collections::HashMap;
@@ -8,40 +10,45 @@
 
 use crate::model::Name;
 
-/// The state of a job as an answer reports it, in the order in which a job goes through them.
+/// The state of a job that an answer reports.  Variants compare in the order in which a job goes
+/// through the states.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ObservedState {
-    /// The job is not known (404), or refused for good (400, 422).
+    /// The job is unknown (status 404), or its submission was rejected permanently (400 or 422).
     NotAccepted,
-    /// The job is accepted, and neither done nor cancelled.
+    /// The job is accepted and has not ended.
     Unfinished,
-    /// The job is done.
+    /// All tasks of the job have completed.
     Done,
-    /// The job is cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
-/// An answer that a user has received.  Answers that say nothing of the job (429, 503, 504 and
-/// none at all) are no part of a history.
+/// An answer that a user has received, with times of type `T`.
+///
+/// A history excludes requests without an answer, and answers that report no state of a job (status 429,
+/// 503 and 504).
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer<T> {
-    /// The job.
+    /// Id of the job.
     pub id: Name,
-    /// When the user sent the request.
+    /// Time at which the user sent the request.
     pub sent_at: T,
-    /// When the user received the answer.
+    /// Time at which the user received the answer; not before `sent_at`.
     pub received_at: T,
-    /// The state that it reports.
+    /// State of the job that the answer reports.
     pub state: ObservedState,
 }
 
-/// Returns what is wrong with a history, one sentence each.
+/// Returns a description of every inconsistency in a history; the result is empty if there is none.
+///
+/// `submitted_at` holds the time at which the first submission of each job was sent.  A history is
+/// consistent if it has these properties:
 ///
-/// The answer to a request that was sent after another answer had been received must not report
-/// an older state than that one: an accepted job is never unknown again, and a job that is done
-/// or cancelled stays so.  A job must not be reported both as done and as cancelled, in whatever
-/// order.  And a job must not be known before anybody has submitted it; `submitted_at` has the
-/// time at which the first submission of each job was sent.
+/// - No answer reports an older state than another answer that was received before the request was
+///   sent.  An accepted job is never unknown again, and a job that is done or cancelled stays so.
+/// - No job is reported both as done and as cancelled, in either order.
+/// - No job is reported as accepted before the first submission was sent.
 pub fn find_stale_answers<T: PartialOrd + Copy + Debug>(
     answers: &[Answer<T>],
     submitted_at: &HashMap<Name, T>,
@@ -50,16 +57,17 @@
     for answer in answers {
         answers_by_job.entry(&answer.id).or_default().push(answer);
     }
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for (id, answers) in answers_by_job {
-        faults.extend(find_unsubmitted(id, &answers, submitted_at.get(id).copied()));
-        faults.extend(find_two_outcomes(id, &answers));
-        faults.extend(find_older_states(id, answers));
+        violations.extend(find_unsubmitted(id, &answers, submitted_at.get(id).copied()));
+        violations.extend(find_conflicting_outcomes(id, &answers));
+        violations.extend(find_state_regressions(id, answers));
     }
-    faults
+    violations
 }
 
-/// Finds an answer by which a job was accepted before it was submitted.
+/// Returns a description of an answer that reports a job as accepted before its first submission was
+/// sent, or without any.
 fn find_unsubmitted<T: PartialOrd + Debug>(
     id: &Name,
     answers: &[&Answer<T>],
@@ -69,25 +77,29 @@
         answer.state > ObservedState::NotAccepted && submitted_at.as_ref().is_none_or(|at| answer.received_at < *at)
     };
     let answer = answers.iter().find(is_too_early)?;
-    Some(format!("{id} is called {:?} at {:?}, and nobody had submitted it", answer.state, answer.received_at))
+    Some(format!(
+        "{id} is reported as {:?} at {:?}, although it had not been submitted by then",
+        answer.state, answer.received_at
+    ))
 }
 
-/// Finds a pair of answers with different outcomes.
-fn find_two_outcomes<T: Debug>(id: &Name, answers: &[&Answer<T>]) -> Option<String> {
+/// Returns a description of two answers that report different outcomes.
+fn find_conflicting_outcomes<T: Debug>(id: &Name, answers: &[&Answer<T>]) -> Option<String> {
     let find = |state| answers.iter().find(|answer| answer.state == state);
     let (done, cancelled) = (find(ObservedState::Done)?, find(ObservedState::Cancelled)?);
-    Some(format!("{id} is called done at {:?} and cancelled at {:?}", done.received_at, cancelled.received_at))
+    Some(format!("{id} is reported as done at {:?} and as cancelled at {:?}", done.received_at, cancelled.received_at))
 }
 
-/// Finds the answers that report an older state than one received before they were asked for.
-fn find_older_states<T: PartialOrd + Debug>(id: &Name, answers: Vec<&Answer<T>>) -> Vec<String> {
+/// Returns a description of each answer that reports an older state than another answer that was
+/// received before the request was sent.
+fn find_state_regressions<T: PartialOrd + Debug>(id: &Name, answers: Vec<&Answer<T>>) -> Vec<String> {
     let mut by_receipt = answers.clone();
     by_receipt.sort_by(|a, b| compare(&a.received_at, &b.received_at));
     let mut by_sending = answers;
     by_sending.sort_by(|a, b| compare(&a.sent_at, &b.sent_at));
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     let mut received = by_receipt.into_iter().peekable();
-    // the latest state that was received before the request at hand was sent
+    // The answer with the latest state among those received before the current request was sent.
     let mut latest: Option<&Answer<T>> = None;
     for answer in by_sending {
         while let Some(earlier) = received.next_if(|earlier| earlier.received_at < answer.sent_at) {
@@ -96,13 +108,13 @@
             }
         }
         if let Some(latest) = latest.filter(|latest| answer.state < latest.state) {
-            faults.push(format!(
-                "{id} is called {:?}, asked at {:?}, after {:?} at {:?}",
+            violations.push(format!(
+                "{id} is reported as {:?} to a request sent at {:?}, after {:?} was received at {:?}",
                 answer.state, answer.sent_at, latest.state, latest.received_at
             ));
         }
     }
-    faults
+    violations
 }
 
 fn compare<T: PartialOrd>(a: &T, b: &T) -> Ordering {
--- a/packages/wire/src/history/tests.rs
+++ b/packages/wire/src/history/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the history checker.
+
 use super::*;
 use proptest::prelude::*;
 use ObservedState::*;
@@ -6,13 +8,13 @@
     Answer { id: id.into(), sent_at, received_at, state }
 }
 
-/// Each kind of fault is found, and a correct history passes.
+/// Adds one answer of each inconsistent kind to a consistent history, which passes by itself.
 #[test]
-fn every_stale_answer_is_found() {
+fn each_kind_of_inconsistent_answer_is_reported_and_a_consistent_history_passes() {
     let submitted_at = HashMap::from([("j-1".into(), 0u64), ("j-2".into(), 30)]);
     let correct = [
         answer("j-1", 0, 4, Unfinished),
-        // asked before the acceptance was received
+        // The request was sent before the answer that reports the acceptance was received.
         answer("j-1", 3, 5, NotAccepted),
         answer("j-1", 5, 9, Unfinished),
         answer("j-1", 6, 7, Done),
@@ -20,23 +22,23 @@
         answer("j-3", 8, 9, NotAccepted),
     ];
     assert_eq!(find_stale_answers(&correct, &submitted_at), [] as [String; 0]);
-    for (stale, part) in [
-        (answer("j-1", 10, 11, Unfinished), "called Unfinished, asked at 10, after Done"),
-        (answer("j-1", 5, 6, NotAccepted), "called NotAccepted, asked at 5, after Unfinished"),
-        (answer("j-1", 1, 2, Cancelled), "done at 7 and cancelled at 2"),
-        (answer("j-2", 10, 29, Unfinished), "nobody had submitted"),
-        (answer("j-9", 10, 29, Unfinished), "nobody had submitted"),
+    for (inconsistent, expected) in [
+        (answer("j-1", 10, 11, Unfinished), "reported as Unfinished to a request sent at 10, after Done"),
+        (answer("j-1", 5, 6, NotAccepted), "reported as NotAccepted to a request sent at 5, after Unfinished"),
+        (answer("j-1", 1, 2, Cancelled), "done at 7 and as cancelled at 2"),
+        (answer("j-2", 10, 29, Unfinished), "it had not been submitted by then"),
+        (answer("j-9", 10, 29, Unfinished), "it had not been submitted by then"),
     ] {
-        let found = find_stale_answers(&[&correct[..], &[stale]].concat(), &submitted_at).join("; ");
-        assert!(found.contains(part), "{part} is missing in {found}");
+        let found = find_stale_answers(&[&correct[..], &[inconsistent]].concat(), &submitted_at).join("; ");
+        assert!(found.contains(expected), "expected {expected} in {found}");
     }
 }
 
 proptest! {
-    /// If each answer reports the state of some moment between sending and receipt, the history
-    /// is correct; one stale answer makes it incorrect.
+    /// A history is consistent if each answer reports the state of the job at some time between the
+    /// sending of the request and the receipt of the answer.  A stale answer makes it inconsistent.
     #[test]
-    fn true_answers_are_a_correct_history(
+    fn linearizable_answers_pass_and_a_later_stale_answer_is_reported(
         requests in prop::collection::vec((0u64..100, 0u64..20, 0u64..20), 1..60),
         end in 10u64..90,
         cancelled in any::<bool>(),
@@ -47,11 +49,16 @@
             _ if cancelled => Cancelled,
             _ => Done,
         };
-        let mut all: Vec<_> = requests.iter().map(|(s, a, b)| answer("j-1", *s, s + a + b, state_at(s + a))).collect();
+        let mut answers: Vec<_> = requests
+            .iter()
+            .map(|(sent_at, read_delay, reply_delay)| answer(
+                "j-1", *sent_at, sent_at + read_delay + reply_delay, state_at(sent_at + read_delay)
+            ))
+            .collect();
         let submitted_at = HashMap::from([("j-1".into(), 0u64)]);
-        prop_assert!(find_stale_answers(&all, &submitted_at).is_empty());
-        all.push(answer("j-1", 200, 201, state_at(200)));
-        all.push(answer("j-1", 202, 203, Unfinished));
-        prop_assert!(!find_stale_answers(&all, &submitted_at).is_empty());
+        prop_assert!(find_stale_answers(&answers, &submitted_at).is_empty());
+        answers.push(answer("j-1", 200, 201, state_at(200)));
+        answers.push(answer("j-1", 202, 203, Unfinished));
+        prop_assert!(!find_stale_answers(&answers, &submitted_at).is_empty());
     }
 }
--- a/packages/wire/src/http/conn/tests.rs
+++ b/packages/wire/src/http/conn/tests.rs
@@ -1,37 +1,44 @@
+//! Tests of waiting on accepted connections.
+
 use super::*;
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use std::net::TcpListener;
 
-/// Guards against a wait that left its event behind when it ended in a read: each later wait
-/// ended at once with nothing to read, which cost two reads per request.
+/// Guards against a read that leaves its readiness event behind: every later wait then ended at once with
+/// nothing to read, which cost two reads per request.
 #[test]
-fn a_wait_ends_only_when_something_new_has_arrived() {
+fn a_wait_ends_only_when_new_data_has_arrived() {
     smol::block_on(async {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let mut peer = smol::net::TcpStream::connect(listener.local_addr().expect("bound")).await.expect("listens");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+        let mut peer = smol::net::TcpStream::connect(listener.local_addr().expect("the listener is bound"))
+            .await
+            .expect("the listener accepts connections");
         let deadlines = Deadlines::new(Duration::from_secs(1));
-        let (stream, _) = listener.accept().expect("it connected");
-        let mut conn = Conn::new(stream, &deadlines).expect("a socket");
+        let (stream, _) = listener.accept().expect("the peer has connected");
+        let mut connection = Connection::new(stream, &deadlines).expect("the stream becomes non-blocking");
         let mut buf = [0; 8];
-        for n in 0..3 {
-            // it waits, and only then something arrives
-            let mut first = Box::pin(async {
-                if n > 0 {
-                    conn.readable().await.expect("open");
-                    let mut stream = match &conn.socket {
-                        Socket::Registered(connection) => connection.get_ref(),
-                        _ => panic!("it has waited"),
+        for round in 0..3 {
+            // The future is polled before the peer sends, so it has to wait.
+            let mut read = Box::pin(async {
+                if round > 0 {
+                    connection.readable().await.expect("the connection is open");
+                    let mut stream = match &connection.socket {
+                        Socket::Registered(registered) => registered.get_ref(),
+                        _ => panic!("the connection has waited and is not registered"),
                     };
-                    return stream.read(&mut buf).expect("what ended the wait has arrived");
+                    return stream.read(&mut buf).expect("the data that ended the wait is readable");
                 }
-                conn.read(&mut buf).await.expect("open")
+                connection.read(&mut buf).await.expect("the connection is open")
             });
-            assert!(smol::future::poll_once(&mut first).await.is_none(), "round {n}");
-            peer.write_all(b"ask").await.expect("open");
-            assert_eq!(first.await, 3);
+            assert!(
+                smol::future::poll_once(&mut read).await.is_none(),
+                "round {round}: the read ended before data arrived"
+            );
+            peer.write_all(b"ask").await.expect("the connection is open");
+            assert_eq!(read.await, 3);
         }
-        assert_eq!((deadlines.open(), deadlines.waiting.borrow().len()), (1, 1));
-        drop(conn);
-        assert_eq!((deadlines.open(), deadlines.waiting.borrow().len()), (0, 0));
+        assert_eq!((deadlines.open_connections(), deadlines.registered.borrow().len()), (1, 1));
+        drop(connection);
+        assert_eq!((deadlines.open_connections(), deadlines.registered.borrow().len()), (0, 0));
     });
 }
--- a/packages/wire/src/http/server/tests.rs
+++ b/packages/wire/src/http/server/tests.rs
@@ -1,44 +1,46 @@
+//! Tests of the server with real connections.
+
 use super::super::parse_response;
 use super::*;
 use smol::net::TcpStream;
 
-/// Guards against a fault with three times the workers: those that got no connection lost their
-/// leases.  With more clients than connections each is served, and one that sends requests often
-/// keeps its connection.
+/// Guards against a fault with three times as many workers as usual: workers that got no connection lost
+/// their leases.  With more clients than connections, every client is served, and a client that sends
+/// requests often keeps its connection.
 #[test]
-fn more_clients_than_connections_are_all_served() {
-    let ex = Rc::new(smol::LocalExecutor::new());
-    smol::block_on(ex.run(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let addr = listener.local_addr().expect("bound");
-        let long = Duration::from_secs(60);
-        let limits = ServerLimits { connections: 8, scarce: 4, idle: long, arrive: long, answer: long };
+fn all_clients_are_served_when_there_are_more_clients_than_connections() {
+    let executor = Rc::new(smol::LocalExecutor::new());
+    smol::block_on(executor.run(async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+        let addr = listener.local_addr().expect("the listener is bound");
+        let timeout = Duration::from_secs(60);
+        let limits = ServerLimits { connections: 8, scarce: 4, idle: timeout, arrive: timeout, answer: timeout };
         let handler = |request: Request| {
             let seldom = request.path == "/seldom";
             std::future::ready(Response { seldom, ..Response::new(200, &()) })
         };
-        ex.spawn(serve(ex.clone(), listener, limits, Rc::new(handler))).detach();
+        executor.spawn(serve(executor.clone(), listener, limits, Rc::new(handler))).detach();
         let send = |mut stream: TcpStream, path: &'static str| async move {
             let text = format!("GET {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
-            stream.write_all(text.as_bytes()).await.expect("it is open");
+            stream.write_all(text.as_bytes()).await.expect("the connection is open");
             let mut buf = Vec::new();
             loop {
-                fill(&mut stream, &mut buf, CHUNK).await.expect("a response");
-                if let Some(head) = parse_response(&buf).expect("a head") {
+                fill_once(&mut stream, &mut buf, READ_SIZE).await.expect("the server responds");
+                if let Some(head) = parse_response(&buf).expect("the head is well-formed") {
                     assert_eq!(head.status, 200);
                     return (stream, head.close);
                 }
             }
         };
-        let connect = || async { TcpStream::connect(addr).await.expect("it listens") };
-        let (often, close) = send(connect().await, "/often").await;
+        let connect = || async { TcpStream::connect(addr).await.expect("the server accepts connections") };
+        let (frequent, close) = send(connect().await, "/often").await;
         assert!(!close);
-        let mut kept = Vec::new();
-        for n in 0..40 {
+        let mut open_streams = Vec::new();
+        for index in 0..40 {
             let (stream, close) = send(connect().await, "/seldom").await;
-            assert_eq!(close, n >= 2, "client {n}");
-            kept.push(stream);
+            assert_eq!(close, index >= 2, "client {index}");
+            open_streams.push(stream);
         }
-        assert!(!send(often, "/often").await.1);
+        assert!(!send(frequent, "/often").await.1);
     }));
 }
--- a/packages/wire/src/lib.rs
+++ b/packages/wire/src/lib.rs
@@ -1,5 +1,8 @@
-//! The protocol: its types, and an HTTP/1.1 client and server with MessagePack bodies.  This
-//! package makes no decisions and knows neither settings nor state.
+//! The wire protocol of coralnotch: message types, and an HTTP/1.1 client and server with
+//! MessagePack bodies.
+//!
+//! The messages are those between users, workers, controllers, the state service and the cloud.
+//! This package contains no scheduling logic, reads no settings and keeps no cluster state.
 
 pub mod cloud;
 pub mod example;
--- a/packages/wire/src/model.rs
+++ b/packages/wire/src/model.rs
@@ -1,5 +1,7 @@
-//! Jobs, tasks, resources and machine types.  The Rust names are the standard terms; the serde
-//! names are those of the protocol.
+//! Jobs, tasks, resources and machine types.
+//!
+//! Rust identifiers are the usual terms of cluster schedulers.  Where the protocol has another name
+//! for a field or value, a serde attribute sets the name on the wire.
 
 mod job;
 mod machine_type;
@@ -7,7 +9,9 @@
 mod task;
 mod task_ranges;
 
-pub use job::{valid_id, JobExplanation, JobOutcome, JobSpec, JobState, OutcomeRecord, Priority, Shape, MOST_TASKS};
+pub use job::{
+    valid_id, JobExplanation, JobOutcome, JobSpec, JobState, OutcomeRecord, Priority, Shape, MAX_TASKS_PER_JOB,
+};
 pub use machine_type::MachineType;
 pub use resources::Resources;
 pub use task::Task;
@@ -15,14 +19,18 @@
 
 use std::sync::Arc;
 
-/// A name or id; clones share one allocation.
+/// A name or an id of a job, machine, team or similar object.  Clones share one allocation.
 pub type Name = Arc<str>;
 
-/// Values by name, with a seeded hash that is faster than the standard one: a placement pass
-/// looks up the job of every task.
+/// A hash map from names to values.
+///
+/// The hasher is seeded and faster than that of the standard library, because a placement pass looks
+/// up the job of every task.
 pub type NameMap<V> = std::collections::HashMap<Name, V, foldhash::fast::RandomState>;
 
-/// Returns the index of a value in a short list; the value is appended if it is not there.
+/// Returns the index of the first element equal to `value`, and appends `value` if there is none.
+///
+/// The search is linear, so the list should be short.
 pub fn index_of<T: PartialEq>(list: &mut Vec<T>, value: T) -> usize {
     list.iter().position(|present| *present == value).unwrap_or_else(|| {
         list.push(value);
--- a/packages/wire/src/model/job.rs
+++ b/packages/wire/src/model/job.rs
@@ -1,149 +1,158 @@
-//! Jobs: submissions, outcomes, and the state that users see.
+//! Jobs: submissions, outcomes, and the states that queries report to users.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Name, Resources};
 
-/// The shape of a job.
+/// How the tasks of a job relate to one another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Shape {
     /// Independent tasks, each of which runs to completion.
     #[serde(rename = "batch")]
     Array,
-    /// Tasks that run all at the same time or not at all.
+    /// Tasks that run all at the same time or not at all (gang scheduling).
     #[serde(rename = "group")]
     Gang,
-    /// Replicas that run until the job is cancelled.
+    /// Replicas that run until the job is cancelled; the job never completes by itself.
     #[serde(rename = "standing")]
     Service,
 }
 
-/// Priority, the most urgent first.
+/// Priority of a job.  Variants compare in the order below, so the most urgent one is the smallest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// Before all other jobs.
+    /// Ranks before every other priority.
     #[serde(rename = "production")]
     Production,
-    /// Before ordinary jobs.
+    /// Ranks after [`Priority::Production`] and before [`Priority::Normal`].
     #[serde(rename = "high")]
     High,
-    /// Ordinary jobs.
+    /// Ranks after [`Priority::High`] and before [`Priority::Low`]; meant for ordinary jobs.
     #[serde(rename = "normal")]
     Normal,
-    /// After all other jobs.
+    /// Ranks after every other priority.
     #[serde(rename = "best_effort")]
     Low,
 }
 
-/// A submitted job, as users send it and as the store keeps it.
+/// A job as users submit it and as the state service stores it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct JobSpec {
-    /// Id, chosen by the user.
+    /// Id of the job, chosen by the user; see [`valid_id`] for the format.
     #[serde(rename = "nameId")]
     pub id: Name,
-    /// Class, which selects the service-level objectives.
+    /// Name of the job's class, which selects the service-level objectives that apply to the job.
     #[serde(rename = "lane")]
     pub class: Name,
-    /// Team.
+    /// Name of the team to whose limits the job counts.  A job of an unknown team is rejected.
     #[serde(rename = "crew")]
     pub team: Name,
-    /// Shape.
+    /// How the tasks relate to one another.
     pub shape: Shape,
-    /// Priority.
+    /// Priority over other jobs, as the user has set it.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// Number of tasks.
+    /// Number of tasks, from 1 to [`MAX_TASKS_PER_JOB`].
     #[serde(rename = "pieces")]
     pub tasks: u32,
-    /// Cores per task.
+    /// Number of processor cores per task; may be fractional.
     pub cpus: f64,
-    /// Accelerators per task.
+    /// Number of accelerators per task; may be fractional.
     #[serde(rename = "accelerators")]
     pub gpus: f64,
-    /// Memory per task, in GB.
+    /// Memory per task in GB.
     #[serde(rename = "memGb")]
     pub memory: f64,
-    /// Image.
+    /// Name of the image that every task runs.
     #[serde(rename = "bundle")]
     pub image: Name,
-    /// Size of the image, in GB.
+    /// Size of the image in GB, as stated by the user.
     #[serde(rename = "sizeGb")]
     pub image_gb: f64,
-    /// Allowed machine types; `None` allows all.
+    /// Names of the machine types on which tasks may run; `None` allows all.
     #[serde(rename = "hulls", default)]
     pub types: Option<Vec<Name>>,
-    /// The only allowed zone; `None` allows all.
+    /// Name of the only zone in which tasks may run; `None` allows all.
     #[serde(rename = "bay", default)]
     pub zone: Option<Name>,
-    /// Whether all tasks have to run in one zone.
+    /// Whether all tasks have to run in the same zone, whichever it is.
     pub one_zone: bool,
-    /// Whether at most half of the tasks, rounded up, may run in one zone.
+    /// Whether no zone may have more than half of the tasks, rounded up.
     pub spread: bool,
-    /// Whether tasks may run on spot machines.
+    /// Whether tasks may run on spot machines as well as on on-demand machines.
     #[serde(rename = "driftwood")]
     pub spot: bool,
-    /// The user's estimate of a task's run time, in seconds.
+    /// Run time of a task in seconds, as estimated by the user.
     #[serde(rename = "expectS")]
     pub estimate_s: f64,
-    /// Interval between checkpoints, in seconds; 0 for none.
+    /// Interval between the checkpoints of a task in seconds; 0 if tasks save no checkpoints.
     #[serde(rename = "markEveryS")]
     pub checkpoint_s: f64,
-    /// Time that a checkpoint takes, in seconds.
+    /// Time that a task takes to save a checkpoint, in seconds.
     #[serde(rename = "markTakesS")]
     pub save_s: f64,
-    /// When the job should be done, in seconds after its submission.
+    /// Time within which the job should complete, in seconds after its submission; `None` if it has
+    /// no deadline.
     #[serde(rename = "dueS", default)]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts.  Without any, the field is
-    /// not stored, so that versions without job dependencies can read the record.
+    /// Ids of the jobs that have to complete before any task of this job starts.
+    ///
+    /// An empty list is not serialized, so that versions without support for job dependencies can
+    /// read the record.  When a job is deserialized, null and an absent field stand for an empty list,
+    /// and repeated ids are dropped.
     #[serde(rename = "awaits", default, deserialize_with = "list_or_null", skip_serializing_if = "Vec::is_empty")]
     pub needs: Vec<Name>,
 }
 
-/// Reads a list of names, or null for an empty list; of repeated names only the first is kept.
-fn list_or_null<'de, D: serde::Deserializer<'de>>(d: D) -> Result<Vec<Name>, D::Error> {
-    let all = Option::<Vec<Name>>::deserialize(d)?.unwrap_or_default();
+/// Deserializes a list of names, in which null stands for an empty list.  Only the first occurrence
+/// of each name is kept.
+fn list_or_null<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<Vec<Name>, D::Error> {
+    let names = Option::<Vec<Name>>::deserialize(deserializer)?.unwrap_or_default();
     let mut seen = std::collections::HashSet::new();
-    Ok(all.into_iter().filter(|name| seen.insert(name.clone())).collect())
+    Ok(names.into_iter().filter(|name| seen.insert(name.clone())).collect())
 }
 
-/// Maximum number of tasks of a job.
-pub const MOST_TASKS: u32 = 100_000;
+/// Maximum number of tasks in one job.
+pub const MAX_TASKS_PER_JOB: u32 = 100_000;
 
-/// Whether a job id has the form of the protocol: `j-` and 1 to 32 digits.  Only such ids become
-/// keys of the store.
+/// Reports whether a job id is valid, that is, `j-` followed by 1 to 32 decimal digits.
+///
+/// Only valid ids may be used in keys of the state service.
 pub fn valid_id(id: &str) -> bool {
-    id.strip_prefix("j-").is_some_and(|d| (1..=32).contains(&d.len()) && d.bytes().all(|b| b.is_ascii_digit()))
+    id.strip_prefix("j-")
+        .is_some_and(|digits| (1..=32).contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit()))
 }
 
 impl JobSpec {
-    /// Returns the resources that one task needs.
+    /// Returns the resources that one task requires.
     pub fn size(&self) -> Resources {
         Resources { cpus: self.cpus, gpus: self.gpus, memory: self.memory }
     }
 
-    /// Returns what makes the submission malformed, if anything does: the name of the field, or a
-    /// short text.
+    /// Returns why the submission is malformed, or `None` if it is well-formed.
+    ///
+    /// The text is either the name of the invalid field on the wire or a short reason, and is part of
+    /// the error response to the user.  Whether the job can ever run is not checked here.
     pub fn validation_error(&self) -> Option<&'static str> {
         if !valid_id(&self.id) {
             return Some("nameId");
         }
-        if self.tasks == 0 || self.tasks > MOST_TASKS {
+        if self.tasks == 0 || self.tasks > MAX_TASKS_PER_JOB {
             return Some("pieces");
         }
-        if !self.needs.iter().all(|n| valid_id(n)) {
+        if !self.needs.iter().all(|id| valid_id(id)) {
             return Some("awaits");
         }
         let amounts =
             [self.cpus, self.gpus, self.memory, self.image_gb, self.estimate_s, self.checkpoint_s, self.save_s];
-        if !amounts.iter().chain(self.deadline_s.iter()).all(|v| v.is_finite() && *v >= 0.0) {
+        if !amounts.iter().chain(self.deadline_s.iter()).all(|amount| amount.is_finite() && *amount >= 0.0) {
             return Some("an amount is negative or not finite");
         }
         None
     }
 
-    /// Returns the maximum number of tasks of this job in one zone.
+    /// Returns the maximum number of tasks of this job that may run in one zone at the same time.
     pub fn zone_cap(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -152,27 +161,27 @@
         }
     }
 
-    /// Whether tasks of the job may run on machines of this type, in this zone, and on spot machines
-    /// if `spot`.
-    pub fn allows(&self, kind: &Name, zone: &Name, spot: bool) -> bool {
-        self.types.as_ref().is_none_or(|t| t.contains(kind))
-            && self.zone.as_ref().is_none_or(|z| z == zone)
+    /// Reports whether tasks of the job may run on a machine of this type in this zone.  `spot` says
+    /// whether it is a spot machine.
+    pub fn allows(&self, machine_type: &Name, zone: &Name, spot: bool) -> bool {
+        self.types.as_ref().is_none_or(|types| types.contains(machine_type))
+            && self.zone.as_ref().is_none_or(|allowed| allowed == zone)
             && (self.spot || !spot)
     }
 }
 
-/// How a job has ended.  An outcome is stored once and never changed.
+/// How a job has ended.  An outcome is stored once and never changes afterwards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobOutcome {
-    /// All its tasks have completed.
+    /// All tasks of the job have completed.
     Done,
-    /// Its user has cancelled it, or a job that it depends on was cancelled.
+    /// The user has cancelled the job, or a job on which it depends was cancelled.
     Cancelled,
 }
 
 impl JobOutcome {
-    /// Returns the name of the outcome in the protocol.
+    /// Returns the name of the outcome on the wire, which is also the stage in [`JobState`].
     pub fn as_str(self) -> &'static str {
         match self {
             JobOutcome::Done => "done",
@@ -181,38 +190,40 @@
     }
 }
 
-/// The stored record of an outcome.
+/// The record by which the state service stores the outcome of a job.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct OutcomeRecord {
-    /// The outcome.
+    /// How the job has ended.
     #[serde(rename = "fate")]
     pub outcome: JobOutcome,
 }
 
-/// The state of a job as users see it.
+/// The state of a job as a query reports it to users.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobState {
-    /// The job.
+    /// Id of the job.
     #[serde(rename = "nameId")]
     pub id: Name,
-    /// `pending`, `running`, `done` or `cancelled`.
+    /// Stage of the job: `pending`, `running`, `done` or `cancelled`.
     pub stage: String,
-    /// Number of completed tasks, for display only.
+    /// Number of completed tasks.  The number may lag behind and is meant for display only.
     pub done: u32,
-    /// Number of running tasks, for display only.
+    /// Number of running tasks.  The number may lag behind and is meant for display only.
     pub running: u32,
 }
 
-/// The state of a job with its dependencies, to explain why it does not run.
+/// The state of a job and the dependencies that explain why it does not run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobExplanation {
-    /// The state of the job.
+    /// State of the job; its fields are on the same level as the others on the wire.
     #[serde(flatten)]
     pub state: JobState,
-    /// Unfinished jobs that it depends on, as far as the controller knows.
+    /// Ids of the unfinished jobs on which the job depends, as far as the replying controller knows
+    /// them; empty if the job is cancelled.
     #[serde(rename = "awaits", default)]
     pub waits_for: Vec<Name>,
-    /// If the job is cancelled: a cancelled job that it depends on, if there is one.
+    /// Id of a cancelled job on which this job depends.  `None` if this job is not cancelled, or if
+    /// the replying controller knows of no such dependency.
     #[serde(rename = "cancelledWith", default)]
     pub cancelled_with: Option<Name>,
 }
--- a/packages/wire/src/model/machine_type.rs
+++ b/packages/wire/src/model/machine_type.rs
@@ -1,45 +1,46 @@
-//! Machine types.
+//! Machine types that the cloud offers.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Name, Resources};
 
-/// A machine type as the cloud describes it.
+/// A machine type as the cloud describes it.  Name, cores and memory are always present; other numbers
+/// that the cloud omits are 0, and zones that it omits are an empty list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Name.
+    /// Name of the type, which rental requests and job submissions refer to.
     #[serde(rename = "label")]
     pub name: Name,
-    /// Cores.
+    /// Number of processor cores.
     pub cpus: f64,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(rename = "accelerators", default)]
     pub gpus: f64,
-    /// Memory, in GB.
+    /// Memory in GB.
     #[serde(rename = "memGb")]
     pub memory: f64,
-    /// Space for cached images, in GB.
+    /// Local storage for cached images, in GB.
     #[serde(rename = "localGb", default)]
     pub cache_gb: f64,
     /// Rate at which images are pulled, in GB per second.
     #[serde(rename = "fetchGbPerS", default)]
     pub fetch_gb_per_s: f64,
-    /// Price per hour of an ordinary machine.
+    /// Price of an on-demand machine per hour, in the unit that the cloud uses for all prices.
     #[serde(rename = "hourly", default)]
     pub price: f64,
-    /// Price per hour of a spot machine.
+    /// Price of a spot machine per hour, in the same unit as `price`.
     #[serde(rename = "lowPrice", default)]
     pub spot_price: f64,
-    /// Usual boot time, in seconds.
+    /// Typical time from the rental of a machine until it is up, in seconds.
     #[serde(rename = "bootS", default)]
     pub boot_s: f64,
-    /// Zones in which the type is available.
+    /// Names of the zones in which the type is available.
     #[serde(rename = "bays", default)]
     pub zones: Vec<Name>,
 }
 
 impl MachineType {
-    /// Returns the resources of an empty machine of this type.
+    /// Returns the resources of a machine of this type on which no task runs.
     pub fn size(&self) -> Resources {
         Resources { cpus: self.cpus, gpus: self.gpus, memory: self.memory }
     }
--- a/packages/wire/src/model/resources.rs
+++ b/packages/wire/src/model/resources.rs
@@ -1,58 +1,65 @@
-//! Amounts of processors, accelerators and memory.
+//! Amounts of processor cores, accelerators and memory.
 
-/// What a task takes of a machine, or what is left of one.
+/// Resources that a task requires, or that a machine has in total or free.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Resources {
-    /// Processor cores.
+    /// Number of processor cores; may be fractional.
     pub cpus: f64,
-    /// Accelerators.
+    /// Number of accelerators; may be fractional.
     pub gpus: f64,
-    /// Memory, in gigabytes.
+    /// Memory in GB.
     pub memory: f64,
 }
 
-/// Rounding in sums of decimal amounts must not turn a fit into a refusal.
-const SLACK: f64 = 1e-6;
+/// Tolerance for comparisons, in cores, accelerators or GB.  Without it, rounding errors in sums of
+/// decimal amounts could reject a task that fits exactly.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl Resources {
-    /// Whether a task of size `size` fits into these resources.
+    /// Reports whether a task that requires `size` fits into these resources.
     pub fn fits(&self, size: &Resources) -> bool {
-        size.cpus <= self.cpus + SLACK && size.gpus <= self.gpus + SLACK && size.memory <= self.memory + SLACK
+        size.cpus <= self.cpus + ROUNDING_TOLERANCE
+            && size.gpus <= self.gpus + ROUNDING_TOLERANCE
+            && size.memory <= self.memory + ROUNDING_TOLERANCE
     }
 
-    /// Subtracts `size`; a result below zero is kept as it is.
+    /// Subtracts `size` from these resources.  Amounts may become negative and are not clamped to 0.
     pub fn subtract(&mut self, size: &Resources) {
         self.cpus -= size.cpus;
         self.gpus -= size.gpus;
         self.memory -= size.memory;
     }
 
-    /// Adds `size`.
+    /// Adds `size` to these resources.
     pub fn add(&mut self, size: &Resources) {
         self.cpus += size.cpus;
         self.gpus += size.gpus;
         self.memory += size.memory;
     }
 
-    /// These resources multiplied by `factor`.
+    /// Returns these resources with every amount multiplied by `factor`.
     pub fn scaled(&self, factor: f64) -> Resources {
         Resources { cpus: self.cpus * factor, gpus: self.gpus * factor, memory: self.memory * factor }
     }
 
-    /// How many tasks of size `size` fit into these resources, at most `most`.
-    pub fn count_fitting(&self, size: &Resources, most: usize) -> usize {
-        let part = |have: f64, need: f64| {
-            if need <= 0.0 {
+    /// Returns how many tasks that require `size` each fit into these resources, but at most `max`.
+    ///
+    /// Amounts of which a task requires nothing do not limit the number.
+    pub fn count_fitting(&self, size: &Resources, max: usize) -> usize {
+        let count_by_amount = |available: f64, required: f64| {
+            if required <= 0.0 {
                 f64::INFINITY
             } else {
-                ((have + SLACK) / need).floor().max(0.0)
+                ((available + ROUNDING_TOLERANCE) / required).floor().max(0.0)
             }
         };
-        let n = part(self.cpus, size.cpus).min(part(self.gpus, size.gpus)).min(part(self.memory, size.memory));
-        if n.is_finite() {
-            (n as usize).min(most)
+        let count = count_by_amount(self.cpus, size.cpus)
+            .min(count_by_amount(self.gpus, size.gpus))
+            .min(count_by_amount(self.memory, size.memory));
+        if count.is_finite() {
+            (count as usize).min(max)
         } else {
-            most
+            max
         }
     }
 }
--- a/packages/wire/src/model/task.rs
+++ b/packages/wire/src/model/task.rs
@@ -1,4 +1,4 @@
-//! Tasks of jobs.
+//! Identification of a task by its job and its index.
 
 use std::fmt;
 
@@ -6,12 +6,14 @@
 
 use super::{valid_id, Name};
 
-/// One task of a job.
+/// Identifies one task of a job.
+///
+/// The text form, also on the wire, is `job/index`, such as `j-000412/3`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Task {
-    /// The job.
+    /// Id of the job.
     pub job: Name,
-    /// Index of the task in its job, from 0.
+    /// Index of the task in its job, starting at 0.
     pub index: u32,
 }
 
@@ -22,7 +24,10 @@
 }
 
 impl Task {
-    /// Parses the form of the protocol, such as `j-000412/3`; `None` if the text has another.
+    /// Parses the text form, such as `j-000412/3`.
+    ///
+    /// Returns `None` if the job id is not valid (see [`valid_id`]), or if the index is not a decimal
+    /// number that fits into 32 bits.
     pub fn parse(text: &str) -> Option<Task> {
         let (job, index) = text.split_once('/')?;
         if !valid_id(job) || index.is_empty() || !index.bytes().all(|b| b.is_ascii_digit()) {
@@ -41,6 +46,7 @@
 impl<'de> Deserialize<'de> for Task {
     fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = std::borrow::Cow::<str>::deserialize(deserializer)?;
-        Task::parse(&text).ok_or_else(|| serde::de::Error::custom("not a task"))
+        Task::parse(&text)
+            .ok_or_else(|| serde::de::Error::custom("expected a task in the form job/index, such as j-000412/3"))
     }
 }
--- a/packages/wire/src/model/task_ranges.rs
+++ b/packages/wire/src/model/task_ranges.rs
@@ -1,32 +1,37 @@
-//! Sets of task indexes.
+//! Sets of task indexes, stored as ranges.
 
 use serde::{Deserialize, Serialize};
 
-/// A set of task indexes as a list of ranges: the tasks of a job array of a hundred thousand
-/// are a few numbers.  The ranges are half-open, in ascending order, and do not touch.
+/// A set of task indexes, stored as a list of ranges.
+///
+/// All tasks of a job array of 100,000 tasks take a single range.  Each range is half-open and not
+/// empty.  Ranges are in ascending order, and there is a gap between any two of them.  These
+/// properties are not checked when a set is deserialized.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Ranges(pub(super) Vec<(u32, u32)>);
 
 impl Ranges {
-    /// Creates the set of `from..to`.
+    /// Creates the set of all indexes from `from` up to but not including `to`; it is empty if
+    /// `from >= to`.
     pub fn span(from: u32, to: u32) -> Ranges {
         Ranges(if from < to { vec![(from, to)] } else { vec![] })
     }
-    /// Whether the set is empty.
+    /// Reports whether the set contains no index.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
-    /// Returns the number of indexes.
+    /// Returns the number of indexes in the set, not the number of ranges (see [`Ranges::parts`]).
     pub fn len(&self) -> u32 {
-        self.0.iter().map(|(a, b)| b.saturating_sub(*a)).sum()
+        self.0.iter().map(|(begin, end)| end.saturating_sub(*begin)).sum()
     }
-    /// Whether an index is in the set.
+    /// Reports whether an index is in the set.
     pub fn contains(&self, index: u32) -> bool {
         let position = self.0.partition_point(|range| range.1 <= index);
         self.0.get(position).is_some_and(|range| range.0 <= index)
     }
-    /// Adds an index; returns false if it was there already.
+    /// Adds an index.  Returns whether the index was newly added, that is, false if the set already
+    /// contained it.
     pub fn insert(&mut self, index: u32) -> bool {
         let position = self.0.partition_point(|range| range.1 < index);
         match self.0.get_mut(position) {
@@ -42,7 +47,7 @@
         }
         true
     }
-    /// Removes an index; returns false if it was not there.
+    /// Removes an index.  Returns whether the set contained the index.
     pub fn remove(&mut self, index: u32) -> bool {
         let position = self.0.partition_point(|range| range.1 <= index);
         let Some(&(begin, end)) = self.0.get(position).filter(|range| range.0 <= index) else { return false };
@@ -50,31 +55,32 @@
         self.0.splice(position..=position, remaining);
         true
     }
-    /// Iterates over the indexes in ascending order.
+    /// Returns an iterator over the indexes in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
-        self.0.iter().flat_map(|&(a, b)| a..b)
+        self.0.iter().flat_map(|&(begin, end)| begin..end)
     }
-    /// Returns the number of indexes below a limit.
+    /// Returns the number of indexes that are less than `limit`.
     pub fn below(&self, limit: u32) -> u32 {
         self.0.iter().take_while(|range| range.0 < limit).map(|(begin, end)| (*end).min(limit) - begin).sum()
     }
-    /// Returns the largest index.
+    /// Returns the largest index; `None` if the set is empty.
     pub fn last(&self) -> Option<u32> {
-        self.0.last().map(|r| r.1 - 1)
+        self.0.last().map(|range| range.1 - 1)
     }
-    /// Returns the number of ranges.
+    /// Returns the number of ranges by which the set is stored.
     pub fn parts(&self) -> usize {
         self.0.len()
     }
-    /// Iterates over the ranges, each as its first index and the index after its last.
+    /// Returns an iterator over the ranges in ascending order.  Each range is a pair of its first
+    /// index and the index after its last.
     pub fn spans(&self) -> impl Iterator<Item = (u32, u32)> + '_ {
         self.0.iter().copied()
     }
-    /// Returns all but the first `count` ranges.
+    /// Returns the set of the indexes in all ranges but the first `count`.
     pub fn without_first_parts(&self, count: usize) -> Ranges {
         Ranges(self.0.iter().skip(count).copied().collect())
     }
-    /// Returns the first `count` ranges.
+    /// Returns the set of the indexes in the first `count` ranges, or the whole set if it has fewer.
     pub fn first_parts(&self, count: usize) -> Ranges {
         Ranges(self.0.iter().take(count).copied().collect())
     }
--- a/packages/wire/src/model/tests.rs
+++ b/packages/wire/src/model/tests.rs
@@ -1,53 +1,64 @@
+//! Property tests of the encodings and of the set of task indexes.
+
 use super::*;
 use proptest::prelude::*;
 
 proptest! {
+    /// A set of ranges has the contents of a `BTreeSet` after the same operations, and its ranges stay apart.
     #[test]
-    fn ranges_behave_like_a_set(ops in prop::collection::vec((any::<bool>(), 0u32..60), 0..120)) {
-        let (mut r, mut s) = (Ranges::default(), std::collections::BTreeSet::new());
-        for (add, n) in ops {
-            if add { prop_assert_eq!(r.insert(n), s.insert(n)); } else { prop_assert_eq!(r.remove(n), s.remove(&n)); }
-            prop_assert_eq!(r.iter().collect::<Vec<_>>(), s.iter().copied().collect::<Vec<_>>());
-            prop_assert_eq!(r.len() as usize, s.len());
-            prop_assert!(r.0.windows(2).all(|w| w[0].1 < w[1].0), "ranges stay apart");
+    fn ranges_match_a_btree_set_after_any_inserts_and_removes(
+        operations in prop::collection::vec((any::<bool>(), 0u32..60), 0..120)
+    ) {
+        let (mut ranges, mut expected) = (Ranges::default(), std::collections::BTreeSet::new());
+        for (add, index) in operations {
+            if add {
+                prop_assert_eq!(ranges.insert(index), expected.insert(index));
+            } else {
+                prop_assert_eq!(ranges.remove(index), expected.remove(&index));
+            }
+            prop_assert_eq!(ranges.iter().collect::<Vec<_>>(), expected.iter().copied().collect::<Vec<_>>());
+            prop_assert_eq!(ranges.len() as usize, expected.len());
+            prop_assert!(ranges.0.windows(2).all(|pair| pair[0].1 < pair[1].0), "ranges overlap or are adjacent");
         }
-        prop_assert!((0..60).all(|n| r.contains(n) == s.contains(&n)));
-        prop_assert!((0..61).all(|n| r.below(n) as usize == s.range(..n).count()));
-        prop_assert_eq!(r.last(), s.last().copied());
-        let first = r.first_parts(2);
-        prop_assert_eq!(first.parts(), r.parts().min(2));
-        prop_assert!(first.iter().eq(r.iter().take(first.len() as usize)));
+        prop_assert!((0..60).all(|index| ranges.contains(index) == expected.contains(&index)));
+        prop_assert!((0..61).all(|limit| ranges.below(limit) as usize == expected.range(..limit).count()));
+        prop_assert_eq!(ranges.last(), expected.last().copied());
+        let first = ranges.first_parts(2);
+        prop_assert_eq!(first.parts(), ranges.parts().min(2));
+        prop_assert!(first.iter().eq(ranges.iter().take(first.len() as usize)));
     }
 
-    /// What a job needs survives the store, each name once; without any,
-    /// absent and null are the same and leave no trace.
+    /// The dependencies of a job are decoded without duplicates.  An empty list is not encoded, null
+    /// is decoded as an empty list, and a value that is no list is rejected.
     #[test]
-    fn needs_survive_the_wire(ids in prop::collection::vec(0u32..30, 0..12)) {
-        let names: Vec<Name> = ids.iter().map(|n| format!("j-{n}").into()).collect();
-        let plain = crate::example::spec("j-000001", 1);
-        let with_needs = JobSpec { needs: names.clone(), ..(*plain).clone() };
+    fn needs_are_decoded_without_duplicates_and_omitted_if_empty(ids in prop::collection::vec(0u32..30, 0..12)) {
+        let names: Vec<Name> = ids.iter().map(|number| format!("j-{number}").into()).collect();
+        let without_needs = crate::example::spec("j-000001", 1);
+        let with_needs = JobSpec { needs: names.clone(), ..(*without_needs).clone() };
         let bytes = crate::http::encode(&with_needs);
-        let back: JobSpec = crate::http::decode(&bytes).expect("our own bytes");
+        let decoded: JobSpec = crate::http::decode(&bytes).expect("an encoded job decodes");
         let mut seen = std::collections::HashSet::new();
-        let once: Vec<Name> = names.into_iter().filter(|n| seen.insert(n.clone())).collect();
-        prop_assert_eq!(&back.needs, &once);
-        let mut value = rmpv::decode::read_value(&mut &bytes[..]).expect("a map");
-        let rmpv::Value::Map(fields) = &mut value else { panic!("a map") };
-        let at = fields.iter().position(|f| f.0.as_str() == Some("awaits"));
-        prop_assert_eq!(at.is_none(), ids.is_empty());
-        for (strange, good) in [(rmpv::Value::Nil, true), ("j-1".into(), false), (7.into(), false)] {
-            fields.retain(|f| f.0.as_str() != Some("awaits"));
-            fields.push(("awaits".into(), strange));
+        let expected: Vec<Name> = names.into_iter().filter(|name| seen.insert(name.clone())).collect();
+        prop_assert_eq!(&decoded.needs, &expected);
+        let mut value = rmpv::decode::read_value(&mut &bytes[..]).expect("the encoded job is MessagePack");
+        let rmpv::Value::Map(fields) = &mut value else { panic!("the encoded job is not a map") };
+        let needs_position = fields.iter().position(|field| field.0.as_str() == Some("awaits"));
+        prop_assert_eq!(needs_position.is_none(), ids.is_empty());
+        for (needs, is_valid) in [(rmpv::Value::Nil, true), ("j-1".into(), false), (7.into(), false)] {
+            fields.retain(|field| field.0.as_str() != Some("awaits"));
+            fields.push(("awaits".into(), needs));
             let mut bytes = Vec::new();
-            rmpv::encode::write_value(&mut bytes, &rmpv::Value::Map(fields.clone())).expect("to memory");
-            let read = crate::http::decode::<JobSpec>(&bytes);
-            prop_assert_eq!(read.ok().map(|s| s.needs.len()), good.then_some(0));
+            rmpv::encode::write_value(&mut bytes, &rmpv::Value::Map(fields.clone()))
+                .expect("writing to memory succeeds");
+            let decoded = crate::http::decode::<JobSpec>(&bytes);
+            prop_assert_eq!(decoded.ok().map(|spec| spec.needs.len()), is_valid.then_some(0));
         }
     }
 
+    /// Task ids are written as `job/index` and read back.
     #[test]
-    fn tasks_survive_the_wire(n in 0u32..1_000_000, i in any::<u32>()) {
-        let t = Task { job: format!("j-{n:06}").into(), index: i };
-        prop_assert_eq!(Task::parse(&t.to_string()), Some(t));
+    fn parsing_the_text_form_of_a_task_returns_the_same_task(job in 0u32..1_000_000, task_index in any::<u32>()) {
+        let task = Task { job: format!("j-{job:06}").into(), index: task_index };
+        prop_assert_eq!(Task::parse(&task.to_string()), Some(task));
     }
 }
--- a/packages/wire/src/state.rs
+++ b/packages/wire/src/state.rs
@@ -1,148 +1,161 @@
-//! Types of the state service, a consensus-backed key-value store: transactions, key-value
+//! Message types of the state service, a key-value store backed by consensus: transactions, key-value
 //! pairs and watch events.
+//!
+//! The revision of a key is that of its last change; later changes have higher revisions.  Revision 0
+//! stands for a key that does not exist.
 
 use rmpv::Value;
 use serde::{Deserialize, Serialize};
 
 use crate::http;
 
-/// A precondition of a transaction: a key has a certain revision.
+/// A precondition of a transaction: the key has exactly the given revision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Precondition {
-    /// Key.
+    /// Key to which the precondition applies.
     #[serde(rename = "path")]
     pub key: String,
-    /// Revision that the key must have; 0 if it must not exist.
+    /// Revision of the last change of the key; 0 requires that the key does not exist.
     #[serde(rename = "stamp")]
     pub revision: u64,
 }
 
-/// A write of a transaction.
+/// A write in a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Write {
-    /// Sets a value.
+    /// Sets the value of a key, which need not exist.
     Set {
-        /// Key.
+        /// Key to set.
         set: String,
-        /// Value.
+        /// New value.
         data: Value,
-        /// Lease with whose expiry the key is removed.
+        /// Id of the lease to which the key is attached: the key is deleted when the lease expires.
+        /// `None` if it is attached to none.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         #[serde(rename = "hold")]
         lease_id: Option<u64>,
     },
-    /// Removes a key.
+    /// Deletes a key.
     Delete {
-        /// Key.
+        /// Key to delete.
         delete: String,
     },
 }
 
 impl Write {
-    /// Creates a write that sets a value without a lease.
-    pub fn set<T: Serialize>(path: impl Into<String>, value: &T) -> Write {
+    /// Returns a write that sets a key, without a lease, to the encoded `value`.
+    ///
+    /// A value that cannot be encoded is logged, and an empty map is written in its place.
+    pub fn set<T: Serialize>(key: impl Into<String>, value: &T) -> Write {
         let data = rmpv::decode::read_value(&mut &http::encode(value)[..]).unwrap_or(Value::Nil);
-        Write::Set { set: path.into(), data, lease_id: None }
+        Write::Set { set: key.into(), data, lease_id: None }
     }
-    /// Creates a write that sets a value attached to a lease.
-    pub fn set_with_lease<T: Serialize>(path: impl Into<String>, value: &T, lease_id: u64) -> Write {
-        match Write::set(path, value) {
+    /// Returns a write that sets a key to the encoded `value` and attaches the key to a lease.
+    ///
+    /// A value that cannot be encoded is logged, and an empty map is written in its place.
+    pub fn set_with_lease<T: Serialize>(key: impl Into<String>, value: &T, lease_id: u64) -> Write {
+        match Write::set(key, value) {
             Write::Set { set, data, .. } => Write::Set { set, data, lease_id: Some(lease_id) },
             other => other,
         }
     }
-    /// Creates a write that removes a key.
-    pub fn delete(path: impl Into<String>) -> Write {
-        Write::Delete { delete: path.into() }
+    /// Returns a write that deletes a key.
+    pub fn delete(key: impl Into<String>) -> Write {
+        Write::Delete { delete: key.into() }
     }
 }
 
-/// A transaction: its writes are applied only if all its preconditions hold (compare-and-swap).
+/// A transaction: all writes are applied atomically if all preconditions hold, and none otherwise
+/// (compare-and-swap).
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Txn {
-    /// Preconditions.
+    /// Preconditions, at most one per key if they are added by [`Txn::require`].
     #[serde(rename = "guards")]
     pub preconditions: Vec<Precondition>,
-    /// Writes.
+    /// Writes; a transaction without any only checks its preconditions.
     #[serde(skip_serializing_if = "Vec::is_empty", default)]
     pub writes: Vec<Write>,
 }
 
 impl Txn {
-    /// Adds the precondition that a key has this revision, unless there is one on the key.
-    pub fn require(&mut self, path: impl Into<String>, revision: u64) {
-        let path = path.into();
-        if !self.requires(&path) {
-            self.preconditions.push(Precondition { key: path, revision });
+    /// Adds the precondition that a key has the given revision (0 if it must not exist).  Does nothing
+    /// if the transaction already has a precondition on this key.
+    pub fn require(&mut self, required_key: impl Into<String>, revision: u64) {
+        let required_key = required_key.into();
+        if !self.requires(&required_key) {
+            self.preconditions.push(Precondition { key: required_key, revision });
         }
     }
-    /// Whether there is a precondition on this key.
-    pub fn requires(&self, path: &str) -> bool {
-        // starts are added job by job, so the key is usually the last one
-        self.preconditions.iter().rev().any(|precondition| precondition.key == path)
+    /// Reports whether the transaction has a precondition on this key.
+    pub fn requires(&self, key: &str) -> bool {
+        // Searches from the end: task starts are added job by job, so the key is usually the last one.
+        self.preconditions.iter().rev().any(|precondition| precondition.key == key)
     }
 }
 
-/// A key-value pair.
+/// A key-value pair as the state service returns it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct KeyValue {
-    /// Key.
+    /// Key of the pair.
     #[serde(rename = "path")]
     pub key: String,
-    /// Value.
+    /// Current value of the key; [`read_value`] decodes it.
     #[serde(rename = "data")]
     pub value: Value,
-    /// Revision of its last change.
+    /// Revision of the last change of the key.
     #[serde(rename = "stamp")]
     pub revision: u64,
 }
 
-/// A change that a watch shows.
+/// A change that a watch reports.  Either `set` or `delete` names the key.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WatchEvent {
-    /// The key that was set, if one was.
+    /// Key that was set; `None` if the change is a deletion.
     #[serde(default)]
     pub set: Option<String>,
-    /// The key that was removed, if one was.
+    /// Key that was deleted; `None` if the change is not a deletion.
     #[serde(default)]
     pub delete: Option<String>,
-    /// The new value of the key that was set.
+    /// New value of the key that was set; `None` if the change is a deletion.
     #[serde(default)]
     #[serde(rename = "data")]
     pub value: Option<Value>,
-    /// Revision of the change.
+    /// Revision of the change; 0 if the service does not report it.
     #[serde(default)]
     #[serde(rename = "stamp")]
     pub revision: u64,
 }
 
-/// A page of keys with a prefix.
+/// A page of the list of all keys with a common prefix.
 #[derive(Debug, Deserialize)]
 pub struct KeyPage {
-    /// Pairs in the order of their keys.
+    /// Key-value pairs in ascending order of their keys.
     #[serde(rename = "rows")]
     pub items: Vec<KeyValue>,
-    /// Whether there are more keys after this page.
+    /// Whether further keys with the prefix follow the last key of this page.
     #[serde(default)]
     pub truncated: bool,
-    /// Revision at which the page was read.
+    /// Revision of the store at which the page was read.
     #[serde(default)]
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
-/// Decodes a stored value.  A value that cannot be decoded is logged, and the result is `None`.
-pub fn read_value<T: serde::de::DeserializeOwned>(path: &str, data: Value) -> Option<T> {
-    // through bytes, because rmpv's own deserializer does not support names of enum variants
+/// Decodes a value that the state service has returned.
+///
+/// A value that cannot be decoded is logged together with its key, and the result is `None`.
+pub fn read_value<T: serde::de::DeserializeOwned>(key: &str, value: Value) -> Option<T> {
+    // The value is encoded to bytes and decoded again, because the deserializer of rmpv does not support
+    // names of enum variants.
     let mut bytes = Vec::new();
-    let read = rmpv::encode::write_value(&mut bytes, &data)
+    let decoded = rmpv::encode::write_value(&mut bytes, &value)
         .map_err(|e| e.to_string())
         .and_then(|()| rmp_serde::from_slice(&bytes).map_err(|e| e.to_string()));
-    match read {
+    match decoded {
         Ok(value) => Some(value),
         Err(e) => {
-            tracing::error!(key = path, error = %e, "cannot decode a stored value");
+            tracing::error!(key = key, error = %e, "cannot decode a stored value");
             None
         }
     }
