--- a/packages/policy/src/config.rs
+++ b/packages/policy/src/config.rs
@@ -1,122 +1,129 @@
-//! The platform's settings file, checked before anything starts.
+//! The settings file of the platform.  A controller validates it before it starts.
 
 use std::net::SocketAddr;
 use std::path::Path;
 
 use serde::Deserialize;
 
-/// A settings file that can't be used: which file, which key, and why.
+/// An error in a settings file, or in reading it.
 #[derive(Debug, thiserror::Error)]
-#[error("{file}: {key}: {why}")]
+#[error("{file}: {key}: {reason}")]
 pub struct Error {
-    /// The file.
+    /// Path of the settings file.
     pub file: String,
-    /// The key at fault.
+    /// The invalid key with its tables, as in `deployment.size`; the failed step if the error
+    /// belongs to no single key.
     pub key: String,
-    /// What is wrong with it.
-    pub why: String,
+    /// Why the value of the key is rejected, and which values are allowed.
+    pub reason: String,
 }
 
-/// Another controller.
+/// Another controller of the deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the controller, unique in the deployment.
     #[serde(rename = "host_name")]
     pub name: String,
-    /// Its zone.
+    /// Zone in which the controller runs.
     #[serde(rename = "domain")]
     pub zone: String,
-    /// Where it listens for the other controllers.
+    /// Address on which the controller listens for the other controllers.
     pub addr: SocketAddr,
 }
 
-/// The services around a controller.
+/// Addresses of the services that a controller uses.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Services {
-    /// The cloud's interface.
+    /// Address of the cloud API.
     pub cloud: SocketAddr,
-    /// The state service.
+    /// Address of the state service.
     pub state: SocketAddr,
 }
 
-/// A team with its guarantee and its limit; 0 stands for none of either.
+/// A team with its guarantee and its limit.  An amount of 0 means that the team has no guarantee or
+/// no limit.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team, as jobs give it.
     pub name: String,
-    /// Guaranteed processor cores.
+    /// Guaranteed number of processor cores.
     #[serde(default)]
     pub cpus: f64,
-    /// Most processor cores at any time.
+    /// Maximum number of processor cores in use at any time.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Guaranteed accelerators.
+    /// Guaranteed number of accelerators.
     #[serde(default)]
     pub gpus: f64,
-    /// Most accelerators at any time.
+    /// Maximum number of accelerators in use at any time.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// What is expected for a class of jobs.
+/// A service level objective, for one class of jobs or for the whole deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// `wait`, `finished`, `up`, `guarantee`, `submit`, `price` …
+    /// What is measured: `wait`, `finished`, `up`, `guarantee`, `submit`, `price` and others.  Only
+    /// `wait` influences scheduling.
     pub kind: String,
-    /// The class it is for.
+    /// Class of jobs to which the objective applies; `None` if it applies to no class in particular.
     pub class: Option<String>,
-    /// The time it speaks of.
+    /// Time limit of the objective in seconds; `None` if the objective has no time limit.
     pub within_s: Option<f64>,
-    /// The share that should keep it.
+    /// Share, from 0 to 1, of the cases that should meet the objective; `None` if it is not given.
     pub share: Option<f64>,
 }
 
-/// How workers behave.
+/// Timing of the workers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
-    /// Interval of reports.
+    /// Interval between the heartbeats of a worker, in seconds.
     pub report_s: f64,
-    /// Without an answer for so long, a worker kills its tasks.
+    /// Duration of a worker's lease, in seconds.  A worker kills its tasks if it receives no reply
+    /// for this long.
     pub lease_s: f64,
-    /// How long a gang task waits for the others.
+    /// How long a task of a gang waits for the other tasks of the gang, in seconds.
     pub gang_wait_s: f64,
-    /// How quickly a gang notices a loss, and how close its stops must be.
+    /// Time in seconds within which a gang notices the loss of a task, and within which all of its
+    /// tasks must be stopped.
     pub gang_peer_s: f64,
-    /// A cancelled job must be gone after so long.
+    /// Time in seconds after which no task of a cancelled job may run any more.
     pub cancel_s: f64,
 }
 
-/// Limits of the state service.
+/// Request limits of the state service.
 #[derive(Debug, Clone, Deserialize)]
 pub struct State {
-    /// Requests a second, all controllers together.
+    /// Maximum requests per second, for all controllers together.
     pub rps: f64,
-    /// Puts and deletes a second, all controllers together.
+    /// Maximum puts and deletes per second, for all controllers together.
     pub write_rps: f64,
-    /// KiB a value.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Puts and deletes a transaction.
+    /// Maximum number of puts and deletes in a transaction.
     pub txn_ops: usize,
-    /// The limits that come later and without notice, as far as they differ.
+    /// Limits that replace these at some later time without notice; `None` if no change is planned.
     #[serde(default)]
     pub next: Option<NextState>,
 }
 
-/// Limits that the state service will have from some moment on.
+/// Future limits of the state service.  A limit that is `None` does not change.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NextState {
-    /// Requests a second.
+    /// Maximum requests per second, for all controllers together.
     pub rps: Option<f64>,
-    /// Puts and deletes a second.
+    /// Maximum puts and deletes per second, for all controllers together.
     pub write_rps: Option<f64>,
-    /// KiB a value.
+    /// Maximum size of a value, in KiB.
     pub value_kb: Option<f64>,
-    /// Puts and deletes a transaction.
+    /// Maximum number of puts and deletes in a transaction.
     pub txn_ops: Option<usize>,
 }
 
 impl State {
-    /// What is within the limits now and later: nobody says when they change.
+    /// Returns the stricter of the current and the future value of each limit.
+    ///
+    /// A controller always stays within these limits, as the limits change without notice.
     pub fn least(&self) -> State {
         let next = self.next.clone().unwrap_or_default();
         State {
@@ -129,141 +136,159 @@
     }
 }
 
-/// Limits of the cloud's interface.
+/// Limits of the cloud API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Cloud {
-    /// Requests a second, all controllers together.
+    /// Maximum requests per second, for all controllers together.
     pub rps: f64,
-    /// How old a list can ordinarily be.
+    /// Maximum age of a machine list in normal operation, in seconds.
     pub list_lag_s: f64,
 }
 
-/// What the machine gives a controller.
+/// Resources of the machine that a controller may use.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Quota {
-    /// Share of a core.
+    /// Processor time, in cores; may be a fraction of a core.
     pub cores: f64,
-    /// Memory.
+    /// Memory, in MB.
     pub ram_mb: f64,
-    /// Sockets.
+    /// Maximum number of open file descriptors; sockets count among them.
     pub fd_limit: usize,
 }
 
-/// What all controllers of a deployment share.
+/// Settings that all controllers of a deployment share.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Deployment {
-    /// Number of controllers.
+    /// Number of controllers, this one included.
     pub size: usize,
-    /// Zones.
+    /// Names of the zones in which machines can be rented.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Teams.
+    /// Teams that may submit jobs.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// Objectives.
+    /// Service level objectives of the deployment.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Workers.
+    /// Timing of the workers.
     pub workers: Workers,
-    /// State service.
+    /// Request limits of the state service.
     pub state: State,
-    /// Cloud.
+    /// Limits of the cloud API.
     pub cloud: Cloud,
-    /// Machine.
+    /// Resources that each controller may use.
     pub quota: Quota,
 }
 
-/// The whole file.
+/// The contents of a settings file.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Config {
-    /// This controller's name.
+    /// Name of this controller, unique in the deployment.
     #[serde(rename = "host_name")]
     pub name: String,
-    /// This controller's zone.
+    /// Zone in which this controller runs.
     #[serde(rename = "domain")]
     pub zone: String,
-    /// Where users, workers and health checks come.
+    /// Address on which this controller listens for users, workers and health checks.
     pub bind: SocketAddr,
-    /// Where the other controllers come.
+    /// Address on which this controller listens for the other controllers.
     pub peer_bind: SocketAddr,
-    /// The other controllers.
+    /// The other controllers of the deployment.
     #[serde(default)]
     #[serde(rename = "siblings")]
     pub peers: Vec<Peer>,
-    /// The services.
+    /// Addresses of the services that this controller uses.
     pub services: Services,
-    /// The deployment.
+    /// Settings that all controllers of the deployment share.
     pub deployment: Deployment,
 }
 
 impl Config {
-    /// Reads and checks a file.
+    /// Reads a settings file and validates it.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the file cannot be read, is not valid TOML, lacks a key, or has a value that
+    /// is not allowed.
     pub fn load(path: &Path) -> Result<Config, Error> {
         let file = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|e| Error {
+        let text = std::fs::read_to_string(path).map_err(|error| Error {
             file: file.clone(),
-            key: "(file)".into(),
-            why: e.to_string(),
+            key: "cannot read the settings file".into(),
+            reason: error.to_string(),
         })?;
         Self::parse(&file, &text)
     }
 
-    /// Checks the text of a file.
+    /// Parses the text of a settings file and validates it.  Errors refer to the file as `file`.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the text is not valid TOML, lacks a key, or has a value that is not allowed.
     pub fn parse(file: &str, text: &str) -> Result<Config, Error> {
-        let config: Config = toml::from_str(text).map_err(|e| Error {
+        let config: Config = toml::from_str(text).map_err(|error| Error {
             file: file.into(),
-            key: "(contents)".into(),
-            why: e.to_string().trim().replace('\n', " | "),
+            key: "invalid settings file".into(),
+            reason: error.to_string().trim().replace('\n', " | "),
         })?;
-        config.check().map_err(|(key, why)| Error { file: file.into(), key, why })?;
+        config.check().map_err(|(key, reason)| Error { file: file.into(), key, reason })?;
         Ok(config)
     }
 
     fn check(&self) -> Result<(), (String, String)> {
-        let err = |key: &str, why: &str| Err((key.to_string(), why.to_string()));
-        let d = &self.deployment;
+        let err = |key: &str, reason: &str| Err((key.to_string(), reason.to_string()));
+        let deployment = &self.deployment;
         if self.name.is_empty() {
-            return err("host_name", "must not be empty");
+            return err("host_name", "the value is empty; it must be the name of this controller");
         }
-        if d.size == 0 {
-            return err("deployment.size", "must be at least 1");
+        if deployment.size == 0 {
+            return err("deployment.size", "the value is 0; the number of controllers must be at least 1");
         }
-        for s in &self.peers {
-            if s.name == self.name {
-                return err("siblings.host_name", "a sibling has this controller's own name");
+        for peer in &self.peers {
+            if peer.name == self.name {
+                return err(
+                    "siblings.host_name",
+                    "a sibling has the host_name of this controller; list only the other controllers",
+                );
             }
         }
-        let (w, least) = (&d.workers, d.state.least());
-        for (key, v) in [
-            ("deployment.workers.report_s", w.report_s),
-            ("deployment.workers.lease_s", w.lease_s),
-            ("deployment.workers.gang_wait_s", w.gang_wait_s),
-            ("deployment.workers.gang_peer_s", w.gang_peer_s),
-            ("deployment.workers.cancel_s", w.cancel_s),
-            ("deployment.state.rps", least.rps),
-            ("deployment.state.write_rps", least.write_rps),
-            ("deployment.state.value_kb", least.value_kb),
-            ("deployment.cloud.rps", d.cloud.rps),
-            ("deployment.quota.cores", d.quota.cores),
-            ("deployment.quota.ram_mb", d.quota.ram_mb),
+        let (workers, limits) = (&deployment.workers, deployment.state.least());
+        for (key, value) in [
+            ("deployment.workers.report_s", workers.report_s),
+            ("deployment.workers.lease_s", workers.lease_s),
+            ("deployment.workers.gang_wait_s", workers.gang_wait_s),
+            ("deployment.workers.gang_peer_s", workers.gang_peer_s),
+            ("deployment.workers.cancel_s", workers.cancel_s),
+            ("deployment.state.rps", limits.rps),
+            ("deployment.state.write_rps", limits.write_rps),
+            ("deployment.state.value_kb", limits.value_kb),
+            ("deployment.cloud.rps", deployment.cloud.rps),
+            ("deployment.quota.cores", deployment.quota.cores),
+            ("deployment.quota.ram_mb", deployment.quota.ram_mb),
         ] {
-            if !(v.is_finite() && v > 0.0) {
-                return err(key, "must be a number above 0");
+            if !(value.is_finite() && value > 0.0) {
+                return err(key, "the value is not a finite number above 0");
             }
         }
-        if !(d.cloud.list_lag_s.is_finite() && d.cloud.list_lag_s >= 0.0) {
-            return err("deployment.cloud.list_lag_s", "must be 0 or more");
+        if !(deployment.cloud.list_lag_s.is_finite() && deployment.cloud.list_lag_s >= 0.0) {
+            return err("deployment.cloud.list_lag_s", "the value is not a finite number of 0 or more");
         }
-        if w.lease_s < 2.0 * w.report_s {
-            return err("deployment.workers.lease_s", "must be at least twice report_s");
+        if workers.lease_s < 2.0 * workers.report_s {
+            return err("deployment.workers.lease_s", "the value is less than twice report_s, which is the minimum");
         }
-        if least.txn_ops < 4 {
-            return err("deployment.state.txn_ops", "must be at least 4");
+        if limits.txn_ops < 4 {
+            return err(
+                "deployment.state.txn_ops",
+                "the value is less than 4 here or in deployment.state.next; the minimum is 4",
+            );
         }
-        for t in &d.teams {
-            for v in [t.cpus, t.cpus_max, t.gpus, t.gpus_max] {
-                if !(v.is_finite() && v >= 0.0) {
-                    return err("deployment.teams", &format!("{}: amounts must be 0 or more", t.name));
+        for team in &deployment.teams {
+            for amount in [team.cpus, team.cpus_max, team.gpus, team.gpus_max] {
+                if !(amount.is_finite() && amount >= 0.0) {
+                    return err(
+                        "deployment.teams",
+                        &format!("team {}: the amount {amount} is not a finite number of 0 or more", team.name),
+                    );
                 }
             }
         }
--- a/packages/policy/src/example.rs
+++ b/packages/policy/src/example.rs
@@ -1,6 +1,6 @@
-//! Settings of a small deployment, for tests and for trying things out.
+//! Settings of a small deployment, for tests and experiments.
 
-/// The platform's settings, as a file.
+/// The text of a settings file for a deployment of three controllers without teams or zones.
 pub const SETTINGS: &str = r#"
 host_name = "a"
 domain = "z0"
--- a/packages/policy/src/lib.rs
+++ b/packages/policy/src/lib.rs
@@ -1,5 +1,7 @@
-//! Settings and policy: the platform's settings, operators' expressions over
-//! them, and the tunables that come of both.  Knows nothing of jobs or machines.
+//! Settings and policy of coralnotch: the platform's settings file, the policy files with their
+//! expressions over the settings, and the tunables that the expressions evaluate to.
+//!
+//! This package does not depend on the types for jobs and machines.
 
 pub mod config;
 pub mod example;
--- a/packages/policy/src/policy/check.rs
+++ b/packages/policy/src/policy/check.rs
@@ -1,30 +1,32 @@
-//! The checker: all errors of a policy in one go, each with its place, the
-//! line itself and, where one can be made, a suggestion.
+//! Evaluation of policy definitions.
+//!
+//! All errors of a policy are collected and reported together.  Each names its position, quotes the
+//! line and, where possible, has a suggestion.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 use std::ops::Range;
 
-use super::syntax::{self, Definition, Expr, Kind};
+use super::syntax::{self, Definition, Expr, ExprKind};
 
-/// A value with its type.
+/// The value of an expression, with its type.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Value {
-    /// A plain number.
+    /// A number without a unit.
     Number(f64),
-    /// A duration in seconds.
+    /// A duration, in seconds.
     Duration(f64),
-    /// A truth value.
+    /// A boolean.
     Bool(bool),
 }
 
 impl Value {
-    /// The type's name.
+    /// Returns the name of the type with its article, for error messages.
     pub fn kind(&self) -> &'static str {
         match self {
             Value::Number(_) => "a number",
             Value::Duration(_) => "a duration",
-            Value::Bool(_) => "a truth value",
+            Value::Bool(_) => "a boolean",
         }
     }
 }
@@ -40,168 +42,190 @@
     }
 }
 
-/// What a policy file gets wrong, and where.
+/// An error in a policy file, with its position.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fault {
-    /// The file.
+    /// Name of the policy file.
     pub file: String,
-    /// Line, from 1.
+    /// Line on which the definition starts, counted from 1.
     pub line: usize,
-    /// Column, from 1.
+    /// Column of the error in `text`, in bytes, counted from 1.
     pub column: usize,
-    /// The line itself.
+    /// Text of the definition, with its continuation lines joined.
     pub text: String,
-    /// What is wrong.
-    pub what: String,
-    /// What may have been meant.
+    /// What is wrong, and what is allowed.
+    pub message: String,
+    /// A suggestion how to correct the definition; `None` if there is none.
     pub hint: Option<String>,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "{}:{}:{}: {}", self.file, self.line, self.column, self.what)?;
+        writeln!(f, "{}:{}:{}: {}", self.file, self.line, self.column, self.message)?;
         writeln!(f, "  | {}", self.text)?;
         write!(f, "  | {}^", " ".repeat(self.column.saturating_sub(1)))?;
         match &self.hint {
-            Some(h) => write!(f, " {h}"),
+            Some(hint) => write!(f, " {hint}"),
             None => Ok(()),
         }
     }
 }
 
-/// A definition with its source.
+/// A definition with its position in a policy file.
 #[derive(Debug, Clone)]
-pub struct Sourced {
-    /// What it says.
+pub struct SourcedDefinition {
+    /// The parsed definition.
     pub definition: Definition,
-    /// Where.
+    /// Name of the policy file.
     pub file: String,
-    /// First line of it, from 1.
+    /// Line on which the definition starts, counted from 1.
     pub line: usize,
-    /// Its text, continuation lines joined.
+    /// Text of the definition, with its continuation lines joined and without comments.
     pub text: String,
 }
 
-impl Sourced {
-    fn fault(&self, span: &Range<usize>, what: String, hint: Option<String>) -> Fault {
-        Fault { file: self.file.clone(), line: self.line, column: span.start + 1, text: self.text.clone(), what, hint }
+impl SourcedDefinition {
+    fn fault(&self, span: &Range<usize>, message: String, hint: Option<String>) -> Fault {
+        Fault {
+            file: self.file.clone(),
+            line: self.line,
+            column: span.start + 1,
+            text: self.text.clone(),
+            message,
+            hint,
+        }
     }
 }
 
-/// Splits a file into definitions.
-pub fn read(file: &str, text: &str, faults: &mut Vec<Fault>) -> Vec<Sourced> {
-    let mut pieces: Vec<(usize, String)> = Vec::new();
-    for (n, line) in text.lines().enumerate() {
-        let bare = line.split('#').next().unwrap_or_default().trim_end();
-        match pieces.last_mut() {
-            Some(last) if bare.starts_with([' ', '\t']) && !last.1.is_empty() => {
+/// Parses the text of a policy file into its definitions, and adds syntax errors to `faults`.
+pub fn parse_file(file: &str, text: &str, faults: &mut Vec<Fault>) -> Vec<SourcedDefinition> {
+    let mut joined_lines: Vec<(usize, String)> = Vec::new();
+    for (index, line) in text.lines().enumerate() {
+        let code = line.split('#').next().unwrap_or_default().trim_end();
+        match joined_lines.last_mut() {
+            Some(last) if code.starts_with([' ', '\t']) && !last.1.is_empty() => {
                 last.1.push(' ');
-                last.1.push_str(bare.trim_start());
+                last.1.push_str(code.trim_start());
             }
-            _ => pieces.push((n + 1, bare.to_owned())),
+            _ => joined_lines.push((index + 1, code.to_owned())),
         }
     }
-    let mut all = Vec::new();
-    for (line, text) in pieces.into_iter().filter(|p| !p.1.trim().is_empty()) {
+    let mut definitions = Vec::new();
+    for (line, text) in joined_lines.into_iter().filter(|joined| !joined.1.trim().is_empty()) {
         match syntax::parse(&text) {
-            Ok(definition) => all.push(Sourced { definition, file: file.into(), line, text }),
+            Ok(definition) => definitions.push(SourcedDefinition { definition, file: file.into(), line, text }),
             Err(at) => {
-                let what =
-                    if text.len() > syntax::MOST_LENGTH { "the definition is too long" } else { "this can't be read" };
-                let hint = (!text.contains('=')).then(|| "a definition is: name = expression".to_owned());
-                faults.push(Fault { file: file.into(), line, column: at + 1, text, what: what.into(), hint });
+                let message = if text.len() > syntax::MAX_DEFINITION_BYTES {
+                    "the definition is too long; it must end before this position"
+                } else {
+                    "syntax error"
+                };
+                let hint = (!text.contains('=')).then(|| "a definition has the form: name = expression".to_owned());
+                faults.push(Fault { file: file.into(), line, column: at + 1, text, message: message.into(), hint });
             }
         }
     }
-    all
+    definitions
 }
 
 /// Why an expression has no value.
-enum Bad {
-    /// Reported here.
-    Here(Range<usize>, String, Option<String>),
-    /// Reported where it went wrong first.
-    Elsewhere,
+enum EvaluationError {
+    /// The expression at this range is invalid, for this reason and with this suggestion.
+    Invalid(Range<usize>, String, Option<String>),
+    /// The expression uses another definition whose error is reported there.
+    InvalidReference,
 }
 
-/// Works out definitions, each once.
+/// An evaluation of policy definitions, which evaluates each definition once.
 pub struct Evaluation<'a> {
-    /// Definitions by name; a later file replaces single ones.
-    pub definitions: &'a BTreeMap<String, Sourced>,
-    /// The platform's settings.
+    /// Definitions by name.  A definition in the operators' policy file has replaced the default one.
+    pub definitions: &'a BTreeMap<String, SourcedDefinition>,
+    /// Values of the platform's settings, by name.
     pub settings: &'a HashMap<String, Value>,
-    /// What came of them; `None` for those at fault.
+    /// Values of the definitions evaluated so far, by name; `None` for a definition with an error.
     pub values: HashMap<String, Option<Value>>,
-    /// Errors found.
+    /// Errors found so far.
     pub faults: Vec<Fault>,
-    open: Vec<String>,
+    /// Names of the definitions under evaluation, outermost first.
+    in_progress: Vec<String>,
 }
 
-/// The known name most like an unknown one.
-pub fn nearest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<String> {
+/// Returns a suggestion with the known name that is most similar to an unknown one, or `None` if no
+/// known name is similar enough.
+pub fn suggest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<String> {
     known
-        .map(|k| (strsim::damerau_levenshtein(name, k), k))
+        .map(|candidate| (strsim::damerau_levenshtein(name, candidate), candidate))
         .min()
-        .filter(|(d, k)| *d * 3 <= k.len().max(3))
-        .map(|(_, k)| format!("did you mean {k}?"))
+        .filter(|(distance, candidate)| *distance * 3 <= candidate.len().max(3))
+        .map(|(_, candidate)| format!("did you mean {candidate}?"))
 }
 
 impl<'a> Evaluation<'a> {
-    /// Nothing worked out yet.
-    pub fn new(definitions: &'a BTreeMap<String, Sourced>, settings: &'a HashMap<String, Value>) -> Self {
-        Evaluation { definitions, settings, values: HashMap::new(), faults: Vec::new(), open: Vec::new() }
+    /// Creates an evaluation in which no definition is evaluated yet.
+    pub fn new(definitions: &'a BTreeMap<String, SourcedDefinition>, settings: &'a HashMap<String, Value>) -> Self {
+        Evaluation { definitions, settings, values: HashMap::new(), faults: Vec::new(), in_progress: Vec::new() }
     }
 
-    /// The value of a definition.
+    /// Evaluates a definition, with the definitions that it uses, and adds errors to `faults`.
+    ///
+    /// Returns `None` if the definition does not exist or has an error.
     pub fn value(&mut self, name: &str) -> Option<Value> {
-        if let Some(v) = self.values.get(name) {
-            return *v;
+        if let Some(value) = self.values.get(name) {
+            return *value;
         }
-        let d = self.definitions.get(name)?;
-        self.open.push(name.into());
-        let result = self.expr(&d.definition.value);
-        self.open.pop();
+        let sourced = self.definitions.get(name)?;
+        self.in_progress.push(name.into());
+        let result = self.evaluate_expr(&sourced.definition.value);
+        self.in_progress.pop();
         let value = match result {
             Ok(Value::Number(n) | Value::Duration(n)) if !n.is_finite() => {
-                self.faults.push(d.fault(&d.definition.value.span, format!("{name} is not finite"), None));
+                self.faults.push(sourced.fault(
+                    &sourced.definition.value.span,
+                    format!("the value of {name} is not a finite number"),
+                    None,
+                ));
                 None
             }
-            Ok(v) => Some(v),
-            Err(Bad::Here(span, what, hint)) => {
-                self.faults.push(d.fault(&span, what, hint));
+            Ok(value) => Some(value),
+            Err(EvaluationError::Invalid(span, message, hint)) => {
+                self.faults.push(sourced.fault(&span, message, hint));
                 None
             }
-            Err(Bad::Elsewhere) => None,
+            Err(EvaluationError::InvalidReference) => None,
         };
         self.values.insert(name.into(), value);
         value
     }
 
-    fn expr(&mut self, e: &Expr) -> Result<Value, Bad> {
-        let here = |what: String| Bad::Here(e.span.clone(), what, None);
-        match &e.kind {
-            Kind::Number(n) => Ok(Value::Number(*n)),
-            Kind::Duration(s) => Ok(Value::Duration(*s)),
-            Kind::Bool(b) => Ok(Value::Bool(*b)),
-            Kind::Name(n) => self.name(n, &e.span),
-            Kind::Unary(op, x) => match (*op, self.expr(x)?) {
+    fn evaluate_expr(&mut self, expr: &Expr) -> Result<Value, EvaluationError> {
+        let invalid = |message: String| EvaluationError::Invalid(expr.span.clone(), message, None);
+        match &expr.kind {
+            ExprKind::Number(n) => Ok(Value::Number(*n)),
+            ExprKind::Duration(s) => Ok(Value::Duration(*s)),
+            ExprKind::Bool(b) => Ok(Value::Bool(*b)),
+            ExprKind::Name(name) => self.resolve_name(name, &expr.span),
+            ExprKind::Unary(op, operand) => match (*op, self.evaluate_expr(operand)?) {
                 ("-", Value::Number(n)) => Ok(Value::Number(-n)),
                 ("-", Value::Duration(s)) => Ok(Value::Duration(-s)),
                 ("not", Value::Bool(b)) => Ok(Value::Bool(!b)),
-                (op, v) => Err(here(format!("`{op}` can't be applied to {}", v.kind()))),
+                (op, value) => Err(invalid(format!("operator `{op}` cannot be applied to {}", value.kind()))),
             },
-            Kind::Binary(op, l, r) => {
-                let (l, r) = (self.expr(l)?, self.expr(r)?);
-                binary(op, l, r).map_err(here)
+            ExprKind::Binary(op, left, right) => {
+                let (left, right) = (self.evaluate_expr(left)?, self.evaluate_expr(right)?);
+                apply_operator(op, left, right).map_err(invalid)
             }
-            Kind::If(c, a, b) => {
-                let c = self.expr(c)?;
-                let Value::Bool(c) = c else { return Err(here(format!("the condition is {}", c.kind()))) };
-                // the branch not taken has no need of a value
-                let (a, b) = (self.expr(a), self.expr(b));
+            ExprKind::If(c, a, b) => {
+                let c = self.evaluate_expr(c)?;
+                let Value::Bool(c) = c else { return Err(invalid(format!("`if` tests {}, not a boolean", c.kind()))) };
+                // the branch that is not taken needs no value, so its errors are ignored
+                let (a, b) = (self.evaluate_expr(a), self.evaluate_expr(b));
                 if let (Ok(a), Ok(b)) = (&a, &b) {
                     if a.kind() != b.kind() {
-                        return Err(here(format!("one branch is {}, the other {}", a.kind(), b.kind())));
+                        return Err(invalid(format!(
+                            "both branches of `if` must have the same type, but one is {} and the other {}",
+                            a.kind(),
+                            b.kind()
+                        )));
                     }
                 }
                 if c {
@@ -210,36 +234,39 @@
                     b
                 }
             }
-            Kind::Call(f, args) => {
+            ExprKind::Call(function, args) => {
                 let mut values = Vec::new();
-                for a in args {
-                    values.push(self.expr(a)?);
+                for arg in args {
+                    values.push(self.evaluate_expr(arg)?);
                 }
-                call(f, &values).map_err(|(what, hint)| Bad::Here(e.span.clone(), what, hint))
+                call_function(function, &values)
+                    .map_err(|(message, hint)| EvaluationError::Invalid(expr.span.clone(), message, hint))
             }
         }
     }
 
-    fn name(&mut self, n: &str, span: &Range<usize>) -> Result<Value, Bad> {
-        if let Some(v) = self.settings.get(n) {
-            return Ok(*v);
+    /// Returns the value of a setting or of another definition.
+    fn resolve_name(&mut self, name: &str, span: &Range<usize>) -> Result<Value, EvaluationError> {
+        if let Some(value) = self.settings.get(name) {
+            return Ok(*value);
         }
-        if self.open.iter().any(|o| o == n) {
-            let way = format!("{} -> {n}", self.open.join(" -> "));
-            return Err(Bad::Here(span.clone(), format!("goes in a circle: {way}"), None));
+        if self.in_progress.iter().any(|open| open == name) {
+            let cycle = format!("{} -> {name}", self.in_progress.join(" -> "));
+            return Err(EvaluationError::Invalid(span.clone(), format!("cyclic definition: {cycle}"), None));
         }
-        if self.definitions.contains_key(n) {
-            return self.value(n).ok_or(Bad::Elsewhere);
+        if self.definitions.contains_key(name) {
+            return self.value(name).ok_or(EvaluationError::InvalidReference);
         }
         let known = self.settings.keys().chain(self.definitions.keys()).map(String::as_str);
-        Err(Bad::Here(span.clone(), format!("unknown name {n}"), nearest(n, known)))
+        Err(EvaluationError::Invalid(span.clone(), format!("unknown name {name}"), suggest(name, known)))
     }
 }
 
-fn binary(op: &str, l: Value, r: Value) -> Result<Value, String> {
+/// Applies a binary operator, or returns why the operands do not allow it.
+fn apply_operator(op: &str, left: Value, right: Value) -> Result<Value, String> {
     use Value::{Bool, Duration, Number};
-    let wrong = || Err(format!("`{op}` can't be applied to {} and {}", l.kind(), r.kind()));
-    let order = |a: f64, b: f64| match op {
+    let type_error = || Err(format!("operator `{op}` cannot be applied to {} and {}", left.kind(), right.kind()));
+    let compare = |a: f64, b: f64| match op {
         "<" => Some(a < b),
         "<=" => Some(a <= b),
         ">" => Some(a > b),
@@ -248,10 +275,10 @@
         "!=" => Some(a != b),
         _ => None,
     };
-    if op == "/" && matches!(r, Number(0.0) | Duration(0.0)) {
+    if op == "/" && matches!(right, Number(0.0) | Duration(0.0)) {
         return Err("division by zero".into());
     }
-    match (op, l, r) {
+    match (op, left, right) {
         ("+", Number(a), Number(b)) => Ok(Number(a + b)),
         ("-", Number(a), Number(b)) => Ok(Number(a - b)),
         ("+", Duration(a), Duration(b)) => Ok(Duration(a + b)),
@@ -264,41 +291,42 @@
         ("or", Bool(a), Bool(b)) => Ok(Bool(a || b)),
         ("==", Bool(a), Bool(b)) => Ok(Bool(a == b)),
         ("!=", Bool(a), Bool(b)) => Ok(Bool(a != b)),
-        (_, Number(a), Number(b)) | (_, Duration(a), Duration(b)) => match order(a, b) {
-            Some(b) => Ok(Bool(b)),
-            None => wrong(),
+        (_, Number(a), Number(b)) | (_, Duration(a), Duration(b)) => match compare(a, b) {
+            Some(result) => Ok(Bool(result)),
+            None => type_error(),
         },
-        _ => wrong(),
+        _ => type_error(),
     }
 }
 
-fn call(f: &str, args: &[Value]) -> Result<Value, (String, Option<String>)> {
-    const KNOWN: [&str; 5] = ["min", "max", "clamp", "floor", "ceil"];
-    let err = |what: String| Err((what, None));
-    if !KNOWN.contains(&f) {
-        return Err((format!("unknown function {f}"), nearest(f, KNOWN.into_iter())));
+/// Calls a built-in function, or returns an error message with an optional suggestion.
+fn call_function(function: &str, args: &[Value]) -> Result<Value, (String, Option<String>)> {
+    const FUNCTIONS: [&str; 5] = ["min", "max", "clamp", "floor", "ceil"];
+    let err = |message: String| Err((message, None));
+    if !FUNCTIONS.contains(&function) {
+        return Err((format!("unknown function {function}"), suggest(function, FUNCTIONS.into_iter())));
     }
     let (mut numbers, mut durations) = (Vec::new(), Vec::new());
-    for a in args {
-        match a {
+    for arg in args {
+        match arg {
             Value::Number(n) => numbers.push(*n),
             Value::Duration(s) => durations.push(*s),
-            Value::Bool(_) => return err(format!("{f} takes numbers or durations")),
+            Value::Bool(_) => return err(format!("{function} takes numbers or durations, not booleans")),
         }
     }
-    let duration = !durations.is_empty();
-    if duration && !numbers.is_empty() {
-        return err(format!("{f} is given numbers and durations"));
+    let is_duration = !durations.is_empty();
+    if is_duration && !numbers.is_empty() {
+        return err(format!("the arguments of {function} must be either all numbers or all durations"));
     }
-    let v = if duration { durations } else { numbers };
-    let result = match (f, v.as_slice()) {
-        ("min", [_, ..]) => v.iter().copied().fold(f64::INFINITY, f64::min),
-        ("max", [_, ..]) => v.iter().copied().fold(f64::NEG_INFINITY, f64::max),
+    let values = if is_duration { durations } else { numbers };
+    let result = match (function, values.as_slice()) {
+        ("min", [_, ..]) => values.iter().copied().fold(f64::INFINITY, f64::min),
+        ("max", [_, ..]) => values.iter().copied().fold(f64::NEG_INFINITY, f64::max),
         ("clamp", [x, low, high]) if low <= high => x.clamp(*low, *high),
-        ("clamp", [_, _, _]) => return err("clamp's bounds are the wrong way round".into()),
+        ("clamp", [_, _, _]) => return err("the lower bound of clamp must not be above its upper bound".into()),
         ("floor", [x]) => x.floor(),
         ("ceil", [x]) => x.ceil(),
-        _ => return err(format!("{f} is given {} values", args.len())),
+        _ => return err(format!("wrong number of arguments for {function}: {}; min and max take one or more, clamp takes three, floor and ceil take one", args.len())),
     };
-    Ok(if duration { Value::Duration(result) } else { Value::Number(result) })
+    Ok(if is_duration { Value::Duration(result) } else { Value::Number(result) })
 }
--- a/packages/policy/src/policy/mod.rs
+++ b/packages/policy/src/policy/mod.rs
@@ -1,6 +1,8 @@
-//! The tunables. Their one home is the embedded default policy, written as
-//! expressions over the platform's settings; an operators' file replaces
-//! single definitions. [`check()`] finds all errors in one go.
+//! The tunables of coralnotch.
+//!
+//! The default policy, which is embedded in the program, defines each tunable by an expression over
+//! the platform's settings.  A policy file of the operators replaces single definitions.  [`check()`]
+//! evaluates both and reports all errors together.
 
 pub mod check;
 pub mod syntax;
@@ -9,35 +11,37 @@
 use std::time::Duration;
 
 use crate::config::Config;
-use check::{nearest, Evaluation, Fault, Sourced, Value};
+use check::{suggest, Evaluation, Fault, SourcedDefinition, Value};
 
-const DEFAULT: &str = include_str!("default.policy");
-const DEFAULT_NAME: &str = "(default policy)";
+const DEFAULT_POLICY: &str = include_str!("default.policy");
+const DEFAULT_POLICY_NAME: &str = "(default policy)";
 
-/// How a value becomes a field, and back.
+/// A type that the value of a tunable can be converted to.
 trait Tunable: Sized {
+    /// Name of the policy type with its article, as [`Value::kind`] returns it.
     const KIND: &'static str;
-    fn from(v: Value) -> Option<Self>;
+    /// Returns `None` if the value has another type or is out of range.
+    fn from_value(value: Value) -> Option<Self>;
 }
 
 impl Tunable for Duration {
     const KIND: &'static str = "a duration";
-    fn from(v: Value) -> Option<Self> {
-        match v {
+    fn from_value(value: Value) -> Option<Self> {
+        match value {
             Value::Duration(s) => Duration::try_from_secs_f64(s).ok(),
             _ => None,
         }
     }
 }
 
-/// A duration that is reckoned with in seconds.
+/// A duration that a [`Policy`] holds as a number of seconds.
 #[derive(Debug, Clone, Copy)]
 struct Seconds(f64);
 
 impl Tunable for Seconds {
     const KIND: &'static str = "a duration";
-    fn from(v: Value) -> Option<Self> {
-        match v {
+    fn from_value(value: Value) -> Option<Self> {
+        match value {
             Value::Duration(s) => Some(Seconds(s)),
             _ => None,
         }
@@ -46,8 +50,8 @@
 
 impl Tunable for f64 {
     const KIND: &'static str = "a number";
-    fn from(v: Value) -> Option<Self> {
-        match v {
+    fn from_value(value: Value) -> Option<Self> {
+        match value {
             Value::Number(n) => Some(n),
             _ => None,
         }
@@ -56,8 +60,8 @@
 
 impl Tunable for usize {
     const KIND: &'static str = "a number";
-    fn from(v: Value) -> Option<Self> {
-        match v {
+    fn from_value(value: Value) -> Option<Self> {
+        match value {
             Value::Number(n) if n >= 0.0 => Some(n as usize),
             _ => None,
         }
@@ -65,313 +69,336 @@
 }
 
 impl From<Seconds> for f64 {
-    fn from(s: Seconds) -> f64 {
-        s.0
+    fn from(seconds: Seconds) -> f64 {
+        seconds.0
     }
 }
 
 macro_rules! tunables {
     ($($(#[$doc:meta])* $name:ident: $field:ty as $kind:ty, $low:literal ..= $high:literal;)*) => {
-        /// All tunables, worked out for one deployment.
+        /// The values of all tunables for one deployment.
         #[derive(Debug, Clone)]
         pub struct Policy {
             $($(#[$doc])* pub $name: $field,)*
         }
 
-        /// Name, type and range (of seconds, for durations).
+        /// Name, type, minimum and maximum of each tunable; the limits of durations are in seconds.
         const SCHEMA: &[(&str, &str, f64, f64)] = &[$((stringify!($name), <$kind as Tunable>::KIND, $low, $high),)*];
 
         impl Policy {
-            fn build(values: &HashMap<String, Option<Value>>) -> Option<Policy> {
+            fn from_values(values: &HashMap<String, Option<Value>>) -> Option<Policy> {
                 let get = |name: &str| values.get(name).copied().flatten();
-                Some(Policy { $($name: <$kind as Tunable>::from(get(stringify!($name))?)?.into(),)* })
+                Some(Policy { $($name: <$kind as Tunable>::from_value(get(stringify!($name))?)?.into(),)* })
             }
         }
     };
 }
 
 tunables! {
-    /// Life of the leader's lease.
+    /// Duration of the leader's lease.
     ttl: Duration as Duration, 0.5 ..= 600.0;
-    /// Interval of renewals.
+    /// Interval between renewals of the leader's lease.
     renew: Duration as Duration, 0.05 ..= 300.0;
-    /// Share of the state service's requests that one controller's reads of
-    /// many pages may take.
+    /// Share of the state service's request limit that the paged reads of one controller may use.
     read_share: f64 as f64, 0.001 ..= 1.0;
-    /// Share of the state service's requests that one controller's queries for
-    /// jobs it does not know may take.
+    /// Share of the state service's request limit that one controller may use for queries about jobs
+    /// that it does not know.
     lookup_share: f64 as f64, 0.001 ..= 1.0;
-    /// Ended jobs that a controller keeps in memory.
+    /// Maximum number of ended jobs that a controller keeps in memory.
     ended_kept: usize as usize, 1.0 ..= 10000000.0;
-    /// A machine is used while its newest report is younger than this.
+    /// Maximum age of a machine's latest heartbeat for the machine to receive new tasks.
     fresh: Duration as Duration, 0.1 ..= 3600.0;
-    /// A machine silent for so long is returned, and its tasks replaced.
+    /// Time without a heartbeat after which a machine is returned to the cloud and its tasks are
+    /// replaced.
     silent: Duration as Duration, 0.1 ..= 3600.0;
-    /// The lease of a machine that was silent for so long has run out, unless a
-    /// controller in its zone renews it.
+    /// Time without a heartbeat after which a machine's lease has expired, unless a controller in the
+    /// machine's zone renews it.
     lease_over: Duration as Duration, 0.1 ..= 3600.0;
-    /// A leader that hears no worker for so long asks whether siblings do.
+    /// Time without a heartbeat of any worker after which the leader asks its peers whether they
+    /// receive heartbeats.
     deaf: Duration as Duration, 0.1 ..= 3600.0;
-    /// … and hands over after so long if no sibling answers.
+    /// Time without a heartbeat of any worker after which the leader steps down if no peer answers.
     deaf_alone: Duration as Duration, 0.1 ..= 3600.0;
-    /// Between two signs of life of a controller: more, and it stood still.
+    /// Gap between two ticks of a controller's stall detector above which the controller counts as
+    /// having been stalled.
     stood_still: Duration as Duration, 0.1 ..= 600.0;
-    /// Share of the machines that may be silent before silence is taken for
-    /// the network's.
+    /// Share of the machines that may be unresponsive before the cause is taken to be the network.
     silent_share: f64 as f64, 0.0 ..= 1.0;
-    /// Most tasks on a machine, so that its record fits into a value.
+    /// Maximum number of tasks on a machine, so that the machine's record fits into one value of the
+    /// state service.
     most_tasks: usize as usize, 1.0 ..= 100000.0;
-    /// An empty machine is returned after so long.
+    /// Minimum time for which an empty machine is kept.
     idle: Duration as Duration, 0.0 ..= 86400.0;
-    /// … or after so many times what one of its images took to arrive,
+    /// An empty machine is kept for up to this multiple of the mean fetch time of the images that it
+    /// holds, if that is longer than `idle`.
     idle_images: f64 as f64, 0.0 ..= 100.0;
-    /// … at most this.
+    /// Upper bound of the time that `idle_images` yields, in seconds.
     idle_most: f64 as Seconds, 0.0 ..= 86400.0;
-    /// A machine that is not up after so many times its usual boot time is
-    /// given back.
+    /// Multiple of the usual boot time after which a machine that is not up is returned to the cloud.
     boot_factor: f64 as f64, 1.0 ..= 100.0;
-    /// Heterogeneity from which machines count as different (the paper's).
+    /// Variance of the machines' speeds from which the placement algorithm treats the machines as
+    /// heterogeneous; the value is published in the paper.
     variance_threshold: f64 as f64, 0.0 ..= 1000.0;
-    /// Load from which the queue counts as long (the paper's).
+    /// Ratio of queued to free cores from which the placement algorithm treats the queue as long; the
+    /// value is published in the paper.
     load_threshold: f64 as f64, 0.0 ..= 1000000.0;
-    /// Tasks that a dry run looks at.
+    /// Maximum number of queued tasks that a dry run of the placement considers.
     dry_run_tasks: usize as usize, 1.0 ..= 10000.0;
-    /// Interval of the cloud's list.
+    /// Interval between requests for the cloud's machine list.
     list_every: Duration as Duration, 0.1 ..= 3600.0;
-    /// How long a list may lag.
+    /// Time by which the cloud's machine list may lag behind.
     list_lag: Duration as Duration, 0.0 ..= 3600.0;
-    /// How long an answered rental stays on record: until lists have it.
+    /// Time for which the record of an answered rental is kept, until the machine lists contain its
+    /// machines.
     rental_kept: Duration as Duration, 0.0 ..= 3600.0;
-    /// A machine that lists miss is given up after so long a silence.
+    /// Time without a heartbeat after which a machine that is missing from the cloud's lists is given
+    /// up.
     missed: Duration as Duration, 0.1 ..= 3600.0;
-    /// No capacity: how long that kind is not asked for again.
+    /// Time for which a pool of machines is not requested again after the cloud had no capacity in it.
     capacity_rest: Duration as Duration, 0.0 ..= 3600.0;
-    /// Share of all guarantees that is kept on hand, busy or not: a guarantee
-    /// is worth nothing without the machines.
+    /// Share of all guarantees for which machines are kept, busy or idle, as a guarantee can be met in
+    /// time only if the machines are already there.
     kept_share: f64 as f64, 0.0 ..= 10.0;
-    /// … but no more than so many times what is drawn on.
+    /// Upper bound of the capacity kept by `kept_share`, as a multiple of the teams' current demand.
     kept_multiple: f64 as f64, 0.0 ..= 100.0;
-    /// Share of all guarantees that is kept free for what comes next.
+    /// Share of all guarantees that is kept free for new work.
     headroom_share: f64 as f64, 0.0 ..= 10.0;
-    /// … but no more than so many times what is drawn on.
+    /// Upper bound of the capacity kept free by `headroom_share`, as a multiple of the teams' current
+    /// demand.
     headroom_multiple: f64 as f64, 0.0 ..= 100.0;
-    /// Tasks for which room is kept, of each class whose tasks should start
-    /// sooner than a machine boots.
+    /// Number of tasks for which room is kept free, for each class whose tasks should start sooner
+    /// than a machine boots.
     urgent_room: usize as usize, 0.0 ..= 1000.0;
-    /// Queued work of arrays is to be done within this, in seconds.
+    /// Time within which the queued work of arrays should be finished, in seconds.
     horizon_s: f64 as Seconds, 1.0 ..= 86400.0;
-    /// … and if its jobs may use spot machines, these come for what waits longer
-    /// than this.
+    /// As `horizon_s`, for arrays that may run on spot machines: spot machines are rented for work that
+    /// would otherwise wait longer than this, in seconds.
     spot_horizon_s: f64 as Seconds, 0.1 ..= 86400.0;
-    /// Rest of a machine or a job after a failure, doubled by each further.
+    /// Initial backoff of a machine or a job after a failure, doubled by each further failure.
     failure_rest: Duration as Duration, 0.0 ..= 600.0;
-    /// Within this a cancelled job's tasks have to be gone.
+    /// Time within which the tasks of a cancelled job must have stopped.
     cancel: Duration as Duration, 1.0 ..= 86400.0;
-    /// How long a worker keeps its tasks without an answer.
+    /// Time for which a worker keeps its tasks running without a reply.
     lease: Duration as Duration, 0.1 ..= 86400.0;
-    /// Most machines that are rented, as long as the leader has not learned how
-    /// many it can listen to.
+    /// Maximum number of rented machines until the leader has measured how many machines' heartbeats
+    /// it can process.
     most_machines: usize as usize, 1.0 ..= 100000000.0;
-    /// Above so many machines all controllers take reports and forward them to the leader.
+    /// Number of machines above which all controllers receive heartbeats and forward them to the
+    /// leader.
     spread_from: usize as usize, 1.0 ..= 100000000.0;
-    /// Rentals that may be asked for at once.
+    /// Maximum number of rental requests at the same time.
     rentals_at_once: usize as usize, 1.0 ..= 1000.0;
-    /// Direct commands that may be under way at once.
+    /// Maximum number of direct commands in flight.
     direct_calls: usize as usize, 1.0 ..= 100000.0;
-    /// Share of the processor that passes over the queue may take.
+    /// Share of the processor time that placement passes may use.
     pass_share: f64 as f64, 0.01 ..= 1.0;
-    /// Share of the processor that plans of the fleet may take.
+    /// Share of the processor time that fleet plans may use.
     plan_share: f64 as f64, 0.01 ..= 1.0;
-    /// Passes and plans rest for so many times what requests wait for their
-    /// turn,
+    /// Pause after a placement pass or a fleet plan, as a multiple of the time that requests wait to be
+    /// run.
     lag_rest: f64 as f64, 0.0 ..= 1000.0;
-    /// … at most this.
+    /// Upper bound of the pause that `lag_rest` yields.
     lag_rest_most: Duration as Duration, 0.0 ..= 3600.0;
-    /// When requests wait longer than this for their turn, the leader has more
-    /// machines than it can listen to.
+    /// Time that requests may wait to be run; above it, the leader has more machines than it can
+    /// receive heartbeats from.
     lag_most: Duration as Duration, 0.01 ..= 60.0;
-    /// Machines that one pass looks at, for all tasks together: what is left
-    /// of the queue is the next pass's.
+    /// Maximum number of machines that one placement pass examines, counted for all tasks together.  The
+    /// next pass continues with the rest of the queue.
     pass_looks: usize as usize, 1.0 ..= 1000000000.0;
-    /// Least time between two passes.
+    /// Minimum time between two placement passes.
     pass_gap: Duration as Duration, 0.001 ..= 10.0;
-    /// How long an idle user's or worker's connection is kept, and how long a
-    /// request may take to arrive.
+    /// Time for which an idle connection of a user or a worker is kept open, and within which a request
+    /// must have arrived completely.
     connection_idle: Duration as Duration, 1.0 ..= 3600.0;
-    /// Share of the connections from which on workers' are closed between
-    /// their reports, so that users find one.
+    /// Share of the available connections from which on connections of workers are closed between
+    /// their heartbeats, so that users can still connect.
     scarce_share: f64 as f64, 0.01 ..= 1.0;
-    /// How long queries wait for one another, to be confirmed together.
+    /// Time for which queries are collected, so that one transaction confirms them together.
     confirm_gap: Duration as Duration, 0.0 ..= 1.0;
-    /// How long a machine that is gone is remembered.
+    /// Time for which a removed machine is remembered.
     tombstone: Duration as Duration, 1.0 ..= 864000.0;
-    /// The tasks of an array count as arriving so long after one another.
+    /// Interval at which the tasks of an array count as arriving in the queue one after another, in
+    /// seconds.
     task_spacing_s: f64 as Seconds, 0.0 ..= 3600.0;
-    /// Work within a guarantee should start within this.
+    /// Time within which work that is covered by a guarantee should start, in seconds.
     guarantee_wait_s: f64 as Seconds, 0.0 ..= 3600.0;
-    /// A controller that has reached nobody for so long takes itself for cut
-    /// off with its zone, and renews the leases of the zone's workers …
+    /// Time without contact to anything outside its zone after which a controller assumes that the zone
+    /// is partitioned off, and renews the leases of the zone's workers.
     cut_after: Duration as Duration, 0.1 ..= 3600.0;
-    /// What a controller has shown that it has counts for so long after it was
-    /// last heard: a cut takes no version away.
+    /// Time after the last contact for which a controller's known features remain valid, so that a
+    /// network partition does not disable features.
     cut_keep: Duration as Duration, 0.0 ..= 86400.0;
-    /// How long a sibling may take to answer.
+    /// Timeout of a call to a peer.
     peer_limit: Duration as Duration, 0.05 ..= 60.0;
-    /// How long a direct command may take.
+    /// Timeout of a direct command.
     direct_limit: Duration as Duration, 0.05 ..= 60.0;
-    /// How long an answer to a report waits for the store.
+    /// Maximum time for which the reply to a heartbeat waits for a commit to the state service.
     commit_wait: Duration as Duration, 0.0 ..= 3.0;
-    /// Reports that come within this are forwarded together.
+    /// Time for which heartbeats are collected, so that they are forwarded to the leader in one call.
     batch_gap: Duration as Duration, 0.0 ..= 1.0;
-    /// A controller that does not lead watches the store anew after this.
+    /// Pause of a controller that does not lead before it watches the state service again.
     watch_gap: Duration as Duration, 0.0 ..= 60.0;
-    /// An image's fetch that takes a smaller share than this of the time
-    /// within which a task should start is no reason for a dearer machine.
+    /// Share of the time within which a task should start; an image fetch that takes less than this
+    /// share does not justify a more expensive machine.
     image_share: f64 as f64, 0.0 ..= 1.0;
-    /// Waits for images that differ by less than this count as equal.
+    /// Difference in image fetch time below which two machines count as equal, in seconds.
     fetch_grain_s: f64 as Seconds, 0.001 ..= 600.0;
-    /// A replica moves no sooner than this after it began to run.
+    /// Minimum running time of a replica before it may be moved.
     settled: Duration as Duration, 0.0 ..= 86400.0;
-    /// Share of the replicas that may be down at once for a move.
+    /// Maximum share of the replicas that may be down at the same time because of a move.
     move_share: f64 as f64, 0.0 ..= 1.0;
-    /// Drift of a steady clock.
+    /// Maximum drift of a monotonic clock, as a share of the elapsed time.
     drift: f64 as f64, 0.0 ..= 0.1;
 }
 
-/// What has to hold between values, and why.
+/// Conditions that must hold between tunables and settings, each with its reason.
 const RELATIONS: &[(&str, &str)] = &[
     ("renew * 2 < ttl", "a lease must survive one lost renewal"),
-    ("missed > workers.report_s * 1.3", "a report may be late by a quarter"),
-    ("fresh < silent", "a machine is avoided before it is given up"),
-    ("silent < workers.lease_s", "tasks of a silent machine are replaced before they kill themselves"),
-    ("read_share * size + lookup_share * size < 1", "renewals and transactions need their part of the requests"),
-    ("deaf_alone > workers.report_s", "one report interval of quiet is ordinary"),
-    ("stood_still > renew", "the pulse beats twice between renewals"),
-    ("cut_after < workers.lease_s / 2", "a zone's leases must not run out before they are renewed"),
-    ("commit_wait < workers.report_s", "an answer must not outlast the report interval"),
-    ("lease >= workers.lease_s", "a worker keeps its tasks for so long"),
-    ("cancel <= workers.cancel_s", "the rules say when cancelled tasks are gone"),
+    ("missed > workers.report_s * 1.3", "a heartbeat may be late by a quarter of its interval"),
+    ("fresh < silent", "a machine must stop receiving tasks before it is given up"),
+    ("silent < workers.lease_s", "tasks of an unresponsive machine are replaced before its lease expires"),
+    ("read_share * size + lookup_share * size < 1", "lease renewals and transactions need a share of the requests"),
+    ("deaf_alone > workers.report_s", "one report interval without a heartbeat is normal"),
+    ("stood_still > renew", "the stall detector ticks twice per renewal interval"),
+    ("cut_after < workers.lease_s / 2", "leases in a partitioned zone must be renewed before they expire"),
+    ("commit_wait < workers.report_s", "the reply to a heartbeat must not take longer than the report interval"),
+    ("lease >= workers.lease_s", "a worker keeps its tasks for at least this time"),
+    ("cancel <= workers.cancel_s", "the platform requires tasks of a cancelled job to stop within this time"),
 ];
 
-/// A checked policy with where each value comes from.
+/// A valid policy, with the origin of each value.
 #[derive(Debug, Clone)]
-pub struct Checked {
-    /// The values.
+pub struct CheckedPolicy {
+    /// Values of all tunables.
     pub policy: Policy,
-    /// Name, value and the definition that gave it.
+    /// Name, value, and expression with file and line, of each definition, in the order of the names.
     pub origins: Vec<(String, String, String)>,
 }
 
+/// Returns the settings that policy expressions may use, by name.
 fn settings(config: &Config) -> HashMap<String, Value> {
-    let d = &config.deployment;
-    let (n, s) = (Value::Number, Value::Duration);
+    let deployment = &config.deployment;
+    let (number, duration) = (Value::Number, Value::Duration);
     [
-        ("workers.report_s", s(d.workers.report_s)),
-        ("workers.lease_s", s(d.workers.lease_s)),
-        ("workers.gang_wait_s", s(d.workers.gang_wait_s)),
-        ("workers.gang_peer_s", s(d.workers.gang_peer_s)),
-        ("workers.cancel_s", s(d.workers.cancel_s)),
-        ("state.rps", n(d.state.rps)),
-        ("state.write_rps", n(d.state.write_rps)),
-        ("state.value_kb", n(d.state.value_kb)),
-        ("state.txn_ops", n(d.state.txn_ops as f64)),
-        ("cloud.rps", n(d.cloud.rps)),
-        ("cloud.list_lag_s", s(d.cloud.list_lag_s)),
-        ("quota.cores", n(d.quota.cores)),
-        ("quota.ram_mb", n(d.quota.ram_mb)),
-        ("quota.fd_limit", n(d.quota.fd_limit as f64)),
-        ("size", n(d.size as f64)),
+        ("workers.report_s", duration(deployment.workers.report_s)),
+        ("workers.lease_s", duration(deployment.workers.lease_s)),
+        ("workers.gang_wait_s", duration(deployment.workers.gang_wait_s)),
+        ("workers.gang_peer_s", duration(deployment.workers.gang_peer_s)),
+        ("workers.cancel_s", duration(deployment.workers.cancel_s)),
+        ("state.rps", number(deployment.state.rps)),
+        ("state.write_rps", number(deployment.state.write_rps)),
+        ("state.value_kb", number(deployment.state.value_kb)),
+        ("state.txn_ops", number(deployment.state.txn_ops as f64)),
+        ("cloud.rps", number(deployment.cloud.rps)),
+        ("cloud.list_lag_s", duration(deployment.cloud.list_lag_s)),
+        ("quota.cores", number(deployment.quota.cores)),
+        ("quota.ram_mb", number(deployment.quota.ram_mb)),
+        ("quota.fd_limit", number(deployment.quota.fd_limit as f64)),
+        ("size", number(deployment.size as f64)),
     ]
     .into_iter()
-    .map(|(k, v)| (k.to_owned(), v))
+    .map(|(name, value)| (name.to_owned(), value))
     .collect()
 }
 
-/// Checks an operators' file (its name and text) on top of the default.
-#[expect(
-    clippy::too_many_lines,
-    reason = "one step a fault, all faults at once; the policy package is not yet reworked"
-)]
-pub fn check(config: &Config, own: Option<(&str, &str)>) -> Result<Checked, Vec<Fault>> {
+/// Evaluates the default policy for a deployment, with the definitions of the operators' policy file
+/// (its name and text) in place of the default ones.
+///
+/// # Errors
+///
+/// Returns all errors of the policy: syntax errors, unknown names, type errors, values out of range and
+/// conditions between tunables that do not hold.
+#[expect(clippy::too_many_lines, reason = "one step for each kind of error, as all errors are reported together")]
+pub fn check(config: &Config, policy_file: Option<(&str, &str)>) -> Result<CheckedPolicy, Vec<Fault>> {
     let mut faults = Vec::new();
-    let mut definitions: BTreeMap<String, Sourced> = BTreeMap::new();
-    for s in check::read(DEFAULT_NAME, DEFAULT, &mut faults) {
-        definitions.insert(s.definition.name.clone(), s);
+    let mut definitions: BTreeMap<String, SourcedDefinition> = BTreeMap::new();
+    for sourced in check::parse_file(DEFAULT_POLICY_NAME, DEFAULT_POLICY, &mut faults) {
+        definitions.insert(sourced.definition.name.clone(), sourced);
     }
     let settings = settings(config);
-    let known = |n: &str| SCHEMA.iter().any(|s| s.0 == n);
-    let mut given: BTreeMap<String, usize> = BTreeMap::new();
-    for s in own.map(|(file, text)| check::read(file, text, &mut faults)).unwrap_or_default() {
-        let n = s.definition.name.clone();
-        let mut fault = |what: String, hint| {
-            let Sourced { file, line, text, .. } = s.clone();
-            faults.push(Fault { file, line, column: 1, text, what, hint });
+    let is_tunable = |name: &str| SCHEMA.iter().any(|tunable| tunable.0 == name);
+    let mut first_lines: BTreeMap<String, usize> = BTreeMap::new();
+    for sourced in policy_file.map(|(file, text)| check::parse_file(file, text, &mut faults)).unwrap_or_default() {
+        let name = sourced.definition.name.clone();
+        let mut add_fault = |message: String, hint| {
+            let SourcedDefinition { file, line, text, .. } = sourced.clone();
+            faults.push(Fault { file, line, column: 1, text, message, hint });
         };
-        if settings.contains_key(&n) {
-            fault(format!("{n} is a setting of the platform's"), None);
-        } else if s.definition.helper && known(&n) {
-            fault(format!("{n} is a tunable: leave out `let`"), None);
-        } else if !s.definition.helper && !known(&n) {
-            fault(format!("there is no tunable {n}"), nearest(&n, SCHEMA.iter().map(|s| s.0)));
-        } else if let Some(line) = given.insert(n.clone(), s.line) {
-            fault(format!("{n} is defined twice, first in line {line}"), None);
+        if settings.contains_key(&name) {
+            add_fault(format!("{name} is a setting of the platform and cannot be defined in a policy file"), None);
+        } else if sourced.definition.is_helper && is_tunable(&name) {
+            add_fault(format!("{name} is a tunable and must be defined without `let`"), None);
+        } else if !sourced.definition.is_helper && !is_tunable(&name) {
+            add_fault(
+                format!("unknown tunable {name} (helpers are defined by `let`)"),
+                suggest(&name, SCHEMA.iter().map(|tunable| tunable.0)),
+            );
+        } else if let Some(line) = first_lines.insert(name.clone(), sourced.line) {
+            add_fault(format!("{name} is defined twice, first in line {line}"), None);
         } else {
-            definitions.insert(n, s);
+            definitions.insert(name, sourced);
         }
     }
-    let mut e = Evaluation::new(&definitions, &settings);
+    let mut evaluation = Evaluation::new(&definitions, &settings);
     for name in definitions.keys() {
-        e.value(name);
+        evaluation.value(name);
     }
-    let (values, more) = (e.values, e.faults);
-    faults.extend(more);
-    let mut fault = |name: &str, what: String| {
-        if let Some(Sourced { file, line, text, definition }) = definitions.get(name).cloned() {
-            faults.push(Fault { file, line, column: definition.value.span.start + 1, text, what, hint: None });
+    let (values, evaluation_faults) = (evaluation.values, evaluation.faults);
+    faults.extend(evaluation_faults);
+    let mut add_fault = |name: &str, message: String| {
+        if let Some(SourcedDefinition { file, line, text, definition }) = definitions.get(name).cloned() {
+            faults.push(Fault { file, line, column: definition.value.span.start + 1, text, message, hint: None });
         }
     };
     for (name, kind, low, high) in SCHEMA {
-        let Some(v) = values.get(*name).copied().flatten() else { continue };
-        match v {
-            v if v.kind() != *kind => fault(name, format!("{name} has to be {kind}, not {}", v.kind())),
+        let Some(value) = values.get(*name).copied().flatten() else { continue };
+        match value {
+            value if value.kind() != *kind => add_fault(name, format!("{name} must be {kind}, not {}", value.kind())),
             Value::Number(n) | Value::Duration(n) if !(*low..=*high).contains(&n) => {
-                fault(name, format!("{name} is {v}, outside {low} to {high}"));
+                add_fault(
+                    name,
+                    format!("{name} is {value}, outside the allowed range {low} to {high} (in seconds for a duration)"),
+                );
             }
             _ => {}
         }
     }
-    for (relation, why) in RELATIONS {
-        // reported with the definition that comes first in it
-        let mut all = definitions.clone();
-        let mut none = Vec::new();
-        for s in check::read("relation", &format!("let relation = {relation}"), &mut none) {
-            all.insert("relation".into(), s);
+    for (relation, reason) in RELATIONS {
+        // an error is reported at the definition that the condition names first
+        let mut with_relation = definitions.clone();
+        let mut ignored_faults = Vec::new();
+        for sourced in check::parse_file("relation", &format!("let relation = {relation}"), &mut ignored_faults) {
+            with_relation.insert("relation".into(), sourced);
         }
-        let mut e = Evaluation::new(&all, &settings);
-        if e.value("relation") == Some(Value::Bool(false)) {
+        let mut evaluation = Evaluation::new(&with_relation, &settings);
+        if evaluation.value("relation") == Some(Value::Bool(false)) {
             let subject = relation.split_whitespace().next().unwrap_or_default();
-            fault(subject, format!("{relation} does not hold: {why}"));
+            add_fault(subject, format!("the required condition {relation} does not hold: {reason}"));
         }
     }
-    match Policy::build(&values) {
+    match Policy::from_values(&values) {
         Some(policy) if faults.is_empty() => {
-            let origin = |(name, s): (&String, &Sourced)| {
-                let value = values.get(name).copied().flatten().map_or_else(String::new, |v| v.to_string());
-                let text = s.text.split_once('=').map_or("", |p| p.1).trim();
-                (name.clone(), value, format!("{text}  ({}:{})", s.file, s.line))
+            let origin = |(name, sourced): (&String, &SourcedDefinition)| {
+                let value = values.get(name).copied().flatten().map_or_else(String::new, |value| value.to_string());
+                let text = sourced.text.split_once('=').map_or("", |parts| parts.1).trim();
+                (name.clone(), value, format!("{text}  ({}:{})", sourced.file, sourced.line))
             };
             let origins = definitions.iter().map(origin).collect();
-            Ok(Checked { policy, origins })
+            Ok(CheckedPolicy { policy, origins })
         }
         _ => Err(faults),
     }
 }
 
 impl Policy {
-    /// The default policy of a deployment. Settings so odd that the default
-    /// does not hold for them are refused before anything starts.
+    /// Evaluates the default policy for a deployment.
+    ///
+    /// # Errors
+    ///
+    /// Returns the errors of the default policy if the settings are so unusual that it is not valid for
+    /// them.
     pub fn new(config: &Config) -> Result<Policy, Vec<Fault>> {
-        check(config, None).map(|c| c.policy)
+        check(config, None).map(|checked| checked.policy)
     }
 }
 
--- a/packages/policy/src/policy/syntax/tests.rs
+++ b/packages/policy/src/policy/syntax/tests.rs
@@ -1,29 +1,29 @@
 use super::*;
 use proptest::prelude::*;
 
-fn shown(e: &Expr) -> String {
-    match &e.kind {
-        Kind::Number(n) => format!("{n}"),
-        Kind::Duration(s) => format!("{s}s"),
-        Kind::Bool(b) => format!("{b}"),
-        Kind::Name(n) => n.clone(),
-        Kind::Unary(op, e) => format!("({op} {})", shown(e)),
-        Kind::Binary(op, l, r) => format!("({} {op} {})", shown(l), shown(r)),
-        Kind::If(c, a, b) => format!("(if {} then {} else {})", shown(c), shown(a), shown(b)),
-        Kind::Call(n, args) => format!("{n}({})", args.iter().map(shown).collect::<Vec<_>>().join(", ")),
+fn format_expr(expr: &Expr) -> String {
+    match &expr.kind {
+        ExprKind::Number(n) => format!("{n}"),
+        ExprKind::Duration(s) => format!("{s}s"),
+        ExprKind::Bool(b) => format!("{b}"),
+        ExprKind::Name(n) => n.clone(),
+        ExprKind::Unary(op, operand) => format!("({op} {})", format_expr(operand)),
+        ExprKind::Binary(op, left, right) => format!("({} {op} {})", format_expr(left), format_expr(right)),
+        ExprKind::If(c, a, b) => format!("(if {} then {} else {})", format_expr(c), format_expr(a), format_expr(b)),
+        ExprKind::Call(n, args) => format!("{n}({})", args.iter().map(format_expr).collect::<Vec<_>>().join(", ")),
     }
 }
 
 #[test]
-fn operators_bind_as_people_expect() {
-    let p = |s: &str| shown(&parse(s).expect(s).value);
-    assert_eq!(p("x = 1 + 2 * 3 - 4"), "((1 + (2 * 3)) - 4)");
-    assert_eq!(p("x = a / b / c"), "((a / b) / c)");
+fn operators_have_the_usual_precedence() {
+    let parsed = |text: &str| format_expr(&parse(text).expect(text).value);
+    assert_eq!(parsed("x = 1 + 2 * 3 - 4"), "((1 + (2 * 3)) - 4)");
+    assert_eq!(parsed("x = a / b / c"), "((a / b) / c)");
     assert_eq!(
-        p("x = if a < 3s and not b then 1 else min(2, c.d)"),
+        parsed("x = if a < 3s and not b then 1 else min(2, c.d)"),
         "(if ((a < 3s) and (not b)) then 1 else min(2, c.d))"
     );
-    assert_eq!(p("x = 200ms + 5min"), "(0.2s + 300s)");
+    assert_eq!(parsed("x = 200ms + 5min"), "(0.2s + 300s)");
     assert!(parse("x = 3 parsecs").is_err());
     assert!(parse("x = (1 + 2").is_err());
     assert!(parse("if = 1").is_err());
@@ -47,18 +47,19 @@
 }
 
 proptest! {
-    /// What is printed is read back as the same tree.
+    /// Guards against lost or regrouped operands: an expression that is parsed, formatted and
+    /// parsed again has the same tree.
     #[test]
-    fn printing_and_reading_agree(e in any_expr()) {
-        prop_assume!(e.len() < 300);
-        let once = shown(&parse(&format!("x = {e}")).map_err(|at| TestCaseError::fail(format!("{e} at {at}")))?.value);
+    fn a_formatted_expression_parses_to_the_same_tree(text in any_expr()) {
+        prop_assume!(text.len() < 300);
+        let once = format_expr(&parse(&format!("x = {text}")).map_err(|at| TestCaseError::fail(format!("{text}: syntax error at byte {at}")))?.value);
         prop_assume!(once.len() < 380);
-        let twice = shown(&parse(&format!("x = {once}")).map_err(|at| TestCaseError::fail(format!("{once} at {at}")))?.value);
+        let twice = format_expr(&parse(&format!("x = {once}")).map_err(|at| TestCaseError::fail(format!("{once}: syntax error at byte {at}")))?.value);
         prop_assert_eq!(once, twice);
     }
 
     #[test]
-    fn nothing_panics(text in ".{0,120}") {
+    fn parsing_arbitrary_text_does_not_panic(text in ".{0,120}") {
         let _ = parse(&text);
     }
 }
--- a/src/commands/cli.rs
+++ b/src/commands/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line interface of the program.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -14,7 +14,7 @@
 use crate::commands::text::{explained_text, job_text, status_text};
 use crate::config::Config;
 use crate::policy::check::Fault;
-use crate::policy::Checked;
+use crate::policy::CheckedPolicy;
 
 #[derive(Parser)]
 #[command(name = "coralnotch", version, about = "A cluster scheduler")]
@@ -23,51 +23,51 @@
     command: Command,
 }
 
-// the doc comments of commands and options are the program's help
+// The doc comments of commands and options are the help texts of the program.
 #[derive(Subcommand)]
 enum Command {
-    /// Run a controller until it is killed.
+    /// Run a controller until the process is killed.
     Serve {
         #[command(flatten)]
         files: SettingsFiles,
     },
-    /// Check settings and policy without starting anything; prints each
-    /// tunable with the expression that gave it.
+    /// Validate the settings and the policy without starting a controller, and print each
+    /// tunable with its value and its expression.
     Check {
         #[command(flatten)]
         files: SettingsFiles,
     },
-    /// Submit a job, or many, and with --wait pursue each to its final answer.
+    /// Submit one or more jobs; with --wait, wait for the final answer of each.
     Submit {
-        /// The job as JSON, in the form of the protocol, or a file of many, a
-        /// line each; - for standard input.  Jobs without `nameId` get one.
+        /// File with one job as JSON in the format of the API, or with one such job per
+        /// line; - for standard input.  A job without `nameId` gets a generated id.
         file: String,
         #[command(flatten)]
         options: SubmitOptions,
     },
-    /// Follow a job until it is over.
+    /// Print each state of a job until the job is done or cancelled.
     Follow {
-        /// The job's id.
+        /// Id of the job, as in j-000412.
         id: String,
         #[command(flatten)]
         options: QueryOptions,
     },
-    /// Show how a job stands.
+    /// Show the state of a job, and the jobs it depends on.
     Show {
-        /// The job's id.
+        /// Id of the job, as in j-000412.
         id: String,
         #[command(flatten)]
         options: QueryOptions,
     },
-    /// Withdraw a job: its tasks are stopped.
+    /// Cancel a job and stop its tasks.
     #[command(name = "withdraw")]
     Cancel {
-        /// The job's id.
+        /// Id of the job, as in j-000412.
         id: String,
         #[command(flatten)]
         options: QueryOptions,
     },
-    /// Show how a controller stands: who leads, what waits and why.
+    /// Show the status of a controller: the leader, waiting jobs and why they wait.
     Status {
         #[command(flatten)]
         options: QueryOptions,
@@ -76,23 +76,23 @@
 
 #[derive(clap::Args)]
 struct SettingsFiles {
-    /// The platform's settings file.
+    /// Settings file of the platform.
     #[arg(long)]
     config: PathBuf,
-    /// The operators' policy file, on top of the default policy.
+    /// Policy file of the operators; its definitions replace those of the default policy.
     #[arg(long)]
     policy: Option<PathBuf>,
 }
 
 #[derive(clap::Args)]
 struct QueryOptions {
-    /// Where the controller listens for users: its `bind`.
+    /// Address on which the controller listens for users: the value of `bind` in its settings.
     #[arg(long, value_name = "IP:PORT")]
     node: std::net::SocketAddr,
-    /// For how many seconds to try again when it refuses for now.
+    /// How long to retry a request that fails temporarily, in seconds.
     #[arg(long, default_value_t = 60)]
     patience: u64,
-    /// Print JSON, for programs.
+    /// Print the result as JSON, for use by programs.
     #[arg(long)]
     json: bool,
 }
@@ -103,13 +103,13 @@
     }
 }
 
-/// Time between two queries of a job that is followed.
+/// Interval between two queries for the state of a followed job.
 const FOLLOW_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs the command line.
+/// Parses the command line, runs the command and returns its exit code.
 pub fn main() -> ExitCode {
     let args = Args::parse();
-    // commands print their results on standard output, so that they log less
+    // the other commands print their results on standard output and log warnings only
     let default_level =
         if matches!(args.command, Command::Serve { .. }) { LevelFilter::INFO } else { LevelFilter::WARN };
     if let Err(error) = logging::init(default_level) {
@@ -131,7 +131,7 @@
     ExitCode::from(code)
 }
 
-/// Each line of the error says what it is about.
+/// Prints the error without a prefix, as each of its lines already names the program or the file.
 fn exit_with_load_error(error: &LoadError) -> ExitCode {
     eprintln!("{error}");
     ExitCode::from(EXIT_BAD_INPUT)
@@ -160,14 +160,14 @@
     ExitCode::SUCCESS
 }
 
-/// Why settings or policy can't be used.
+/// An error in the settings file or in the policy.
 #[derive(Debug, thiserror::Error)]
 enum LoadError {
     #[error("coralnotch: {0}")]
     Config(#[from] crate::config::Error),
-    #[error("coralnotch: {}: {source}", .file.display())]
+    #[error("coralnotch: {}: cannot read the policy file: {source}", .file.display())]
     ReadPolicy { file: PathBuf, source: std::io::Error },
-    /// All that is wrong with the policy; each fault names its file and line.
+    /// All errors of the policy.  Each names its file and line.
     #[error("{}", join_lines(.0))]
     Policy(Vec<Fault>),
 }
@@ -177,7 +177,8 @@
     lines.join("\n")
 }
 
-fn load(files: &SettingsFiles) -> Result<(Config, Checked), LoadError> {
+/// Reads and validates the settings file and the policy file.
+fn load(files: &SettingsFiles) -> Result<(Config, CheckedPolicy), LoadError> {
     let config = Config::load(&files.config)?;
     let operators_policy = match &files.policy {
         None => None,
@@ -220,7 +221,7 @@
     Ok(render(&options.client().status().await?, options.json, status_text))
 }
 
-/// Prints the result of a query and gives the command's exit code.
+/// Prints the result of a query, and returns the exit code of the command.
 fn finish(result: Result<String, Error>) -> ExitCode {
     match result {
         Ok(text) => {
