--- a/src/commands/client/tests.rs
+++ b/src/commands/client/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn ids_are_checked_before_anything_is_sent() {
+fn an_id_without_the_form_of_a_job_id_is_rejected() {
     assert!(validate_id("j-000412").is_ok());
     assert!(validate_id("../x").is_err());
 }
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,4 +1,5 @@
-//! The command line: a controller, and commands against a running one.
+//! The commands of the program: one runs a controller, one validates its settings, and the others
+//! send requests to a running controller.
 
 pub mod cli;
 pub mod client;
--- a/src/commands/submit.rs
+++ b/src/commands/submit.rs
@@ -1,8 +1,7 @@
-//! `coralnotch submit`: jobs from a file, pursued by the client library.
+//! `coralnotch submit`: submits the jobs of a file through the client library.
 //!
-//! With a journal and a file for answers, the command may die and be started
-//! again with the same arguments at any moment: no job is submitted twice, and
-//! the file has one line for each job in the end.
+//! With a journal and an answers file, the command may be killed at any time and run again with the
+//! same arguments: no job is submitted twice, and the file finally has one line for each job.
 
 mod acceptance;
 mod answers;
@@ -25,34 +24,36 @@
 
 pub use self::answers::AnswerLine;
 
-/// How to submit.  The doc comments of the fields are the command's help.
+/// Options of `submit`.  The doc comments of the fields are the help texts of the command.
 #[derive(Debug, Clone, clap::Args)]
 pub struct SubmitOptions {
-    /// Where controllers or a load balancer listen for users; several are
-    /// tried in turn.
+    /// Addresses on which controllers or a load balancer listen for users, separated by
+    /// commas; they are tried in turn.
     #[arg(long = "node", value_name = "IP:PORT", value_delimiter = ',', required = true)]
     nodes: Vec<SocketAddr>,
     /// Wait for the final answer of each job.
     #[arg(long)]
     wait: bool,
-    /// Keep the jobs here until their answers are taken: the same command
-    /// again goes on where it was.
+    /// Journal file that keeps the jobs until their answers are written out; the same
+    /// command, run again, continues with them.
     #[arg(long, value_name = "FILE", requires = "wait")]
     journal: Option<PathBuf>,
-    /// Append each final answer to this file, a JSON line each, once.
+    /// Append the final answer of each job to this file, exactly once, as one line of JSON.
     #[arg(long, value_name = "FILE", requires = "wait")]
     out: Option<PathBuf>,
-    /// For how many seconds to try until a job is accepted, or with --wait,
-    /// over; 0 for as long as it takes.
+    /// How long to wait until all jobs are accepted, or with --wait until all have a final
+    /// answer, in seconds; 0 for no limit.
     #[arg(long, default_value_t = 60)]
     patience: u64,
-    /// Print JSON, for programs.
+    /// Print the results as JSON, for use by programs.
     #[arg(long)]
     json: bool,
 }
 
-/// Runs the command: 0 if all jobs went well, 1 if one was refused or cancelled
-/// or has no answer in time, 2 if what was given can't be used.
+/// Runs the command and returns its exit code.
+///
+/// The code is 0 if all jobs succeed, 1 if a job is refused or cancelled or has no answer in time, and 2
+/// if the input or the options are invalid.
 pub fn submit(file: &str, options: &SubmitOptions) -> ExitCode {
     match smol::block_on(try_submit(file, options)) {
         Ok(true) => ExitCode::SUCCESS,
@@ -64,7 +65,8 @@
     }
 }
 
-/// Whether all jobs went well.
+/// Submits the jobs, and reports whether all of them succeed.  Without `--wait`, only a refused job
+/// counts as failed.
 async fn try_submit(file: &str, options: &SubmitOptions) -> Result<bool, SubmitError> {
     let input = input::read(file)?;
     let specs = input::parse_jobs(file, &input)?;
@@ -72,10 +74,10 @@
     let answers = options.out.as_deref().map(AnswersFile::open).transpose()?;
     let client = Client::open(client_settings(options, specs.len())).await?;
     let deadline = (options.patience > 0).then(|| Instant::now() + Duration::from_secs(options.patience));
-    // from before the first submission, so that no acceptance is missed
+    // subscribed before the first submission, so that no acceptance is missed
     let mut changes = client.changes();
     let job_count = specs.len();
-    hand_over(&client, file, &input, specs, options).await?;
+    submit_jobs(&client, file, &input, specs, options).await?;
     let handles = client.resumed();
     match options.wait {
         true => completion::wait_for_answers(handles, job_count, answers, deadline, options).await,
@@ -91,8 +93,8 @@
     settings
 }
 
-/// Submits the jobs; with a journal, those of one input only once.
-async fn hand_over(
+/// Submits the jobs.  With a journal, the jobs of an input are submitted only once.
+async fn submit_jobs(
     client: &Client,
     file: &str,
     input: &str,
@@ -103,10 +105,10 @@
         client.submit_all(specs).await?;
         return Ok(());
     }
-    // the input's content, wherever it comes from
+    // identifies the input by its content, whichever file it comes from
     let batch: String = Sha256::digest(input.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect();
     if client.submit_once(&batch, specs).await?.is_none() {
-        eprintln!("coralnotch: {file} was taken in before; going on with what is left");
+        eprintln!("coralnotch: the journal already has the jobs of {file}; continuing with the unfinished ones");
     }
     Ok(())
 }
--- a/src/commands/submit/acceptance.rs
+++ b/src/commands/submit/acceptance.rs
@@ -1,4 +1,4 @@
-//! Waits until jobs are accepted.
+//! Waiting for the acceptance of submitted jobs.
 
 use std::collections::HashSet;
 use std::future::pending;
@@ -12,11 +12,11 @@
 use crate::commands::output::print_line;
 use crate::model::Name;
 
-/// How many ids of jobs that were not accepted an error names.
+/// Maximum number of ids that an error about jobs without acceptance names.
 const MAX_EXAMPLES: usize = 3;
 
-/// Waits until each job is accepted or over, and prints it; whether none was
-/// refused.
+/// Waits until each job is accepted or has a final answer, and prints either.  Returns whether no job
+/// was refused.
 pub(super) async fn wait_for_acceptances(
     handles: &[JobHandle],
     changes: &mut async_broadcast::Receiver<Change>,
@@ -40,7 +40,7 @@
     Ok(none_refused)
 }
 
-/// Nothing, at the deadline; never without one.
+/// Returns `None` at the deadline; without a deadline, never returns.
 async fn no_change_until(deadline: Option<Instant>) -> Option<Change> {
     match deadline {
         Some(deadline) => drop(smol::Timer::at(deadline).await),
--- a/src/commands/submit/answers.rs
+++ b/src/commands/submit/answers.rs
@@ -1,4 +1,4 @@
-//! Final answers as lines of output, and the file that keeps them.
+//! Final answers of jobs: their output formats, and the file that stores them.
 
 use std::collections::HashSet;
 use std::fs::File;
@@ -11,16 +11,16 @@
 use super::error::SubmitError;
 use crate::model::Name;
 
-/// A final answer, as a JSON line of output.
+/// The final answer of a job, as `--json` and `--out` write it in one line of JSON.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AnswerLine {
-    /// The job.
+    /// Id of the job.
     pub id: Name,
-    /// Its final answer.
+    /// Final answer of the job.
     pub answer: FinalAnswer,
 }
 
-/// A final answer in words.
+/// Formats a final answer for people.
 pub(super) fn answer_text(line: &AnswerLine) -> String {
     let id = &line.id;
     match &line.answer {
@@ -30,15 +30,17 @@
     }
 }
 
-/// A file of final answers with one whole line a job; each line is durable before
-/// the job leaves the journal.
+/// A file with one line for the final answer of each job.
+///
+/// Each line is synced to disk before the job is removed from the journal, so that no answer is lost in
+/// a crash.
 pub(super) struct AnswersFile {
     file: File,
     answered: HashSet<Name>,
 }
 
 impl AnswersFile {
-    /// Opens a file, or creates it.  A line that a crash cut off is removed.
+    /// Opens or creates the file.  An incomplete last line, as a crash leaves it, is removed.
     pub(super) fn open(path: &Path) -> Result<AnswersFile, SubmitError> {
         let open_error = |source: io::Error| SubmitError::OpenAnswers { path: path.to_owned(), source };
         let mut options = File::options();
@@ -52,7 +54,7 @@
         Ok(AnswersFile { file, answered })
     }
 
-    /// Appends an answer, durably, unless the job has one.
+    /// Appends an answer and syncs it to disk, unless the file already has an answer of the job.
     pub(super) fn add(&mut self, line: &AnswerLine) -> io::Result<()> {
         if self.answered.contains(&line.id) {
             return Ok(());
@@ -66,7 +68,7 @@
     }
 }
 
-/// The jobs that have a line.
+/// Returns the ids of the jobs that have an answer in the text.
 fn parse_answered(path: &Path, text: &[u8]) -> Result<HashSet<Name>, SubmitError> {
     let lines = text.split(|byte| *byte == b'\n').filter(|line| !line.is_empty());
     let mut answered = HashSet::new();
--- a/src/commands/submit/completion.rs
+++ b/src/commands/submit/completion.rs
@@ -1,4 +1,4 @@
-//! Waits for the final answers of jobs.
+//! Waiting for the final answers of submitted jobs.
 
 use std::io::{self, IsTerminal};
 use std::time::Instant;
@@ -12,8 +12,8 @@
 use super::SubmitOptions;
 use crate::commands::output::print_line;
 
-/// Waits for the final answer of each job, writes it out and takes it; whether
-/// all jobs are done.
+/// Waits for the final answer of each job, writes the answer out and then removes the job from the
+/// journal.  Returns whether all jobs are done.
 pub(super) async fn wait_for_answers(
     handles: Vec<JobHandle>,
     job_count: usize,
@@ -40,7 +40,7 @@
             None => bar.suspend(|| print_line(&answer_text(&line))),
         }
         bar.inc(1);
-        // the answer was written out: only now may the job leave the journal
+        // removes the job from the journal, which is safe only after its answer is written out
         handle.take().await?;
     }
     bar.finish_and_clear();
@@ -58,13 +58,13 @@
     (handle, result)
 }
 
-/// A progress bar for several jobs on a terminal, else a hidden one.
+/// Returns a progress bar, which is hidden for a single job or if standard error is no terminal.
 fn progress_bar(job_count: u64, unanswered: u64) -> ProgressBar {
     let bar = match job_count > 1 && io::stderr().is_terminal() {
         true => ProgressBar::with_draw_target(Some(job_count), ProgressDrawTarget::stderr()),
         false => ProgressBar::hidden(),
     };
-    if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} over, {elapsed}") {
+    if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} answered, {elapsed}") {
         bar.set_style(style);
     }
     bar.set_position(job_count.saturating_sub(unanswered));
--- a/src/commands/submit/dependencies.rs
+++ b/src/commands/submit/dependencies.rs
@@ -1,4 +1,4 @@
-//! Checks the dependencies of jobs before anything is sent.
+//! Validation of the dependencies between jobs before any job is submitted.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -8,11 +8,12 @@
 use crate::commands::client::{ControllerClient, Error as RequestError};
 use crate::model::{JobSpec, Name, Shape};
 
-/// Patience that never ends, small enough to be added to a time.
-const UNLIMITED_PATIENCE: Duration = Duration::from_secs(u64::MAX / 4);
+/// A retry timeout without practical limit, small enough that adding it to a time cannot overflow.
+const UNLIMITED_RETRY_TIMEOUT: Duration = Duration::from_secs(u64::MAX / 4);
 
-/// Faults of the dependencies within an input: a service is never done, and jobs
-/// in a cycle never start.
+/// Returns the invalid dependencies between the jobs of an input.
+///
+/// A job cannot depend on a service, which never completes, or be in a cycle, whose jobs never start.
 pub(super) fn check(specs: &[JobSpec]) -> Vec<InputFault> {
     let by_id: HashMap<&Name, &JobSpec> = specs.iter().map(|spec| (&spec.id, spec)).collect();
     let mut faults = Vec::new();
@@ -20,7 +21,8 @@
         let dependencies = spec.needs.iter().filter_map(|id| by_id.get(id));
         let services = dependencies.filter(|dependency| dependency.shape == Shape::Service);
         faults.extend(
-            services.map(|service| InputFault::NeedsService { id: spec.id.clone(), dependency: service.id.clone() }),
+            services
+                .map(|service| InputFault::DependsOnService { id: spec.id.clone(), dependency: service.id.clone() }),
         );
     }
     let blocked = blocked_by_cycles(specs, &by_id);
@@ -29,10 +31,10 @@
     faults
 }
 
-/// The jobs that a topological sort of the input does not reach.
+/// Returns the ids of the jobs that a topological sort of the input does not reach.
 fn blocked_by_cycles<'a>(specs: &'a [JobSpec], by_id: &HashMap<&Name, &JobSpec>) -> HashSet<&'a Name> {
-    let count_inside = |spec: &JobSpec| spec.needs.iter().filter(|id| by_id.contains_key(*id)).count();
-    let mut unmet: HashMap<&Name, usize> = specs.iter().map(|spec| (&spec.id, count_inside(spec))).collect();
+    let count_in_input = |spec: &JobSpec| spec.needs.iter().filter(|id| by_id.contains_key(*id)).count();
+    let mut unmet: HashMap<&Name, usize> = specs.iter().map(|spec| (&spec.id, count_in_input(spec))).collect();
     let mut dependents: HashMap<&Name, Vec<&Name>> = HashMap::new();
     for spec in specs {
         for dependency in &spec.needs {
@@ -53,19 +55,19 @@
     unmet.into_keys().collect()
 }
 
-/// Checks that a controller knows each dependency that the input does not have.
+/// Checks that the first controller of the options knows each dependency that is not in the input.
 pub(super) async fn check_unknown(file: &str, specs: &[JobSpec], options: &SubmitOptions) -> Result<(), SubmitError> {
     let Some(node) = options.nodes.first() else { return Ok(()) };
-    let patience = match options.patience {
-        0 => UNLIMITED_PATIENCE,
+    let retry_timeout = match options.patience {
+        0 => UNLIMITED_RETRY_TIMEOUT,
         seconds => Duration::from_secs(seconds),
     };
-    let controller = ControllerClient::new(*node, patience);
-    let own_ids: HashSet<&Name> = specs.iter().map(|spec| &spec.id).collect();
+    let controller = ControllerClient::new(*node, retry_timeout);
+    let input_ids: HashSet<&Name> = specs.iter().map(|spec| &spec.id).collect();
     let mut is_known: HashMap<&Name, bool> = HashMap::new();
     let mut faults = Vec::new();
     for spec in specs {
-        for dependency in spec.needs.iter().filter(|id| !own_ids.contains(id)) {
+        for dependency in spec.needs.iter().filter(|id| !input_ids.contains(id)) {
             let known = match is_known.get(dependency) {
                 Some(known) => *known,
                 None => exists(&controller, dependency).await?,
@@ -82,7 +84,7 @@
     }
 }
 
-/// Whether a controller knows a job.
+/// Reports whether a controller knows a job.
 async fn exists(controller: &ControllerClient, id: &Name) -> Result<bool, RequestError> {
     match controller.job(id).await {
         Ok(_) => Ok(true),
--- a/src/commands/submit/error.rs
+++ b/src/commands/submit/error.rs
@@ -1,4 +1,4 @@
-//! Why the command could not be carried out, and its exit codes.
+//! Errors of `coralnotch submit`, and their exit codes.
 
 use std::fmt;
 use std::io;
@@ -10,47 +10,47 @@
 use crate::commands::output::{EXIT_BAD_INPUT, EXIT_FAILURE};
 use crate::model::Name;
 
-/// Why the command could not be carried out.
+/// An error that ends `coralnotch submit`.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SubmitError {
-    /// The input can't be read.
-    #[error("{file}: {source}")]
+    /// The input cannot be read.
+    #[error("{file}: cannot read the jobs: {source}")]
     ReadInput { file: String, source: io::Error },
-    /// The input has faults.
+    /// The input has invalid jobs or dependencies.
     #[error(transparent)]
     Input(#[from] InputFaults),
-    /// A controller could not be asked for the jobs that others need.
+    /// The request for the state of a dependency failed.
     #[error(transparent)]
     Request(#[from] RequestError),
-    /// The answers' file can't be opened.
-    #[error("{}: {source}", .path.display())]
+    /// The answers file cannot be opened.
+    #[error("{}: cannot open the answers file: {source}", .path.display())]
     OpenAnswers { path: PathBuf, source: io::Error },
-    /// The answers' file has a line that is no answer.
-    #[error("{}: line {line}: {source}", .path.display())]
+    /// A line of the answers file is not an answer.
+    #[error("{}: line {line} is not an answer: {source}", .path.display())]
     InvalidAnswer { path: PathBuf, line: usize, source: serde_json::Error },
-    /// An answer could not be written.
-    #[error("the answers' file: {0}")]
+    /// Writing to the answers file failed.
+    #[error("cannot write to the answers file: {0}")]
     WriteAnswer(#[source] io::Error),
-    /// The client library could not do its part.
+    /// The client library reported an error.
     #[error(transparent)]
     Client(#[from] coralnotch_client::Error),
-    /// Jobs without a final answer at the deadline.
+    /// Some jobs have no final answer at the deadline.
     #[error("{jobs} jobs have no final answer yet; {}", resume_hint(.has_journal))]
     Unanswered { jobs: usize, has_journal: bool },
-    /// Jobs that were not accepted at the deadline, with some of their ids.
-    #[error("gave up: {jobs} jobs are not accepted yet ({} …); is a controller running there?", .examples.join(", "))]
+    /// Some jobs are not accepted at the deadline; `examples` has the ids of a few of them.
+    #[error("{jobs} jobs were not accepted in time (such as {}); check that a controller is running", .examples.join(", "))]
     NotAccepted { jobs: usize, examples: Vec<String> },
 }
 
 fn resume_hint(has_journal: &bool) -> &'static str {
     match has_journal {
-        true => "they are in the journal: the same command goes on with them",
-        false => "with --journal the same command would go on with them",
+        true => "they are in the journal; run the same command again to continue",
+        false => "with --journal, the same command can be run again to continue",
     }
 }
 
 impl SubmitError {
-    /// The command's exit code.
+    /// Returns the exit code of a command that ends with this error.
     pub(super) fn exit_code(&self) -> u8 {
         use coralnotch_client::Error as ClientError;
         match self {
@@ -73,7 +73,7 @@
     }
 }
 
-/// All faults of an input, printed a line each.
+/// All errors of an input.  They are printed on one line each, with the name of the file.
 #[derive(Debug)]
 pub(super) struct InputFaults {
     pub(super) file: String,
@@ -94,39 +94,40 @@
 
 impl std::error::Error for InputFaults {}
 
-/// What is wrong with an input.
+/// An error of an input: an invalid job or an invalid dependency.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum InputFault {
-    /// The only job is invalid.
+    /// The only job of the input is invalid.
     #[error("{0}")]
     Job(JobFault),
-    /// The job on a line is invalid.
+    /// The job on this line is invalid.
     #[error("line {line}: {fault}")]
     Line { line: usize, fault: JobFault },
-    /// Two jobs have the same id.
-    #[error("line {line}: {id} is there twice")]
+    /// The job on this line has the id of an earlier job.
+    #[error("line {line}: duplicate job id {id}")]
     DuplicateId { line: usize, id: Name },
-    /// A service runs until it is cancelled, so the job would never start.
-    #[error("{id} needs {dependency}, a service, which is never done")]
-    NeedsService { id: Name, dependency: Name },
-    /// The job is in a cycle of dependencies, or depends on one.
-    #[error("{id} needs itself, or waits for jobs that do")]
+    /// The job depends on a service.  A service runs until it is cancelled, so the job would never
+    /// start.
+    #[error("{id} depends on {dependency}, a service, which never completes")]
+    DependsOnService { id: Name, dependency: Name },
+    /// The job is in a dependency cycle, or depends on a job that is in one.
+    #[error("{id} depends on itself, directly or through other jobs, or on a job that does")]
     Cycle { id: Name },
-    /// No controller knows the dependency, and the input does not have it.
-    #[error("{id} needs {dependency}, which nobody submitted")]
+    /// The dependency is not in the input, and the controller does not know it.
+    #[error("{id} depends on {dependency}, which is neither in the input nor submitted")]
     UnknownDependency { id: Name, dependency: Name },
 }
 
-/// What is wrong with one job.
+/// An error of a single job.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum JobFault {
-    /// It is no JSON, or not in the form of the protocol.
+    /// The job is not valid JSON, or not in the format of the API.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// No id could be generated for it.
+    /// Generating an id for the job failed.
     #[error("{0}")]
     Id(#[from] RandomnessError),
-    /// A value that every controller would refuse.
-    #[error("bad value: {0}")]
+    /// The job has a value that every controller refuses, for this reason.
+    #[error("invalid value: {0}")]
     Value(&'static str),
 }
--- a/src/commands/submit/input.rs
+++ b/src/commands/submit/input.rs
@@ -1,4 +1,4 @@
-//! Reads the jobs of a file.
+//! Reading and parsing of the jobs to submit.
 
 use std::collections::HashSet;
 use std::io;
@@ -10,7 +10,7 @@
 use super::error::{InputFault, InputFaults, JobFault, SubmitError};
 use crate::model::JobSpec;
 
-/// The text of a file; `-` is standard input.
+/// Returns the text of a file, or of standard input for `-`.
 pub(super) fn read(file: &str) -> Result<String, SubmitError> {
     let text = match file {
         "-" => io::read_to_string(io::stdin()),
@@ -19,7 +19,11 @@
     text.map_err(|source| SubmitError::ReadInput { file: file.to_owned(), source })
 }
 
-/// The jobs of a text: one, or one a line.  The error has all faults.
+/// Parses the jobs of a text, which has either a single job or one job per line.
+///
+/// # Errors
+///
+/// Returns all errors of the jobs and of the dependencies between them.
 pub(super) fn parse_jobs(file: &str, text: &str) -> Result<Vec<JobSpec>, InputFaults> {
     let (specs, mut faults) = match has_job_per_line(text) {
         true => parse_lines(text),
@@ -35,7 +39,7 @@
     }
 }
 
-/// Whether each line is a job of its own: one job may be spread over lines.
+/// Reports whether each line is a job of its own, as opposed to a single job spread over several lines.
 fn has_job_per_line(text: &str) -> bool {
     let mut lines = text.lines().filter(|line| !line.trim().is_empty());
     let (Some(first), Some(_)) = (lines.next(), lines.next()) else { return false };
@@ -55,7 +59,7 @@
     (specs, faults)
 }
 
-/// A job as JSON; one without an id gets a new one.
+/// Parses a job from JSON.  A job without an id gets a generated one.
 fn parse_job(text: &str) -> Result<JobSpec, JobFault> {
     let mut value: Value = serde_json::from_str(text)?;
     if let Some(fields) = value.as_object_mut() {
