--- a/packages/policy/src/config.rs
+++ b/packages/policy/src/config.rs
@@ -102,7 +102,7 @@
     pub value_kb: f64,
     /// Maximum number of puts and deletes in a transaction.
     pub txn_ops: usize,
-    /// Limits that replace these at some later time without notice; `None` if no change is planned.
+    /// Limits that replace these at some later time, without notice; `None` if they never change.
     #[serde(default)]
     pub next: Option<NextState>,
 }
--- a/packages/policy/src/policy/check.rs
+++ b/packages/policy/src/policy/check.rs
@@ -55,7 +55,7 @@
     pub text: String,
     /// What is wrong, and what is allowed.
     pub message: String,
-    /// A suggestion how to correct the definition; `None` if there is none.
+    /// Suggestion for a correction; `None` if there is none.
     pub hint: Option<String>,
 }
 
@@ -136,7 +136,7 @@
     InvalidReference,
 }
 
-/// An evaluation of policy definitions, which evaluates each definition once.
+/// The state of an evaluation of policy definitions.  Each definition is evaluated once.
 pub struct Evaluation<'a> {
     /// Definitions by name.  A definition in the operators' policy file has replaced the default one.
     pub definitions: &'a BTreeMap<String, SourcedDefinition>,
--- a/src/commands/logging.rs
+++ b/src/commands/logging.rs
@@ -4,7 +4,7 @@
 
 use tracing_subscriber::filter::LevelFilter;
 
-/// The value of `LOG_FORMAT` is no known format of log lines.
+/// The error for a value of `LOG_FORMAT` that is not a known format of log lines.
 #[derive(Debug, thiserror::Error)]
 #[error("LOG_FORMAT is {0:?}, but must be text or json")]
 pub struct UnknownFormat(String);
--- a/src/commands/submit/acceptance.rs
+++ b/src/commands/submit/acceptance.rs
@@ -12,7 +12,7 @@
 use crate::commands::output::print_line;
 use crate::model::Name;
 
-/// Maximum number of ids that an error about jobs without acceptance names.
+/// Maximum number of job ids in the error about jobs that were not accepted.
 const MAX_EXAMPLES: usize = 3;
 
 /// Waits until each job is accepted or has a final answer, and prints either.  Returns whether no job
--- a/src/commands/submit/tests.rs
+++ b/src/commands/submit/tests.rs
@@ -11,9 +11,10 @@
     assert_eq!(parse_jobs("f", &pretty).expect("one job on several lines is valid").len(), 1);
     let many = parse_jobs("f", &format!("{JOB}\n\n{JOB}\n")).expect("two jobs are valid");
     assert_ne!(many[0].id, many[1].id);
-    let own = JOB.replacen('{', "{\"nameId\":\"j-1\",", 1);
-    let faults =
-        parse_jobs("f", &format!("{own}\n{own}\n{{}}\nnonsense\n")).expect_err("three jobs are invalid").to_string();
+    let with_id = JOB.replacen('{', "{\"nameId\":\"j-1\",", 1);
+    let faults = parse_jobs("f", &format!("{with_id}\n{with_id}\n{{}}\nnonsense\n"))
+        .expect_err("three jobs are invalid")
+        .to_string();
     for part in ["f: line 2: duplicate job id j-1", "f: line 3: missing field", "f: line 4:"] {
         assert!(faults.contains(part), "{part} is missing in {faults}");
     }
