--- a/packages/policy/src/config.rs
+++ b/packages/policy/src/config.rs
@@ -274,12 +274,15 @@
             return err("deployment.cloud.list_lag_s", "the value is not a finite number of 0 or more");
         }
         if workers.lease_s < 2.0 * workers.report_s {
-            return err("deployment.workers.lease_s", "the value is less than twice report_s, which is the minimum");
+            return err(
+                "deployment.workers.lease_s",
+                "the value is too low; it must be at least twice deployment.workers.report_s",
+            );
         }
         if limits.txn_ops < 4 {
             return err(
                 "deployment.state.txn_ops",
-                "the value is less than 4 here or in deployment.state.next; the minimum is 4",
+                "the value, here or in deployment.state.next, is too low; it must be at least 4",
             );
         }
         for team in &deployment.teams {
