--- a/packages/core/src/sim/cloud.rs
+++ b/packages/core/src/sim/cloud.rs
@@ -1,20 +1,21 @@
-//! Model of the cloud: it creates, deletes and lists machines.
+//! Model of the cloud, which creates, deletes and lists machines.
 
 use super::*;
 
-/// How many machine lists are kept, one a second.
+/// Number of past machine lists that are kept, at one a second.
 const KEPT_LISTS: usize = 10;
 
 impl World {
-    /// Keeps the fleet up; new machines become known by their heartbeats.
+    /// Replaces lost machines until at most one of `machine_count` is missing.  Controllers learn
+    /// of a new machine by its heartbeats.
     pub(super) fn scale_out(&mut self) {
-        while self.workers.iter().filter(|worker| worker.alive).count() < self.scale - 1 {
+        while self.workers.iter().filter(|worker| worker.alive).count() < self.machine_count - 1 {
             let i = self.workers.len();
             self.workers.push(Worker::new(i, self.now, self.now + 1000));
         }
     }
 
-    /// Deletes machines for a controller, unless the cloud's interface is down.
+    /// Deletes machines for a controller, unless the cloud API is unavailable.
     pub(super) fn delete_machines(&mut self, names: Vec<Name>, from: usize, incarnation: u64) {
         if self.now < self.faults.cloud_outage_until {
             return;
@@ -27,7 +28,7 @@
         self.scale_out();
     }
 
-    /// Keeps the present list of machines, for later answers.
+    /// Records the current list of machines for later responses.
     pub(super) fn record_machine_list(&mut self) {
         self.machine_lists.push(self.machine_list());
         if self.machine_lists.len() > KEPT_LISTS {
@@ -35,7 +36,7 @@
         }
     }
 
-    /// The cloud's answer: the machines of now, or of some seconds ago.
+    /// Returns the cloud's response to a list request, which may be some seconds old.
     pub(super) fn stale_machine_list(&mut self) -> Vec<ListedMachine> {
         match self.machine_lists.len() {
             0 => self.machine_list(),
--- a/packages/core/src/sim/controllers.rs
+++ b/packages/core/src/sim/controllers.rs
@@ -1,41 +1,43 @@
-//! Three controllers, whose decisions are production code.
+//! Three simulated controllers.  Their decisions are made by the production code; the
+//! simulation replaces only the I/O.
 
 use super::*;
 use crate::cluster::{Machine, TaskPhase, UnmetDemand};
 
-/// How long a controller waits for the response to a transaction.
+/// Time for which a controller waits for the response to a transaction.
 pub(super) const TXN_TIMEOUT: Ms = 1500;
-/// How long before workers reach it again a controller still hands its lease over.
+/// A leader that is unreachable for workers gives up its lease when less than this time
+/// remains before workers can reach it again.
 const HANDOVER_MARGIN: Ms = 8_000;
 
-/// A transaction without a response so far.
+/// A transaction whose response has not arrived yet.
 pub(super) struct CommitInFlight {
     pub(super) batch: CommitBatch,
     pub(super) request: u64,
     sent_at: Ms,
 }
 
-/// A controller that leads, or believes that it does.
+/// A controller that was elected and has not yet learned that it lost the leadership.
 pub(super) struct Controller {
-    /// Until when its lease lasts, as far as it knows.
+    /// Time at which the leader lease expires, as far as the controller knows.
     pub(super) lease_until: Ms,
-    /// The revision of its leader key.
+    /// Revision at which the controller wrote the leader key.
     pub(super) leader_revision: u64,
     pub(super) lease_id: u64,
     pub(super) cluster: Cluster,
     pub(super) commit_in_flight: Option<CommitInFlight>,
-    /// The incarnation of its process: responses to an earlier one are dropped.
+    /// Incarnation of the controller's process.  Responses to an earlier incarnation are dropped.
     pub(super) incarnation: u64,
     pub(super) unmet_demand: Vec<UnmetDemand>,
 }
 
 impl Controller {
-    /// Whether it may act as the leader, as far as it knows.
+    /// Reports whether the leader lease is still valid, as far as the controller knows.
     pub(super) fn has_lease(&self, now: Ms) -> bool {
         now < self.lease_until
     }
 
-    /// Applies a heartbeat and gives the reply; `None` if the heartbeat is outdated.
+    /// Applies a heartbeat and returns the reply, or `None` if a newer heartbeat supersedes it.
     pub(super) fn accept_heartbeat(&mut self, heartbeat: &Heartbeat, now: Instant) -> Option<HeartbeatReply> {
         if self.cluster.apply_heartbeat(heartbeat, HeartbeatSource::Worker, now) == HeartbeatOutcome::Superseded {
             return None;
@@ -46,7 +48,7 @@
         Some(self.cluster.reply_to_heartbeat(heartbeat, now))
     }
 
-    /// Applies a defect that acts in each step.
+    /// Applies a defect that takes effect in each step.
     fn inject_defect(&mut self, defect: InjectedDefect) {
         match defect {
             InjectedDefect::UnblockBeforeCommit => {
@@ -71,15 +73,15 @@
         }
     }
 
-    /// Applies a defect that acts after each placement pass.
+    /// Applies a defect that takes effect after each placement pass.
     fn inject_pass_defect(&mut self, defect: InjectedDefect, now: Instant) {
         match defect {
             InjectedDefect::ReleaseAfterMissedHeartbeats => {
-                let is_quiet =
+                let is_overdue =
                     |machine: &&Machine| machine.last_heartbeat.is_some_and(|at| now.duration_since(at).as_secs() >= 5);
-                let quiet = self.cluster.machines.values().filter(is_quiet);
-                let quiet: Vec<Name> = quiet.map(|machine| machine.name.clone()).collect();
-                for name in quiet {
+                let overdue = self.cluster.machines.values().filter(is_overdue);
+                let overdue: Vec<Name> = overdue.map(|machine| machine.name.clone()).collect();
+                for name in overdue {
                     self.cluster.release_all_assignments(&name, now);
                 }
             }
@@ -91,7 +93,8 @@
         }
     }
 
-    /// Releases the tasks of machines that a list lacks, if that is the defect.
+    /// Releases the tasks of machines that are missing from a machine list, if `defect` is
+    /// `ReleaseUnlistedMachines`.
     fn inject_list_defect(&mut self, defect: InjectedDefect, list: &[ListedMachine], now: Instant) {
         if defect != InjectedDefect::ReleaseUnlistedMachines {
             return;
@@ -103,7 +106,8 @@
         }
     }
 
-    /// Forgets that a command without a response may have been carried out.
+    /// Releases the assigned tasks of a machine although a start command without a response
+    /// may have been executed.
     pub(super) fn forget_unanswered_start(&mut self, name: &Name, now: Instant) {
         let Some(machine) = self.cluster.machines.get_mut(name) else { return };
         machine.in_doubt_token = None;
@@ -116,17 +120,17 @@
 }
 
 impl World {
-    /// The controller of an index, if its process is still of that incarnation.
+    /// Returns the controller at an index if its process still has the given incarnation.
     pub(super) fn controller_mut(&mut self, i: usize, incarnation: u64) -> Option<&mut Controller> {
         self.controllers[i].as_mut().filter(|controller| controller.incarnation == incarnation)
     }
 
-    /// Whether a controller believes that it leads.
+    /// Reports whether a controller has a valid leader lease, as far as it knows.
     pub(super) fn has_lease(&self, i: usize) -> bool {
         self.controllers[i].as_ref().is_some_and(|controller| controller.has_lease(self.now))
     }
 
-    /// Elections, and a step of each controller that leads.
+    /// Runs elections, and one step of each leader that is not paused.
     pub(super) fn step_controllers(&mut self) {
         if self.now.is_multiple_of(1000) {
             self.record_machine_list();
@@ -140,11 +144,11 @@
         }
     }
 
-    /// One step of a controller; `None`: it does not lead any more.
+    /// Runs one step of a controller and returns it, or `None` if it no longer leads.
     fn step_controller(&mut self, i: usize, mut controller: Controller) -> Option<Controller> {
-        let now = self.at(self.now);
+        let now = self.instant_at(self.now);
         self.pause_or_resume(i, &mut controller, now);
-        let trusts_expired = self.defect == InjectedDefect::TrustExpiredLease && controller.has_lease(self.now);
+        let trusts_expired_lease = self.defect == InjectedDefect::TrustExpiredLease && controller.has_lease(self.now);
         if self.may_hand_over(i) {
             self.state_store.leases.remove(&controller.lease_id);
             return None;
@@ -153,8 +157,8 @@
         let holds_key = self.state_store.leader == Some(own_key)
             && self.state_store.revision(key::LEADER) == controller.leader_revision;
         let is_served = self.is_served(i) && self.now >= self.faults.lease_renewal_blocked_until[i];
-        if is_served && !holds_key && !trusts_expired {
-            return None; // the state service tells it that its lease is gone
+        if is_served && !holds_key && !trusts_expired_lease {
+            return None; // the state service reports that the leader lease is lost
         }
         if is_served && holds_key && self.now.is_multiple_of(500) {
             controller.lease_until = self.now + self.lease_ttl();
@@ -168,23 +172,23 @@
             if self.now.is_multiple_of(500) {
                 self.run_pass(i, &mut controller, now);
             }
-            for call in controller.cluster.take_direct_commands(usize::MAX) {
-                self.send(Message::DirectCommandRequest { from: i, incarnation: controller.incarnation, call });
+            for command in controller.cluster.take_direct_commands(usize::MAX) {
+                self.send(Message::DirectCommandRequest { from: i, incarnation: controller.incarnation, command });
             }
         }
-        self.commit(i, &mut controller, trusts_expired);
+        self.commit(i, &mut controller, trusts_expired_lease);
         Some(controller)
     }
 
-    /// The term of a leader's lease.
+    /// Returns the duration of the leader lease.
     pub(super) fn lease_ttl(&self) -> Ms {
         self.policy.ttl.as_millis() as Ms
     }
 
-    /// A pause begins in this step, or ended before it.
+    /// Starts a scheduled pause of a controller, or records that its last pause has ended.
     fn pause_or_resume(&mut self, i: usize, controller: &mut Controller, now: Instant) {
         if let Some(pause) = self.faults.next_pause.take_if(|pause| pause.controller == i) {
-            // from here on nothing is sent before it resumes
+            // messages that the controller sends from here on leave when it resumes
             self.faults.paused_until[i] = self.now + pause.duration;
             if self.defect == InjectedDefect::TrustExpiredLease {
                 controller.lease_until += pause.duration;
@@ -195,14 +199,15 @@
         }
     }
 
-    /// Whether a controller that workers don't reach hands over: it has asked its peers.
+    /// Reports whether a leader that workers cannot reach gives up its lease now.  The
+    /// production leader asks its peers first; the simulation skips that exchange.
     fn may_hand_over(&self, i: usize) -> bool {
         let until = self.faults.workers_unreachable_until[i];
         let is_unreachable = self.now < until && until - self.now < HANDOVER_MARGIN;
         is_unreachable && self.now >= self.faults.lease_renewal_blocked_until[i]
     }
 
-    /// Reads outcomes of dependencies that the controller lacks.
+    /// Reads from the state service the outcomes of dependencies that the controller lacks.
     fn fetch_outcomes(&self, controller: &mut Controller, now: Instant) {
         for id in controller.cluster.dependency.outcomes_to_fetch(3, Duration::from_secs(1), now) {
             if let Some(outcome) = self.state_store.outcome(&id) {
@@ -211,7 +216,7 @@
         }
     }
 
-    /// What a leader does every half second.
+    /// Runs the periodic work of a leader: placement, garbage collection and fleet planning.
     fn run_pass(&mut self, i: usize, controller: &mut Controller, now: Instant) {
         controller.unmet_demand = controller.cluster.run_placement_pass(now);
         controller.cluster.collect_garbage(now);
@@ -228,19 +233,19 @@
         controller.inject_pass_defect(self.defect, now);
     }
 
-    /// Sends the next transaction, once the last one is answered or has timed out.
-    fn commit(&mut self, i: usize, controller: &mut Controller, trusts_expired: bool) {
+    /// Sends the next transaction once the previous one has a response or has timed out.
+    fn commit(&mut self, i: usize, controller: &mut Controller, trusts_expired_lease: bool) {
         let sent_at = self.now;
         let is_late = |commit: &mut CommitInFlight| sent_at - commit.sent_at > TXN_TIMEOUT;
         if let Some(CommitInFlight { batch, .. }) = controller.commit_in_flight.take_if(is_late) {
-            // no response: it may be carried out yet
+            // the state service may still apply a transaction whose response is missing
             controller.cluster.restore_uncommitted(batch);
         }
         if controller.commit_in_flight.is_some() {
             return;
         }
         let Some(mut batch) = controller.cluster.next_commit(controller.leader_revision, &self.limits) else { return };
-        if trusts_expired {
+        if trusts_expired_lease {
             batch.txn.preconditions.retain(|p| p.key != key::LEADER && !p.key.starts_with(key::SHARD));
         }
         let (request, txn) = (self.last_sequence, batch.txn.clone());
--- a/packages/core/src/sim/defect.rs
+++ b/packages/core/src/sim/defect.rs
@@ -1,48 +1,52 @@
-//! Defects that are injected to show that the invariants are checked.
+//! Defects that are injected to show that the checker detects them.
 
-/// An invariant that is broken on purpose.
+/// A deliberate defect in the decisions or in the I/O of a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum InjectedDefect {
-    /// Nothing is wrong.
+    /// No defect is injected.
     None,
-    /// Tasks of a machine without a heartbeat for 5 s are released.
+    /// The leader releases the tasks of a machine without a heartbeat for 5 s.
     ReleaseAfterMissedHeartbeats,
-    /// Commands are sent before their start is stored.
+    /// The leader sends start commands before the starts are stored.
     StartBeforeCommit,
-    /// A direct start without a response is forgotten at once.
+    /// The leader immediately releases the tasks of a direct start that got no response.
     ForgetUnansweredStart,
-    /// Heartbeats are ordered by the time they are read, however late they are.
+    /// The leader orders heartbeats by their time of arrival instead of their sequence number.
     OrderHeartbeatsByArrival,
-    /// Tasks of a machine that a list lacks are released.
+    /// The leader releases the tasks of a machine that is missing from a machine list.
     ReleaseUnlistedMachines,
-    /// A job with dependencies starts when it is submitted.
+    /// Controllers ignore the dependencies of a job.
     IgnoreDependencies,
-    /// An outcome that is not stored yet unblocks the jobs that depend on it.
+    /// An outcome unblocks the jobs that depend on it before the outcome is stored.
     UnblockBeforeCommit,
     /// A new leader blocks jobs that have started already.
     BlockStartedJobs,
-    /// Jobs that depend on a cancelled one are left as they are.
+    /// Jobs that depend on a cancelled one are not cancelled.
     SkipCascadingCancellation,
-    /// Garbage collection uses the token of the direct start that it ends.
+    /// A command that follows a direct start reuses the fencing token of that start, so that a
+    /// late copy of the start is not rejected.
     KeepTokenOfDirectStart,
-    /// A candidate does not check whether another one was quicker.
+    /// The transaction of a candidate has no preconditions, so that it succeeds even if another
+    /// candidate was elected first.
     ElectWithoutPreconditions,
-    /// Leases are renewed in an outage and in a partitioned zone whatever is known of
-    /// cancellations.
+    /// Worker leases are renewed, also in an outage or a partitioned zone, without a check
+    /// that the controller's knowledge of cancellations is recent enough.
     RenewLeasesUnchecked,
-    /// A cancellation is confirmed to its user at once, whoever knows of it.
+    /// A cancellation is confirmed to its user immediately, even if some controllers do not
+    /// know of it.
     ConfirmCancellationAtOnce,
-    /// A job without an outcome is reported as unfinished whatever became of its
-    /// dependencies.
+    /// A job without an outcome is reported as unfinished even if one of its dependencies is
+    /// cancelled.
     ReportUnfinishedUnchecked,
-    /// What some of the peers know is taken for what all know.
+    /// The knowledge of cancellations counts as complete once a single peer has responded.
     TrustPartialPeerKnowledge,
-    /// A controller that does not know a job reports that no task of it is left, though it
-    /// does not lead, or has not read the records.
+    /// A controller without the leader lease reports that no task of a job is left, although it
+    /// does not know the job's tasks.
     ReportNoTasksUnchecked,
-    /// A heartbeat that repeats an earlier one counts as new, whatever came in between.
+    /// A forwarded heartbeat that is marked as unchanged counts as new, even if other heartbeats
+    /// arrived in between.
     AcceptAnyUnchangedHeartbeat,
-    /// A controller that was paused trusts the lease it had before, and its writes have no
-    /// precondition on the leader key.
+    /// A controller that resumes from a pause trusts its earlier leader lease, and its
+    /// transactions have no precondition on the leader key.
     TrustExpiredLease,
 }
--- a/packages/core/src/sim/driver.rs
+++ b/packages/core/src/sim/driver.rs
@@ -2,25 +2,25 @@
 
 use super::*;
 
-/// The time after the beginning of the calm in which the last faults end.
+/// Time after the start of the quiescent period within which the remaining faults end.
 const SETTLING_TIME: Ms = 15_000;
 
 impl World {
-    /// Runs to a given time, or to the first violation; from `calm_from` on nothing is
-    /// submitted, and faults end.
-    pub(super) fn run(mut self, until: Ms, calm_from: Ms) -> World {
+    /// Runs until the given time or the first violation.  The quiescent period starts at
+    /// `quiescent_from`: users submit nothing more, and no new faults are injected.
+    pub(super) fn run(mut self, until: Ms, quiescent_from: Ms) -> World {
         while self.now < until && self.violations.is_empty() {
             self.now += STEP;
             self.deliver_due_messages();
             self.lower_limits(until);
-            let is_calm = self.now >= calm_from;
-            self.step_users(is_calm);
-            if !is_calm && self.rng.u32(0..self.faults.steps_between_faults) == 0 {
+            let is_quiescent = self.now >= quiescent_from;
+            self.step_users(is_quiescent);
+            if !is_quiescent && self.rng.u32(0..self.faults.steps_between_faults) == 0 {
                 self.inject_fault();
             }
             self.step_submission_burst();
             self.cancel_completing_jobs();
-            if self.now == calm_from {
+            if self.now == quiescent_from {
                 self.end_faults();
             }
             self.crash_due_controllers();
@@ -30,7 +30,7 @@
             self.step_workers();
             if self.now.is_multiple_of(1000) {
                 self.check_invariants();
-                if self.now > calm_from + SETTLING_TIME {
+                if self.now > quiescent_from + SETTLING_TIME {
                     self.check_starvation();
                 }
             }
@@ -38,9 +38,9 @@
         self
     }
 
-    /// Lowers the limits of a transaction in the course of a run, without notice: after a
-    /// third all controllers keep to the new ones, after a half the state service insists
-    /// on them.
+    /// Lowers the transaction limits during a run, without notice.  The controllers apply the
+    /// new limits after a third of the run, and the state service enforces the new size of a
+    /// value after half of it.
     fn lower_limits(&mut self, until: Ms) {
         if self.now == until / 3 {
             self.limits_lowered_at = self.now;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Lets all faults end soon: what is left has to settle.
+    /// Ends all faults within the settling time, so that the remaining jobs can make progress.
     fn end_faults(&mut self) {
         let end = self.now + SETTLING_TIME;
         self.faults.end_by(self.now, end);
--- a/packages/core/src/sim/election.rs
+++ b/packages/core/src/sim/election.rs
@@ -1,11 +1,11 @@
-//! Leader election over the state service, and the start of a new leader.
+//! Leader election through the state service, and the start of a new leader.
 
 use super::*;
 
-/// How long a candidate waits for the response.
+/// Time for which a candidate waits for the response to its election transaction.
 const ELECTION_TIMEOUT: Ms = 1500;
 
-/// A controller that waits for the response to its election.
+/// A controller that waits for the response to its election transaction.
 #[derive(Clone, Copy)]
 pub(super) struct Candidate {
     pub(super) incarnation: u64,
@@ -16,12 +16,12 @@
 }
 
 impl World {
-    /// Controllers that find no leader, or their own earlier incarnation as leader, become
-    /// candidates.  A process may crash between any two steps of an election.
+    /// Lets controllers become candidates if they find no leader, or find their own earlier
+    /// incarnation as the leader.  A process may crash between any two steps of an election.
     pub(super) fn elect_leader(&mut self) {
         self.state_store.expire_leases(self.now);
         if self.now < self.faults.state_store_outage_until {
-            // after an outage every lease has its full time again
+            // after an outage, every lease lasts for its full duration again
             let until = self.faults.state_store_outage_until + self.lease_ttl();
             self.state_store.leases.values_mut().for_each(|lease| *lease = until);
             return;
@@ -34,13 +34,14 @@
             }
             if let Some(candidate) = self.candidates[i] {
                 if self.now - candidate.sent_at > ELECTION_TIMEOUT {
-                    // no response: it may be carried out yet
+                    // the state service may still apply a transaction whose response is missing
                     self.candidates[i] = None;
                 }
                 continue;
             }
             let is_free = self.state_store.leader.is_none_or(|leader| leader.controller == i);
-            // one that workers don't reach leaves it to others that can lead
+            // a controller that workers cannot reach does not stand for election while they can reach
+            // another one
             let yields = self.faults.workers_unreachable_until[i] > self.now && !all_unreachable;
             if is_free && !yields && self.rng.u32(0..3) != 0 {
                 self.start_candidacy(i);
@@ -48,8 +49,8 @@
         }
     }
 
-    /// A controller reads the leader key and the term, takes a lease, and sends a
-    /// transaction that writes both, on condition that they are as it has read them.
+    /// Starts a candidacy: the controller reads the leader key and the term, acquires a lease,
+    /// and sends a transaction that writes both keys if neither has changed since it was read.
     fn start_candidacy(&mut self, i: usize) {
         let term = self.state_store.read::<u64>(key::TERM).unwrap_or(0) + 1;
         let mut txn = Txn::default();
@@ -68,25 +69,25 @@
         self.send(Message::ElectionRequest { from: i, incarnation, request, lease_id, term, txn });
     }
 
-    /// The state service carries out an election, if its lease still lasts; the response
-    /// is the revision of the leader key.
+    /// Applies an election transaction in the state service if the candidate's lease is still
+    /// valid.  Returns the revision of the leader key, or `None` if the candidate is not elected.
     pub(super) fn apply_election(&mut self, from: usize, lease_id: u64, term: u64, txn: &Txn) -> Option<u64> {
         if self.now < self.faults.state_store_outage_until || !self.state_store.leases.contains_key(&lease_id) {
             return None;
         }
         let is_reelection = self.state_store.leader.is_some_and(|leader| leader.controller == from);
         let revision = self.state_store.apply(txn).ok()?;
-        if term <= self.term {
-            self.violations.push(format!("term {term} was given before"));
+        if term <= self.greatest_term {
+            self.violations.push(format!("election in term {term}, which is not greater than all earlier terms"));
         }
-        self.term = self.term.max(term);
+        self.greatest_term = self.greatest_term.max(term);
         self.statistics.elections += 1;
         self.statistics.reelections += u32::from(is_reelection);
         self.state_store.leader = Some(LeaderKey { controller: from, lease_id });
         Some(revision)
     }
 
-    /// A candidate learns whether it is elected.
+    /// Handles the response to an election transaction.
     pub(super) fn receive_election_response(&mut self, i: usize, incarnation: u64, request: u64, elected: Option<u64>) {
         let is_current =
             |candidate: &mut Candidate| candidate.incarnation == incarnation && candidate.request == request;
@@ -97,7 +98,8 @@
         }
     }
 
-    /// Old heartbeats reach every controller just as a new leader starts.
+    /// Sends copies of old heartbeats to every controller, so that they arrive just after a new
+    /// leader has started.
     fn replay_heartbeats(&mut self) {
         for heartbeat in std::mem::take(&mut self.replayed_heartbeats) {
             for to in 0..3 {
@@ -108,9 +110,9 @@
         }
     }
 
-    /// A new leader reads all records, and begins.
+    /// Loads the stored records into a new leader and starts it.
     fn start_leading(&mut self, i: usize, candidate: Candidate, leader_revision: u64) {
-        let now = self.at(self.now);
+        let now = self.instant_at(self.now);
         let mut cluster = Cluster::new(candidate.term, self.policy.clone(), self.teams.clone(), now);
         cluster.set_types(&[machine_type("t")]);
         let has_controller = |zone: &usize| self.zone_without_controller != Some(*zone);
@@ -118,7 +120,7 @@
             (0..3).filter(has_controller).map(|zone| Name::from(format!("z{zone}"))).collect();
         self.load_records(&mut cluster, now);
         cluster.apply_machine_list(&self.stale_machine_list(), now);
-        // an earlier leader goes on believing in itself until its lease has expired
+        // an earlier leader continues to act as the leader until its lease has expired
         self.controllers[i] = Some(Controller {
             lease_until: candidate.sent_at + self.lease_ttl(),
             leader_revision,
@@ -134,15 +136,16 @@
     fn load_records(&self, cluster: &mut Cluster, now: Instant) {
         let paths = self.state_store.kv.keys().filter(|path| path.starts_with(key::SHARD));
         let entries = paths.filter_map(|path| self.state_store.entry(path));
-        let shards: Vec<_> = entries.map(|entry| read_shard(&entry.key, &entry).expect("our own shard")).collect();
+        let shards: Vec<_> =
+            entries.map(|entry| read_shard(&entry.key, &entry).expect("a stored shard is readable")).collect();
         let started = started_jobs(shards.iter().map(|shard| &shard.shard));
         for SubmittedJob { spec, revision } in self.jobs.values() {
-            // outcomes are known only of jobs that a shard names
+            // a job with an outcome is loaded only if a shard names the job
             match (self.state_store.outcome(&spec.id), started.contains(&spec.id)) {
                 (None, true) if self.defect != InjectedDefect::BlockStartedJobs => {
                     cluster.add_started_job(spec.clone(), *revision, None, now);
                 }
-                (None, _) => cluster.add_job(self.job_under_defect(spec), *revision, None, now),
+                (None, _) => cluster.add_job(self.spec_under_defect(spec), *revision, None, now),
                 (outcome, true) => cluster.add_job(spec.clone(), *revision, outcome, now),
                 _ => {}
             }
@@ -152,8 +155,9 @@
         }
     }
 
-    /// A job as a controller takes it in; without dependencies if the defect says so.
-    pub(super) fn job_under_defect(&self, spec: &Arc<JobSpec>) -> Arc<JobSpec> {
+    /// Returns the job as a controller adds it: without dependencies if the injected defect is
+    /// `IgnoreDependencies`.
+    pub(super) fn spec_under_defect(&self, spec: &Arc<JobSpec>) -> Arc<JobSpec> {
         match self.defect {
             InjectedDefect::IgnoreDependencies => Arc::new(JobSpec { needs: Vec::new(), ..(**spec).clone() }),
             _ => spec.clone(),
--- a/packages/core/src/sim/faults.rs
+++ b/packages/core/src/sim/faults.rs
@@ -1,64 +1,65 @@
-//! Faults: crashes, pauses, outages and partitions, each until a given time.
+//! Injected faults: crashes, pauses, outages and partitions, each with an end time.
 
 use super::*;
 
-/// Which controller crashes.
+/// Selects the controller that crashes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum CrashTarget {
-    /// Whichever leads at that moment.
+    /// The controller whose leader key is stored at the time of the crash.
     CurrentLeader,
-    /// The controller of this index.
+    /// The controller with this index.
     Controller(usize),
 }
 
-/// A crash at a later time.
+/// A controller crash that is scheduled for a later time.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ScheduledCrash {
     at: Ms,
     target: CrashTarget,
 }
 
-/// A pause of a controller's process, which begins in the middle of its next step.
+/// A pause of a controller's process that begins in the middle of the controller's next step.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Pause {
     pub(super) controller: usize,
     pub(super) duration: Ms,
 }
 
-/// What is broken, and until when.  Arrays are by controller; the controller of an index
-/// is in the zone of the same index.
+/// The active and the scheduled faults, with their end times.  Arrays are indexed by
+/// controller or by zone; each controller is in the zone with the same index.
 pub(super) struct FaultSchedule {
-    /// Steps between two faults, on average.
+    /// Average number of steps between two faults.
     pub(super) steps_between_faults: u32,
     pub(super) scheduled_crashes: Vec<ScheduledCrash>,
-    /// The process does not run.
+    /// Time until which the controller's process is not running.
     pub(super) controller_down_until: [Ms; 3],
     pub(super) next_pause: Option<Pause>,
-    /// The process is paused while its clocks run on: messages to it wait, and what it
-    /// was about to send leaves as it resumes.
+    /// Time until which the process is paused while its clocks advance.  Messages to it wait,
+    /// and messages that it was about to send leave when it resumes.
     pub(super) paused_until: [Ms; 3],
-    /// The controller can't renew its leader lease.
+    /// Time until which the controller cannot renew its leader lease.
     pub(super) lease_renewal_blocked_until: [Ms; 3],
-    /// The state service serves nobody.
+    /// Time until which the state service refuses all controllers.
     pub(super) state_store_outage_until: Ms,
-    /// The state service refuses this controller alone.
+    /// Time until which the state service refuses this controller.
     pub(super) state_store_refuses_until: [Ms; 3],
-    /// The cloud's interface is down.
+    /// Time until which the cloud API is unavailable.
     pub(super) cloud_outage_until: Ms,
-    /// The controller does not reach its peers.
+    /// Time until which the controller and its peers cannot reach each other.
     pub(super) peers_unreachable_until: [Ms; 3],
-    /// The controller and the workers do not reach each other.
+    /// Time until which the controller and the workers cannot reach each other.
     pub(super) workers_unreachable_until: [Ms; 3],
-    /// The zone is cut off from the others.
+    /// Time until which the zone is partitioned from the others.
     pub(super) zone_partitioned_until: [Ms; 3],
-    /// Users submit five jobs of one task a second, a little faster than real users.
+    /// Time until which users submit five single-task jobs a second, slightly faster than real
+    /// users do.
     pub(super) submission_burst_until: Ms,
-    /// Users cancel jobs as their last tasks end.
+    /// Time until which users cancel jobs right after the last task has completed.
     pub(super) cancel_on_completion_until: Ms,
 }
 
 impl FaultSchedule {
-    /// No fault yet.
+    /// Creates a schedule without faults.
     pub(super) fn new(steps_between_faults: u32) -> FaultSchedule {
         FaultSchedule {
             steps_between_faults,
@@ -82,7 +83,8 @@
         self.scheduled_crashes.push(ScheduledCrash { at, target });
     }
 
-    /// Lets faults end by a given time, and a burst of submissions now.
+    /// Shortens faults so that they end by `end`, and a burst of submissions so that it ends at
+    /// `now`.
     pub(super) fn end_by(&mut self, now: Ms, end: Ms) {
         self.scheduled_crashes.retain(|crash| crash.at < end);
         self.submission_burst_until = self.submission_burst_until.min(now);
@@ -102,7 +104,7 @@
 }
 
 impl World {
-    /// A controller's process crashes; what it had sent is still under way.
+    /// Crashes a controller's process.  Messages that it has sent stay in flight.
     fn crash_controller(&mut self, i: usize) {
         self.controllers[i] = None;
         self.candidates[i] = None;
@@ -114,7 +116,7 @@
         self.forwarding[i] = HeartbeatForwarding::default();
     }
 
-    /// Carries out the crashes that are due.
+    /// Crashes the controllers whose scheduled crashes are due.
     pub(super) fn crash_due_controllers(&mut self) {
         let now = self.now;
         let due: Vec<_> = self.faults.scheduled_crashes.extract_if(.., |crash| crash.at <= now).collect();
@@ -150,23 +152,24 @@
                 let i = self.rng.usize(0..3);
                 self.faults.workers_unreachable_until[i] = until;
             }
-            13 | 14 => self.refuse_leader(),
+            13 | 14 => self.refuse_leader_at_state_store(),
             15 => self.isolate_leader(),
             16 => self.lose_messages(|worker, until| worker.inbound_lost_until = until),
-            17 => self.change_leader_often(),
+            17 => self.crash_leaders_repeatedly(),
             18 => self.faults.submission_burst_until = self.random_end(100..600),
             19 => self.faults.cancel_on_completion_until = self.random_end(100..600),
             20 => self.lose_messages(|worker, until| worker.outbound_lost_until = until),
-            _ => self.cancel_and_hang(),
+            _ => self.cancel_jobs_and_hang_machines(),
         }
     }
 
-    /// A time that is a random number of steps ahead.
+    /// Returns the end time of a fault that lasts a random number of steps.
     fn random_end(&mut self, steps: std::ops::Range<u64>) -> Ms {
         self.now + self.rng.u64(steps) * STEP
     }
 
-    /// Often a process is back at once, and crashes again in its first steps.
+    /// Crashes a controller, and schedules up to three further crashes of it.  The process often
+    /// restarts quickly, so that the next crash falls into its first steps.
     fn crash_repeatedly(&mut self) {
         let i = self.rng.usize(0..3);
         self.crash_controller(i);
@@ -176,7 +179,7 @@
         }
     }
 
-    /// All controllers crash, sometimes for longer than a worker's lease.
+    /// Crashes all controllers, one time in three for longer than a worker's lease.
     fn crash_all_controllers(&mut self) {
         (0..3).for_each(|i| self.crash_controller(i));
         if self.rng.u32(0..3) == 0 {
@@ -185,14 +188,14 @@
         }
     }
 
-    /// Leaders change ten times in two minutes.
-    fn change_leader_often(&mut self) {
+    /// Schedules ten crashes of the current leader within two minutes.
+    fn crash_leaders_repeatedly(&mut self) {
         for n in 0..10 {
             self.faults.schedule_crash(self.now + n * 12_000, CrashTarget::CurrentLeader);
         }
     }
 
-    /// A controller's process is paused, for less or longer than its lease.
+    /// Pauses a controller's process, for a shorter or a longer time than the leader lease.
     fn pause_controller(&mut self) {
         let is_short = self.rng.bool();
         let steps = if is_short { self.rng.u64(5..60) } else { self.rng.u64(160..500) };
@@ -200,13 +203,15 @@
         self.faults.next_pause = Some(Pause { controller, duration: steps * STEP });
     }
 
-    /// The state service refuses the leader alone, for less or longer than its lease;
-    /// then everybody, for longer than a cancellation takes.
-    fn refuse_leader(&mut self) {
+    /// Has the state service refuse only the leader, for a shorter or a longer time than the
+    /// leader lease.  Afterwards it may refuse all controllers, for longer than a cancellation
+    /// takes.
+    fn refuse_leader_at_state_store(&mut self) {
         let leader = self.leader_or_first();
         let refused_until = self.random_end(10..80);
         self.faults.state_store_refuses_until[leader] = refused_until;
-        // users cancel meanwhile, at one that may crash, or lose its peers, just after
+        // users cancel jobs meanwhile; another controller, which may have stored the
+        // cancellations, may crash or lose its peers shortly afterwards
         (0..4).for_each(|_| drop(self.cancel_random_job()));
         let other = (leader + self.rng.usize(1..3)) % 3;
         match self.rng.u32(0..3) {
@@ -214,13 +219,13 @@
             1 => self.faults.peers_unreachable_until[other] = self.random_end(300..1000),
             _ => {}
         }
-        if self.rng.bool() && self.scale <= 100 {
+        if self.rng.bool() && self.machine_count <= 100 {
             self.faults.state_store_outage_until = refused_until - 500 + self.rng.u64(300..1000) * STEP;
         }
     }
 
-    /// The leader loses its peers, and in half of the cases the state service too; it
-    /// still reaches workers.
+    /// Cuts the leader's connection to its peers and, in half of the cases, to the state
+    /// service.  The leader still reaches workers.
     fn isolate_leader(&mut self) {
         let leader = self.leader_or_first();
         let until = self.random_end(50..900);
@@ -234,7 +239,7 @@
         self.state_store.leader.map_or(0, |leader| leader.controller)
     }
 
-    /// A zone is cut off, in half of the cases together with the cloud's interface.
+    /// Partitions a zone, in half of the cases together with an outage of the cloud API.
     fn partition_zone(&mut self) {
         let zone = self.rng.usize(0..3);
         let until = self.random_end(100..1000);
@@ -245,18 +250,19 @@
         (0..2).for_each(|_| drop(self.cancel_random_job()));
     }
 
-    /// Messages of some machines are lost in one direction, and arrive in the other.
+    /// Drops the messages of some machines in one direction, while those in the other arrive.
     fn lose_messages(&mut self, lose_until: impl Fn(&mut Worker, Ms)) {
-        for _ in 0..self.scale.div_ceil(4) {
+        for _ in 0..self.machine_count.div_ceil(4) {
             let i = self.rng.usize(0..self.workers.len());
             let until = self.random_end(50..600);
             lose_until(&mut self.workers[i], until);
         }
     }
 
-    /// A machine fails; dozens at once in a large world.
+    /// Applies a failure to one random machine in a small cluster, and to dozens in a large one,
+    /// then replaces machines that no longer exist.
     fn fail_workers(&mut self, fail: impl Fn(&mut Worker, Ms)) {
-        for _ in 0..self.scale.div_ceil(30) {
+        for _ in 0..self.machine_count.div_ceil(30) {
             let i = self.rng.usize(0..self.workers.len());
             let until = self.random_end(10..400);
             fail(&mut self.workers[i], until);
@@ -264,8 +270,9 @@
         self.scale_out();
     }
 
-    /// Running jobs are cancelled, and their machines hang; the leader may crash.
-    fn cancel_and_hang(&mut self) {
+    /// Cancels up to four jobs, and hangs up to two machines of each; the leader may crash
+    /// shortly afterwards.
+    fn cancel_jobs_and_hang_machines(&mut self) {
         let hung_until = self.random_end(50..450);
         for _ in 0..4 {
             let Some(id) = self.cancel_random_job() else { continue };
--- a/packages/core/src/sim/fixtures.rs
+++ b/packages/core/src/sim/fixtures.rs
@@ -1,17 +1,19 @@
-//! Small inputs that tests of single modules share: a leader's state, a heartbeat, a machine type.
+//! Fixtures shared by the unit tests of other modules: a leader's state, a heartbeat and a
+//! machine type.
 
 use super::*;
 
-/// The state of a new leader in a given term, with one machine type and no team limits.
+/// Returns the state of a new leader in the given term, with one machine type and no team
+/// limits.
 pub fn cluster(term: u64, now: Instant) -> Cluster {
-    let config = Config::parse("sim", SETTINGS).expect("settings of the simulation");
-    let policy = Arc::new(Policy::new(&config).expect("the default policy"));
+    let config = Config::parse("sim", SETTINGS).expect("the example settings are valid");
+    let policy = Arc::new(Policy::new(&config).expect("the default policy is valid"));
     let mut cluster = Cluster::new(term, policy, HashMap::new(), now);
     cluster.set_types(&[machine_type("t")]);
     cluster
 }
 
-/// A heartbeat of a machine without tasks.
+/// Returns a heartbeat of a machine without tasks.
 pub fn report(machine: &str, zone: &str, incarnation: u64, sequence: u64, token: u64) -> Heartbeat {
     Heartbeat {
         machine: machine.into(),
@@ -27,7 +29,7 @@
     }
 }
 
-/// A machine type of 8 cores and 64 GB that every zone offers.
+/// Returns a machine type with 8 cores and 64 GB of memory that is available in every zone.
 pub fn machine_type(name: &str) -> MachineType {
     MachineType {
         name: name.into(),
--- a/packages/core/src/sim/forwarding.rs
+++ b/packages/core/src/sim/forwarding.rs
@@ -1,23 +1,23 @@
-//! Heartbeats that reach the leader through another controller.
+//! Heartbeats that another controller forwards to the leader.
 
 use super::*;
 use crate::cancellation::may_lead;
 
-/// A heartbeat on its way from one controller to the leader.
+/// A heartbeat that one controller forwards to the leader.
 #[derive(Clone)]
 pub(super) struct ForwardedRequest {
-    pub(super) by: usize,
+    pub(super) forwarder: usize,
     pub(super) to: usize,
-    /// The leader's term, as the forwarding controller knows it.
+    /// Term of the leader, as the forwarding controller knows it.
     pub(super) term: u64,
-    /// What is sent: the whole heartbeat, or that it is unchanged.
+    /// The form that is sent: the full heartbeat, or a note that it is unchanged.
     pub(super) message: ForwardedHeartbeat,
     pub(super) heartbeat: Heartbeat,
     pub(super) request: u64,
 }
 
 impl World {
-    /// Whether a controller forwards heartbeats to the leader.
+    /// Reports whether a controller forwards heartbeats to the leader at the moment.
     pub(super) fn may_forward(&self, i: usize) -> bool {
         let is_up =
             self.now >= self.faults.controller_down_until[i] && self.now >= self.faults.workers_unreachable_until[i];
@@ -25,9 +25,10 @@
         self.forwards_heartbeats && is_up && !self.has_lease(i) && reaches_peers
     }
 
-    /// Forwards a heartbeat to a controller that believes that it leads.
-    pub(super) fn forward_heartbeat(&mut self, by: usize, heartbeat: Heartbeat, request: u64) {
-        let leaders: Vec<usize> = (0..3).filter(|i| *i != by && self.has_lease(*i)).collect();
+    /// Forwards a heartbeat to a random other controller that has a leader lease, as far as that
+    /// controller knows.
+    pub(super) fn forward_heartbeat(&mut self, forwarder: usize, heartbeat: Heartbeat, request: u64) {
+        let leaders: Vec<usize> = (0..3).filter(|i| *i != forwarder && self.has_lease(*i)).collect();
         if leaders.is_empty() {
             return;
         }
@@ -36,23 +37,24 @@
             return;
         }
         let Some(term) = self.controllers[to].as_ref().map(|leader| leader.cluster.term) else { return };
-        let message = self.forwarding[by].message(&heartbeat, term);
-        self.send(Message::ForwardedHeartbeat(ForwardedRequest { by, to, term, message, heartbeat, request }));
+        let message = self.forwarding[forwarder].message(&heartbeat, term);
+        self.send(Message::ForwardedHeartbeat(ForwardedRequest { forwarder, to, term, message, heartbeat, request }));
     }
 
-    /// The leader accepts a forwarded heartbeat, or asks for it in full.
+    /// Handles a forwarded heartbeat at the leader, which accepts the heartbeat or requests it in
+    /// full.
     pub(super) fn accept_forwarded_heartbeat(&mut self, forwarded: ForwardedRequest) {
-        let ForwardedRequest { by, to, term, message, heartbeat, request } = forwarded;
-        let now = self.at(self.now);
+        let ForwardedRequest { forwarder, to, term, message, heartbeat, request } = forwarded;
+        let now = self.instant_at(self.now);
         if !self.has_lease(to) || !may_lead(self.cancellations_complete_as_of(to), &self.policy, now) {
             return;
         }
         let Some(leader) = self.controllers[to].as_mut().filter(|leader| leader.cluster.term == term) else { return };
         let is_full = message == ForwardedHeartbeat::Full;
-        let answer = match &message {
+        let reply = match &message {
             ForwardedHeartbeat::Full => leader.accept_heartbeat(&heartbeat, now),
             ForwardedHeartbeat::Unchanged(unchanged) if self.defect == InjectedDefect::AcceptAnyUnchangedHeartbeat => {
-                // it counts as new, however late it comes
+                // the heartbeat counts as new, however late it arrives
                 let cluster = &mut leader.cluster;
                 let last = cluster.machines.get(&unchanged.machine).map_or(0, |machine| machine.sequence);
                 let new = Heartbeat { sequence: last + 1, ..heartbeat.clone() };
@@ -61,15 +63,15 @@
             }
             ForwardedHeartbeat::Unchanged(unchanged) => leader.cluster.apply_unchanged(unchanged, now),
         };
-        match answer {
-            Some(answer) => {
+        match reply {
+            Some(reply) => {
                 self.statistics.unchanged_forwarded += u32::from(!is_full);
-                self.send_heartbeat_response(&heartbeat, request, answer);
-                self.send(Message::ForwardingResponse { by, term, heartbeat, accepted: true });
+                self.send_heartbeat_response(&heartbeat, request, reply);
+                self.send(Message::ForwardingResponse { forwarder, term, heartbeat, accepted: true });
             }
-            // an outdated heartbeat is dropped without a response
+            // a heartbeat that a newer one supersedes is dropped without a response
             None if is_full => {}
-            None => self.send(Message::ForwardingResponse { by, term, heartbeat, accepted: false }),
+            None => self.send(Message::ForwardingResponse { forwarder, term, heartbeat, accepted: false }),
         }
     }
 }
--- a/packages/core/src/sim/invariants.rs
+++ b/packages/core/src/sim/invariants.rs
@@ -1,27 +1,29 @@
-//! Safety rules, checked throughout.
+//! Safety invariants, which are checked during the whole run.
 
 use super::*;
 
-/// How long after a confirmed cancellation a task may still start or run.
+/// Time after a confirmed cancellation during which tasks of the job may still start or run.
 const CANCELLATION_GRACE: Ms = 60_000;
-/// How long a leader may leave a job that depends on a cancelled one.
+/// Maximum time that a leader may take to store the outcome of a job that depends on a
+/// cancelled one.
 const CASCADE_GRACE: Ms = 40_000;
 
 impl World {
-    /// The rules at the moment a task starts on a machine.
+    /// Checks the invariants that apply when a task starts on a machine.
     pub(super) fn check_task_start(&mut self, i: usize, task: &Task, spec: &JobSpec) {
         self.check_placement(i, task, spec);
         let confirmed_at = self.cancellation_confirmed_at.get(&task.job);
         self.statistics.starts_after_cancellation += u32::from(confirmed_at.is_some());
         if confirmed_at.is_some_and(|at| self.now - at > CANCELLATION_GRACE) {
-            self.violations.push(format!("ran_cancelled: {task} starts"));
+            self.violations.push(format!("ran_cancelled: {task} starts too long after its cancellation was confirmed"));
         }
         if let Some(id) = spec.needs.iter().find(|id| self.state_store.outcome(id) != Some(JobOutcome::Done)) {
-            self.violations.push(format!("too_early: {task} starts before {id} is done"));
+            self.violations.push(format!("too_early: {task} starts before its dependency {id} is done"));
         }
     }
 
-    /// A task runs once, within its team's quota, and where its job allows it.
+    /// Checks that a task runs only once, within its team's quota, and on a machine that its job
+    /// allows.
     fn check_placement(&mut self, i: usize, task: &Task, spec: &JobSpec) {
         let machine = &self.workers[i];
         let mut used = spec.cpus;
@@ -33,7 +35,7 @@
                     continue;
                 }
                 if other == task {
-                    violations.push(format!("ran_twice: {task} on {} and {}", worker.name, machine.name));
+                    violations.push(format!("ran_twice: {task} runs on {} and {}", worker.name, machine.name));
                 }
                 let other_spec = &self.jobs[&other.job].spec;
                 if other_spec.team == spec.team {
@@ -45,30 +47,31 @@
             }
         }
         if used > self.quota + 1e-6 {
-            violations.push(format!("quota: {} uses {used}", spec.team));
+            violations.push(format!("quota: team {} uses {used} cores, more than its limit", spec.team));
         }
         let is_allowed = spec.allows(&"t".into(), &machine.zone, machine.spot);
-        let breaks_one_zone = spec.one_zone && tasks_in_zone.len() > 1;
-        if !is_allowed || breaks_one_zone || tasks_in_zone[&machine.zone] > spec.zone_cap() {
-            violations.push(format!("wrong_machine: {task} on {}", machine.name));
+        let violates_one_zone = spec.one_zone && tasks_in_zone.len() > 1;
+        if !is_allowed || violates_one_zone || tasks_in_zone[&machine.zone] > spec.zone_cap() {
+            violations
+                .push(format!("wrong_machine: {task} starts on {}, where its job does not allow it", machine.name));
         }
         self.violations.extend(violations);
     }
 
-    /// The rules that hold at any moment.
+    /// Checks the invariants that hold at any time.
     pub(super) fn check_invariants(&mut self) {
         if !(0..3).any(|i| self.has_lease(i) && self.is_served(i)) {
-            self.led_since = self.now;
+            self.served_leader_since = self.now;
         }
         self.check_cancelled_jobs();
         self.check_dependents_of_cancelled_jobs();
         self.check_done_jobs();
     }
 
-    /// No task runs long after its cancellation was confirmed.
+    /// Checks that no task runs for too long after the cancellation of its job was confirmed.
     fn check_cancelled_jobs(&mut self) {
-        // a machine that hangs beyond its lease executes nothing any more; its tasks stay
-        // listed so that a second start is found
+        // a machine that hangs and whose lease has expired no longer executes tasks; they stay
+        // listed so that the checker finds a second start of the same task
         let is_lost = |worker: &Worker| self.now < worker.hung_until && worker.has_lost_lease(self.now);
         let mut violations = Vec::new();
         for worker in self.workers.iter().filter(|worker| worker.alive && !is_lost(worker)) {
@@ -82,10 +85,11 @@
         self.violations.extend(violations);
     }
 
-    /// What is known of a task that runs though its job is cancelled.
+    /// Describes a task that runs although its job is cancelled, with the state of the
+    /// controllers.
     fn describe_cancelled_task(&self, worker: &Worker, task: &Task) -> String {
         let mut text = format!(
-            "ran_cancelled: {task} on {}: confirmed at {}, outage until {}, zones cut off until {:?}, hung until {}, renewed at {}",
+            "ran_cancelled: {task} runs on {}: cancellation confirmed at {}, state service outage until {}, zones partitioned until {:?}, machine hung until {}, worker lease renewed at {}",
             worker.name,
             self.cancellation_confirmed_at[&task.job],
             self.faults.state_store_outage_until,
@@ -95,9 +99,9 @@
         );
         for controller in self.controllers.iter().flatten() {
             let (term, until) = (controller.cluster.term, controller.lease_until);
-            text += &format!("; term {term}, lease until {until}: ");
+            text += &format!("; controller of term {term}, leader lease until {until}: ");
             text += &match controller.cluster.machines.get(&worker.name) {
-                None => "unknown machine".to_owned(),
+                None => "machine is unknown".to_owned(),
                 Some(machine) => format!(
                     "has heartbeat: {}, is being deleted: {}, task: {:?}",
                     machine.last_heartbeat.is_some(),
@@ -109,10 +113,11 @@
         text
     }
 
-    /// A job that depends on a cancelled one is neither reported as unfinished long after
-    /// users knew of both, nor left without an outcome while somebody leads.
+    /// Checks that a job that depends on a cancelled one is not reported as unfinished long
+    /// after the users were told of both, and is not left without an outcome while there is a
+    /// leader.
     fn check_dependents_of_cancelled_jobs(&mut self) {
-        // since when users know that a dependency of a job is cancelled
+        // time since which users know that a dependency of the job is cancelled
         let mut known_since: HashMap<&Name, Ms> = HashMap::new();
         let mut violations = Vec::new();
         for (id, SubmittedJob { spec, .. }) in &self.jobs {
@@ -125,24 +130,26 @@
             };
             let Some(since) = spec.needs.iter().filter_map(cancelled_since).min() else { continue };
             let since = since.max(self.submitted_at[id]);
-            let is_reported =
+            let is_reported_unfinished =
                 self.now - since > CANCELLATION_GRACE && (0..3).any(|i| self.may_report_unfinished(i, id));
-            let is_left =
-                self.state_store.outcome(id).is_none() && self.now - since.max(self.led_since) > CASCADE_GRACE;
-            if is_reported || is_left {
-                violations.push(format!("orphaned: {id}, whose needs {:?} were cancelled at {since}", spec.needs));
+            let lacks_outcome = self.state_store.outcome(id).is_none()
+                && self.now - since.max(self.served_leader_since) > CASCADE_GRACE;
+            if is_reported_unfinished || lacks_outcome {
+                violations.push(format!("orphaned: {id} is unfinished or reported as unfinished, although one of its dependencies {:?} was cancelled at {since}", spec.needs));
             }
             known_since.insert(id, since);
         }
         self.violations.extend(violations);
     }
 
-    /// Of a job that is done, each task has finished.
+    /// Checks that every task of a job with the outcome "done" has completed.
     fn check_done_jobs(&mut self) {
         let is_done = |id: &Name| self.state_store.outcome(id) == Some(JobOutcome::Done);
         let unfinished =
             self.jobs.iter().filter(|(id, job)| is_done(id) && !self.has_finished_all_tasks(id, &job.spec));
-        let violations: Vec<String> = unfinished.map(|(id, _)| format!("not_done: {id}")).collect();
+        let violations: Vec<String> = unfinished
+            .map(|(id, _)| format!("not_done: {id} is stored as done, and not all its tasks have completed"))
+            .collect();
         self.violations.extend(violations);
     }
 }
--- a/packages/core/src/sim/mod.rs
+++ b/packages/core/src/sim/mod.rs
@@ -1,9 +1,12 @@
-//! Deterministic simulation of a cluster: models of the state service, the cloud,
-//! workers and users drive the controllers' decision code through crashes, lost
-//! leases, late messages and outages, while a checker asserts the invariants.
+//! Deterministic simulation of a cluster.
 //!
-//! Time is simulated, in steps; nothing sleeps or opens a socket.  A seed determines
-//! a whole run, by the order of the calls of its random generator.
+//! Models of the state service, the cloud, the workers and the users run against the
+//! production decision code of three controllers.  The simulation injects crashes, lost
+//! leases, late messages and outages, and a checker asserts the invariants during the run.
+//!
+//! Time is simulated in fixed steps: nothing sleeps or opens a socket.  A seed determines
+//! a whole run through the sequence of random draws, so a change to the order or the number
+//! of draws changes every run.
 
 mod cloud;
 mod controllers;
@@ -62,7 +65,7 @@
 pub use fixtures::{cluster, machine_type, report};
 pub use state_store::Records;
 
-/// Milliseconds of simulated time.
+/// Simulated time in milliseconds since the start of a run, or a duration in milliseconds.
 type Ms = u64;
-/// Simulated time between two steps.
+/// Simulated time of one step, in milliseconds.
 const STEP: Ms = 100;
--- a/packages/core/src/sim/network.rs
+++ b/packages/core/src/sim/network.rs
@@ -1,9 +1,9 @@
-//! The network of the simulation: each message is delivered after a random delay, and
-//! some requests twice.
+//! Model of the network, which delivers each message after a random delay, and some requests
+//! twice.
 
 use super::*;
 
-/// When a message is delivered; messages of the same time in the order of their sending.
+/// Order of delivery: by time, and in the order of sending for messages of the same time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct DeliveryKey {
     pub(super) at: Ms,
@@ -11,15 +11,16 @@
 }
 
 impl World {
-    /// Sends a message: mostly it arrives in the next step, sometimes late, rarely after
-    /// up to 70 s.  A request may arrive once more, when nobody waits for a response.
+    /// Sends a message.  Most messages arrive in the next step, some up to 3 s later and a few up
+    /// to 70 s later.  A request may be delivered a second time, and the response to the
+    /// duplicate is dropped.
     pub(super) fn send(&mut self, message: Message) {
         let delay = match self.rng.u32(0..100) {
             0..=89 => STEP,
             90..=96 => self.rng.u64(1..30) * STEP,
             _ => self.rng.u64(10..700) * STEP,
         };
-        // a sender that is paused sends it when it resumes
+        // the message of a paused sender leaves when the sender resumes
         let sent_at = message.sender().map_or(self.now, |i| self.faults.paused_until[i].max(self.now));
         let duplicate = (self.rng.u32(0..30) == 0).then(|| message.late_duplicate()).flatten();
         self.enqueue(sent_at + delay, message);
@@ -29,14 +30,14 @@
         }
     }
 
-    /// Shows a change by the watch: one that hangs is opened anew within a third of
-    /// `cancel_s`.
+    /// Delivers a watch event.  The delay covers a watch that hangs, which is reopened within a
+    /// third of `cancel_s`.
     pub(super) fn send_watch_event(&mut self, message: Message) {
         let at = self.now + self.rng.u64(1..200) * STEP;
         self.enqueue(at, message);
     }
 
-    /// Has a message delivered at a given time.
+    /// Schedules the delivery of a message at the given time.
     pub(super) fn enqueue(&mut self, at: Ms, message: Message) {
         self.last_sequence += 1;
         self.in_flight.insert(DeliveryKey { at, sequence: self.last_sequence }, message);
--- a/packages/core/src/sim/request_history/controller.rs
+++ b/packages/core/src/sim/request_history/controller.rs
@@ -1,52 +1,53 @@
-//! One controller: what it knows of jobs, and how it learns of them.
+//! Model of one controller: the jobs it knows, and the scan, watch and notices by which it
+//! learns of them.
 
 use super::*;
 
-/// Ended jobs that a controller keeps in memory.
+/// Maximum number of ended jobs that a controller keeps in memory.
 pub(super) const MAX_ENDED_JOBS: usize = 3;
-/// Cancellations that a controller keeps for its peers.
+/// Maximum number of cancellations that a controller keeps for its peers.
 const MAX_CANCELLATIONS: usize = 50;
 
-/// A submission that waits to be stored.
+/// A queued submission that is not stored yet.
 pub(super) struct Submission {
     pub(super) request: RequestId,
     pub(super) spec: Arc<JobSpec>,
-    /// Whether the job ends at once, as one that it needs is cancelled.
+    /// Whether the job is stored as cancelled, because a job that it depends on is cancelled.
     pub(super) needs_cancelled_job: bool,
 }
 
-/// A job with the revision of its record.
+/// A stored job with the revision of its record.
 pub(super) struct StoredJob {
     pub(super) spec: Arc<JobSpec>,
     pub(super) revision: u64,
 }
 
-/// A page of the initial scan that was read, and is not applied yet.
+/// A page of the initial scan that was read but is not applied yet.
 pub(super) struct PendingPage {
     prefix: &'static str,
     page: RangePage,
 }
 
-/// One controller's knowledge of jobs.
+/// The state of one controller that concerns user requests.
 pub(super) struct ModelController {
     pub(super) jobs: JobIndex,
     pub(super) cancellations: CancellationLog,
     pub(super) notices: CancellationNotices,
     scan: Option<InitialScan>,
-    /// The revision up to which the watch was read; `None` before a scan has begun.
+    /// Revision up to which the watch was read; `None` before a scan has begun.
     watched_revision: Option<u64>,
-    /// Whether a scan has been completed.
+    /// Whether a scan has completed since the process started or last fell behind its watch.
     pub(super) is_synced: bool,
     pub(super) submissions: Vec<Submission>,
-    /// Jobs that this controller has stored, and whose responses are not read yet.
+    /// Jobs that this controller has stored, and whose transaction responses it has not read yet.
     pub(super) unread_responses: Vec<StoredJob>,
     pending_page: Option<PendingPage>,
-    /// Results of its look-ups, for `ReuseLookupResult`.
+    /// Results of this controller's look-ups, for the defect `ReuseLookupResult`.
     pub(super) lookup_results: HashMap<Name, LookupResult>,
 }
 
 impl ModelController {
-    /// A new process, which knows nothing yet.
+    /// Creates the empty state of a process that has just started.
     pub(super) fn new(incarnation: u64) -> ModelController {
         ModelController {
             jobs: JobIndex::new(MAX_ENDED_JOBS),
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Learns of an outcome, from whatever source.
+    /// Applies the outcome of a job, from any source.
     pub(super) fn apply_outcome(&mut self, job: &str, outcome: JobOutcome, revision: u64, now: Instant) {
         if outcome == JobOutcome::Cancelled {
             self.cancellations.record(revision, job, now);
@@ -70,7 +71,7 @@
         self.jobs.apply_outcome(job, outcome);
     }
 
-    /// Begins to read all records, and to watch changes from the same revision on.
+    /// Starts a scan of all records, and a watch of changes from the same revision on.
     fn begin_scan(&mut self, revision: u64, now: Instant) {
         self.jobs.raise_floor(revision);
         self.cancellations.begin_watch(revision, now);
@@ -78,7 +79,7 @@
         self.scan = Some(InitialScan::new(HashSet::new()));
     }
 
-    /// Forgets how far it has read: all is read again.
+    /// Discards the progress of the scan and of the watch, so that all records are read again.
     fn restart_scan(&mut self) {
         self.scan = None;
         self.pending_page = None;
@@ -86,7 +87,7 @@
         self.watched_revision = None;
     }
 
-    /// Applies the page that was read last, and reads the next one.
+    /// Applies the page that was read last and reads the next one, or completes the scan.
     fn read_next_page(&mut self, state_store: &WatchedStore, limit: usize, defect: InjectedDefect) {
         let Some(scan) = self.scan.as_mut() else { return };
         if let Some(PendingPage { prefix, page }) = self.pending_page.take() {
@@ -105,31 +106,32 @@
         }
     }
 
-    /// Applies one change that the watch shows.
+    /// Applies one watch event.
     fn apply_watch_event(&mut self, event: &WatchEvent, defect: InjectedDefect, now: Instant) {
         let (Some(path), Some(value)) = (event.set.as_deref(), event.value.clone()) else { return };
         if let Some(job) = path.strip_prefix(key::OUTCOME) {
             if let (Some(scan), true) = (self.scan.as_mut(), defect != InjectedDefect::ScanIgnoresWatchedOutcomes) {
                 scan.mark_ended([job.into()].into_iter());
             }
-            let record = read_value::<OutcomeRecord>(path, value).expect("our own record");
+            let record = read_value::<OutcomeRecord>(path, value).expect("a stored record is readable");
             self.apply_outcome(job, record.outcome, event.revision, now);
         } else if path.starts_with(key::JOB) {
-            let spec = read_value::<JobSpec>(path, value).expect("our own record");
+            let spec = read_value::<JobSpec>(path, value).expect("a stored record is readable");
             self.jobs.insert_seen(Arc::new(spec), event.revision);
         }
     }
 }
 
 impl RequestHistory {
-    /// Takes a controller's initial scan one page further.
+    /// Advances a controller's initial scan by one page, and starts the scan if necessary.
     pub(super) fn advance_scan(&mut self, index: usize) {
         if self.outage {
             return;
         }
-        // a scan takes some thirty pages, whatever the number of records
+        // the page size grows with the number of keys, so that a scan never takes many more than
+        // thirty pages for each key prefix
         let limit = self.rng.usize(1..6) + self.state_store.store.kv.len() / 60;
-        let now = self.at();
+        let now = self.now_instant();
         let controller = &mut self.controllers[index];
         if controller.scan.is_none() && !controller.is_synced {
             controller.begin_scan(self.state_store.store.last_revision, now);
@@ -137,16 +139,16 @@
         controller.read_next_page(&self.state_store, limit, self.defect);
     }
 
-    /// A controller's watch is answered with all changes since the last answer.
+    /// Applies to a controller all changes since its last watch response.
     pub(super) fn poll_watch(&mut self, index: usize) {
-        let now = self.at();
+        let now = self.now_instant();
         let controller = &mut self.controllers[index];
         let Some(watched) = controller.watched_revision.filter(|_| !self.outage) else { return };
         if self.defect == InjectedDefect::WatchFromScanEnd && controller.scan.is_some() {
             return;
         }
         if watched < self.state_store.compacted_revision {
-            // 410: all is read again, also if this comes in the middle of a scan
+            // the watch is compacted (HTTP 410): all records are read again, even during a scan
             self.coverage.restarted_scans += u32::from(controller.scan.is_some());
             controller.restart_scan();
             return;
@@ -159,7 +161,7 @@
         controller.jobs.raise_floor(revision);
     }
 
-    /// A controller reads the responses to its own transactions.
+    /// Applies the responses to a controller's own submission transactions.
     pub(super) fn read_responses(&mut self, index: usize) {
         let defect = self.defect == InjectedDefect::ApplyLateResponses;
         let controller = &mut self.controllers[index];
@@ -171,10 +173,10 @@
         }
     }
 
-    /// A controller notifies a peer of cancellations whose users wait for a reply.
+    /// Notifies a random peer of the cancellations whose users wait for a reply.
     pub(super) fn notify_peer(&mut self, index: usize) {
-        let now = self.at();
-        // the peer's number as this controller counts its peers
+        let now = self.now_instant();
+        // position of the peer among the controller's peers
         let peer = self.rng.usize(0..2);
         let receiver = (index + 1 + peer) % 3;
         let controller = &mut self.controllers[index];
@@ -185,7 +187,7 @@
         self.controllers[index].notices.mark_acknowledged(peer, &sent);
     }
 
-    /// A controller's process crashes and restarts: its requests get no reply.
+    /// Crashes and restarts a controller's process.  Its pending requests get no reply.
     pub(super) fn restart_controller(&mut self, index: usize) {
         self.last_incarnation += 1;
         self.controllers[index] = ModelController::new(self.last_incarnation);
--- a/packages/core/src/sim/request_history/coverage.rs
+++ b/packages/core/src/sim/request_history/coverage.rs
@@ -1,26 +1,27 @@
-//! Counters which show that a run had something to check.
+//! Counters that show whether a run reached the situations that the checker covers.
 
 use std::ops::AddAssign;
 
-/// How often each situation came up.
+/// Number of occurrences of each situation.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Coverage {
-    /// Requests on ended jobs that were answered from memory.
+    /// Requests whose job had ended and was in memory when a controller first evaluated them.
     pub(super) from_memory: u32,
-    /// Requests that were answered by a look-up.
+    /// Look-ups that completed.
     pub(super) from_lookup: u32,
-    /// Scans that began again as the watch was too old.
+    /// Scans that restarted because the watch fell behind the history that the state service
+    /// keeps.
     pub(super) restarted_scans: u32,
-    /// Responses to submissions and cancellations that were lost.
+    /// Submissions and cancellations that were applied but whose response was lost.
     pub(super) lost_responses: u32,
-    /// Submissions and cancellations that came late.
-    pub(super) late_writes: u32,
+    /// Submissions and cancellations that were delayed and had no response.
+    pub(super) delayed_writes: u32,
 }
 
 impl Coverage {
-    /// All counters.
+    /// Returns all counters.
     pub(super) fn counts(&self) -> [u32; 5] {
-        [self.from_memory, self.from_lookup, self.restarted_scans, self.lost_responses, self.late_writes]
+        [self.from_memory, self.from_lookup, self.restarted_scans, self.lost_responses, self.delayed_writes]
     }
 }
 
@@ -30,6 +31,6 @@
         self.from_lookup += other.from_lookup;
         self.restarted_scans += other.restarted_scans;
         self.lost_responses += other.lost_responses;
-        self.late_writes += other.late_writes;
+        self.delayed_writes += other.delayed_writes;
     }
 }
--- a/packages/core/src/sim/request_history/defect.rs
+++ b/packages/core/src/sim/request_history/defect.rs
@@ -1,29 +1,31 @@
-//! Defects that are injected to show that wrong replies are found.
+//! Defects that are injected to show that the checker detects wrong replies.
 
-/// A part of the decisions or of the I/O that is wrong on purpose.
+/// A deliberate defect in the decisions or in the I/O of a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum InjectedDefect {
-    /// Nothing is wrong.
+    /// No defect is injected.
     None,
-    /// A job that is not in memory was never accepted.
+    /// A job that is not in memory counts as never accepted.
     TreatEvictedAsUnknown,
-    /// The response to a submission enters its job even when it is read late.
+    /// The response to a submission adds its job even if newer information has arrived since.
     ApplyLateResponses,
-    /// The scan does not learn of outcomes that the watch shows meanwhile.
+    /// The scan ignores outcomes that the watch shows while the scan is running.
     ScanIgnoresWatchedOutcomes,
-    /// The watch begins at the revision where the scan ended.
+    /// The watch starts at the revision at which the scan ended instead of the one at which it
+    /// began.
     WatchFromScanEnd,
-    /// "Unfinished" is replied without asking the state service.
+    /// A controller replies that a job is unfinished without confirming this with the state
+    /// service.
     SkipConfirmation,
-    /// In an outage, a look-up finds that there is no job.
+    /// A look-up during an outage reports that the job does not exist.
     TreatOutageAsNotFound,
-    /// The result of an earlier look-up answers the next one.
+    /// The result of an earlier look-up of a job is reused for the next one.
     ReuseLookupResult,
-    /// A submission without a response was carried out.
+    /// A submission without a response counts as stored.
     AcceptUnknownSubmission,
-    /// A cancellation without a response was carried out.
+    /// A cancellation without a response counts as stored.
     ConfirmUnknownCancellation,
-    /// A controller trusts its own view of whether a job ends with a job that it needs,
-    /// whatever was stored.
+    /// A controller trusts its own view of whether a job is cancelled together with one of its
+    /// dependencies, regardless of what was stored.
     TrustLocalCancellation,
 }
--- a/packages/core/src/sim/request_history/evaluation.rs
+++ b/packages/core/src/sim/request_history/evaluation.rs
@@ -1,9 +1,10 @@
-//! What a controller decides for a request, and what its user makes of the reply.
+//! Evaluation of a request at its controller, and the check of the reply against the records.
 
 use super::*;
 
 impl RequestHistory {
-    /// A controller decides on the next action for a request, and begins it.
+    /// Decides on the next action for a request at its controller, starts the action and returns
+    /// the request's next stage.
     pub(super) fn evaluate_request(&mut self, id: RequestId, pending: &mut PendingRequest) -> RequestStage {
         let action = self.next_action(pending);
         let controller = &mut self.controllers[pending.controller];
@@ -33,13 +34,13 @@
                 self.notify_peer(pending.controller);
                 RequestStage::AtController
             }
-            NextAction::ReadOutcomes(jobs) => panic!("no job of this history depends on {jobs:?}"),
+            NextAction::ReadOutcomes(jobs) => panic!("no job in this simulation depends on {jobs:?}"),
         }
     }
 
-    /// The decision of the production code, from the controller's present state.
+    /// Returns the decision of the production code for the controller's current state.
     fn next_action(&mut self, pending: &mut PendingRequest) -> NextAction {
-        let now = self.at();
+        let now = self.now_instant();
         let is_first = !std::mem::replace(&mut pending.evaluated, true);
         let controller = &mut self.controllers[pending.controller];
         let from_memory = is_first && matches!(controller.jobs.status_of(&pending.job), JobStatus::Ended(_));
@@ -56,7 +57,8 @@
         })
     }
 
-    /// Looks a job up, together with another one as production code batches them.
+    /// Starts a look-up of a job together with a random other job, since the production code
+    /// batches look-ups.
     fn begin_lookup(&mut self, pending: &PendingRequest) -> RequestStage {
         let earlier = self.controllers[pending.controller].lookup_results.get(&pending.job);
         match (self.defect, earlier) {
@@ -69,8 +71,8 @@
         }
     }
 
-    /// Whether a job may be submitted.  One in four of some jobs is validated after the
-    /// cancellation of a job that it needs is known.
+    /// Validates a submission.  One in four validations of a job whose id ends in 5 finds that
+    /// the job depends on a cancelled one.
     fn validate(&mut self, pending: &PendingRequest) -> Validation {
         let needs_cancelled_job = pending.job.ends_with('5') && self.rng.u32(0..4) == 0;
         if !self.controllers[pending.controller].is_synced {
@@ -82,33 +84,34 @@
         Validation::Valid { needs_cancelled_job }
     }
 
-    /// A user gets a reply: it must agree with what is stored at that moment.
+    /// Records a reply that a user receives, and checks that it agrees with the records that are
+    /// stored at that time.
     pub(super) fn receive_reply(&mut self, pending: &PendingRequest, reply: Reply) {
-        let said = match reply {
+        let reported = match reply {
             Reply::RetryLater(_) => return,
             Reply::Accepted | Reply::Unfinished => ObservedState::Unfinished,
             Reply::Ended(JobOutcome::Done) => ObservedState::Done,
             Reply::Ended(JobOutcome::Cancelled) => ObservedState::Cancelled,
             Reply::NotFound if pending.kind == RequestKind::Submit => {
-                self.violations.push(format!("{}: a submission is answered with 404", pending.job));
+                self.violations.push(format!("submission of {} is answered with 404 (not found)", pending.job));
                 ObservedState::NotAccepted
             }
             Reply::NotFound | Reply::Unsatisfiable(_) => ObservedState::NotAccepted,
         };
-        let stored = self.stored_status(&pending.job);
-        if said > stored || said >= ObservedState::Done && said != stored {
-            self.violations.push(format!("{} is reported as {said:?}, and stored as {stored:?}", pending.job));
+        let stored = self.stored_state(&pending.job);
+        if reported > stored || reported >= ObservedState::Done && reported != stored {
+            self.violations.push(format!("{} is reported as {reported:?} but stored as {stored:?}", pending.job));
         }
         self.answers.push(Answer {
             id: pending.job.clone(),
             sent_at: pending.sent_at,
             received_at: self.now,
-            state: said,
+            state: reported,
         });
     }
 
-    /// A job's status by the records of the state service.
-    fn stored_status(&self, job: &str) -> ObservedState {
+    /// Returns a job's state according to the records of the state service.
+    fn stored_state(&self, job: &str) -> ObservedState {
         if self.state_store.job(job).is_none() {
             return ObservedState::NotAccepted;
         }
--- a/packages/core/src/sim/request_history/mod.rs
+++ b/packages/core/src/sim/request_history/mod.rs
@@ -1,11 +1,11 @@
 //! Deterministic simulation of users' requests.
 //!
-//! Three controllers keep little of a long history in memory.  Users send queries,
-//! submissions and cancellations to all of them at once, and each request advances at
-//! its own pace.  Checked is that answers stay final through eviction, paged reads,
-//! watches that are too old, crashes, outages of the state service, lost responses and
-//! writes that arrive late.  What a controller decides and replies is production code;
-//! only the I/O is simulated.
+//! Three controllers keep only a small part of a long history of jobs in memory.  Users send
+//! queries, submissions and cancellations to all of them concurrently, and requests advance
+//! independently of each other.  The simulation checks that a final reply is never
+//! contradicted by a later one, in spite of eviction, paged reads, compacted watches, crashes,
+//! outages of the state service, lost responses and delayed writes.  The decisions and replies
+//! of a controller come from the production code; only the I/O is simulated.
 
 mod controller;
 mod coverage;
@@ -36,14 +36,14 @@
 use request::{PendingRequest, RequestId, RequestStage};
 use watched_store::{RangePage, WatchedStore, WATCH_HISTORY};
 
-/// Milliseconds of simulated time in a step.
+/// Simulated time of one step, in milliseconds.
 const STEP_MS: u64 = 20;
 
-/// The state of a run.
+/// The state of a simulation run.
 struct RequestHistory {
     rng: fastrand::Rng,
     started_at: Instant,
-    /// Steps since the start.
+    /// Number of steps since the start of the run.
     now: u64,
     policy: Policy,
     state_store: WatchedStore,
@@ -51,31 +51,32 @@
     last_incarnation: u64,
     pending: BTreeMap<RequestId, PendingRequest>,
     last_request: RequestId,
-    /// Transactions that got no response and arrive later.
+    /// Transactions without a response that the state service applies later.
     delayed_txns: Vec<Txn>,
-    /// Whether the state service refuses all requests.
+    /// Whether the state service is unavailable and refuses all requests.
     outage: bool,
     defect: InjectedDefect,
-    /// When each job was submitted first.
+    /// Step in which each job was first submitted.
     submitted_at: HashMap<Name, u64>,
     answers: Vec<Answer<u64>>,
     violations: Vec<String>,
     coverage: Coverage,
 }
 
-/// Whether a job can never run, by its name.
+/// Reports whether the simulation treats a job as one that can never run, which depends on its
+/// id.
 fn is_unsatisfiable(id: &str) -> bool {
     id.ends_with("77")
 }
 
 impl RequestHistory {
     fn new(seed: u64, defect: InjectedDefect) -> RequestHistory {
-        let config = Config::parse("sim", SETTINGS).expect("settings of the simulation");
+        let config = Config::parse("sim", SETTINGS).expect("the example settings are valid");
         RequestHistory {
             rng: fastrand::Rng::with_seed(seed),
             started_at: Instant::now(),
             now: 0,
-            policy: Policy::new(&config).expect("the default policy"),
+            policy: Policy::new(&config).expect("the default policy is valid"),
             state_store: WatchedStore::default(),
             controllers: (0..3).map(ModelController::new).collect(),
             last_incarnation: 3,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// A job's name, mostly of those that are in use now.
+    /// Returns a random job id, mostly from the range of ids that are currently in use.
     fn random_job(&mut self) -> Name {
         let oldest = self.now / 12;
         let any = self.rng.u32(0..3) == 0;
@@ -99,12 +100,13 @@
         format!("j-{number}").into()
     }
 
-    /// The present moment.
-    fn at(&self) -> Instant {
+    /// Returns the current simulated time as an `Instant`.
+    fn now_instant(&self) -> Instant {
         self.started_at + Duration::from_millis(self.now * STEP_MS)
     }
 
-    /// Plays a number of steps, then checks all answers and what the controllers know.
+    /// Runs a number of steps, then checks all replies and the controllers' knowledge of
+    /// unfinished jobs.
     fn run(mut self, steps: u64) -> RequestHistory {
         for now in 1..=steps {
             self.now = now;
@@ -117,11 +119,11 @@
         }
         self.violations.extend(find_stale_answers(&self.answers, &self.submitted_at));
         self.outage = false;
-        (0..3).for_each(|index| self.check_open_jobs(index));
+        (0..3).for_each(|index| self.check_unfinished_jobs(index));
         self
     }
 
-    /// One random event, at one controller.
+    /// Runs one random event at the given controller.
     fn step(&mut self, index: usize) {
         match self.rng.u32(0..100) {
             0..=24 => self.advance_scan(index),
@@ -149,7 +151,8 @@
         self.send_request(index, job, kind);
     }
 
-    /// Users ask all controllers at once for the job of the last answer, and submit it again.
+    /// Sends to all controllers two queries for the job of the last reply, and submits the job
+    /// again if it was submitted before.
     fn repeat_requests(&mut self) {
         let job = self.answers.last().map(|answer| answer.id.clone()).unwrap_or_else(|| "j-0".into());
         let is_submitted = self.submitted_at.contains_key(&job);
@@ -159,13 +162,14 @@
         }
     }
 
-    /// Writes more than the state service keeps for watches, so that all fall behind.
+    /// Writes more changes than the state service keeps for watches, so that every watch falls
+    /// behind.
     fn write_burst(&mut self, leader: usize) {
         for _ in 0..WATCH_HISTORY + 5 {
             let job = self.random_job();
             if !self.outage && !is_unsatisfiable(&job) {
                 self.submitted_at.entry(job.clone()).or_insert(self.now);
-                // it conflicts if the job was submitted before
+                // the transaction conflicts if the job was submitted before
                 let _ = self.state_store.apply(&submissions_txn(std::iter::once(crate::user_request::Submission {
                     spec: &spec(&job, 1),
                     needs_cancelled_job: false,
@@ -175,9 +179,9 @@
         }
     }
 
-    /// After a calm, a controller knows just the jobs as unfinished that the state service
-    /// has as such, and has kept its bound on ended jobs.
-    fn check_open_jobs(&mut self, index: usize) {
+    /// Lets a controller catch up with the state service, then checks that both have the same
+    /// unfinished jobs and that the controller keeps within its bound on ended jobs.
+    fn check_unfinished_jobs(&mut self, index: usize) {
         for _ in 0..400 {
             self.read_responses(index);
             self.advance_scan(index);
@@ -188,8 +192,13 @@
             jobs.filter(|id| self.state_store.store.outcome(id).is_none()).map(Name::from).collect();
         let known: HashSet<Name> = self.controllers[index].jobs.open().map(|job| job.spec.id.clone()).collect();
         if known != stored {
-            self.violations.push(format!("controller {index} has {known:?} as unfinished, the store {stored:?}"));
+            self.violations.push(format!(
+                "controller {index} has the unfinished jobs {known:?}, but the state service {stored:?}"
+            ));
         }
-        assert!(self.controllers[index].jobs.ended() <= MAX_ENDED_JOBS, "ended jobs are bounded");
+        assert!(
+            self.controllers[index].jobs.ended() <= MAX_ENDED_JOBS,
+            "controller {index} keeps more than {MAX_ENDED_JOBS} ended jobs in memory"
+        );
     }
 }
--- a/packages/core/src/sim/request_history/request.rs
+++ b/packages/core/src/sim/request_history/request.rs
@@ -1,56 +1,57 @@
-//! Requests of users on their way through a controller.
+//! User requests and their stages between the user, a controller and the state service.
 
 use super::*;
 
-/// Identifies a request; later requests have greater numbers.
+/// Identifies a request.  Later requests have greater numbers.
 pub(super) type RequestId = u64;
 
-/// Where a request is.
+/// The stage that a request has reached.
 #[derive(Debug, Clone)]
 pub(super) enum RequestStage {
-    /// At its controller, which decides on the next action.
+    /// The controller has the request and has to decide on the next action.
     AtController,
-    /// On its way to the state service, with a look-up.
+    /// A look-up is in flight to the state service.
     LookingUp(Lookup),
-    /// On its way to the state service, to confirm that there is no outcome.
+    /// A read that confirms that the job has no outcome is in flight to the state service.
     Confirming,
-    /// On its way to the state service, with a cancellation.
+    /// A cancellation is in flight to the state service.
     Cancelling,
-    /// In its controller's queue of submissions.
+    /// The submission is in the controller's queue.
     Queued,
-    /// On its way back, with the result of a look-up; `None`: no response.
+    /// The result of a look-up is in flight to the controller; `None` if there is no response.
     LookedUp(Option<LookupResult>),
-    /// On its way back, with the outcome that was read.
+    /// The result of the confirming read is in flight to the controller.
     Confirmed(Confirmation),
-    /// On its way back, with the result of a submission.
+    /// The result of storing a submission is in flight to the controller.
     Submitted(StoreResult),
-    /// On its way back, with the outcome after a cancellation; `None`: no response.
+    /// The outcome after a cancellation is in flight to the controller; `None` if there is no
+    /// response.
     Cancelled(Option<JobOutcome>),
-    /// On its way to the user.
+    /// The reply is in flight to the user.
     Replied(Reply),
 }
 
-/// A request without a reply so far.
+/// A request whose user has not received a reply yet.
 pub(super) struct PendingRequest {
     pub(super) job: Name,
     pub(super) kind: RequestKind,
-    /// Index of the controller that has it.
+    /// Index of the controller that handles the request.
     pub(super) controller: usize,
-    /// When it left the user.
+    /// Step in which the user sent the request.
     pub(super) sent_at: u64,
-    /// How often it may still notify peers before it is answered with "retry later".
+    /// Number of times that the request may still notify peers before the reply is "retry later".
     pub(super) remaining_notifications: u32,
-    /// Whether its controller has evaluated it before.
+    /// Whether the controller has evaluated the request before.
     pub(super) evaluated: bool,
     pub(super) request: UserRequest,
     pub(super) stage: RequestStage,
 }
 
-/// The number of oldest requests from which the next one to advance is drawn.
-const ADVANCED_FIRST: usize = 12;
+/// Number of oldest pending requests from which the next one to advance is drawn.
+const MAX_ADVANCE_CANDIDATES: usize = 12;
 
 impl RequestHistory {
-    /// A user sends a request to a controller.
+    /// Sends a user's request to a controller.
     pub(super) fn send_request(&mut self, controller: usize, job: Name, kind: RequestKind) {
         if kind == RequestKind::Submit {
             self.submitted_at.entry(job.clone()).or_insert(self.now);
@@ -69,12 +70,12 @@
         self.pending.insert(self.last_request, pending);
     }
 
-    /// Takes one request a step further: one of the oldest.
+    /// Advances one of the oldest pending requests by one stage.
     pub(super) fn advance_request(&mut self) {
         if self.pending.is_empty() {
             return;
         }
-        let position = self.rng.usize(0..self.pending.len().min(ADVANCED_FIRST));
+        let position = self.rng.usize(0..self.pending.len().min(MAX_ADVANCE_CANDIDATES));
         let Some(id) = self.pending.keys().nth(position).copied() else { return };
         let Some(mut pending) = self.pending.remove(&id) else { return };
         let response_lost = self.rng.u32(0..20) == 0;
@@ -93,7 +94,7 @@
         self.pending.insert(id, pending);
     }
 
-    /// A controller takes in what the state service answered.
+    /// Applies a response of the state service to a request at its controller.
     fn apply_response(&mut self, pending: &mut PendingRequest, response: RequestStage) {
         match response {
             RequestStage::LookedUp(result) => pending.request.apply_lookup(result),
@@ -105,11 +106,11 @@
                 pending.request.apply_store_result(result, &mut self.controllers[pending.controller].jobs);
             }
             RequestStage::Cancelled(outcome) => pending.request.apply_cancellation(outcome),
-            other => unreachable!("{other:?} is no response"),
+            other => unreachable!("stage {other:?} holds no response of the state service"),
         }
     }
 
-    /// The state service carries out a transaction of a look-up, or the look-up is done.
+    /// Applies the next transaction of a look-up in the state service, or completes the look-up.
     fn continue_lookup(&mut self, pending: &PendingRequest, mut lookup: Lookup, response_lost: bool) -> RequestStage {
         let Some(txn) = lookup.txn() else {
             self.coverage.from_lookup += 1;
@@ -126,13 +127,13 @@
                 // a conflict may name any of the keys whose precondition failed
                 self.rng.shuffle(&mut keys);
                 keys.truncate(self.rng.usize(1..4));
-                assert!(lookup.apply_conflict(&keys), "a look-up makes no progress");
+                assert!(lookup.apply_conflict(&keys), "look-up makes no progress after a conflict on {keys:?}");
             }
         }
         RequestStage::LookingUp(lookup)
     }
 
-    /// The result of a look-up; the controller keeps a job that has ended.
+    /// Returns the result of a look-up, and adds a job that has ended to the controller's index.
     fn finish_lookup(&mut self, pending: &PendingRequest, lookup: &Lookup) -> Option<LookupResult> {
         let found = match lookup.ended().contains(&pending.job) {
             false => lookup.found(&pending.job),
@@ -145,12 +146,13 @@
         found
     }
 
-    /// Reads the record and the outcome of a job that has ended into a controller's index.
+    /// Reads the record and the outcome of an ended job into a controller's index, and returns the
+    /// outcome.
     fn read_ended_job(&mut self, pending: &PendingRequest) -> JobOutcome {
-        let record = self.state_store.job(&pending.job).expect("a job with an outcome has a record");
-        let outcome = self.state_store.store.outcome(&pending.job).expect("the job has an outcome");
-        let spec = Arc::new(read_value::<JobSpec>(&record.key, record.value).expect("our own record"));
-        let now = self.at();
+        let record = self.state_store.job(&pending.job).expect("a job with an outcome has a stored record");
+        let outcome = self.state_store.store.outcome(&pending.job).expect("an ended job has a stored outcome");
+        let spec = Arc::new(read_value::<JobSpec>(&record.key, record.value).expect("a stored record is readable"));
+        let now = self.now_instant();
         let controller = &mut self.controllers[pending.controller];
         controller.jobs.insert_ended(EndedJob { spec, revision: record.revision, outcome });
         if outcome == JobOutcome::Cancelled {
@@ -159,7 +161,8 @@
         outcome
     }
 
-    /// Reads from the state service whether a job has an outcome.
+    /// Reads from the state service whether a job has an outcome.  The result is `Unavailable` in an
+    /// outage, or if the response is lost.
     fn read_outcome(&self, job: &str, response_lost: bool) -> Confirmation {
         if self.outage || response_lost {
             return Confirmation::Unavailable;
--- a/packages/core/src/sim/request_history/tests.rs
+++ b/packages/core/src/sim/request_history/tests.rs
@@ -1,4 +1,5 @@
-//! Replies stay final, and each injected defect is found.
+//! Simulation tests of user requests: final replies are never contradicted, and the checker
+//! detects each injected defect.
 
 use super::*;
 
@@ -6,7 +7,7 @@
 const STEPS: u64 = 3000;
 
 #[test]
-fn answers_stay_final_though_ended_jobs_leave_memory() {
+fn replies_stay_final_after_ended_jobs_are_evicted() {
     let mut coverage = Coverage::default();
     let mut answers = [0; 4];
     for seed in SEEDS {
@@ -15,13 +16,13 @@
         coverage += history.coverage;
         history.answers.iter().for_each(|answer| answers[answer.state as usize] += 1);
     }
-    // there was something to check, of each situation and of each kind of answer
+    // the runs reached each situation, and each kind of reply, often enough
     assert!(coverage.counts().iter().all(|count| *count > 100), "{coverage:?}");
     assert!(answers.iter().all(|count| *count > 500), "{answers:?}");
 }
 
 #[test]
-fn the_checker_finds_each_injected_defect() {
+fn checker_detects_each_injected_defect() {
     use self::InjectedDefect::*;
     for defect in [
         TreatEvictedAsUnknown,
@@ -36,6 +37,6 @@
         TrustLocalCancellation,
     ] {
         let found = SEEDS.into_iter().any(|seed| !RequestHistory::new(seed, defect).run(STEPS).violations.is_empty());
-        assert!(found, "{defect:?} was not found");
+        assert!(found, "no run reported a violation with the defect {defect:?}");
     }
 }
--- a/packages/core/src/sim/request_history/transactions.rs
+++ b/packages/core/src/sim/request_history/transactions.rs
@@ -1,19 +1,19 @@
-//! Writes to the state service, whose response may be lost and which may arrive late.
+//! Writes to the state service.  A write may be delayed, and its response may be lost.
 
 use super::*;
 
-/// What becomes of a write to the state service.
+/// The result of sending a write to the state service.
 enum WriteOutcome {
-    /// It arrives later, without a response.
+    /// The write is applied later, and there is no response.
     Delayed,
-    /// It is carried out, and the response is lost.
+    /// The write is applied, and the response is lost.
     ResponseLost,
-    /// It is carried out, and answered.
+    /// The write is applied, and the response arrives.
     Answered,
 }
 
 impl RequestHistory {
-    /// A leader stores that a job is done.
+    /// Stores that a random job is done, if the job is stored without an outcome.
     pub(super) fn complete_job(&mut self, leader: usize) {
         let job = self.random_job();
         if self.outage || self.state_store.job(&job).is_none() || self.state_store.store.outcome(&job).is_some() {
@@ -21,15 +21,16 @@
         }
         let mut txn = Txn::default();
         key::put_outcome(&mut txn, &job, JobOutcome::Done);
-        let revision = self.state_store.apply(&txn).expect("the job has no outcome");
-        // the writer learns of it at once, or by its watch alone
+        let revision =
+            self.state_store.apply(&txn).expect("the job has no outcome yet, so the transaction has no conflict");
+        // the writer learns of the outcome immediately, or only by its watch
         if self.rng.bool() {
-            let now = self.at();
+            let now = self.now_instant();
             self.controllers[leader].apply_outcome(&job, JobOutcome::Done, revision, now);
         }
     }
 
-    /// A controller stores all queued submissions in one transaction.
+    /// Stores all queued submissions of a controller in one transaction.
     pub(super) fn commit_submissions(&mut self, index: usize) {
         if self.controllers[index].submissions.is_empty() {
             return;
@@ -47,7 +48,8 @@
         }
     }
 
-    /// The state service's response to a transaction; `None`: there is none.
+    /// Sends a transaction of submissions to the state service and returns the result, or `None`
+    /// if there is no response.
     fn write_submissions(&mut self, txn: &Txn) -> Option<Result<u64, Vec<String>>> {
         let write = match self.rng.u32(0..12) {
             0 => WriteOutcome::Delayed,
@@ -60,7 +62,7 @@
         match write {
             WriteOutcome::Delayed => {
                 self.delayed_txns.push(txn.clone());
-                self.coverage.late_writes += 1;
+                self.coverage.delayed_writes += 1;
                 None
             }
             WriteOutcome::ResponseLost => {
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Whether the submissions are stored is not known.
+    /// Sets the result of submissions whose transaction got no response.
     fn apply_unknown_result(&mut self, batch: &[Submission]) {
         let result = match self.defect {
             InjectedDefect::AcceptUnknownSubmission => StoreResult::New { slow: false },
@@ -83,9 +85,10 @@
         }
     }
 
-    /// The submissions are stored; a job that needs a cancelled one ends with them.
+    /// Sets the result of submissions that were stored.  A job that depends on a cancelled one is
+    /// stored as cancelled in the same transaction.
     fn apply_stored(&mut self, index: usize, batch: Vec<Submission>, txn: &Txn, revision: u64) {
-        let now = self.at();
+        let now = self.now_instant();
         let trust_local = self.defect == InjectedDefect::TrustLocalCancellation;
         for Submission { request, spec, needs_cancelled_job } in batch {
             let outcome_key = format!("{}{}", key::OUTCOME, spec.id);
@@ -101,7 +104,8 @@
         }
     }
 
-    /// Some of the jobs were stored before: the others are tried again.
+    /// Handles a conflict: the submissions of jobs that were stored before get the result
+    /// `AlreadyStored`, and the others are queued again.
     fn apply_conflicts(&mut self, index: usize, batch: Vec<Submission>, conflicts: &[String]) {
         for submission in batch {
             match conflicts.contains(&format!("{}{}", key::JOB, submission.spec.id)) {
@@ -117,7 +121,8 @@
         }
     }
 
-    /// The state service gets a cancellation; the outcome that is stored then, if it answers.
+    /// Sends a cancellation to the state service.  Returns the outcome that is stored afterwards,
+    /// or `None` if there is no response.
     pub(super) fn commit_cancellation(&mut self, pending: &PendingRequest, response_lost: bool) -> Option<JobOutcome> {
         if self.outage {
             return None;
@@ -127,7 +132,7 @@
         let confirm_unknown = self.defect == InjectedDefect::ConfirmUnknownCancellation;
         if response_lost && self.rng.bool() {
             self.delayed_txns.push(txn);
-            self.coverage.late_writes += 1;
+            self.coverage.delayed_writes += 1;
             return confirm_unknown.then_some(JobOutcome::Cancelled);
         }
         let result = self.state_store.apply(&txn);
@@ -135,19 +140,19 @@
             self.coverage.lost_responses += 1;
             return confirm_unknown.then_some(JobOutcome::Cancelled);
         }
-        let outcome = self.state_store.store.outcome(job).expect("the job has an outcome now");
+        let outcome = self.state_store.store.outcome(job).expect("the job has an outcome after the cancellation");
         let revision = result.unwrap_or(self.state_store.store.revision(&format!("{}{job}", key::OUTCOME)));
-        let now = self.at();
+        let now = self.now_instant();
         self.controllers[pending.controller].apply_outcome(job, outcome, revision, now);
         Some(outcome)
     }
 
-    /// A transaction without a response is carried out after all.
+    /// Applies a random delayed transaction, if there is one and the state service is available.
     pub(super) fn apply_delayed_txn(&mut self) {
         if !self.delayed_txns.is_empty() && !self.outage {
             let position = self.rng.usize(0..self.delayed_txns.len());
             let txn = self.delayed_txns.swap_remove(position);
-            // it may conflict with a later write
+            // the transaction may conflict with a write that came after it was sent
             let _ = self.state_store.apply(&txn);
         }
     }
--- a/packages/core/src/sim/request_history/watched_store.rs
+++ b/packages/core/src/sim/request_history/watched_store.rs
@@ -1,29 +1,33 @@
-//! The state service with range reads and a watch of bounded history.
+//! Model of the state service with range reads and a watch whose history is bounded.
 
 use super::*;
 
-/// Changes that the state service keeps for watches.
+/// Maximum number of changes that the state service keeps for watches.
 pub(super) const WATCH_HISTORY: usize = 30;
 
-/// One page of a range read.
+/// One page of the result of a range read.
 pub(super) struct RangePage {
     pub(super) entries: Vec<KeyValue>,
-    /// Whether more entries follow.
+    /// Whether the range has more entries after this page.
     pub(super) is_truncated: bool,
 }
 
-/// The state service.
+/// A state store that also keeps its recent changes for watches.
 #[derive(Default)]
 pub(super) struct WatchedStore {
     pub(super) store: StateStore,
-    /// The last changes, oldest first.
+    /// The most recent changes, oldest first.
     changes: VecDeque<WatchEvent>,
-    /// The last revision whose change is not kept any more.
+    /// Greatest revision of which a change was dropped from the history.
     pub(super) compacted_revision: u64,
 }
 
 impl WatchedStore {
-    /// Applies a transaction; an error names the keys whose precondition failed.
+    /// Applies a transaction and returns its revision.
+    ///
+    /// # Errors
+    ///
+    /// Returns the keys whose precondition failed; nothing is written in that case.
     pub(super) fn apply(&mut self, txn: &Txn) -> Result<u64, Vec<String>> {
         let revision = self.store.apply(txn)?;
         for write in &txn.writes {
@@ -38,15 +42,16 @@
         Ok(revision)
     }
 
-    /// The kept changes after a revision, by revision.
+    /// Returns the kept changes after a revision, ordered by revision.
     pub(super) fn changes_since(&self, revision: u64) -> Vec<&WatchEvent> {
         let mut events: Vec<&WatchEvent> = self.changes.iter().filter(|e| e.revision > revision).collect();
-        // a job and its outcome may be written by one transaction
+        // one transaction may write both a job and its outcome; the job comes first
         events.sort_by_key(|e| (e.revision, e.set.as_ref().is_some_and(|path| path.starts_with(key::OUTCOME))));
         events
     }
 
-    /// Reads at most `limit` entries of a prefix, after the key `since`.
+    /// Reads at most `limit` entries whose keys have the given prefix and come after the key
+    /// `since`.
     pub(super) fn read_range(&self, prefix: &str, since: &str, limit: usize) -> RangePage {
         let in_range = |k: &&String| k.starts_with(prefix) && k.as_str() > since;
         let keys = self.store.kv.keys().filter(in_range).take(limit + 1);
@@ -56,7 +61,7 @@
         RangePage { entries, is_truncated }
     }
 
-    /// The record of a job.
+    /// Returns the stored record of a job, or `None` if there is none.
     pub(super) fn job(&self, id: &str) -> Option<KeyValue> {
         self.store.entry(&format!("{}{id}", key::JOB))
     }
--- a/packages/core/src/sim/snapshots.rs
+++ b/packages/core/src/sim/snapshots.rs
@@ -1,38 +1,38 @@
-//! What each controller's process knows of outcomes, whether it leads or not: by its
-//! watch, by what it stores itself, and by the lists of its peers.
+//! Job outcomes known to each controller process, whether it leads or not.  A process learns
+//! of them by its watch, by its own transactions and from the cancellations of its peers.
 
 use std::collections::HashSet;
 
 use super::*;
 use crate::cancellation::{may_lead, may_renew, CancellationLog, CancellationNotices, CancellationView};
 
-/// Cancellations that a process keeps for its peers.
+/// Maximum number of cancellations that a process keeps for its peers.
 const MAX_CANCELLATIONS: usize = 64;
-/// The controllers' names as peers, by index.
+/// Names by which controllers identify each other as peers, by index.
 const PEER_NAMES: [&str; 3] = ["0", "1", "2"];
 
-/// One process' knowledge of outcomes.
+/// The job outcomes known to one controller process.
 pub(super) struct OutcomeSnapshot {
     cancellations: CancellationLog,
-    /// Cancellations that are still to be confirmed to their users.
+    /// Cancellations that peers are notified of before they are confirmed to their users.
     notices: CancellationNotices,
     view: CancellationView,
     /// Jobs known to have an outcome.
-    pub(super) over: HashSet<Name>,
-    /// The revision up to which the watch was seen; `None` before the first read.
+    pub(super) ended_jobs: HashSet<Name>,
+    /// Revision up to which the watch was read; `None` before the first read.
     watched_revision: Option<u64>,
     next_watch_at: Ms,
     next_peer_request_at: Ms,
 }
 
 impl OutcomeSnapshot {
-    /// A new process, which knows nothing yet.
+    /// Creates the empty snapshot of a process that has just started.
     pub(super) fn new(incarnation: u64) -> OutcomeSnapshot {
         OutcomeSnapshot {
             cancellations: CancellationLog::new(incarnation, MAX_CANCELLATIONS),
             notices: CancellationNotices::new(2, MAX_CANCELLATIONS),
             view: CancellationView::default(),
-            over: HashSet::new(),
+            ended_jobs: HashSet::new(),
             watched_revision: None,
             next_watch_at: 0,
             next_peer_request_at: 0,
@@ -41,7 +41,7 @@
 }
 
 impl World {
-    /// Whether a controller is cut off together with its zone.
+    /// Reports whether a controller is isolated by a partition of its zone.
     pub(super) fn is_partitioned(&self, i: usize) -> bool {
         self.now < self.faults.zone_partitioned_until[i] && self.zone_without_controller != Some(i)
     }
@@ -50,13 +50,13 @@
         self.faults.controller_down_until[i] <= self.now && self.faults.paused_until[i] <= self.now
     }
 
-    /// Whether the state service serves a controller now.
+    /// Reports whether a controller is running and the state service serves it now.
     pub(super) fn is_served(&self, i: usize) -> bool {
         let refused_until = self.faults.state_store_outage_until.max(self.faults.state_store_refuses_until[i]);
         self.is_running(i) && self.now >= refused_until && !self.is_partitioned(i)
     }
 
-    /// Whether two different controllers reach each other.
+    /// Reports whether two different controllers reach each other.
     fn is_reachable(&self, from: usize, to: usize) -> bool {
         let reaches_peers = |i: usize| {
             self.now >= self.faults.peers_unreachable_until[i] && !self.is_partitioned(i) && self.is_running(i)
@@ -64,8 +64,9 @@
         from != to && reaches_peers(from) && reaches_peers(to)
     }
 
-    /// Whether peers answer, the state service refuses all of them, and none leads in a
-    /// later term.
+    /// Reports whether a controller's peers confirm a state service outage: the state service
+    /// refuses the controller and all peers that it reaches, of which there is at least one, and
+    /// none of these peers leads in a later term.
     pub(super) fn is_outage_confirmed(&self, i: usize) -> bool {
         let term = |j: usize| self.controllers[j].as_ref().map_or(0, |controller| controller.cluster.term);
         let mut peers = (0..3).filter(|j| self.is_reachable(i, *j)).peekable();
@@ -73,7 +74,8 @@
         is_refused && peers.peek().is_some() && peers.all(|j| !self.is_served(j) && term(j) <= term(i))
     }
 
-    /// The moment up to which a process knows of all cancellations, if there is one.
+    /// Returns the time up to which a process knows all cancellations, or `None` if its view was
+    /// never complete.
     pub(super) fn cancellations_complete_as_of(&self, i: usize) -> Option<Instant> {
         let view = &self.snapshots[i].view;
         let peers = (0..3).filter(|j| *j != i).map(|j| PEER_NAMES[j]);
@@ -83,58 +85,62 @@
         view.complete_as_of(peers)
     }
 
-    /// Whether a controller in a zone that is cut off renews its workers' leases.
+    /// Reports whether a controller in a partitioned zone may renew the leases of its workers.
     pub(super) fn may_renew_zone(&self, i: usize) -> bool {
         let unchecked = self.defect == InjectedDefect::RenewLeasesUnchecked;
         let complete_as_of = self.cancellations_complete_as_of(i);
-        let now = self.at(self.now);
+        let now = self.instant_at(self.now);
         self.is_running(i) && (unchecked || may_renew(complete_as_of, self.peer_notices_required, &self.policy, now))
     }
 
-    /// Whether a controller would report a job as unfinished now: the state service
-    /// confirms that it has no outcome, and by a recent snapshot no dependency is cancelled.
+    /// Reports whether a controller would report a job as unfinished now: the state service
+    /// confirms that the job has no outcome, and no dependency is cancelled according to a recent
+    /// snapshot.
     pub(super) fn may_report_unfinished(&self, i: usize, id: &Name) -> bool {
-        let has_read = self.snapshots[i].watched_revision.is_some();
-        if !self.is_served(i) || self.state_store.outcome(id).is_some() || !has_read {
+        let has_read_watch = self.snapshots[i].watched_revision.is_some();
+        if !self.is_served(i) || self.state_store.outcome(id).is_some() || !has_read_watch {
             return false;
         }
         if self.defect == InjectedDefect::ReportUnfinishedUnchecked {
             return true;
         }
         let complete_as_of = self.cancellations_complete_as_of(i);
-        !self.has_cancelled_dependency(i, id) && may_lead(complete_as_of, &self.policy, self.at(self.now))
+        !self.has_cancelled_dependency(i, id) && may_lead(complete_as_of, &self.policy, self.instant_at(self.now))
     }
 
-    /// Whether by a process' snapshot a job, or one that it depends on, is cancelled.
+    /// Reports whether a job, or one that it depends on directly or indirectly, is cancelled
+    /// according to the snapshot of a process.
     fn has_cancelled_dependency(&self, i: usize, id: &Name) -> bool {
-        let over = &self.snapshots[i].over;
+        let ended_jobs = &self.snapshots[i].ended_jobs;
         let (mut next, mut seen) = (vec![id], HashSet::new());
         while let Some(id) = next.pop().filter(|_| next.len() < 10_000) {
-            let is_over = over.contains(id);
-            if is_over && self.state_store.outcome(id) == Some(JobOutcome::Cancelled) {
+            let has_ended = ended_jobs.contains(id);
+            if has_ended && self.state_store.outcome(id) == Some(JobOutcome::Cancelled) {
                 return true;
             }
-            if !is_over && seen.insert(id) {
+            if !has_ended && seen.insert(id) {
                 next.extend(&self.jobs[id].spec.needs);
             }
         }
         false
     }
 
-    /// A process learns of an outcome; if it leads, its state has it at once.
+    /// Records that a process learns of an outcome.  If the process leads, the outcome is also
+    /// applied to its cluster state.
     pub(super) fn record_outcome(&mut self, i: usize, id: &Name, outcome: JobOutcome, revision: u64) {
-        let now = self.at(self.now);
+        let now = self.instant_at(self.now);
         let snapshot = &mut self.snapshots[i];
         if outcome == JobOutcome::Cancelled {
             snapshot.cancellations.record(revision, id, now);
         }
-        snapshot.over.insert(id.clone());
+        snapshot.ended_jobs.insert(id.clone());
         if let Some(controller) = self.controllers[i].as_mut() {
             controller.cluster.set_outcome(id, outcome, now);
         }
     }
 
-    /// Watches are answered, and processes ask their peers.
+    /// Runs the watches, the exchange of cancellations between peers, and the confirmation of
+    /// cancellations to users.
     pub(super) fn update_snapshots(&mut self) {
         for StoredOutcome { id, .. } in &self.state_store.outcomes[self.outcome_stored_at.len()..] {
             self.outcome_stored_at.insert(id.clone(), self.now);
@@ -153,16 +159,17 @@
         }
     }
 
-    /// The watch shows what was asked for now; sometimes one hangs.
+    /// Reads all changes since the last read of the watch.  The next read follows within 2 s,
+    /// or within 10 s if the watch hangs.
     fn poll_watch(&mut self, i: usize) {
-        let max_pause = if self.rng.u32(0..8) == 0 { 100 } else { 20 };
-        self.snapshots[i].next_watch_at = self.now + self.rng.u64(1..max_pause) * STEP;
-        let now = self.at(self.now);
+        let max_delay_steps = if self.rng.u32(0..8) == 0 { 100 } else { 20 };
+        self.snapshots[i].next_watch_at = self.now + self.rng.u64(1..max_delay_steps) * STEP;
+        let now = self.instant_at(self.now);
         let revision = self.state_store.last_revision;
         let snapshot = &mut self.snapshots[i];
         if snapshot.watched_revision.is_none() {
             snapshot.cancellations.begin_watch(revision, now);
-            snapshot.over.extend(self.state_store.outcomes.iter().map(|outcome| outcome.id.clone()));
+            snapshot.ended_jobs.extend(self.state_store.outcomes.iter().map(|outcome| outcome.id.clone()));
         }
         let since = snapshot.watched_revision.unwrap_or(revision);
         let first = self.state_store.outcomes.partition_point(|outcome| outcome.revision <= since);
@@ -174,7 +181,7 @@
         self.snapshots[i].view.watch_answered(now);
     }
 
-    /// A process asks a peer for the cancellations that it has not shown yet.
+    /// Fetches from a peer the cancellations that the process has not received from it yet.
     fn fetch_cancellations(&mut self, i: usize, peer: usize) {
         let Some(since) = self.snapshots[i].watched_revision else { return };
         let cursor = self.snapshots[i].view.next_cursor(PEER_NAMES[peer]);
@@ -186,19 +193,20 @@
         for cancellation in &batch.cancellations {
             self.record_outcome(i, &cancellation.id, JobOutcome::Cancelled, cancellation.revision);
         }
-        let now = self.at(self.now);
+        let now = self.instant_at(self.now);
         self.snapshots[i].view.peer_answered(PEER_NAMES[peer], now, &batch);
     }
 
-    /// Users who have cancelled jobs ask again, at any controller, until it is confirmed.
+    /// Lets the users of unconfirmed cancellations repeat their requests, each at a random
+    /// controller, until the cancellation is confirmed.
     fn confirm_cancellations(&mut self) {
         for id in self.unconfirmed_cancellations.clone() {
             let i = self.rng.usize(0..3);
-            let now = self.at(self.now);
-            let may_answer = self.is_running(i)
+            let now = self.instant_at(self.now);
+            let may_reply = self.is_running(i)
                 && may_lead(self.cancellations_complete_as_of(i), &self.policy, now)
-                && self.snapshots[i].over.contains(&id);
-            if !may_answer || self.rng.u32(0..5) > 0 {
+                && self.snapshots[i].ended_jobs.contains(&id);
+            if !may_reply || self.rng.u32(0..5) > 0 {
                 continue;
             }
             if self.may_confirm(i, &id, now) {
@@ -212,7 +220,7 @@
         }
     }
 
-    /// Whether a controller confirms a cancellation to its user.
+    /// Reports whether a controller may confirm a cancellation to its user.
     fn may_confirm(&mut self, i: usize, id: &Name, now: Instant) -> bool {
         let snapshot = &mut self.snapshots[i];
         !self.peer_notices_required
@@ -220,8 +228,9 @@
             || snapshot.notices.may_confirm(id, &snapshot.cancellations, &self.policy, now)
     }
 
-    /// A controller notifies a peer of a cancellation, and learns whether a leader has no
-    /// task of the job left; that may be the controller itself.
+    /// Notifies a peer of cancellations.  The cancellation of the job is settled if the peer leads
+    /// and has no task of the job left.  With `peer == i`, the controller examines its own state
+    /// and sends nothing.
     fn notify_of_cancellation(&mut self, i: usize, peer: usize, id: &Name, now: Instant) {
         let leader = self.controllers[peer].as_ref().filter(|controller| controller.has_lease(self.now));
         let unchecked = self.defect == InjectedDefect::ReportNoTasksUnchecked;
--- a/packages/core/src/sim/starvation.rs
+++ b/packages/core/src/sim/starvation.rs
@@ -1,37 +1,39 @@
-//! Liveness: no job is left waiting for ever.
+//! Liveness check: no job stays pending while there is room for it.
 
 use std::collections::HashSet;
 
 use super::*;
 
-/// For how long there must be room before a job counts as waiting, and for how long it
-/// may wait then.
+/// Time in seconds for which a pending job must have had room before the checker counts it as
+/// waiting, and also the maximum time for which such a job may wait.
 const WINDOW_SECONDS: usize = 40;
-/// The cores of a machine.
+/// Number of cores of each machine.
 const MACHINE_CPUS: f64 = 8.0;
-/// Cores of tasks that have ended, and that the leader still counts as it does not know.
+/// Cores of ended tasks that the leader still counts as used because the tasks' exits have
+/// not been reported to it.
 const UNREPORTED_CPUS: f64 = 2.0;
-/// How long a leader may take to learn of an outcome: a transaction may be without a
-/// response for some seconds.
+/// Maximum time that a leader may take to learn of an outcome.  A transaction may stay without
+/// a response for some seconds.
 const UNBLOCK_GRACE: Ms = 15_000;
 
 impl World {
-    /// Jobs that a leader still blocks though all their dependencies were done a while
-    /// ago: nothing else would show that they never start.
+    /// Returns the jobs that a leader still blocks although all their dependencies were done more
+    /// than `UNBLOCK_GRACE` ago.  No other check detects that such jobs never start.
     pub(super) fn blocked_despite_done_dependencies(&self) -> Vec<String> {
-        let is_long_done = |id: &Name| {
-            let is_old = self.outcome_stored_at.get(id).is_some_and(|at| self.now - at > UNBLOCK_GRACE);
-            is_old && self.state_store.outcome(id) == Some(JobOutcome::Done)
+        let is_done_past_grace = |id: &Name| {
+            let is_past_grace = self.outcome_stored_at.get(id).is_some_and(|at| self.now - at > UNBLOCK_GRACE);
+            is_past_grace && self.state_store.outcome(id) == Some(JobOutcome::Done)
         };
         let leaders = self.controllers.iter().flatten().filter(|controller| controller.has_lease(self.now));
         let blocked = leaders.flat_map(|leader| leader.cluster.dependency.blocked());
-        let overdue = blocked.filter(|job| job.spec.needs.iter().all(is_long_done));
+        let overdue = blocked.filter(|job| job.spec.needs.iter().all(is_done_past_grace));
         overdue.map(|job| job.spec.id.to_string()).collect()
     }
 
-    /// Once all faults are over, no job is left waiting beside room that fits it, its team
-    /// under its limit: at each second of a window, room that was there for a whole window
-    /// before, eighty seconds in all.
+    /// Checks, after all faults have ended, that no job stays pending while it fits on the
+    /// machines and within the limit of its team.  A job counts as waiting while it has had room
+    /// for a whole window of `WINDOW_SECONDS`.  A job that waits for another whole window, eighty
+    /// seconds in all, is a violation.
     pub(super) fn check_starvation(&mut self) {
         let sample = self.sample_capacity();
         self.capacity_samples.push_back(sample);
@@ -39,24 +41,28 @@
             return;
         }
         self.capacity_samples.pop_front();
-        let free = self.least_free();
-        let on_machines: HashSet<&Name> =
+        let free = self.min_free_cpus();
+        let jobs_on_machines: HashSet<&Name> =
             self.workers.iter().flat_map(|worker| worker.tasks.keys()).map(|task| &task.job).collect();
         let mut unplaced_since = HashMap::new();
         let mut violations = Vec::new();
         for (id, SubmittedJob { spec, .. }) in &self.jobs {
-            if on_machines.contains(id) || !self.is_ready(id, spec) {
+            if jobs_on_machines.contains(id) || !self.is_ready(id, spec) {
                 continue;
             }
-            let needed = if spec.shape == Shape::Gang { spec.tasks } else { 1 };
-            let room = self.room_for(spec, &free);
-            let requested = spec.cpus * f64::from(needed);
-            if room < needed || self.most_used(&spec.team) + requested + UNREPORTED_CPUS > self.quota {
+            let required_tasks = if spec.shape == Shape::Gang { spec.tasks } else { 1 };
+            let fitting_tasks = self.count_fitting_tasks(spec, &free);
+            let requested = spec.cpus * f64::from(required_tasks);
+            if fitting_tasks < required_tasks
+                || self.max_used_cpus(&spec.team) + requested + UNREPORTED_CPUS > self.quota
+            {
                 continue;
             }
             let since = self.unplaced_since.get(id).copied().unwrap_or(self.now);
             if self.now - since >= WINDOW_SECONDS as u64 * 1000 {
-                violations.push(format!("left_waiting: {id} of {needed} tasks, {room} would fit"));
+                violations.push(format!(
+                    "left_waiting: {id} stays pending; it needs room for {required_tasks} tasks, and {fitting_tasks} would fit"
+                ));
             }
             unplaced_since.insert(id.clone(), since);
         }
@@ -64,10 +70,10 @@
         self.violations.extend(violations);
     }
 
-    /// What the teams use and what is free on each machine now.
+    /// Samples the cores that each team uses and those that are free on each machine.
     fn sample_capacity(&self) -> CapacitySample {
-        let mut used_by_team: HashMap<Name, f64> = HashMap::new();
-        let mut free_on_worker = Vec::new();
+        let mut used_cpus_by_team: HashMap<Name, f64> = HashMap::new();
+        let mut free_cpus_by_worker = Vec::new();
         for worker in &self.workers {
             let is_up = worker.alive && self.now >= worker.hung_until;
             let mut free = if is_up { MACHINE_CPUS } else { 0.0 };
@@ -75,38 +81,43 @@
             for (task, _) in running {
                 let spec = &self.jobs[&task.job].spec;
                 free -= spec.cpus;
-                *used_by_team.entry(spec.team.clone()).or_default() += spec.cpus;
+                *used_cpus_by_team.entry(spec.team.clone()).or_default() += spec.cpus;
             }
-            free_on_worker.push(free);
+            free_cpus_by_worker.push(free);
         }
-        CapacitySample { used_by_team, free_on_worker }
+        CapacitySample { used_cpus_by_team, free_cpus_by_worker }
     }
 
-    /// What was free on each machine throughout the window.
-    fn least_free(&self) -> Vec<f64> {
-        let free = |sample: &CapacitySample, i: usize| sample.free_on_worker.get(i).copied().unwrap_or(0.0);
-        let least = |i| self.capacity_samples.iter().map(|sample| free(sample, i)).fold(MACHINE_CPUS, f64::min);
-        (0..self.workers.len()).map(least).collect()
+    /// Returns the cores that were free on each machine throughout the window.
+    fn min_free_cpus(&self) -> Vec<f64> {
+        let free = |sample: &CapacitySample, i: usize| sample.free_cpus_by_worker.get(i).copied().unwrap_or(0.0);
+        let min_free = |i| self.capacity_samples.iter().map(|sample| free(sample, i)).fold(MACHINE_CPUS, f64::min);
+        (0..self.workers.len()).map(min_free).collect()
     }
 
-    /// The most that a team used in the window.
-    fn most_used(&self, team: &Name) -> f64 {
-        self.capacity_samples.iter().filter_map(|sample| sample.used_by_team.get(team)).copied().fold(0.0, f64::max)
+    /// Returns the maximum number of cores that a team used during the window.
+    fn max_used_cpus(&self, team: &Name) -> f64 {
+        self.capacity_samples
+            .iter()
+            .filter_map(|sample| sample.used_cpus_by_team.get(team))
+            .copied()
+            .fold(0.0, f64::max)
     }
 
-    /// Whether a job should start: it has no outcome and no finished task, and its
-    /// dependencies are done.  What fails everywhere is tried again seldom.
+    /// Reports whether a job should start: it has no outcome and no completed task, and its
+    /// dependencies are done.  Jobs that fail on every machine are excluded, because the leader
+    /// retries them rarely.
     fn is_ready(&self, id: &Name, spec: &JobSpec) -> bool {
         let is_done = |id: &Name| self.state_store.outcome(id) == Some(JobOutcome::Done);
         let has_finished_task = (0..spec.tasks).any(|index| self.has_finished(id, index));
         self.state_store.outcome(id).is_none()
             && !has_finished_task
             && spec.needs.iter().all(is_done)
-            && !self.faulty_jobs.contains(id)
+            && !self.failing_jobs.contains(id)
     }
 
-    /// How many tasks of a job fit on the machines, by what is free on each.
-    fn room_for(&self, spec: &JobSpec, free: &[f64]) -> u32 {
+    /// Returns how many tasks of a job fit on the machines, given the free cores of each.
+    fn count_fitting_tasks(&self, spec: &JobSpec, free: &[f64]) -> u32 {
         let mut fitting: BTreeMap<&Name, u32> = BTreeMap::new();
         for (worker, free) in self.workers.iter().zip(free) {
             if spec.allows(&"t".into(), &worker.zone, worker.spot) && *free >= spec.cpus {
--- a/packages/core/src/sim/state_store.rs
+++ b/packages/core/src/sim/state_store.rs
@@ -1,15 +1,15 @@
-//! Model of the state service: keys with revisions, transactions with preconditions,
-//! and the leader's lease.
+//! Model of the state service: keys with revisions, transactions with preconditions, and
+//! leases, one of which the leader key is bound to.
 
 use super::*;
 
-/// A value and the revision that wrote it.
+/// A value with the revision at which it was written.
 pub(super) struct Versioned {
     pub(super) value: rmpv::Value,
     pub(super) revision: u64,
 }
 
-/// A stored outcome of a job.
+/// The outcome of a job, with the revision at which it was stored.
 #[derive(Clone)]
 pub(super) struct StoredOutcome {
     pub(super) revision: u64,
@@ -17,7 +17,7 @@
     pub(super) outcome: JobOutcome,
 }
 
-/// Whose leader key is stored, and the lease that it is bound to.
+/// The controller that wrote the stored leader key, and the lease to which the key is bound.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct LeaderKey {
     pub(super) controller: usize,
@@ -29,15 +29,15 @@
 pub(super) struct StateStore {
     pub(super) kv: BTreeMap<String, Versioned>,
     pub(super) last_revision: u64,
-    /// When each lease expires.
+    /// Expiry time of each lease, by lease id.
     pub(super) leases: BTreeMap<u64, Ms>,
-    /// Outcomes in the order in which they were stored.
+    /// All outcomes in the order in which they were stored.
     pub(super) outcomes: Vec<StoredOutcome>,
     pub(super) leader: Option<LeaderKey>,
 }
 
 impl StateStore {
-    /// Removes leases that have expired; the leader key goes with its lease.
+    /// Removes expired leases, and the leader key together with its lease.
     pub(super) fn expire_leases(&mut self, now: Ms) {
         self.leases.retain(|_, until| *until > now);
         if self.leader.is_some_and(|key| !self.leases.contains_key(&key.lease_id)) {
@@ -47,13 +47,16 @@
         }
     }
 
-    /// The revision of a key; 0 if there is none.
+    /// Returns the revision of a key, or 0 if the key does not exist.
     pub(super) fn revision(&self, path: &str) -> u64 {
         self.kv.get(path).map_or(0, |entry| entry.revision)
     }
 
-    /// Applies a transaction and gives its revision; an error names the keys whose
-    /// precondition failed.
+    /// Applies a transaction and returns its revision.
+    ///
+    /// # Errors
+    ///
+    /// Returns the keys whose precondition failed; nothing is written in that case.
     pub(super) fn apply(&mut self, txn: &Txn) -> Result<u64, Vec<String>> {
         let failed = txn.preconditions.iter().filter(|p| self.revision(&p.key) != p.revision);
         let conflicts: Vec<String> = failed.map(|p| p.key.clone()).collect();
@@ -76,58 +79,64 @@
         Ok(revision)
     }
 
-    /// Notes an outcome that the present revision writes.
+    /// Records the outcome that a write at the current revision stores, if the key is that of an
+    /// outcome.
     fn record_outcome(&mut self, path: &str, value: &rmpv::Value) {
         let Some(id) = path.strip_prefix(key::OUTCOME) else { return };
-        let outcome = read_value::<OutcomeRecord>(path, value.clone()).expect("an outcome").outcome;
+        let outcome = read_value::<OutcomeRecord>(path, value.clone()).expect("a stored outcome is readable").outcome;
         self.outcomes.push(StoredOutcome { revision: self.last_revision, id: id.into(), outcome });
     }
 
-    /// The value of a key, with its revision.
+    /// Returns the value of a key with its revision, or `None` if the key does not exist.
     pub(super) fn entry(&self, path: &str) -> Option<KeyValue> {
         let Versioned { value, revision } = self.kv.get(path)?;
         Some(KeyValue { key: path.into(), value: value.clone(), revision: *revision })
     }
 
-    /// The value of a key, as a record.
+    /// Reads the value of a key as a record, or `None` if the key does not exist or its value
+    /// cannot be read as a `T`.
     pub(super) fn read<T: serde::de::DeserializeOwned>(&self, path: &str) -> Option<T> {
         read_value(path, self.kv.get(path)?.value.clone())
     }
 
-    /// The stored outcome of a job.
+    /// Returns the stored outcome of a job, or `None` if there is none.
     pub(super) fn outcome(&self, id: &str) -> Option<JobOutcome> {
         self.read::<OutcomeRecord>(&format!("{}{id}", key::OUTCOME)).map(|record| record.outcome)
     }
 }
 
-/// The state service as far as records of rentals need it.
+/// State service for tests of the rental records of machines.
 #[derive(Default)]
 pub struct Records(StateStore);
 
 impl Records {
-    /// Stores the leader key of a term.
+    /// Stores the leader key with the given term.
     pub fn leads(&mut self, term: u64) {
         let mut txn = Txn::default();
         txn.writes.push(Write::set(key::LEADER, &term));
-        self.0.apply(&txn).expect("there are no preconditions");
+        self.0.apply(&txn).expect("a transaction without preconditions has no conflict");
     }
 
-    /// The revision of the leader key.
+    /// Returns the revision of the leader key, or 0 if the key does not exist.
     pub fn leader(&self) -> u64 {
         self.0.revision(key::LEADER)
     }
 
-    /// Whether a key is stored.
+    /// Reports whether a key is stored.
     pub fn has(&self, path: &str) -> bool {
         self.0.kv.contains_key(path)
     }
 
-    /// Applies a transaction; see [`StateStore::apply`].
+    /// Applies a transaction and returns its revision.
+    ///
+    /// # Errors
+    ///
+    /// Returns the keys whose precondition failed; nothing is written in that case.
     pub fn apply(&mut self, txn: &Txn) -> Result<u64, Vec<String>> {
         self.0.apply(txn)
     }
 
-    /// All records of rentals, with their keys.
+    /// Returns all rental records, each with its key.
     pub fn rentals(&self) -> Vec<(String, Vec<crate::cluster::Rental>)> {
         let keys = self.0.kv.keys().filter(|path| path.starts_with(key::RENTAL));
         keys.filter_map(|path| Some((path.clone(), self.0.read(path)?))).collect()
--- a/packages/core/src/sim/tasks.rs
+++ b/packages/core/src/sim/tasks.rs
@@ -1,14 +1,15 @@
-//! Progress of the tasks on a machine.
+//! Model of the progress of tasks on their machines.
 
 use super::*;
 
-/// How long a task of a gang waits for the others.
+/// Time for which a task of a gang waits for the other tasks.
 const GANG_TIMEOUT: Ms = 20_000;
-/// A gang runs to the end of a period of this length, so that its tasks end together.
+/// Length of a gang period.  The tasks of a gang run until the end of a period, so that all
+/// of them end at the same time.
 const GANG_PERIOD: Ms = 10_000;
 
 impl World {
-    /// Takes each task of a worker as far as it has come by now.
+    /// Advances each task of a worker to its progress at the current time.
     pub(super) fn advance_tasks(&mut self, i: usize) {
         let tasks: Vec<Task> = self.workers[i].tasks.keys().cloned().collect();
         for task in tasks {
@@ -17,7 +18,7 @@
             let progress = self.next_progress(i, &task, current, &spec);
             if progress != current.progress {
                 let worker = &mut self.workers[i];
-                worker.hasten_heartbeat(self.now);
+                worker.schedule_early_heartbeat(self.now);
                 worker.tasks.insert(task, WorkerTask { progress, ..current });
             }
         }
@@ -46,9 +47,9 @@
         }
     }
 
-    /// The progress of a task whose image is pulled.
+    /// Starts a task whose image is pulled, and returns its progress.
     fn start_task(&mut self, i: usize, task: &Task, spec: &JobSpec) -> TaskProgress {
-        if self.workers[i].tasks_fail || self.faulty_jobs.contains(&task.job) {
+        if self.workers[i].tasks_fail || self.failing_jobs.contains(&task.job) {
             return TaskProgress::Ended(ExitCause::Failed);
         }
         if self.task_finished_at.contains_key(task) {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// How many tasks of a gang are there in the same attempt.
+    /// Returns how many tasks of a gang are on their machines in the given attempt.
     fn gang_size(&self, task: &Task, attempt: u64) -> usize {
         let tasks = self.workers.iter().flat_map(|worker| &worker.tasks);
         let is_member = |(other, current): &(&Task, &WorkerTask)| {
@@ -70,7 +71,7 @@
         tasks.filter(is_member).count()
     }
 
-    /// A task has completed; a gang completes with any of its tasks.
+    /// Records that a task has completed.  All tasks of a gang complete with the first of them.
     fn finish_task(&mut self, task: &Task, spec: &JobSpec) {
         self.task_finished_at.insert(task.clone(), self.now);
         if spec.shape == Shape::Gang {
@@ -83,12 +84,12 @@
         }
     }
 
-    /// Whether each task of a job has completed.
+    /// Reports whether every task of a job has completed.
     pub(super) fn has_finished_all_tasks(&self, id: &Name, spec: &JobSpec) -> bool {
         (0..spec.tasks).all(|index| self.has_finished(id, index))
     }
 
-    /// Whether a task has completed.
+    /// Reports whether a task has completed.
     pub(super) fn has_finished(&self, id: &Name, index: u32) -> bool {
         self.task_finished_at.contains_key(&Task { job: id.clone(), index })
     }
--- a/packages/core/src/sim/users.rs
+++ b/packages/core/src/sim/users.rs
@@ -1,4 +1,4 @@
-//! Users, who submit and cancel jobs.
+//! Model of the users, who submit and cancel jobs.
 
 use super::*;
 
@@ -9,32 +9,33 @@
     pub(super) revision: u64,
 }
 
-/// Which jobs to submit.
+/// Selects the kind of job to submit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum JobSize {
-    /// Of any shape and size.
+    /// A job of any shape and size.
     Any,
-    /// An array of one small task, without dependencies.
+    /// An array of one small task without dependencies.
     SingleTask,
 }
 
-/// Jobs of a random choice depend on some of the last ones.
+/// Number of most recent jobs from which the dependencies of a new job are drawn.
 const RECENT_JOBS: usize = 12;
 
 impl World {
-    /// What users do in each step; in a calm they submit and cancel nothing.
-    pub(super) fn step_users(&mut self, is_calm: bool) {
-        for _ in 0..self.scale.div_ceil(9) {
-            if !is_calm && self.rng.u32(0..40) == 0 {
+    /// Lets users submit and cancel jobs at random, except in the quiescent period.
+    pub(super) fn step_users(&mut self, is_quiescent: bool) {
+        for _ in 0..self.machine_count.div_ceil(9) {
+            if !is_quiescent && self.rng.u32(0..40) == 0 {
                 self.submit_job(JobSize::Any);
             }
-            if !is_calm && self.rng.u32(0..120) == 0 {
+            if !is_quiescent && self.rng.u32(0..120) == 0 {
                 self.cancel_random_job();
             }
         }
     }
 
-    /// Users submit many small jobs and cancel a quarter of them, while a burst lasts.
+    /// Lets users submit many small jobs, and cancel a random job for one in four of them, while a
+    /// burst lasts.
     pub(super) fn step_submission_burst(&mut self) {
         if self.now < self.faults.submission_burst_until && self.now.is_multiple_of(2 * STEP) {
             self.submit_job(JobSize::SingleTask);
@@ -44,24 +45,24 @@
         }
     }
 
-    /// Users cancel jobs whose last task has just ended, while that fault lasts.
+    /// Lets users cancel jobs whose last task has just completed, while that fault lasts.
     pub(super) fn cancel_completing_jobs(&mut self) {
         for id in std::mem::take(&mut self.completing_jobs) {
-            let by = self.rng.usize(0..3);
+            let controller = self.rng.usize(0..3);
             let is_due = self.now < self.faults.cancel_on_completion_until;
-            if is_due && self.rng.bool() && self.is_served(by) && self.state_store.outcome(&id).is_none() {
-                self.cancel_job(by, &id, &[]);
+            if is_due && self.rng.bool() && self.is_served(controller) && self.state_store.outcome(&id).is_none() {
+                self.cancel_job(controller, &id, &[]);
             }
         }
     }
 
-    /// A user submits a job.
+    /// Submits a random job for a user.
     pub(super) fn submit_job(&mut self, size: JobSize) {
         let spec = self.random_job(size);
         let txn = submissions_txn(std::iter::once(Submission { spec: &spec, needs_cancelled_job: false }));
-        let revision = self.state_store.apply(&txn).expect("a new job");
+        let revision = self.state_store.apply(&txn).expect("the transaction of a new job has no conflict");
         if self.rng.u32(0..12) == 0 {
-            self.faulty_jobs.insert(spec.id.clone());
+            self.failing_jobs.insert(spec.id.clone());
         }
         self.jobs.insert(spec.id.clone(), SubmittedJob { spec: spec.clone(), revision });
         self.submitted_at.insert(spec.id.clone(), self.now);
@@ -99,8 +100,8 @@
         Arc::new(job)
     }
 
-    /// Up to three of the last jobs, in whatever state they are by now; services never
-    /// end, so none can depend on them.
+    /// Returns up to three recent jobs, in whatever state, as dependencies.  Services are
+    /// excluded: they never end, so a job that depends on one would never start.
     fn random_needs(&mut self) -> Vec<Name> {
         let submitted = self.jobs.len();
         if submitted == 0 {
@@ -112,32 +113,35 @@
         ids.into_iter().filter(|id| self.jobs[id].spec.shape != Shape::Service).collect()
     }
 
-    /// A user cancels a job without an outcome, at some controller.
+    /// Cancels a random job without an outcome at a random controller.  Returns the job, or `None`
+    /// if the state service does not serve that controller or there is no such job.
     pub(super) fn cancel_random_job(&mut self) -> Option<Name> {
-        let by = self.rng.usize(0..3);
-        if !self.is_served(by) {
+        let controller = self.rng.usize(0..3);
+        if !self.is_served(controller) {
             return None;
         }
-        let open: Vec<Name> = self.jobs.keys().filter(|id| self.state_store.outcome(id).is_none()).cloned().collect();
-        if open.is_empty() {
+        let unfinished: Vec<Name> =
+            self.jobs.keys().filter(|id| self.state_store.outcome(id).is_none()).cloned().collect();
+        if unfinished.is_empty() {
             return None;
         }
-        let id = open[self.rng.usize(0..open.len())].clone();
-        self.cancel_job(by, &id, &open);
+        let id = unfinished[self.rng.usize(0..unfinished.len())].clone();
+        self.cancel_job(controller, &id, &unfinished);
         Some(id)
     }
 
-    /// A controller stores the cancellation of a job, and of some that depend on it.
-    fn cancel_job(&mut self, by: usize, id: &Name, open: &[Name]) {
+    /// Stores the cancellation of a job through a controller, and in half of the cases also those
+    /// of up to two jobs that depend on it.
+    fn cancel_job(&mut self, controller: usize, id: &Name, unfinished: &[Name]) {
         let mut cancelled = vec![id.clone()];
         if self.rng.bool() {
-            // as far as the controller knows of them
-            let dependents = open.iter().filter(|other| self.jobs[*other].spec.needs.contains(id));
+            // the controller may not know all dependents, so at most two are cancelled here
+            let dependents = unfinished.iter().filter(|other| self.jobs[*other].spec.needs.contains(id));
             cancelled.extend(dependents.take(2).cloned());
         }
         let Ok(revision) = self.state_store.apply(&cancellations_txn(&cancelled)) else { return };
         for id in cancelled {
-            self.record_outcome(by, &id, JobOutcome::Cancelled, revision);
+            self.record_outcome(controller, &id, JobOutcome::Cancelled, revision);
             match self.peer_notices_required {
                 true => drop(self.unconfirmed_cancellations.insert(id)),
                 false => drop(self.cancellation_confirmed_at.insert(id, self.now)),
--- a/packages/core/src/sim/workers.rs
+++ b/packages/core/src/sim/workers.rs
@@ -1,87 +1,88 @@
-//! Machines with their workers, as the protocol describes them.
+//! Model of the machines and their workers, which follow the worker protocol.
 
 use super::*;
 
-/// How long a worker runs without a renewal of its lease.
+/// Time after which a worker's lease expires unless it is renewed.
 pub(super) const WORKER_LEASE: Ms = 30_000;
-/// The time between two heartbeats of a worker.
+/// Time between two heartbeats of a worker.
 const HEARTBEAT_INTERVAL: Ms = 3000;
-/// How long a worker waits for the response to a heartbeat.
+/// Time for which a worker waits for the response to a heartbeat.
 const HEARTBEAT_TIMEOUT: Ms = 4000;
-/// How soon a worker sends a heartbeat after a task has changed.
+/// Maximum time from a change of a task to the worker's next heartbeat.
 const CHANGED_TASK_DELAY: Ms = 500;
 
-/// The zone of a worker, by the worker's index.
+/// Returns the zone of the worker with the given index.
 pub(super) fn zone_of(i: usize) -> usize {
     i % 3
 }
 
-/// How far a task has come on its machine.
+/// Progress of a task on its machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum TaskProgress {
-    /// Its image is being pulled.
+    /// The machine pulls the task's image until the given time.
     Pulling {
         until: Ms,
     },
-    /// It waits for the other tasks of its gang.
+    /// The task has waited for the other tasks of its gang since the given time.
     WaitingForGang {
         since: Ms,
     },
     Running {
         until: Ms,
     },
-    /// It has ended, and waits for the acknowledgement.
+    /// The task has ended, and the leader has not acknowledged this yet.
     Ended(ExitCause),
 }
 
 impl TaskProgress {
-    /// Whether the task is on its machine: its image is pulled, and it has not ended.
+    /// Reports whether the task occupies its machine: its image is pulled and it has not ended.
     pub(super) fn is_active(self) -> bool {
         matches!(self, TaskProgress::WaitingForGang { .. } | TaskProgress::Running { .. })
     }
 
-    /// Whether the task has ended, for whatever cause.
+    /// Reports whether the task has ended, whatever the cause.
     pub(super) fn has_ended(self) -> bool {
         matches!(self, TaskProgress::Ended(_))
     }
 }
 
-/// An attempt of a task.
+/// One attempt to run a task.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WorkerTask {
     pub(super) attempt: u64,
     pub(super) progress: TaskProgress,
 }
 
-/// A heartbeat without a response so far.
+/// A heartbeat whose response has not arrived yet.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PendingHeartbeat {
     sequence: u64,
     sent_at: Ms,
 }
 
-/// A machine with its worker.
+/// A machine with its worker process.
 pub(super) struct Worker {
     pub(super) name: Name,
     pub(super) zone: Name,
     pub(super) spot: bool,
-    /// Whether the machine exists.
+    /// Whether the machine exists in the cloud.
     pub(super) alive: bool,
-    /// Until when nothing runs on the machine.
+    /// Time until which the machine hangs: nothing on it makes progress.
     pub(super) hung_until: Ms,
-    /// Until when what is sent to it is lost, though its heartbeats arrive.
+    /// Time until which messages to the machine are lost, while its heartbeats arrive.
     pub(super) inbound_lost_until: Ms,
-    /// Until when its heartbeats are lost, though what is sent to it arrives.
+    /// Time until which the machine's heartbeats are lost, while messages to it arrive.
     pub(super) outbound_lost_until: Ms,
-    /// Whether all tasks fail here.
+    /// Whether every task that starts on the machine fails.
     pub(super) tasks_fail: bool,
-    /// Incremented when its lease has expired.
+    /// Incarnation of the worker, incremented each time the worker's lease expires.
     pub(super) incarnation: u64,
-    /// The sequence number of its last heartbeat.
+    /// Sequence number of the worker's last heartbeat.
     pub(super) sequence: u64,
-    /// The greatest fencing token it has seen.
+    /// Greatest fencing token that the worker has received.
     pub(super) fencing_token: u64,
-    /// When its lease was renewed: the time at which it sent the heartbeat.
+    /// Start of the current lease: the time at which the worker sent the heartbeat that
+    /// renewed the lease.
     pub(super) renewed_at: Ms,
     pub(super) next_heartbeat_at: Ms,
     pending_heartbeat: Option<PendingHeartbeat>,
@@ -89,7 +90,7 @@
 }
 
 impl Worker {
-    /// The machine of an index, whose lease was renewed at a given time.
+    /// Creates the machine with index `i`, whose lease starts at `renewed_at`.
     pub(super) fn new(i: usize, renewed_at: Ms, next_heartbeat_at: Ms) -> Worker {
         Worker {
             name: format!("i-{i:06}").into(),
@@ -110,12 +111,12 @@
         }
     }
 
-    /// Whether its lease has expired.
+    /// Reports whether the worker's lease has expired.
     pub(super) fn has_lost_lease(&self, now: Ms) -> bool {
         now.saturating_sub(self.renewed_at) > WORKER_LEASE
     }
 
-    /// The next heartbeat, with the status of all tasks.
+    /// Returns the next heartbeat, with the status of all tasks.
     pub(super) fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
@@ -132,8 +133,8 @@
         }
     }
 
-    /// Sends the next heartbeat soon, as a task has changed.
-    pub(super) fn hasten_heartbeat(&mut self, now: Ms) {
+    /// Moves the next heartbeat forward after a task has changed.
+    pub(super) fn schedule_early_heartbeat(&mut self, now: Ms) {
         self.next_heartbeat_at = self.next_heartbeat_at.min(now + CHANGED_TASK_DELAY);
     }
 
@@ -141,7 +142,7 @@
         let Some(current) = self.tasks.get_mut(task) else { return };
         if current.attempt == attempt && !current.progress.has_ended() {
             current.progress = TaskProgress::Ended(ExitCause::StoppedByCommand);
-            self.hasten_heartbeat(now);
+            self.schedule_early_heartbeat(now);
         }
     }
 
@@ -164,12 +165,12 @@
 }
 
 impl World {
-    /// A worker carries out the commands of its leader.
+    /// Executes the commands of a leader on a worker.
     pub(super) fn execute_commands(&mut self, i: usize, commands: &[Command]) {
         for command in commands {
             match command {
                 Command::Start { task, attempt } => {
-                    // of a task that is there already, the heartbeat shows the attempt
+                    // a task that is already present is kept; the heartbeat reports its attempt
                     if !self.workers[i].tasks.contains_key(task) {
                         let progress = TaskProgress::Pulling { until: self.now + self.rng.u64(0..30) * STEP };
                         self.workers[i].tasks.insert(task.clone(), WorkerTask { attempt: *attempt, progress });
@@ -181,7 +182,7 @@
         }
     }
 
-    /// A step of each machine that is up.
+    /// Runs one step of each machine that exists and does not hang.
     pub(super) fn step_workers(&mut self) {
         for i in 0..self.workers.len() {
             if self.workers[i].alive && self.now >= self.workers[i].hung_until {
@@ -208,24 +209,24 @@
         }
     }
 
-    /// The controller in a zone that is cut off renews a worker's lease, and stops tasks of
-    /// jobs that it knows to be over.
+    /// Renews a worker's lease through the controller inside the worker's partitioned zone.  The
+    /// controller also stops tasks of jobs that it knows to have an outcome.
     fn renew_in_partition(&mut self, i: usize) {
-        let over = &self.snapshots[zone_of(i)].over;
+        let ended_jobs = &self.snapshots[zone_of(i)].ended_jobs;
         let worker = &mut self.workers[i];
         worker.renewed_at = self.now;
         worker.pending_heartbeat = None;
         if self.peer_notices_required && self.now.is_multiple_of(3000) {
             worker.fencing_token = crate::cluster::raise_token(worker.fencing_token);
         }
-        for (_, current) in worker.tasks.iter_mut().filter(|(task, _)| over.contains(&task.job)) {
+        for (_, current) in worker.tasks.iter_mut().filter(|(task, _)| ended_jobs.contains(&task.job)) {
             if !current.progress.has_ended() {
                 current.progress = TaskProgress::Ended(ExitCause::StoppedByCommand);
             }
         }
     }
 
-    /// A worker whose lease has expired ends all tasks, and begins anew.
+    /// Restarts a worker whose lease has expired: all its tasks end and its incarnation changes.
     fn expire_worker_lease(&mut self, i: usize) {
         let worker = &mut self.workers[i];
         worker.tasks.clear();
@@ -234,7 +235,8 @@
         worker.pending_heartbeat = None;
     }
 
-    /// Sends a heartbeat to a controller that believes that it leads, or to any.
+    /// Sends a worker's heartbeat, mostly to a controller that has a leader lease as far as it
+    /// knows.
     fn send_heartbeat(&mut self, i: usize) {
         let any = self.rng.usize(0..3);
         let leader = (0..3).find(|controller| self.has_lease(*controller)).unwrap_or(any);
@@ -245,35 +247,36 @@
         if self.now < worker.outbound_lost_until {
             return;
         }
-        // where heartbeats are forwarded a worker mostly keeps to one controller; elsewhere
-        // several may believe that they lead, and any of them may be asked
-        let keeps_to_one = self.forwards_heartbeats && self.rng.u32(0..8) > 0;
+        // with forwarding, a worker mostly sends to one fixed controller; otherwise it mostly sends
+        // to the leader and one time in eight to any controller, since several may act as the leader
+        let uses_fixed_controller = self.forwards_heartbeats && self.rng.u32(0..8) > 0;
         let to = match self.rng.u32(0..8) {
-            _ if keeps_to_one => i / 3 % 3,
+            _ if uses_fixed_controller => i / 3 % 3,
             0 => self.rng.usize(0..3),
             _ => leader,
         };
         self.send(Message::Heartbeat { to, request: heartbeat.sequence, heartbeat });
     }
 
-    /// A worker gets the response to a heartbeat, unless it is late or fenced off.
+    /// Applies the response to a worker's heartbeat, unless it is late or has an outdated
+    /// fencing token or incarnation.
     pub(super) fn receive_heartbeat_response(
         &mut self,
         i: usize,
         request: u64,
         incarnation: u64,
-        answer: &HeartbeatReply,
+        reply: &HeartbeatReply,
     ) {
         let worker = &mut self.workers[i];
         let Some(pending) = worker.pending_heartbeat.filter(|heartbeat| heartbeat.sequence == request) else { return };
         let is_up = worker.alive && self.now >= worker.hung_until.max(worker.inbound_lost_until);
-        let is_current = worker.incarnation == incarnation && answer.fencing_token >= worker.fencing_token;
+        let is_current = worker.incarnation == incarnation && reply.fencing_token >= worker.fencing_token;
         if !is_up || !is_current || self.now - pending.sent_at > HEARTBEAT_TIMEOUT {
             return;
         }
         worker.pending_heartbeat = None;
-        worker.fencing_token = answer.fencing_token;
+        worker.fencing_token = reply.fencing_token;
         worker.renewed_at = worker.renewed_at.max(pending.sent_at);
-        self.execute_commands(i, &answer.commands);
+        self.execute_commands(i, &reply.commands);
     }
 }
