--- a/packages/core/src/sim/controllers.rs
+++ b/packages/core/src/sim/controllers.rs
@@ -26,7 +26,8 @@
     pub(super) lease_id: u64,
     pub(super) cluster: Cluster,
     pub(super) commit_in_flight: Option<CommitInFlight>,
-    /// Incarnation of the controller's process.  Responses to an earlier incarnation are dropped.
+    /// Incarnation of the controller, which changes with each candidacy.  Responses to an earlier
+    /// incarnation are dropped.
     pub(super) incarnation: u64,
     pub(super) unmet_demand: Vec<UnmetDemand>,
 }
@@ -120,7 +121,7 @@
 }
 
 impl World {
-    /// Returns the controller at an index if its process still has the given incarnation.
+    /// Returns the controller at an index if it still has the given incarnation.
     pub(super) fn controller_mut(&mut self, i: usize, incarnation: u64) -> Option<&mut Controller> {
         self.controllers[i].as_mut().filter(|controller| controller.incarnation == incarnation)
     }
--- a/packages/core/src/sim/election.rs
+++ b/packages/core/src/sim/election.rs
@@ -39,11 +39,11 @@
                 }
                 continue;
             }
-            let is_free = self.state_store.leader.is_none_or(|leader| leader.controller == i);
+            let is_eligible = self.state_store.leader.is_none_or(|leader| leader.controller == i);
             // a controller that workers cannot reach does not stand for election while they can reach
             // another one
-            let yields = self.faults.workers_unreachable_until[i] > self.now && !all_unreachable;
-            if is_free && !yields && self.rng.u32(0..3) != 0 {
+            let defers_to_peers = self.faults.workers_unreachable_until[i] > self.now && !all_unreachable;
+            if is_eligible && !defers_to_peers && self.rng.u32(0..3) != 0 {
                 self.start_candidacy(i);
             }
         }
--- a/packages/core/src/sim/message.rs
+++ b/packages/core/src/sim/message.rs
@@ -1,8 +1,8 @@
 //! Messages between users, controllers, workers, the state service and the cloud.
 //!
 //! Controllers are identified by index.  A message that belongs to one incarnation of a
-//! controller's process carries the `incarnation`, and a response to an earlier incarnation
-//! is dropped.
+//! controller, from one candidacy to the next, carries the `incarnation`.  A response to an
+//! earlier incarnation is dropped.
 
 use super::*;
 
--- a/packages/core/src/sim/request_history/transactions.rs
+++ b/packages/core/src/sim/request_history/transactions.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// The result of sending a write to the state service.
+/// The simulated result of sending a write to the state service.
 enum WriteOutcome {
     /// The write is applied later, and there is no response.
     Delayed,
@@ -92,10 +92,11 @@
         let trust_local = self.defect == InjectedDefect::TrustLocalCancellation;
         for Submission { request, spec, needs_cancelled_job } in batch {
             let outcome_key = format!("{}{}", key::OUTCOME, spec.id);
-            let ends = txn.writes.iter().any(|w| matches!(w, Write::Set { set, .. } if *set == outcome_key));
+            let is_stored_as_cancelled =
+                txn.writes.iter().any(|w| matches!(w, Write::Set { set, .. } if *set == outcome_key));
             let job = spec.id.clone();
             self.controllers[index].unread_responses.push(StoredJob { spec, revision });
-            if ends || needs_cancelled_job && trust_local {
+            if is_stored_as_cancelled || needs_cancelled_job && trust_local {
                 self.read_responses(index);
                 self.controllers[index].apply_outcome(&job, JobOutcome::Cancelled, revision, now);
             }
