--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,7 +1,10 @@
-//! Consistency of answers, with real controllers.  Users ask all controllers at the same time,
-//! within milliseconds after a job was accepted, finished or cancelled.  No answer may be older
-//! than one that the user had received before asking, even through controller crashes, a
-//! controller that the state service refuses, slow state requests and an outage.
+//! Checks with real controller processes that no user receives a stale answer.
+//!
+//! Users query all controllers at the same time, within milliseconds after a job was accepted,
+//! finished or cancelled.  A controller that has not yet seen a change could then report an older
+//! state than one that a user had received before the query was sent.  This must not happen while
+//! controllers crash, while the state service refuses the requests of one controller, while it
+//! answers slowly, or during its outage.
 
 mod common;
 
@@ -15,20 +18,22 @@
 use coralnotch::model::{JobSpec, JobState, Name, Shape};
 use coralnotch_wire::history::{find_stale_answers, Answer, ObservedState};
 
-/// Limit of one request.
-const REQUEST_LIMIT: Duration = Duration::from_secs(5);
-/// How long a user repeats a submission, and then a cancellation, counted from the first try.
-const SUBMIT_LIMIT: Duration = Duration::from_secs(60);
-const CANCEL_LIMIT: Duration = Duration::from_secs(90);
-/// How long a user waits for the final state of a job, counted from the first try.
-const FINAL_LIMIT: Duration = Duration::from_secs(120);
+/// Timeout of one request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a user retries a submission, counted from the first attempt to submit.
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long a user retries a cancellation, counted from the first attempt to submit the job.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(90);
+/// How long a user waits for the final state of a job, counted from the first attempt to submit it.
+const FINAL_STATE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// The answers that users received, and when each job was first submitted.
 #[derive(Default)]
 struct History {
     answers: Vec<Answer<Instant>>,
     submitted: HashMap<Name, Instant>,
-    /// Requests whose answer says nothing about the job, such as 429 or 503.
+    /// Number of requests that failed or whose response does not state whether the job was accepted,
+    /// such as 429 or 503.
     inconclusive: usize,
 }
 
@@ -38,15 +43,16 @@
 }
 
 impl Users {
-    /// Sends a request on a new connection, so that the balancer picks the controller.
+    /// Sends a request and records the answer.  The request uses a new connection, so that the load
+    /// balancer selects a controller anew.  Returns `None` if the response is inconclusive.
     async fn request(&self, method: &str, path: &str, id: &Name, body: Option<&[u8]>) -> Option<ObservedState> {
         let sent = Instant::now();
         if method == "POST" && path == "/v2/runs" {
             self.lock().submitted.entry(id.clone()).or_insert(sent);
         }
-        let response = Client::default().send(self.balancer, method, path, body, REQUEST_LIMIT).await;
-        let had = Instant::now();
-        let said = match response {
+        let response = Client::default().send(self.balancer, method, path, body, REQUEST_TIMEOUT).await;
+        let received = Instant::now();
+        let observed = match response {
             Ok((200 | 201, body)) => match &*http::decode::<JobState>(&body).ok()?.stage {
                 "done" => ObservedState::Done,
                 "cancelled" => ObservedState::Cancelled,
@@ -58,12 +64,12 @@
                 return None;
             }
         };
-        self.lock().answers.push(Answer { id: id.clone(), sent_at: sent, received_at: had, state: said });
-        Some(said)
+        self.lock().answers.push(Answer { id: id.clone(), sent_at: sent, received_at: received, state: observed });
+        Some(observed)
     }
 
     fn lock(&self) -> MutexGuard<'_, History> {
-        self.history.lock().expect("no panic")
+        self.history.lock().expect("no thread panics while it holds the lock")
     }
 
     async fn query(&self, id: &Name) -> Option<ObservedState> {
@@ -85,25 +91,25 @@
         futures_util::future::join(queries, repeats).await;
     }
 
-    /// Follows a job from its submission to its final state, and cancels it after `cancel_after`.
-    /// Returns whether the final state was seen in time.
+    /// Submits a job, cancels it after `cancel_after` if that is given, and queries it until its final
+    /// state.  Returns whether a final state was observed within [`FINAL_STATE_TIMEOUT`].
     async fn follow(&self, spec: JobSpec, cancel_after: Option<Duration>) -> bool {
-        let began = Instant::now();
-        while self.submit(&spec).await.is_none() && began.elapsed() < SUBMIT_LIMIT {
+        let started_at = Instant::now();
+        while self.submit(&spec).await.is_none() && started_at.elapsed() < SUBMIT_TIMEOUT {
             smol::Timer::after(Duration::from_millis(200)).await;
         }
         self.query_concurrently(&spec).await;
         if let Some(wait) = cancel_after {
             smol::Timer::after(wait).await;
-            while self.cancel(&spec.id).await.is_none() && began.elapsed() < CANCEL_LIMIT {
+            while self.cancel(&spec.id).await.is_none() && started_at.elapsed() < CANCEL_TIMEOUT {
                 self.query_concurrently(&spec).await;
             }
             self.query_concurrently(&spec).await;
         }
-        while began.elapsed() < FINAL_LIMIT {
-            if self.query(&spec.id).await.is_some_and(|said| said >= ObservedState::Done) {
+        while started_at.elapsed() < FINAL_STATE_TIMEOUT {
+            if self.query(&spec.id).await.is_some_and(|observed| observed >= ObservedState::Done) {
                 self.query_concurrently(&spec).await;
-                // a cancellation after the final state must change nothing
+                // a cancellation after the final state must have no effect
                 self.cancel(&spec.id).await;
                 self.query_concurrently(&spec).await;
                 return true;
@@ -114,6 +120,8 @@
     }
 }
 
+/// Fault plan: two controller crashes, a controller whose requests the state service refuses, slow
+/// state requests and an outage of the state service.
 const FAULTS: &str = r#"
 [[fault]]
 kind = "crash"
@@ -143,14 +151,17 @@
 for_s = 2.0
 "#;
 
-/// A valid job, when it is submitted, and how long after that it is cancelled.
+/// A valid job that users submit during the test.
 struct PlannedJob {
     spec: JobSpec,
+    /// Delay between the start of the test and the submission.
     submit_after: Duration,
+    /// Delay between the replies to the first queries and the cancellation; `None` if the job is not
+    /// cancelled.
     cancel_after: Option<Duration>,
 }
 
-/// 45 jobs, one every quarter of a second; every third is cancelled.
+/// Returns 45 jobs, submitted 250 ms apart; every third is cancelled.
 fn planned_jobs() -> Vec<PlannedJob> {
     let mut rng = fastrand::Rng::with_seed(5);
     let plan = |n: u64| PlannedJob {
@@ -161,8 +172,8 @@
     (0..45).map(plan).collect()
 }
 
-/// Jobs that must be refused: an unknown team, an unknown zone, a gang spread over one zone, no
-/// task, and no permitted machine type.
+/// Returns jobs that must be rejected: one with an unknown team, one with an unknown zone, a gang that
+/// is to be spread and to stay in one zone, one without tasks, and one without a permitted machine type.
 fn invalid_jobs() -> [JobSpec; 5] {
     let invalid = |n: u64, change: fn(&mut JobSpec)| {
         let mut spec = small_job(format!("j-9{n:05}").into());
@@ -170,16 +181,16 @@
         spec
     };
     [
-        invalid(1, |s| s.team = "nobody".into()),
-        invalid(2, |s| s.zone = Some("nowhere".into())),
-        invalid(3, |s| (s.shape, s.tasks, s.spread, s.one_zone) = (Shape::Gang, 4, true, true)),
-        invalid(4, |s| s.tasks = 0),
-        invalid(5, |s| s.types = Some(vec![])),
+        invalid(1, |spec| spec.team = "nobody".into()),
+        invalid(2, |spec| spec.zone = Some("nowhere".into())),
+        invalid(3, |spec| (spec.shape, spec.tasks, spec.spread, spec.one_zone) = (Shape::Gang, 4, true, true)),
+        invalid(4, |spec| spec.tasks = 0),
+        invalid(5, |spec| spec.types = Some(vec![])),
     ]
 }
 
-/// Follows all jobs, and meanwhile submits the invalid ones and asks for one that nobody submitted.
-/// Returns for each valid job whether its final state was seen.
+/// Follows all valid jobs; at the same time submits the invalid ones repeatedly and queries a job that
+/// was never submitted.  Returns for each valid job whether its final state was observed.
 async fn run_users(users: &Arc<Users>, jobs: Vec<PlannedJob>, invalid: &[JobSpec]) -> Vec<bool> {
     let followed = jobs.into_iter().map(|job| {
         let users = users.clone();
@@ -188,7 +199,7 @@
             users.follow(job.spec, job.cancel_after).await
         }
     });
-    let refused = async {
+    let rejected = async {
         for _ in 0..12 {
             for spec in invalid {
                 users.submit(spec).await;
@@ -197,11 +208,11 @@
             smol::Timer::after(Duration::from_millis(900)).await;
         }
     };
-    futures_util::future::join(futures_util::future::join_all(followed), refused).await.0
+    futures_util::future::join(futures_util::future::join_all(followed), rejected).await.0
 }
 
 #[test]
-fn no_controller_gives_an_older_answer() {
+fn users_receive_no_stale_answers_during_faults() {
     let dir = test_dir("answers");
     let cluster = Cluster::start(&dir, ClusterConfig { faults: FAULTS, ..ClusterConfig::default() });
     let users = Arc::new(Users { balancer: cluster.addr, history: Mutex::default() });
@@ -209,24 +220,28 @@
     let finished = smol::block_on(run_users(&users, planned_jobs(), &invalid));
     let report = cluster.stop();
     let history = users.lock();
-    assert_eq!(finished.iter().filter(|seen| !**seen).count(), 0, "jobs without a final answer");
-    let wrong = find_stale_answers(&history.answers, &history.submitted);
-    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
-    let count = |said: ObservedState| history.answers.iter().filter(|answer| answer.state == said).count();
+    assert_eq!(
+        finished.iter().filter(|observed| !**observed).count(),
+        0,
+        "jobs whose final state was not observed in time"
+    );
+    let stale_answers = find_stale_answers(&history.answers, &history.submitted);
+    assert!(stale_answers.is_empty(), "{}", stale_answers.join("\n"));
+    let count = |observed: ObservedState| history.answers.iter().filter(|answer| answer.state == observed).count();
     for spec in &invalid {
         let mut answers = history.answers.iter().filter(|answer| answer.id == spec.id).peekable();
-        assert!(answers.peek().is_some(), "{} has no answer", spec.id);
+        assert!(answers.peek().is_some(), "{} was never answered", spec.id);
         assert!(answers.all(|answer| answer.state == ObservedState::NotAccepted), "{} was accepted", spec.id);
     }
-    // without enough answers of each kind the check above would show nothing
+    // with too few answers of a kind, the check for stale answers would prove nothing
     assert!(
         count(ObservedState::Done) > 100
             && count(ObservedState::Cancelled) > 30
             && count(ObservedState::Unfinished) > 50,
-        "{}",
+        "too few answers of some kind among {}",
         history.answers.len()
     );
     assert_eq!(report.violations, [] as [String; 0]);
-    println!("{} answers, {} refusals for now", history.answers.len(), history.inconclusive);
+    println!("{} answers, {} inconclusive responses", history.answers.len(), history.inconclusive);
     let _ = std::fs::remove_dir_all(&dir);
 }
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -1,4 +1,5 @@
-//! The emulated cluster with real controller processes, as the README's first command runs it.
+//! Tests of the emulated cluster with real controller processes, with the options that the first
+//! command of the README uses.
 
 use std::path::PathBuf;
 
@@ -21,17 +22,19 @@
     }
 }
 
-/// Three controllers get ready, and a job goes from submitted to done with no rule broken.
+/// Three controllers become ready and run the demo job to its end; `run` fails if the protocol is violated.
 #[test]
-fn a_job_runs_on_a_cluster_on_one_machine() {
+fn demo_job_completes_on_a_local_cluster() {
     let (_stop, stopped) = smol::channel::bounded(1);
-    up::run(&options("demo"), stopped, |_| ()).expect("a cluster that runs a job");
+    up::run(&options("demo"), stopped, |_| ()).expect("the cluster runs the demo job");
 }
 
-/// An unusable option is reported before anything starts.
+/// The cluster reports an invalid option before it starts any process.
 #[test]
-fn a_missing_controller_is_said_at_once() {
+fn missing_controller_program_is_rejected_before_start() {
     let (_stop, stopped) = smol::channel::bounded(1);
     let options = Options { controller: Some("/no/such/program".into()), ..options("none") };
-    assert!(matches!(up::run(&options, stopped, |_| ()), Err(Error::Input(why)) if why.contains("/no/such/program")));
+    assert!(
+        matches!(up::run(&options, stopped, |_| ()), Err(Error::Input(reason)) if reason.contains("/no/such/program"))
+    );
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Support for integration tests that start real controller processes: a cluster that runs on a
-//! thread of its own, a working directory for each test, and a small job.
+//! Support for integration tests that start real controller processes: a cluster that runs on its
+//! own thread, a working directory for each test, and a small job.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -14,26 +14,27 @@
 
 /// The controller program that Cargo built for this test run.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_coralnotch");
-/// Seed of the emulated services; a fixed one, so that a failure can be repeated.
+/// Seed of the emulated services; it is fixed so that a failure can be reproduced.
 const SEED: u64 = 7;
 
-/// Creates an empty directory that no other test process uses.
+/// Creates an empty directory whose name contains the process id, so that no other test process uses it.
 pub fn test_dir(name: &str) -> PathBuf {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&dir);
-    fs::create_dir_all(&dir).expect("a directory for the test");
+    fs::create_dir_all(&dir).expect("the directory of the test is created");
     dir
 }
 
-/// What differs between the clusters of the tests.
+/// Options of a test cluster.
 pub struct ClusterConfig<'a> {
-    /// Fault plan in TOML; see `coralnotch_emulator::faults`.
+    /// Fault plan in TOML; see `coralnotch_emulator::faults`.  An empty one injects no fault.
     pub faults: &'a str,
-    /// Machines that can be rented of each type, in each zone, spot and on-demand apart.
+    /// Number of machines that the cloud rents out of each machine type in each zone, counted separately for
+    /// spot and on-demand machines.
     pub capacity: usize,
-    /// Program that the controllers start with.
+    /// Controller program that the cluster starts.
     pub controller: PathBuf,
-    /// Program that a controller runs after an `upgrade` fault; `None` for the same one.
+    /// Program that a controller runs after an `upgrade` fault; `None` keeps [`ClusterConfig::controller`].
     pub upgrade: Option<PathBuf>,
     /// Limits of the emulated services and of the controllers.
     pub size: Size,
@@ -45,7 +46,7 @@
     }
 }
 
-/// A running cluster.
+/// A running cluster of controllers with emulated services and workers.
 pub struct Cluster {
     /// Address of the load balancer, where users connect.
     pub addr: SocketAddr,
@@ -57,7 +58,7 @@
     /// Starts a cluster and waits until a controller serves users.
     pub fn start(dir: &Path, config: ClusterConfig<'_>) -> Cluster {
         let fault_file = dir.join("faults.toml");
-        fs::write(&fault_file, config.faults).expect("the fault plan is written");
+        fs::write(&fault_file, config.faults).expect("the fault plan can be written");
         let options = Options {
             port: 0,
             controller: Some(config.controller),
@@ -76,18 +77,25 @@
         let thread = thread::spawn(move || {
             up::run(&options, stopped, move |addr| ready_sender.send(addr).expect("the test waits for the address"))
         });
-        let addr = ready.recv().expect("the cluster gets ready");
+        let addr = ready.recv().expect("the cluster becomes ready");
         Cluster { addr, stop, thread }
     }
 
-    /// Stops the cluster; panics if a rule of the protocol was seen broken.
+    /// Stops the cluster and returns its report.
+    ///
+    /// # Panics
+    ///
+    /// If the cluster failed or observed a violation of the protocol.
     pub fn stop(self) -> Report {
         let _ = self.stop.try_send(());
-        self.thread.join().expect("no panic").expect("no rule broken")
+        self.thread
+            .join()
+            .expect("the cluster thread does not panic")
+            .expect("the cluster observes no violation of the protocol")
     }
 }
 
-/// A job of one task that runs for half a second.
+/// Returns a job with one task that runs for half a second.
 pub fn small_job(id: Name) -> JobSpec {
     JobSpec {
         class: "demo".into(),
--- a/tests/roll.rs
+++ b/tests/roll.rs
@@ -1,8 +1,8 @@
-//! Jobs with DAG dependencies on real controllers, through controller crashes, a rolling upgrade
-//! and limits of the state service that are lowered without notice.
+//! Tests of jobs with dependencies on real controllers, during controller crashes, a rolling upgrade
+//! and a reduction of the state service's limits without notice.
 //!
-//! The long run builds the version in production from the repository's history:
-//! `cargo test --release --test roll -- --ignored --nocapture`
+//! The long run, which is ignored by default, builds the version in production from the repository's
+//! history: `cargo test --release --test roll -- --ignored --nocapture`
 
 mod common;
 #[path = "common/stored_jobs.rs"]
@@ -22,15 +22,15 @@
 use coralnotch_client::{fresh_id, Client, FinalAnswer, JobHandle, Settings};
 use stored_jobs::stored_jobs;
 
-/// Limit of one request.
-const REQUEST_LIMIT: Duration = Duration::from_secs(5);
-/// Jobs of one dependency chain.
+/// Timeout of one request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Number of jobs in one dependency chain.
 const STAGES: usize = 5;
 
-/// A typical dependency chain: a first stage, two that depend on it, a gang that depends on both,
-/// and a last one that depends on the first and on the gang.
-fn chain() -> Vec<JobSpec> {
-    let ids: Vec<Name> = (0..STAGES).map(|_| fresh_id().expect("randomness")).collect();
+/// Returns the jobs of one dependency chain: a first stage, two that depend on the first, a gang that
+/// depends on both of these, and a last stage that depends on the first and on the gang.
+fn chain_specs() -> Vec<JobSpec> {
+    let ids: Vec<Name> = (0..STAGES).map(|_| fresh_id().expect("the system provides random bytes")).collect();
     let stage = |index: usize, needs: &[usize], shape, tasks| JobSpec {
         needs: needs.iter().map(|needed| ids[*needed].clone()).collect(),
         shape,
@@ -47,44 +47,48 @@
     ]
 }
 
-/// A job's final answer.
+/// A job and its final answer.
 struct JobAnswer {
     id: Name,
     answer: FinalAnswer,
 }
 
-/// Submits dependency chains and cancels the first stage of the first `cancelled` ones.  Returns the
-/// final answers of each chain's jobs, and panics if one does not come within `limit`.
-fn run_chains(balancer: SocketAddr, chains: usize, cancelled: usize, limit: Duration) -> Vec<Vec<JobAnswer>> {
+/// Submits `chains` dependency chains and cancels the first job of the first `cancelled` chains.  Returns
+/// the final answers of each chain's jobs.
+///
+/// # Panics
+///
+/// If a job has no final answer within `timeout`.
+fn run_chains(balancer: SocketAddr, chains: usize, cancelled: usize, timeout: Duration) -> Vec<Vec<JobAnswer>> {
     smol::block_on(async {
-        let client = Client::open(Settings::new(vec![balancer])).await.expect("a client");
-        let mut all: Vec<Vec<JobHandle>> = Vec::new();
+        let client = Client::open(Settings::new(vec![balancer])).await.expect("the client opens");
+        let mut handles_by_chain: Vec<Vec<JobHandle>> = Vec::new();
         for n in 0..chains {
-            let mut jobs = chain();
+            let mut jobs = chain_specs();
             if n < cancelled {
-                // a short job could finish before it is cancelled
+                // a short job could finish before its cancellation
                 jobs[0].estimate_s = 10_000.0;
             }
-            // dependants first: the client itself submits jobs in the order of their dependencies
+            // dependents first: the client must itself submit jobs in the order of their dependencies
             jobs.reverse();
-            let mut handles = client.submit_all(jobs).await.expect("taken in");
+            let mut handles = client.submit_all(jobs).await.expect("the client accepts the jobs");
             handles.reverse();
             if n < cancelled {
-                handles[0].cancel().await.expect("noted");
+                handles[0].cancel().await.expect("the client accepts the cancellation");
             }
-            all.push(handles);
+            handles_by_chain.push(handles);
         }
-        let deadline = Instant::now() + limit;
+        let deadline = Instant::now() + timeout;
         let (mut answers, mut missing) = (Vec::new(), Vec::new());
-        for (chain, handles) in all.into_iter().enumerate() {
+        for (chain, handles) in handles_by_chain.into_iter().enumerate() {
             let mut answered = Vec::new();
             for (stage, handle) in handles.into_iter().enumerate() {
                 match handle.wait_until(deadline).await {
                     Ok(answer) => answered.push(JobAnswer { id: handle.id().clone(), answer }),
                     Err(_) => {
-                        // the controller's explanation shows whether it or the client is at fault
+                        // the controller's explanation shows whether the controller or the client is at fault
                         let path = format!("/v2/runs/{}?why", handle.id());
-                        let response = HttpClient::default().send(balancer, "GET", &path, None, REQUEST_LIMIT).await;
+                        let response = HttpClient::default().send(balancer, "GET", &path, None, REQUEST_TIMEOUT).await;
                         let explanation =
                             response.map(|(status, body)| (status, http::decode::<JobExplanation>(&body).ok()));
                         missing.push(format!(
@@ -96,33 +100,33 @@
             }
             answers.push(answered);
         }
-        assert!(missing.is_empty(), "without a final answer:\n{}", missing.join("\n"));
+        assert!(missing.is_empty(), "jobs without a final answer:\n{}", missing.join("\n"));
         answers
     })
 }
 
-/// Asserts that all jobs of the first `cancelled` chains are cancelled and all others done, each
-/// with one answer.
-fn assert_final(answers: &[Vec<JobAnswer>], cancelled: usize) {
+/// Asserts that all jobs of the first `cancelled` chains are cancelled and all others are done, and that
+/// no job has two answers.
+fn assert_final_answers(answers: &[Vec<JobAnswer>], cancelled: usize) {
     let mut seen: HashSet<&Name> = HashSet::new();
     for (n, chain) in answers.iter().enumerate() {
         let expected = if n < cancelled { FinalAnswer::Cancelled } else { FinalAnswer::Done };
         for JobAnswer { id, answer } in chain {
             assert_eq!(*answer, expected, "chain {n}: {id}");
-            assert!(seen.insert(id), "{id} twice");
+            assert!(seen.insert(id), "{id} has more than one final answer");
         }
     }
 }
 
-/// A fault plan in TOML that lowers the state service's limits `at_s` seconds after the start.
+/// Returns a fault in TOML that lowers the state service's limits `at_s` seconds after the start.
 fn lower_limits(at_s: u32) -> String {
     format!("[[fault]]\nkind = \"state-limits\"\nat_s = {at_s}\nwrite_rps = 40\nvalue_kb = 2\ntxn_ops = 8\n")
 }
 
-/// The emulated workers check each start: one before the job's dependencies are done is a broken
-/// rule, with which stopping the cluster fails.
+/// The emulated workers check that a job's dependencies are done when its tasks start.  Stopping the
+/// cluster fails if one was started too early.
 #[test]
-fn chains_come_through_kills_and_lower_limits() {
+fn chains_get_final_answers_during_crashes_and_lower_limits() {
     let dir = test_dir("chains");
     let crashes = [(1.5, 0), (3.0, 1), (4.5, 2)]
         .map(|(at, node)| format!("[[fault]]\nkind = \"crash\"\nat_s = {at}\nnode = {node}\n"));
@@ -131,26 +135,29 @@
     let cluster = Cluster::start(&dir, config);
     let answers = run_chains(cluster.addr, 12, 3, Duration::from_secs(120));
     let report = cluster.stop();
-    assert_final(&answers, 3);
+    assert_final_answers(&answers, 3);
     assert_eq!(stored_jobs(&report).len(), 60);
     let _ = fs::remove_dir_all(&dir);
 }
 
-/// Builds the version that `deploy/service.toml` calls production.
+/// Builds the version that `deploy/service.toml` names as `production` and returns the path of the program.
+/// A build of the same commit is used again.
 fn build_production() -> PathBuf {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let deploy: toml::Table =
-        toml::from_str(&fs::read_to_string(root.join("deploy/service.toml")).expect("the deploy file")).expect("TOML");
-    let commit = deploy["production"].as_str().expect("a commit").to_owned();
+        toml::from_str(&fs::read_to_string(root.join("deploy/service.toml")).expect("the deploy file is readable"))
+            .expect("the deploy file is valid TOML");
+    let commit = deploy["production"].as_str().expect("`production` is a commit").to_owned();
     let build_dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join("production");
     let program = build_dir.join("target/release/coralnotch");
     if fs::read_to_string(build_dir.join("commit")).is_ok_and(|built| built == commit) && program.is_file() {
         return program;
     }
     let _ = fs::remove_dir_all(&build_dir);
-    fs::create_dir_all(&build_dir).expect("a directory");
+    fs::create_dir_all(&build_dir).expect("the build directory is created");
     let archive = build_dir.join("sources.tar");
-    let run = |command: &mut Command| assert!(command.status().expect("it starts").success(), "{command:?}");
+    let run =
+        |command: &mut Command| assert!(command.status().expect("the command starts").success(), "{command:?} failed");
     run(Command::new("git").current_dir(root).args(["archive", "-o"]).arg(&archive).arg(&commit));
     run(Command::new("tar").arg("-xf").arg(&archive).arg("-C").arg(&build_dir));
     let mut cargo = Command::new(env!("CARGO"));
@@ -158,12 +165,13 @@
         .current_dir(&build_dir)
         .args(["build", "--release", "--locked", "--bin", "coralnotch"])
         .env_remove("CARGO_TARGET_DIR"));
-    fs::write(build_dir.join("commit"), commit).expect("room");
+    fs::write(build_dir.join("commit"), commit).expect("the commit can be recorded");
     program
 }
 
-/// Upgrades of the three controllers in the given order, crashes, a refused controller, an outage
-/// of the state service and lower limits, as a fault plan in TOML.
+/// Returns a fault plan in TOML: upgrades of the three controllers in the given order, controller crashes,
+/// a controller whose requests the state service refuses, an outage of the state service and a reduction
+/// of its limits.
 fn upgrade_faults(rng: &mut fastrand::Rng, order: [usize; 3]) -> String {
     let mut faults = lower_limits(24);
     for (n, node) in order.iter().enumerate() {
@@ -180,29 +188,32 @@
     faults + &format!("[[fault]]\nkind = \"state-outage\"\nat_s = {at:.2}\nfor_s = 2.0\n")
 }
 
-/// Submits 200 independent jobs, which production knows too, one every 150 ms; panics unless all
-/// are done in time.
+/// Submits 200 jobs without dependencies, which the version in production supports too, 150 ms apart.
+///
+/// # Panics
+///
+/// If a job is not done within 240 s after the last submission.
 async fn run_independent_jobs(balancer: SocketAddr) {
-    let client = Client::open(Settings::new(vec![balancer])).await.expect("a client");
+    let client = Client::open(Settings::new(vec![balancer])).await.expect("the client opens");
     let mut handles = Vec::new();
     for _ in 0..200 {
-        let id = fresh_id().expect("randomness");
-        handles.push(client.submit(small_job(id)).await.expect("taken in"));
+        let id = fresh_id().expect("the system provides random bytes");
+        handles.push(client.submit(small_job(id)).await.expect("the client accepts the job"));
         smol::Timer::after(Duration::from_millis(150)).await;
     }
     let deadline = Instant::now() + Duration::from_secs(240);
     for handle in handles {
-        let answer = handle.wait_until(deadline).await.expect("an answer");
+        let answer = handle.wait_until(deadline).await.expect("the job has a final answer in time");
         assert_eq!(answer, FinalAnswer::Done, "{}", handle.id());
     }
 }
 
-/// A rolling upgrade from production under load.  A controller that crashes comes back with this
-/// version if it was upgraded before and with the old one otherwise.  Jobs with dependencies follow
-/// once all controllers are upgraded.
+/// A rolling upgrade from the version in production under load.  A controller that crashes restarts with
+/// this version if it was upgraded before the crash, and with the old version otherwise.  Jobs with
+/// dependencies are submitted once all controllers are upgraded.
 #[test]
 #[ignore = "the long run: builds production"]
-fn production_rolls_to_this_version() {
+fn jobs_complete_during_a_rolling_upgrade_from_production() {
     let production = build_production();
     for seed in 0..3 {
         let dir = test_dir("roll");
@@ -217,17 +228,20 @@
             ..ClusterConfig::default()
         };
         let cluster = Cluster::start(&dir, config);
-        let began = Instant::now();
+        let started_at = Instant::now();
         let balancer = cluster.addr;
         let independent_jobs = thread::spawn(move || smol::block_on(run_independent_jobs(balancer)));
-        // production does not know dependencies: none is submitted before the last upgrade
-        thread::sleep(Duration::from_secs_f64(17.0).saturating_sub(began.elapsed()));
+        // the old version does not support dependencies: none is submitted before the last upgrade
+        thread::sleep(Duration::from_secs_f64(17.0).saturating_sub(started_at.elapsed()));
         let answers = run_chains(balancer, 40, 8, Duration::from_secs(180));
-        independent_jobs.join().expect("independent jobs are done");
+        independent_jobs.join().expect("the independent jobs are done");
         let report = cluster.stop();
-        assert_final(&answers, 8);
+        assert_final_answers(&answers, 8);
         assert_eq!(stored_jobs(&report).len(), 400);
-        println!("seed {seed}, order {order:?}: 200 jobs and 40 chains in {:.0} s", began.elapsed().as_secs_f64());
+        println!(
+            "seed {seed}, upgrade order {order:?}: 200 jobs and 40 chains in {:.0} s",
+            started_at.elapsed().as_secs_f64()
+        );
         let _ = fs::remove_dir_all(&dir);
     }
 }
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -1,5 +1,5 @@
-//! Heartbeats by way of all controllers, with real processes: there are more machines than the
-//! leader has sockets for, so that the followers must forward the heartbeats of some.
+//! Test of heartbeat forwarding with real controller processes.  There are more machines than the
+//! leader has sockets for, so that the followers must forward some of the heartbeats.
 
 mod common;
 
@@ -14,28 +14,29 @@
 use coralnotch::operators::status::Status;
 use coralnotch_emulator::up::Size;
 
-/// Limit of one request.
-const REQUEST_LIMIT: Duration = Duration::from_secs(2);
-/// Sockets of each controller.
+/// Timeout of one request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Limit of open sockets of each controller.
 const SOCKETS: usize = 40;
-/// Tasks that need a machine each: more machines than the leader takes heartbeats from directly.
+/// Number of tasks, each of which needs a machine of its own: more machines than the leader accepts
+/// heartbeats from directly.
 const TASKS: u32 = 40;
 
-/// Addresses of the controllers, read from their settings files.
+/// Reads the addresses of the controllers from their settings files.
 fn controller_addresses(dir: &Path) -> Vec<SocketAddr> {
     let bind = |node: usize| {
-        let text = fs::read_to_string(dir.join(format!("node-{node}.toml"))).expect("settings");
-        let line = text.lines().find(|line| line.starts_with("bind = ")).expect("a line");
-        line.trim_start_matches("bind = ").trim_matches('"').parse().expect("an address")
+        let text = fs::read_to_string(dir.join(format!("node-{node}.toml"))).expect("the settings file is readable");
+        let line = text.lines().find(|line| line.starts_with("bind = ")).expect("the settings have an address");
+        line.trim_start_matches("bind = ").trim_matches('"').parse().expect("the address is valid")
     };
     (0..3).map(bind).collect()
 }
 
-/// Status of each controller that answers.
+/// Returns the status of each controller that answers.
 async fn statuses(client: &Client, controllers: &[SocketAddr]) -> Vec<Status> {
     let mut statuses = Vec::new();
     for controller in controllers {
-        if let Ok((200, body)) = client.send(*controller, "GET", "/v2/status", None, REQUEST_LIMIT).await {
+        if let Ok((200, body)) = client.send(*controller, "GET", "/v2/status", None, REQUEST_TIMEOUT).await {
             statuses.extend(http::decode::<Status>(&body));
         }
     }
@@ -43,23 +44,28 @@
 }
 
 async fn job_state(client: &Client, balancer: SocketAddr, id: &str) -> Option<JobState> {
-    let (status, body) = client.send(balancer, "GET", &format!("/v2/runs/{id}"), None, REQUEST_LIMIT).await.ok()?;
+    let (status, body) = client.send(balancer, "GET", &format!("/v2/runs/{id}"), None, REQUEST_TIMEOUT).await.ok()?;
     (status == 200).then(|| http::decode(&body).ok()).flatten()
 }
 
-/// Submits a job until it is accepted.
-async fn submit(client: &Client, balancer: SocketAddr, spec: &JobSpec, limit: Duration) {
-    let began = Instant::now();
+/// Retries the submission of a job until it is accepted.
+///
+/// # Panics
+///
+/// If the job is not accepted within `timeout`.
+async fn submit(client: &Client, balancer: SocketAddr, spec: &JobSpec, timeout: Duration) {
+    let started_at = Instant::now();
     loop {
-        let response = client.send(balancer, "POST", "/v2/runs", Some(&http::encode(spec)), REQUEST_LIMIT).await;
+        let response = client.send(balancer, "POST", "/v2/runs", Some(&http::encode(spec)), REQUEST_TIMEOUT).await;
         if matches!(response, Ok((200 | 201, _))) {
             return;
         }
-        assert!(began.elapsed() < limit, "it is accepted");
+        assert!(started_at.elapsed() < timeout, "the job is not accepted within {timeout:?}");
         smol::Timer::after(Duration::from_millis(300)).await;
     }
 }
 
+/// Fault plan: crashes of two controllers.
 const FAULTS: &str = r#"
 [[fault]]
 kind = "crash"
@@ -72,10 +78,10 @@
 node = 1
 "#;
 
-/// Followers forward heartbeats to the leader, also after the leader crashed; the job is done and
-/// no rule of the protocol is broken.
+/// Followers forward heartbeats to the leader, also to a new leader after a crash.  The job completes and
+/// the protocol is not violated.
 #[test]
-fn reports_reach_the_leader_by_way_of_the_others() {
+fn followers_forward_heartbeats_when_the_leader_lacks_sockets() {
     let dir = test_dir("spread");
     let size = Size { sockets: SOCKETS, ..Size::default() };
     let cluster =
@@ -85,7 +91,7 @@
     let forwarded = smol::block_on(async {
         let client = Client::default();
         let controllers = controller_addresses(&dir);
-        let began = Instant::now();
+        let started_at = Instant::now();
         submit(&client, cluster.addr, &spec, Duration::from_secs(30)).await;
         let mut forwarded = 0;
         loop {
@@ -95,11 +101,11 @@
             if job_state(&client, cluster.addr, &id).await.is_some_and(|state| state.stage == "done") {
                 return forwarded;
             }
-            assert!(began.elapsed() < Duration::from_secs(120), "it is done");
+            assert!(started_at.elapsed() < Duration::from_secs(120), "the job is not done within 120 s");
             smol::Timer::after(Duration::from_millis(300)).await;
         }
     });
-    assert!(forwarded > 20, "{forwarded} reports were forwarded");
+    assert!(forwarded > 20, "only {forwarded} heartbeats were forwarded");
     let report = cluster.stop();
     assert!(report.started >= u64::from(TASKS));
 }
