--- a/benches/history/state.rs
+++ b/benches/history/state.rs
@@ -1,5 +1,5 @@
-//! A state service with a long history and a cloud without machines, on
-//! loopback: the emulator's, without its limits.
+//! Serves two services on loopback: the emulator's state service, and a cloud that has machine types
+//! but no machines.  The benchmark runs the state service without limits.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -10,23 +10,25 @@
 use coralnotch_emulator::state::{State, Step};
 use rmpv::Value;
 
-async fn answer(state: Rc<RefCell<State>>, r: Request) -> Response {
-    let step = state.borrow_mut().ask(&r, Instant::now());
+/// Handles a request to the state service; a watch is polled until it has a response.
+async fn handle_state_request(state: Rc<RefCell<State>>, request: Request) -> Response {
+    let step = state.borrow_mut().ask(&request, Instant::now());
     let watch = match step {
-        Step::Answer(a) => return a,
-        Step::Watch(w) => w,
+        Step::Answer(response) => return response,
+        Step::Watch(watch) => watch,
     };
     loop {
         smol::Timer::after(Duration::from_millis(5)).await;
-        if let Some(a) = state.borrow_mut().news(&watch, Instant::now()) {
-            return a;
+        if let Some(response) = state.borrow_mut().news(&watch, Instant::now()) {
+            return response;
         }
     }
 }
 
-/// Serves a state service and a cloud; calls back with their addresses.
+/// Serves a state service and a cloud for as long as the process runs.  Calls `ready` with the address of
+/// the state service and that of the cloud once both are bound.
 pub fn serve(state: State, types: Value, ready: impl FnOnce(SocketAddr, SocketAddr)) {
-    let ex = Rc::new(smol::LocalExecutor::new());
+    let executor = Rc::new(smol::LocalExecutor::new());
     let limits = ServerLimits {
         connections: 1000,
         scarce: 1000,
@@ -34,24 +36,32 @@
         arrive: Duration::from_secs(60),
         answer: Duration::from_secs(600),
     };
-    smol::block_on(ex.run(async {
-        let local = "127.0.0.1:0";
-        let store = smol::net::TcpListener::bind(local).await.expect("a free port");
-        let cloud = smol::net::TcpListener::bind(local).await.expect("a free port");
-        ready(store.local_addr().expect("bound"), cloud.local_addr().expect("bound"));
+    smol::block_on(executor.run(async {
+        let any_port = "127.0.0.1:0";
+        let state_listener = smol::net::TcpListener::bind(any_port).await.expect("a free port");
+        let cloud_listener = smol::net::TcpListener::bind(any_port).await.expect("a free port");
+        ready(
+            state_listener.local_addr().expect("the listener is bound"),
+            cloud_listener.local_addr().expect("the listener is bound"),
+        );
         let state = Rc::new(RefCell::new(state));
-        let no_machines = Rc::new(move |r: Request| {
-            let answer = match r.path.as_str() {
+        let handle_cloud_request = Rc::new(move |request: Request| {
+            let response = match request.path.as_str() {
                 "/flavors" => Response::new(200, &types),
-                "/rentals" if r.method == "GET" => {
+                "/rentals" if request.method == "GET" => {
                     Response::new(200, &Value::Map(vec![("polyps".into(), Value::Array(vec![]))]))
                 }
                 _ => Response::refuse(503, "no capacity"),
             };
-            async move { answer }
+            async move { response }
         });
-        let clouds = http::serve(ex.clone(), cloud, limits, no_machines);
-        let stores = http::serve(ex.clone(), store, limits, Rc::new(move |r| answer(state.clone(), r)));
-        futures_lite::future::zip(clouds, stores).await;
+        let cloud_server = http::serve(executor.clone(), cloud_listener, limits, handle_cloud_request);
+        let state_server = http::serve(
+            executor.clone(),
+            state_listener,
+            limits,
+            Rc::new(move |request| handle_state_request(state.clone(), request)),
+        );
+        futures_lite::future::zip(cloud_server, state_server).await;
     }));
 }
--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -1,6 +1,6 @@
-//! A program that embeds the decision code: it knows two machines, takes a
-//! job, and asks where its tasks would go.  Nothing is started and no socket
-//! is opened.
+//! Example of a program that embeds the scheduling decisions of coralnotch.  It adds two machines and a
+//! job to a cluster, runs a placement pass and prints the machine of each task.  It starts no process
+//! and opens no socket.
 //!
 //! Run it with `cargo run --example embed -- settings.toml`.
 
@@ -19,8 +19,8 @@
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let file = std::env::args().nth(1).ok_or("usage: embed SETTINGS")?;
     let config = Config::load(Path::new(&file))?;
-    let faults = |f: Vec<_>| f.iter().map(|f: &coralnotch::policy::check::Fault| f.to_string()).collect::<String>();
-    let policy = Policy::new(&config).map_err(faults)?;
+    let text = |list: Vec<_>| list.iter().map(|f: &coralnotch::policy::check::Fault| f.to_string()).collect::<String>();
+    let policy = Policy::new(&config).map_err(text)?;
 
     let now = Instant::now();
     let mut cluster = Cluster::new(1, Arc::new(policy), HashMap::new(), now);
@@ -37,7 +37,7 @@
         zones: vec!["a".into()],
     }]);
     for (name, spot) in [("i-000001", false), ("i-000002", true)] {
-        let report = Heartbeat {
+        let heartbeat = Heartbeat {
             machine: name.into(),
             address: "127.0.0.1:9000".into(),
             kind: "m8".into(),
@@ -49,7 +49,7 @@
             reclaim_in_s: None,
             tasks: Vec::new(),
         };
-        cluster.apply_heartbeat(&report, HeartbeatSource::Worker, now);
+        cluster.apply_heartbeat(&heartbeat, HeartbeatSource::Worker, now);
     }
     let spec = JobSpec {
         id: "j-000001".into(),
@@ -75,12 +75,12 @@
         needs: Vec::new(),
     };
     cluster.add_job(Arc::new(spec), 1, None, now);
-    for want in cluster.run_placement_pass(now) {
-        println!("{} tasks of {} find no room", want.count, want.spec.id);
+    for unplaced in cluster.run_placement_pass(now) {
+        println!("{} tasks of {} cannot be placed", unplaced.count, unplaced.spec.id);
     }
     for (name, machine) in &cluster.machines {
-        let tasks: Vec<String> = machine.tasks.keys().map(|t| t.to_string()).collect();
-        println!("{name} (spot: {}) gets {}", machine.spot, tasks.join(", "));
+        let tasks: Vec<String> = machine.tasks.keys().map(|task| task.to_string()).collect();
+        println!("{name} (spot: {}) is assigned {}", machine.spot, tasks.join(", "));
     }
     Ok(())
 }
