--- a/tools/capacity_bench.py
+++ b/tools/capacity_bench.py
@@ -1,16 +1,25 @@
 #!/usr/bin/env python3
-"""Adds a played day to the bench's rows of the capacity page.
+"""Adds the result of one simulated day to the bench rows of the capacity page.
+
 usage: capacity_bench.py ROWS.json CODE TIMES TEAMS REPORT.json JOURNAL_ENTRY.json
-CODE: what the page calls the sources that were played.  REPORT: of `run --report`."""
+
+ROWS           rows of the page; the file is created if it does not exist, and an
+               earlier row of the same journal entry is replaced
+CODE           name under which the page lists the version of the sources that ran
+TIMES          factor by which the machines and traffic of the site were multiplied
+TEAMS          number of teams
+REPORT         report that the bench wrote with `run --report`
+JOURNAL_ENTRY  journal entry of the run
+"""
 import json, os, sys
 
-def row(code, times, teams, report, entry):
+def bench_row(code, times, teams, report, entry):
     day = entry["days"][0]
-    nodes = sorted(report["node_stats"], key=lambda n: -n["cpu_mean"])
-    others = [n["cpu_mean"] for n in nodes[1:]]
+    controllers = sorted(report["node_stats"], key=lambda controller: -controller["cpu_mean"])
+    other_means = [controller["cpu_mean"] for controller in controllers[1:]]
     served = day["served"]
-    plain = [s[2] for s in served if " " not in s[0]]
-    team = [s[2] for s in served if s[0].startswith("team ")]
+    class_shares = [item[2] for item in served if " " not in item[0]]
+    team_shares = [item[2] for item in served if item[0].startswith("team ")]
     users, fleet, state = report["users"], report["fleet"], report["state"]
     return {
         "site": entry["site"].removesuffix("-target"),
@@ -21,12 +30,12 @@
         "code": code,
         "machines": report["machines"],
         "figure": round(day["score"], 3),
-        "least_class": min(plain, default=0.0),
-        "least_team": min(team, default=0.0),
-        "busiest_mean": nodes[0]["cpu_mean"],
-        "busiest_peak": max(n["cpu_peak"] for n in nodes),
-        "others_mean": round(sum(others) / max(len(others), 1), 3),
-        "connections": max(n["connections_peak"] for n in nodes),
+        "least_class": min(class_shares, default=0.0),
+        "least_team": min(team_shares, default=0.0),
+        "busiest_mean": controllers[0]["cpu_mean"],
+        "busiest_peak": max(controller["cpu_peak"] for controller in controllers),
+        "others_mean": round(sum(other_means) / max(len(other_means), 1), 3),
+        "connections": max(controller["connections_peak"] for controller in controllers),
         "state_requests": round(state["requests"] / report["ends_s"], 1),
         "state_refused": state["refused"],
         "started": fleet["tasks_started"],
@@ -37,13 +46,15 @@
     }
 
 def main():
-    rows, code, times, teams, report, entry = sys.argv[1:]
-    all_rows = json.load(open(rows)) if os.path.exists(rows) else []
-    new = row(code, float(times), int(teams), json.load(open(report)), json.load(open(entry)))
-    all_rows = [r for r in all_rows if r["journal"] != new["journal"]] + [new]
-    all_rows.sort(key=lambda r: (r["site"], r["times"], r["controllers"], r["teams"], r["day"], r["code"]))
-    with open(rows, "w") as out:
-        json.dump(all_rows, out, indent=1)
+    rows_file, code, times, teams, report_file, entry_file = sys.argv[1:]
+    rows = json.load(open(rows_file)) if os.path.exists(rows_file) else []
+    new_row = bench_row(code, float(times), int(teams), json.load(open(report_file)), json.load(open(entry_file)))
+    rows = [row for row in rows if row["journal"] != new_row["journal"]] + [new_row]
+    rows.sort(
+        key=lambda row: (row["site"], row["times"], row["controllers"], row["teams"], row["day"], row["code"])
+    )
+    with open(rows_file, "w") as out:
+        json.dump(rows, out, indent=1)
         out.write("\n")
 
 main()
