--- a/packages/client/src/client.rs
+++ b/packages/client/src/client.rs
@@ -1,5 +1,8 @@
-//! The client: takes jobs, records them and pursues them in the background,
-//! with a bound on everything it keeps.
+//! The client accepts jobs, writes them to the journal and tracks them in a
+//! background task until each has a final answer.
+//!
+//! Requests in flight, idle connections, unfinished jobs and buffered changes
+//! are limited by [`Settings`].
 
 mod completion;
 mod dispatch;
@@ -30,25 +33,29 @@
 use crate::retry::RetryBudget;
 use crate::settings::Settings;
 
-/// A client.  Clones are the same client; jobs are pursued until the last
-/// clone and the last handle are dropped.
+/// A client that submits jobs and tracks each one until it has a final answer.
+///
+/// Clones and job handles share one client.  Dropping the last of them closes
+/// the client.
 #[derive(Clone)]
 pub struct Client {
     shared: Arc<Shared>,
-    /// Stops the driver when the last clone is dropped.
+    /// The driver's task.  The reference count shows when the last clone of the
+    /// client is dropped.
     driver: Arc<smol::Task<()>>,
-    /// Keeps the channel of changes open while nobody reads it.
+    /// Keeps the channel of changes open while it has no active receiver.
     change_receiver: async_broadcast::InactiveReceiver<Change>,
 }
 
 impl Client {
-    /// Opens a client.  Jobs in its journal are pursued at once; their handles
-    /// come from [`Client::resumed`].
+    /// Opens a client and immediately resumes the jobs in its journal.
+    ///
+    /// [`Client::resumed`] returns the handles of the resumed jobs.
     ///
     /// # Errors
     ///
-    /// [`Error::Settings`] for settings that contradict one another, and
-    /// [`Error::Journal`] if the journal can't be used.
+    /// Returns [`Error::Settings`] if the settings are invalid, and
+    /// [`Error::Journal`] if the journal can't be opened or read.
     pub async fn open(settings: Settings) -> Result<Client, Error> {
         settings.validate()?;
         let journal = match settings.journal.clone() {
@@ -65,7 +72,7 @@
         let mut state = initial_state(&settings, now);
         let counters = AtomicCounters::default();
         for record in records {
-            track(&mut state, &counters, record, now);
+            track_job(&mut state, &counters, record, now);
         }
         let shared = Arc::new(Shared {
             http: http::Client::new(settings.max_idle_connections),
@@ -81,15 +88,18 @@
         Ok(Client { shared, driver, change_receiver: change_receiver.deactivate() })
     }
 
-    /// Handles of all jobs whose answers have not been taken yet, those of
-    /// earlier runs of the program among them, in the order of their ids.
+    /// Returns the handles of all jobs whose answers have not been taken (see
+    /// [`JobHandle::take`]), sorted by id.
+    ///
+    /// Jobs that earlier runs of the program left in the journal are included.
     pub fn resumed(&self) -> Vec<JobHandle> {
         let mut ids: Vec<Name> = self.shared.lock().jobs.keys().cloned().collect();
         ids.sort();
         ids.into_iter().map(|id| self.handle(id)).collect()
     }
 
-    /// The handle of a job by its id, if its answer has not been taken yet.
+    /// Returns the handle of the job with this id, or `None` if the client does
+    /// not know the id or the job's answer has been taken.
     pub fn job(&self, id: &str) -> Option<JobHandle> {
         let known_id = self.shared.lock().jobs.get_key_value(id).map(|(known_id, _)| known_id.clone());
         known_id.map(|known_id| self.handle(known_id))
@@ -99,37 +109,48 @@
         JobHandle { id, client: self.clone() }
     }
 
-    /// Submits a job under its id.  When this returns, the job is in the journal
-    /// and is pursued to its end; submitting the same specification again gives
-    /// the same job.  Waits while there are as many unfinished jobs as allowed.
+    /// Submits a job under the id in its specification.
+    ///
+    /// When this method returns, the job is in the journal, if there is one, and
+    /// the client tracks it until it has a final answer.  Submitting the same
+    /// specification again returns a handle of the same job.  The call waits
+    /// while [`Settings::max_unfinished_jobs`] is reached.
     ///
     /// # Errors
     ///
-    /// Those of [`Client::submit_all`].
+    /// Returns the errors of [`Client::submit_all`].
     pub async fn submit(&self, spec: JobSpec) -> Result<JobHandle, Error> {
         let mut handles = self.submit_all(vec![spec]).await?;
         handles.pop().ok_or(Error::Closed)
     }
 
-    /// Submits all jobs or none; a batch costs the journal one write.  A job with
-    /// dependencies is sent once these are accepted, whatever the order in which
-    /// the jobs are given.
+    /// Submits either all of the jobs or none of them.
+    ///
+    /// The whole batch is written to the journal in one transaction.  The jobs can
+    /// be in any order: a job is sent once its dependencies are accepted.
     ///
     /// # Errors
     ///
-    /// [`Error::InvalidJob`], [`Error::BatchTooLarge`], [`Error::Journal`], also
-    /// for an id that another specification has, or [`Error::Closed`].
+    /// - [`Error::InvalidJob`] if a specification is invalid.
+    /// - [`Error::BatchTooLarge`] if the batch has more than
+    ///   [`Settings::max_unfinished_jobs`] jobs.
+    /// - [`Error::Journal`] if the journal can't be written, or if an id belongs
+    ///   to a job with a different specification.
+    /// - [`Error::Closed`] if the client is closed.
     pub async fn submit_all(&self, specs: Vec<JobSpec>) -> Result<Vec<JobHandle>, Error> {
         Ok(self.register_jobs(specs, None).await?.unwrap_or_default())
     }
 
-    /// Submits a named batch once in the journal's life: `None` if a batch of this
-    /// name was submitted before, with whatever ids it had then.  So a program
-    /// may generate ids for its input and still be restarted at any moment.
+    /// Submits a named batch unless the journal already has a batch of that name.
+    ///
+    /// Returns `None` if a batch of that name was submitted before, even with
+    /// other job ids.  A program can therefore generate ids for its input and
+    /// repeat this call after a restart without submitting the input twice.
+    /// Without a journal, the name is ignored and the batch is always submitted.
     ///
     /// # Errors
     ///
-    /// Those of [`Client::submit_all`].
+    /// Returns the errors of [`Client::submit_all`].
     pub async fn submit_once(&self, batch: &str, specs: Vec<JobSpec>) -> Result<Option<Vec<JobHandle>>, Error> {
         self.register_jobs(specs, Some(batch.to_owned())).await
     }
@@ -148,7 +169,7 @@
                 }
             }
         };
-        let handles = self.track_all(records)?;
+        let handles = self.track_jobs(records)?;
         self.shared.work_available.notify(1);
         Ok(Some(handles))
     }
@@ -166,7 +187,7 @@
         Ok(())
     }
 
-    fn track_all(&self, records: Vec<JobRecord>) -> Result<Vec<JobHandle>, Error> {
+    fn track_jobs(&self, records: Vec<JobRecord>) -> Result<Vec<JobHandle>, Error> {
         let now = Instant::now();
         let mut state = self.shared.lock();
         let mut handles = Vec::with_capacity(records.len());
@@ -177,17 +198,17 @@
                     return Err(JournalError::IdTaken { id: id.to_string() }.into());
                 }
                 Some(_) => {}
-                None => track(&mut state, &self.shared.counters, record, now),
+                None => track_job(&mut state, &self.shared.counters, record, now),
             }
             handles.push(self.handle(id));
         }
         Ok(handles)
     }
 
-    /// Waits until so many more jobs may be unfinished.
-    async fn wait_for_capacity(&self, added: usize) -> Result<(), Error> {
+    /// Waits until `added_jobs` more jobs fit within [`Settings::max_unfinished_jobs`].
+    async fn wait_for_capacity(&self, added_jobs: usize) -> Result<(), Error> {
         loop {
-            // listens before it looks, so that no notification is lost
+            // Listening before checking ensures that no notification is missed.
             let job_ended = self.shared.job_ended.listen();
             {
                 let state = self.shared.lock();
@@ -195,7 +216,7 @@
                     return Err(Error::Closed);
                 }
                 let unfinished = state.jobs.values().filter(|tracked| tracked.job.due_at().is_some()).count();
-                if unfinished + added <= self.shared.settings.max_unfinished_jobs {
+                if unfinished + added_jobs <= self.shared.settings.max_unfinished_jobs {
                     return Ok(());
                 }
             }
@@ -203,20 +224,23 @@
         }
     }
 
-    /// A stream of the changes of all jobs from now on.  A reader that falls
-    /// behind by more than [`Settings::change_buffer`] loses the oldest ones, and
-    /// its next read says how many.
+    /// Returns a stream of the changes of all jobs, starting now.
+    ///
+    /// A reader that falls behind by more than [`Settings::change_buffer`] changes
+    /// loses the oldest ones, and its next read reports how many were lost.
     pub fn changes(&self) -> async_broadcast::Receiver<Change> {
         self.change_receiver.activate_cloned()
     }
 
-    /// What the client has done so far.
+    /// Returns the current values of the client's counters.
     pub fn counters(&self) -> Counters {
         self.shared.counters.snapshot()
     }
 
-    /// Closes the client: nothing is sent any more.  Jobs in the journal are
-    /// pursued again when it is opened again.
+    /// Closes the client: it sends no more requests, and calls that wait return
+    /// [`Error::Closed`].
+    ///
+    /// A client that opens the same journal later resumes the unfinished jobs.
     pub fn close(&self) {
         self.shared.lock().is_closed = true;
         self.shared.work_available.notify(usize::MAX);
@@ -226,14 +250,16 @@
 
 impl Drop for Client {
     fn drop(&mut self) {
-        // the driver's own task is not a clone of this
+        // The driver's task holds no clone of the client, so a count of 1 means
+        // that this is the last clone.
         if Arc::strong_count(&self.driver) == 1 {
             self.close();
         }
     }
 }
 
-/// The state of a client without jobs, which begins with a random endpoint.
+/// Returns the state of a client without jobs.  The first endpoint to use is
+/// chosen at random.
 fn initial_state(settings: &Settings, now: Instant) -> ClientState {
     let mut rng = fastrand::Rng::new();
     let first_endpoint = rng.usize(0..settings.endpoints.len());
@@ -256,8 +282,8 @@
     }
 }
 
-/// Adds a recorded job and schedules it.
-fn track(state: &mut ClientState, counters: &AtomicCounters, record: JobRecord, now: Instant) {
+/// Adds a job from its record and schedules the next action of the job.
+fn track_job(state: &mut ClientState, counters: &AtomicCounters, record: JobRecord, now: Instant) {
     increment(&counters.jobs);
     let id = record.spec.id.clone();
     state.jobs.insert(id.clone(), TrackedJob::new(Job::from_record(record, now)));
--- a/packages/client/src/client/completion.rs
+++ b/packages/client/src/client/completion.rs
@@ -1,4 +1,5 @@
-//! Applies the result of a request to the job, the endpoint and the budget.
+//! Applies the result of a request to the job, the endpoint's circuit breaker
+//! and the retry budget.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -13,8 +14,10 @@
 use crate::model::{Change, Outcome, Transition};
 
 impl Shared {
-    /// Applies the result of a request.  An acceptance is written to the
-    /// journal by the caller, for many jobs at once.
+    /// Applies the result of a request, updates the counters and notifies
+    /// waiting callers.
+    ///
+    /// The caller writes acceptances to the journal, in batches of many jobs.
     pub(super) fn apply_completion(&self, completed: CompletedRequest, now: Instant) -> Transition {
         let Some((transition, change)) = self.update_job(completed, now) else { return Transition::Unchanged };
         if transition == Transition::Accepted {
@@ -29,17 +32,17 @@
             info!(id = %change.id, ?answer, "final answer recorded");
             self.job_ended.notify(usize::MAX);
         }
-        // an answer that is not recorded yet is not shown
+        // An answer is published only once it is recorded.
         if transition != Transition::Ended {
-            // when the buffer is full, the oldest change is dropped and its
-            // readers get an overflow error
+            // When the buffer is full, the oldest change is dropped, and readers
+            // that have not read it get an overflow error.
             let _ = self.change_sender.try_broadcast(change);
         }
         transition
     }
 
-    /// Updates endpoint, budget and job under one lock; `None` if the job's
-    /// answer has been taken meanwhile.
+    /// Updates the endpoint, the retry budget and the job under one lock.
+    /// Returns `None` if the job's answer was taken in the meantime.
     fn update_job(&self, completed: CompletedRequest, now: Instant) -> Option<(Transition, Change)> {
         let CompletedRequest { request, result } = completed;
         let mut guard = self.lock();
@@ -70,7 +73,8 @@
         Some((transition, change))
     }
 
-    /// Updates circuit breaker and retry budget after a response, or none.
+    /// Updates the endpoint's circuit breaker and the retry budget according to
+    /// the outcome of a request.
     fn update_endpoint(
         &self,
         state: &mut ClientState,
--- a/packages/client/src/client/dispatch.rs
+++ b/packages/client/src/client/dispatch.rs
@@ -1,5 +1,5 @@
-//! Selects the requests to send now, within the limits on requests in flight,
-//! endpoints and retries.
+//! Selects the requests to send now, within the limits set by the number of
+//! requests in flight, the endpoints' circuit breakers and the retry budget.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,35 +12,38 @@
 use crate::model::Action;
 use crate::retry::RetryBudget;
 
-/// Least time until the driver looks for due jobs again.
+/// Minimum delay before the driver checks for due jobs again.
 const MIN_RECHECK_DELAY: Duration = Duration::from_millis(1);
 
-/// An action that is to be carried out for a job.
+/// An action to carry out for a job.
 pub(super) struct PendingRequest {
     pub(super) id: Name,
     pub(super) action: Action,
-    /// Where to send it; `None` for [`Action::RecordAnswer`], which sends nothing.
+    /// The endpoint to send the request to; `None` for [`Action::RecordAnswer`],
+    /// which sends nothing.
     pub(super) endpoint: Option<SocketAddr>,
-    /// Whether it repeats an attempt that failed.
+    /// Whether the action repeats a failed attempt.
     pub(super) is_retry: bool,
 }
 
-/// What the driver does next.
+/// The requests that the driver starts now, and the time of its next check.
 pub(super) struct DispatchPlan {
-    /// To be started now.
+    /// The requests to start now.
     pub(super) requests: Vec<PendingRequest>,
-    /// When to plan again, even if nothing happens before.
+    /// When to plan again if no other event occurs earlier; `None` if nothing is
+    /// scheduled.
     pub(super) recheck_at: Option<Instant>,
 }
 
 impl Shared {
-    /// Selects the requests to start while `in_flight` others are under way.
+    /// Selects the requests to start, given that `in_flight` requests are already
+    /// in flight.
     pub(super) fn next_requests(&self, in_flight: usize, now: Instant) -> DispatchPlan {
         let mut guard = self.lock();
         let state = &mut *guard;
         let free_slots = self.settings.max_in_flight.saturating_sub(in_flight);
         let mut plan = DispatchPlan { requests: Vec::new(), recheck_at: None };
-        // retries that waited for the budget go before jobs that are due now
+        // Retries that wait for the budget take precedence over due jobs.
         self.dispatch_waiting_retries(state, free_slots, now, &mut plan);
         self.dispatch_due_jobs(state, free_slots, now, &mut plan);
         let next_due_at = state.due_jobs.first().map(|(due_at, _)| *due_at);
@@ -85,7 +88,8 @@
         }
     }
 
-    /// Plans the action of a due job, or puts the job where it has to wait.
+    /// Adds the action of a due job to the plan.  A job that can't be dispatched
+    /// yet is postponed, or queued for its dependency or the retry budget.
     fn dispatch_due_job(&self, state: &mut ClientState, id: Name, now: Instant, plan: &mut DispatchPlan) {
         let dependency = state.first_unaccepted_dependency(&id);
         let Some(tracked) = state.jobs.get_mut(&id) else { return };
@@ -120,12 +124,15 @@
         plan.requests.push(PendingRequest { id, action, endpoint: Some(endpoint), is_retry });
     }
 
-    /// Charges an attempt to the retry budget; the error is how long a retry
-    /// has to wait for it.
+    /// Charges an attempt to the retry budget.
+    ///
+    /// # Errors
+    ///
+    /// Returns how long a retry has to wait if the budget does not allow it now.
     fn charge_attempt(
         &self,
         budget: &mut RetryBudget,
-        others_wait: bool,
+        has_waiting_retries: bool,
         is_retry: bool,
         now: Instant,
     ) -> Result<(), Duration> {
@@ -134,8 +141,8 @@
             return Ok(());
         }
         if self.settings.retry_budget {
-            // first come, first served
-            if others_wait {
+            // Retries are served in the order of their arrival.
+            if has_waiting_retries {
                 return Err(MIN_RECHECK_DELAY);
             }
             budget.try_spend(now)?;
--- a/packages/client/src/client/driver.rs
+++ b/packages/client/src/client/driver.rs
@@ -1,4 +1,5 @@
-//! The loop that drives all jobs of a client to their final answers.
+//! The event loop that sends requests for the jobs of a client until each job
+//! has a final answer.
 
 use std::future::{pending, Future};
 use std::sync::Arc;
@@ -14,38 +15,41 @@
 use crate::journal::{Journal, JournalError};
 use crate::model::Transition;
 
-/// Why the driver woke up.
+/// The event that woke the driver.
 enum WakeReason {
     RequestCompleted(CompletedRequest),
     AcceptancesWritten(Result<(), JournalError>),
-    /// Time to plan again, or a caller has changed something.
+    /// The time of the next check has come, or a caller has added or changed a job
+    /// or closed the client.
     RecheckDue,
 }
 
-/// Writes acceptances to the journal, one write at a time for many jobs.
+/// Writes acceptances to the journal, with at most one write in progress and
+/// many jobs in each.
 ///
-/// A program that starts again queries an accepted job instead of submitting
-/// it; where the acceptance is lost, it submits once more under the same id.
-/// So a failed write is counted and not repeated.
+/// After a restart, the client queries an accepted job instead of submitting it.
+/// If an acceptance was not written, the client submits the job again under the
+/// same id, which is idempotent.  A failed write is therefore counted but not
+/// retried.
 #[derive(Default)]
 struct AcceptanceWriter {
-    unwritten: Vec<Name>,
+    pending_ids: Vec<Name>,
     write: Option<smol::Task<Result<(), JournalError>>>,
 }
 
 impl AcceptanceWriter {
-    /// Starts a write, unless one is under way or there is nothing to write.
+    /// Starts a write unless one is in progress or there is nothing to write.
     fn start_write(&mut self, journal: &Arc<Journal>) {
-        if self.write.is_some() || self.unwritten.is_empty() {
+        if self.write.is_some() || self.pending_ids.is_empty() {
             return;
         }
         let journal = journal.clone();
-        let ids = std::mem::take(&mut self.unwritten);
+        let ids = std::mem::take(&mut self.pending_ids);
         self.write = Some(smol::unblock(move || journal.update(&ids, |record| record.accepted = true)));
     }
 
-    /// Waits for the write that is under way; for ever if there is none.
-    async fn written(&mut self) -> WakeReason {
+    /// Waits for the write in progress; never completes if there is none.
+    async fn write_completed(&mut self) -> WakeReason {
         match self.write.as_mut() {
             Some(write) => WakeReason::AcceptancesWritten(write.await),
             None => pending().await,
@@ -54,12 +58,12 @@
 }
 
 impl Shared {
-    /// Drives all jobs until the client is closed.
+    /// Processes all jobs until the client is closed.
     pub(super) async fn drive(self: Arc<Self>) {
         let mut requests = FuturesUnordered::new();
         let mut acceptances = AcceptanceWriter::default();
         loop {
-            // listens before it looks, so that no notification is lost
+            // Listening before checking ensures that no notification is missed.
             let notified = self.work_available.listen();
             if self.lock().is_closed {
                 return;
@@ -68,17 +72,17 @@
             for request in plan.requests {
                 requests.push(self.perform(request));
             }
-            let is_full = requests.len() >= self.settings.max_in_flight;
+            let is_at_limit = requests.len() >= self.settings.max_in_flight;
             let recheck = async {
-                or(sleep_until(plan.recheck_at.filter(|_| !is_full)), notified).await;
+                or(sleep_until(plan.recheck_at.filter(|_| !is_at_limit)), notified).await;
                 WakeReason::RecheckDue
             };
-            match or(or(next_completion(&mut requests), acceptances.written()), recheck).await {
+            match or(or(next_completion(&mut requests), acceptances.write_completed()), recheck).await {
                 WakeReason::RequestCompleted(completed) => {
                     let id = completed.request.id.clone();
                     let transition = self.apply_completion(completed, Instant::now());
                     if transition == Transition::Accepted && self.journal.is_some() {
-                        acceptances.unwritten.push(id);
+                        acceptances.pending_ids.push(id);
                     }
                 }
                 WakeReason::AcceptancesWritten(result) => {
@@ -96,7 +100,7 @@
     }
 }
 
-/// Waits for a request to complete; for ever if none is in flight.
+/// Waits for a request to complete; never completes if none is in flight.
 async fn next_completion<F>(requests: &mut FuturesUnordered<F>) -> WakeReason
 where
     F: Future<Output = CompletedRequest>,
@@ -107,7 +111,7 @@
     }
 }
 
-/// Sleeps until a time; for ever if there is none.
+/// Sleeps until `time`; never completes if it is `None`.
 async fn sleep_until(time: Option<Instant>) {
     match time {
         Some(time) => drop(smol::Timer::at(time).await),
--- a/packages/client/src/client/handle.rs
+++ b/packages/client/src/client/handle.rs
@@ -9,7 +9,8 @@
 use crate::error::Error;
 use crate::model::{FinalAnswer, Progress};
 
-/// A job that a client pursues.  Clones are handles of the same job.
+/// A handle to a job that a client tracks.  Clones refer to the same job, and
+/// each keeps the client open.
 #[derive(Clone)]
 pub struct JobHandle {
     pub(super) id: Name,
@@ -17,32 +18,37 @@
 }
 
 impl JobHandle {
-    /// The job's id.
+    /// Returns the id from the job's specification.
     pub fn id(&self) -> &Name {
         &self.id
     }
 
-    /// The latest known progress; it never goes back to an older state.
+    /// Returns the latest known progress; the number of completed tasks never
+    /// decreases while the client is open.
+    ///
+    /// Once the answer has been taken, the progress is zero.
     pub fn progress(&self) -> Progress {
         let state = self.client.shared.lock();
         state.jobs.get(&self.id).map(|tracked| tracked.job.progress()).unwrap_or_default()
     }
 
-    /// The final answer, once it is recorded.
+    /// Returns the final answer, or `None` if it is not recorded yet or has been
+    /// taken.
     pub fn answer(&self) -> Option<FinalAnswer> {
         let state = self.client.shared.lock();
         state.jobs.get(&self.id).and_then(|tracked| tracked.job.answer().cloned())
     }
 
-    /// Waits for the final answer, for as long as it takes.  Later calls return
-    /// the same answer.
+    /// Waits for the final answer without a timeout.  Later calls return the same
+    /// answer until it is taken.
     ///
     /// # Errors
     ///
-    /// [`Error::Closed`] if the client is closed, or the answer has been taken.
+    /// Returns [`Error::Closed`] if the client is closed before the answer is
+    /// recorded, or if the answer has been taken.
     pub async fn wait(&self) -> Result<FinalAnswer, Error> {
         loop {
-            // listens before it looks, so that no notification is lost
+            // Listening before checking ensures that no notification is missed.
             let job_ended = self.client.shared.job_ended.listen();
             if let Some(answer) = self.answer() {
                 return Ok(answer);
@@ -57,12 +63,13 @@
         }
     }
 
-    /// Waits for the final answer until a time.
+    /// Waits for the final answer, at most until `deadline`.
     ///
     /// # Errors
     ///
-    /// [`Error::Deadline`] says that the answer is not known yet, never that the
-    /// job failed: the client keeps pursuing it.
+    /// Returns the errors of [`JobHandle::wait`], and [`Error::Deadline`] if the
+    /// answer is not known by the deadline.  The latter does not mean that the
+    /// job failed: the client keeps tracking it.
     pub async fn wait_until(&self, deadline: Instant) -> Result<FinalAnswer, Error> {
         let timeout = async {
             smol::Timer::at(deadline).await;
@@ -71,12 +78,15 @@
         or(self.wait(), timeout).await
     }
 
-    /// Requests the cancellation of the job, durably: it is pursued until a
-    /// controller answers that the job is cancelled, or was done before.
+    /// Requests the cancellation of the job.
+    ///
+    /// The request is written to the journal, and the client repeats it until a
+    /// controller reports that the job is cancelled or was already done.
     ///
     /// # Errors
     ///
-    /// [`Error::Journal`] if the request can't be recorded; it is not pursued then.
+    /// Returns [`Error::Journal`] if the request can't be written to the journal;
+    /// the job is then not cancelled.
     pub async fn cancel(&self) -> Result<(), Error> {
         if let Some(journal) = self.client.shared.journal.clone() {
             let id = self.id.clone();
@@ -93,14 +103,17 @@
         Ok(())
     }
 
-    /// Waits for the final answer and removes the job from the journal: the
-    /// caller has acted on the answer.  Until then every run of the program gets
-    /// the same answer; afterwards none gets it again.
+    /// Waits for the final answer, then removes the job from the client and the
+    /// journal.
+    ///
+    /// A program calls this method after it has acted on the answer.  Until then,
+    /// every run of the program gets the same answer; afterwards, no run gets it
+    /// again.
     ///
     /// # Errors
     ///
-    /// Those of [`JobHandle::wait`], and [`Error::Journal`] if the record can't
-    /// be removed; the job is kept then.
+    /// Returns the errors of [`JobHandle::wait`], and [`Error::Journal`] if the
+    /// record can't be removed; the client then keeps the job.
     pub async fn take(self) -> Result<FinalAnswer, Error> {
         let answer = self.wait().await?;
         if let Some(journal) = self.client.shared.journal.clone() {
--- a/packages/client/src/client/shared.rs
+++ b/packages/client/src/client/shared.rs
@@ -1,4 +1,4 @@
-//! What the driver and the callers of a client share.
+//! The state that the driver of a client shares with the client's callers.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -11,15 +11,15 @@
 use crate::model::Change;
 use crate::settings::Settings;
 
-/// The parts of a client that its driver and all its handles use.
+/// The parts of a client that its driver and all job handles use.
 pub(super) struct Shared {
     pub(super) settings: Settings,
     pub(super) journal: Option<Arc<Journal>>,
     pub(super) http: http::Client,
     pub(super) state: Mutex<ClientState>,
-    /// Wakes the driver: a job was added or changed, or the client was closed.
+    /// Wakes the driver when a job was added or changed, or the client was closed.
     pub(super) work_available: Event,
-    /// Wakes callers that wait: an answer was recorded or taken, or the client
+    /// Wakes waiting callers when an answer was recorded or taken, or the client
     /// was closed.
     pub(super) job_ended: Event,
     pub(super) counters: AtomicCounters,
@@ -27,8 +27,10 @@
 }
 
 impl Shared {
-    /// Locks the state.  A panic elsewhere does not keep other jobs from being
-    /// pursued, so a poisoned lock is taken as well.
+    /// Locks the state.
+    ///
+    /// A poisoned lock is acquired as well, so that a panic in one thread does not
+    /// stop the processing of other jobs.
     pub(super) fn lock(&self) -> MutexGuard<'_, ClientState> {
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
--- a/packages/client/src/client/transport.rs
+++ b/packages/client/src/client/transport.rs
@@ -1,5 +1,5 @@
-//! Carries out the action of a job: sends a request to an endpoint, or writes
-//! the final answer to the journal.
+//! Carries out the actions of jobs: sends a request to an endpoint, or writes
+//! a final answer to the journal.
 
 use std::net::SocketAddr;
 use std::time::SystemTime;
@@ -14,24 +14,25 @@
 use crate::model::{Action, Outcome};
 use crate::outcome::classify_response;
 
-/// An action that was carried out.
+/// An action that was attempted, with its result.
 pub(super) struct CompletedRequest {
     pub(super) request: PendingRequest,
     pub(super) result: RequestResult,
 }
 
-/// What an action came to.
+/// The result of an action.
 pub(super) enum RequestResult {
-    /// The endpoint answered, or did not.
+    /// A request was sent; the outcome tells what the response, or its absence,
+    /// means for the job.
     Classified(Outcome),
-    /// The final answer is in the journal.
+    /// The final answer is in the journal, or there is no journal.
     AnswerRecorded,
     /// The final answer could not be written to the journal.
     RecordingFailed,
 }
 
 impl Shared {
-    /// Carries out an action.
+    /// Carries out the action of a request once.
     pub(super) async fn perform(&self, request: PendingRequest) -> CompletedRequest {
         let result = match request.endpoint {
             Some(endpoint) => RequestResult::Classified(self.send(&request, endpoint).await),
@@ -41,7 +42,7 @@
         CompletedRequest { request, result }
     }
 
-    /// Sends a request once.
+    /// Sends a request once and classifies its outcome.
     async fn send(&self, request: &PendingRequest, endpoint: SocketAddr) -> Outcome {
         let PendingRequest { id, action, .. } = request;
         let (method, target, body) = self.encode_request(id, *action);
@@ -49,12 +50,12 @@
         let timeout = self.settings.request_timeout;
         let response = self.http.exchange(endpoint, method, &target, body.as_deref(), timeout).await;
         if let Err(error) = &response {
-            debug!(%id, ?action, to = %endpoint, %error, "no answer");
+            debug!(%id, ?action, to = %endpoint, %error, "request failed without a usable response");
         }
         classify_response(*action, response, id, SystemTime::now())
     }
 
-    /// Method, target and body of a request.
+    /// Returns the HTTP method, target and body of a request.
     fn encode_request(&self, id: &Name, action: Action) -> (&'static str, String, Option<Vec<u8>>) {
         let state = self.lock();
         let spec = state.jobs.get(id).map(|tracked| tracked.job.spec().clone());
@@ -65,13 +66,14 @@
         }
     }
 
-    /// Writes a job's final answer to the journal; whether it is there.
+    /// Writes a job's final answer to the journal, if there is one.  Reports
+    /// whether the answer is recorded.
     async fn record_answer(&self, id: &Name) -> bool {
         let unrecorded = self.lock().jobs.get(id).and_then(|tracked| tracked.job.unrecorded_answer().cloned());
         let Some(answer) = unrecorded else { return false };
         let Some(journal) = self.journal.clone() else { return true };
-        let key = id.clone();
-        let write = move || journal.update(&[key], |record| record.answer = Some(answer.clone()));
+        let job_id = id.clone();
+        let write = move || journal.update(&[job_id], |record| record.answer = Some(answer.clone()));
         match smol::unblock(write).await {
             Ok(()) => true,
             Err(error) => {
