--- a/packages/client/src/job/tests.rs
+++ b/packages/client/src/job/tests.rs
@@ -34,7 +34,7 @@
     Cancel,
     WriteAnswer(bool),
     Wait(u64),
-    /// The program dies and is started again with its journal.
+    /// The program crashes and restarts with its journal.
     Restart,
 }
 
@@ -49,28 +49,33 @@
 }
 
 proptest! {
-    /// Against a server that answers anything, at any time, in any order:
-    /// one final answer at most, never another, shown only when recorded;
-    /// nothing shown goes back; an unfinished job is always due, and soon.
+    /// Guards against conflicting, premature or lost final answers when the
+    /// controllers' responses arrive in any order and the program restarts.  A job
+    /// has at most one final answer, which is visible only once it is recorded;
+    /// its progress never decreases; an unfinished job always has a next action
+    /// that is due within a bounded time.
     #[test]
-    fn one_final_answer_whatever_the_controllers_answer(steps in prop::collection::vec(steps(), 1..200), jitter in 0.0f64..1.0) {
+    fn job_has_at_most_one_final_answer_for_any_sequence_of_responses(steps in prop::collection::vec(steps(), 1..200), jitter in 0.0f64..1.0) {
         let timing = timing();
         let mut now = Instant::now();
         let mut job = Job::new(spec("j-1", 5), false, false, now);
-        // what the journal has
+        // The content of the journal.
         let mut recorded = JobRecord::new(&spec("j-1", 5));
-        let mut given: Option<FinalAnswer> = None;
+        let mut shown_answer: Option<FinalAnswer> = None;
         for step in steps {
             let (old_progress, was_accepted) = (job.progress(), job.is_accepted());
             let mut restarted = false;
             match step {
-                Step::Receive(asked, outcome) => {
-                    let asked = asked.unwrap_or(job.action());
+                Step::Receive(action, outcome) => {
+                    let action = action.unwrap_or(job.action());
                     let refused = matches!(outcome, Outcome::Refused { .. });
-                    if asked != Action::RecordAnswer {
-                        let c = job.apply_outcome(asked, outcome, &timing, jitter, now);
-                        prop_assert!(!(c == Transition::Ended && refused && was_accepted), "accepted, then refused");
-                        if c == Transition::Accepted {
+                    if action != Action::RecordAnswer {
+                        let transition = job.apply_outcome(action, outcome, &timing, jitter, now);
+                        prop_assert!(
+                            !(transition == Transition::Ended && refused && was_accepted),
+                            "an accepted job was refused"
+                        );
+                        if transition == Transition::Accepted {
                             recorded.accepted = true;
                         }
                     }
@@ -80,12 +85,12 @@
                         recorded.cancel_requested = true;
                     }
                 }
-                Step::WriteAnswer(ok) => {
-                    if let Some(a) = job.unrecorded_answer().cloned() {
-                        if ok {
-                            recorded.answer = Some(a);
+                Step::WriteAnswer(succeeds) => {
+                    if let Some(answer) = job.unrecorded_answer().cloned() {
+                        if succeeds {
+                            recorded.answer = Some(answer);
                         }
-                        match ok {
+                        match succeeds {
                             true => job.mark_recorded(),
                             false => job.retry_recording(&timing, jitter, now),
                         }
@@ -100,51 +105,53 @@
                 }
             }
             prop_assert!(restarted || job.progress().done >= old_progress.done);
-            if let Some(a) = job.answer() {
-                prop_assert_eq!(recorded.answer.as_ref(), Some(a), "shown before it was on record");
-                prop_assert_eq!(given.get_or_insert(a.clone()), a, "another answer");
+            if let Some(answer) = job.answer() {
+                prop_assert_eq!(recorded.answer.as_ref(), Some(answer), "the answer is visible but not recorded");
+                prop_assert_eq!(shown_answer.get_or_insert(answer.clone()), answer, "the final answer changed");
                 prop_assert!(job.due_at().is_none());
             } else {
-                prop_assert!(given.is_none());
-                let due = job.due_at().expect("an unfinished job is due");
-                prop_assert!(due <= now + Duration::from_secs(40), "due within the longest delay");
+                prop_assert!(shown_answer.is_none());
+                let due_at = job.due_at().expect("an unfinished job has a next action");
+                prop_assert!(due_at <= now + Duration::from_secs(40), "the next action is due after the longest delay");
             }
         }
     }
 }
 
-/// Queries are rare while the end is far, and those of equal jobs are spread.
+/// Guards against polling too often while the expected end of a job is far away,
+/// and against polling equal jobs at the same time.
 #[test]
-fn queries_follow_the_expected_end() {
-    let t0 = Instant::now();
-    let long = Arc::new(JobSpec { estimate_s: 40.0, ..(*spec("j-1", 1)).clone() });
-    let wait = |after: u64, jitter: f64| {
-        let mut job = Job::new(long.clone(), true, false, t0);
-        let now = t0 + Duration::from_secs(after);
-        let s = JobState { id: "j-1".into(), stage: "running".into(), done: 0, running: 1 };
-        job.apply_outcome(Action::Query, Outcome::State(s), &timing(), jitter, now);
-        job.due_at().expect("a running job is due").duration_since(now).as_secs_f64()
+fn poll_delay_depends_on_the_expected_end_and_the_jitter() {
+    let start = Instant::now();
+    let long_spec = Arc::new(JobSpec { estimate_s: 40.0, ..(*spec("j-1", 1)).clone() });
+    let poll_delay_s = |elapsed_s: u64, jitter: f64| {
+        let mut job = Job::new(long_spec.clone(), true, false, start);
+        let now = start + Duration::from_secs(elapsed_s);
+        let state = JobState { id: "j-1".into(), stage: "running".into(), done: 0, running: 1 };
+        job.apply_outcome(Action::Query, Outcome::State(state), &timing(), jitter, now);
+        job.due_at().expect("a running job has a next action").duration_since(now).as_secs_f64()
     };
-    assert_eq!(wait(0, 0.5), 20.0);
-    assert_eq!(wait(39, 0.5), 1.0);
-    assert_eq!(wait(60, 0.5), 10.0);
-    assert_eq!(wait(1000, 0.5), 30.0);
-    assert!(wait(0, 0.0) < wait(0, 1.0));
+    assert_eq!(poll_delay_s(0, 0.5), 20.0);
+    assert_eq!(poll_delay_s(39, 0.5), 1.0);
+    assert_eq!(poll_delay_s(60, 0.5), 10.0);
+    assert_eq!(poll_delay_s(1000, 0.5), 30.0);
+    assert!(poll_delay_s(0, 0.0) < poll_delay_s(0, 1.0));
 }
 
-/// A cancellation is pursued until it is answered, also where the
-/// submission before it was in doubt.
+/// Guards against losing a cancellation that is requested while the outcome of
+/// the submission is unknown.  The cancellation is sent once the job is accepted,
+/// and is repeated until a controller reports that the job has ended.
 #[test]
-fn a_cancellation_waits_for_the_acceptance() {
+fn cancellation_is_sent_once_the_job_is_accepted_and_repeated_until_it_ends() {
     let now = Instant::now();
     let mut job = Job::new(spec("j-1", 1), false, false, now);
     job.apply_outcome(Action::Submit, Outcome::Indeterminate, &timing(), 0.5, now);
     assert!(job.request_cancellation(now) && !job.request_cancellation(now));
     assert_eq!(job.action(), Action::Submit);
-    let s = |stage: &str| Outcome::State(JobState { id: "j-1".into(), stage: stage.into(), done: 0, running: 0 });
-    assert_eq!(job.apply_outcome(Action::Submit, s("pending"), &timing(), 0.5, now), Transition::Accepted);
+    let state = |stage: &str| Outcome::State(JobState { id: "j-1".into(), stage: stage.into(), done: 0, running: 0 });
+    assert_eq!(job.apply_outcome(Action::Submit, state("pending"), &timing(), 0.5, now), Transition::Accepted);
     assert_eq!((job.action(), job.due_at()), (Action::Cancel, Some(now)));
-    assert_eq!(job.apply_outcome(Action::Cancel, s("running"), &timing(), 0.5, now), Transition::Unchanged);
-    assert_eq!(job.apply_outcome(Action::Cancel, s("done"), &timing(), 0.5, now), Transition::Ended);
+    assert_eq!(job.apply_outcome(Action::Cancel, state("running"), &timing(), 0.5, now), Transition::Unchanged);
+    assert_eq!(job.apply_outcome(Action::Cancel, state("done"), &timing(), 0.5, now), Transition::Ended);
     assert_eq!(job.unrecorded_answer(), Some(&FinalAnswer::Done));
 }
--- a/packages/client/src/journal.rs
+++ b/packages/client/src/journal.rs
@@ -1,5 +1,7 @@
-//! The journal on disk: a job is in it before anything is sent for it, and its
-//! final answer before anyone gets it.
+//! The journal: a database file that holds the client's jobs.
+//!
+//! A job is written to the journal before its submission is sent, and its final
+//! answer before any caller gets it.
 
 mod error;
 
@@ -14,19 +16,22 @@
 
 pub use self::error::JournalError;
 
-/// Records as JSON, by the jobs' ids.
+/// Job records in JSON, by job id.
 const JOBS: TableDefinition<&str, &[u8]> = TableDefinition::new("jobs");
 /// Properties of the file.
 const META: TableDefinition<&str, &str> = TableDefinition::new("meta");
-/// Number of jobs of each batch that was added, by its name.
+/// The number of jobs in each named batch, by the name of the batch.
 const BATCH_SIZES: TableDefinition<&str, u64> = TableDefinition::new("batches");
-/// Key of the layout's version in [`META`].
+/// Key of the layout version in [`META`].
 const LAYOUT_KEY: &str = "layout";
-/// Version of the layout; a file of another one is refused, not rewritten.
+/// Version of the file's layout.  A file with another version is rejected and not
+/// converted.
 const LAYOUT: &str = "1";
 
-/// A journal that this process has open.  Calls block for the disk: from
-/// asynchronous code they belong on a thread for blocking work.
+/// An open journal.
+///
+/// All methods block on disk I/O.  Asynchronous code calls them on a thread for
+/// blocking work, for example with `smol::unblock`.
 #[derive(Debug)]
 pub struct Journal {
     path: PathBuf,
@@ -34,11 +39,17 @@
 }
 
 impl Journal {
-    /// Opens a journal, or creates one where there is no file.  A file that is
-    /// no journal is left as it is.
+    /// Opens the journal at `path`, or creates one if there is no file.
+    ///
+    /// # Errors
+    ///
+    /// Returns a [`JournalError`] if the file is already open, is not a journal
+    /// of this layout version, or can't be read and written.  A file that is not
+    /// a journal is not modified.
     pub fn open(path: &Path) -> Result<Journal, JournalError> {
-        // a crash while a journal is created leaves an empty file; it has no
-        // job, as none is sent before it is written
+        // A crash during the creation of a journal can leave an empty file, which
+        // is opened as a new journal.  No job is lost, because a job is written
+        // to the journal before it is sent.
         let database = Database::create(path).map_err(|error| match error {
             DatabaseError::Storage(StorageError::Io(error)) => from_io_error(path, &error),
             error => from_redb_error(path, error.into()),
@@ -51,8 +62,8 @@
         }
     }
 
-    /// The layout that the file has; a new file gets this version's, and `None`
-    /// is returned.
+    /// Returns the layout version of the file.  Writes the version [`LAYOUT`] to a
+    /// new file and returns `None`.
     fn ensure_layout(&self) -> Result<Option<String>, TransactionFailure> {
         let transaction = self.database.begin_write()?;
         let found = {
@@ -71,7 +82,12 @@
         Ok(found)
     }
 
-    /// All records, in the order of the jobs' ids.
+    /// Returns all records, sorted by job id.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`JournalError::Corrupt`] if a record can't be decoded, and other
+    /// errors if the file can't be read.
     pub fn read_all(&self) -> Result<Vec<JobRecord>, JournalError> {
         let rows = self.read_rows().map_err(|failure| failure.into_journal_error(&self.path))?;
         rows.iter().map(|row| self.decode_record(row)).collect()
@@ -93,9 +109,18 @@
             .map_err(|error| JournalError::Corrupt { path: self.path.clone(), reason: error.to_string() })
     }
 
-    /// Adds new jobs, all or none, durably.  A job that is there already with the
-    /// same specification stays as it is.  Returns the records as they are then;
-    /// `None` if a batch of this name was added before.
+    /// Adds either all of the jobs or none of them, in one durable transaction.
+    ///
+    /// A job that the journal already has with the same specification is not
+    /// changed.  Returns the records of all given jobs after the transaction, or
+    /// `None` if `batch` names a batch that was added before.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`JournalError::IdTaken`] if the journal has a job with the same id
+    /// and a different specification, [`JournalError::Corrupt`] if the record of
+    /// a given job can't be decoded, and other errors if the file can't be read or
+    /// written.
     pub fn add(&self, specs: &[Arc<JobSpec>], batch: Option<&str>) -> Result<Option<Vec<JobRecord>>, JournalError> {
         self.try_add(specs, batch).map_err(|failure| failure.into_journal_error(&self.path))
     }
@@ -105,11 +130,11 @@
         specs: &[Arc<JobSpec>],
         batch: Option<&str>,
     ) -> Result<Option<Vec<JobRecord>>, TransactionFailure> {
-        // a transaction that is not committed changes nothing
+        // Returning before the commit aborts the transaction.
         let transaction = self.database.begin_write()?;
         if let Some(batch) = batch {
-            let is_known = transaction.open_table(BATCH_SIZES)?.insert(batch, specs.len() as u64)?.is_some();
-            if is_known {
+            let is_duplicate = transaction.open_table(BATCH_SIZES)?.insert(batch, specs.len() as u64)?.is_some();
+            if is_duplicate {
                 return Ok(None);
             }
         }
@@ -124,19 +149,25 @@
         Ok(Some(records))
     }
 
-    fn insert_if_absent(&self, jobs: &mut Jobs<'_>, spec: &JobSpec) -> Result<JobRecord, TransactionFailure> {
-        let Some(known) = self.get(jobs, &spec.id)? else {
+    fn insert_if_absent(&self, jobs: &mut JobsTable<'_>, spec: &JobSpec) -> Result<JobRecord, TransactionFailure> {
+        let Some(existing) = self.get(jobs, &spec.id)? else {
             let record = JobRecord::new(spec);
-            put(jobs, &spec.id, &record)?;
+            write_record(jobs, &spec.id, &record)?;
             return Ok(record);
         };
-        if known.spec != *spec {
+        if existing.spec != *spec {
             return Err(JournalError::IdTaken { id: spec.id.to_string() }.into());
         }
-        Ok(known)
+        Ok(existing)
     }
 
-    /// Changes records, durably; ids without a record are passed over.
+    /// Applies `change` to the records of the given jobs in one durable
+    /// transaction.  Ids without a record are ignored.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the file can't be read or written, or if one of the
+    /// records can't be decoded.
     pub fn update(&self, ids: &[Name], change: impl Fn(&mut JobRecord)) -> Result<(), JournalError> {
         self.try_update(ids, change).map_err(|failure| failure.into_journal_error(&self.path))
     }
@@ -148,14 +179,19 @@
             for id in ids {
                 let Some(mut record) = self.get(&jobs, id)? else { continue };
                 change(&mut record);
-                put(&mut jobs, id, &record)?;
+                write_record(&mut jobs, id, &record)?;
             }
         }
         transaction.commit()?;
         Ok(())
     }
 
-    /// Removes a record: its answer has been taken.
+    /// Removes the record of a job in one durable transaction.  An id without a
+    /// record is ignored.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the file can't be read or written.
     pub fn remove(&self, id: &str) -> Result<(), JournalError> {
         self.try_remove(id).map_err(|failure| failure.into_journal_error(&self.path))
     }
@@ -167,16 +203,16 @@
         Ok(())
     }
 
-    fn get(&self, jobs: &Jobs<'_>, id: &str) -> Result<Option<JobRecord>, TransactionFailure> {
+    fn get(&self, jobs: &JobsTable<'_>, id: &str) -> Result<Option<JobRecord>, TransactionFailure> {
         let Some(row) = jobs.get(id)? else { return Ok(None) };
         Ok(Some(self.decode_record(row.value())?))
     }
 }
 
-/// The table of records in a transaction.
-type Jobs<'txn> = Table<'txn, &'static str, &'static [u8]>;
+/// The table of job records, open in a write transaction.
+type JobsTable<'txn> = Table<'txn, &'static str, &'static [u8]>;
 
-fn put(jobs: &mut Jobs<'_>, id: &str, record: &JobRecord) -> Result<(), TransactionFailure> {
+fn write_record(jobs: &mut JobsTable<'_>, id: &str, record: &JobRecord) -> Result<(), TransactionFailure> {
     let row = serde_json::to_vec(record).unwrap_or_default();
     jobs.insert(id, &*row)?;
     Ok(())
--- a/packages/client/src/journal/error.rs
+++ b/packages/client/src/journal/error.rs
@@ -1,61 +1,70 @@
-//! Why a journal can't be used, and what its user can do about it.
+//! The errors of the journal, and their mapping from errors of the file system
+//! and the database.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
 use super::LAYOUT;
 
-/// Why a journal can't be used, and what to do about it.
+/// An error that occurred while a journal was opened, read or written.  The text
+/// says what the user can do about it.
 #[derive(Debug, thiserror::Error)]
 pub enum JournalError {
-    /// Another process, or another client in this one, has it open.
-    #[error("{path} is open elsewhere: close the other client, or give each its own journal")]
+    /// Another process, or another client in this process, has the file open.
+    #[error("journal {path} is already open: close the other client, or use a separate journal for each client")]
     AlreadyOpen {
-        /// The file.
+        /// The path of the journal.
         path: PathBuf,
     },
-    /// The file is no journal, or a damaged one.  Nothing was written to it.
-    #[error("{path} is damaged or no journal ({reason}): keep it for its jobs' ids, and begin with another file")]
+    /// The file is damaged or is not a journal.  It was not modified.
+    #[error("{path} is damaged or not a journal ({reason}): keep the file for its job ids, and use another one")]
     Corrupt {
-        /// The file.
+        /// The path of the journal.
         path: PathBuf,
-        /// What is wrong with it.
+        /// What is wrong with the file.
         reason: String,
     },
-    /// The file has the layout of another version.
-    #[error("{path} has layout {found}, this version writes {LAYOUT}: open it with the version that wrote it")]
+    /// The file has a layout that this version of the library does not support.
+    #[error(
+        "journal {path} has an unsupported layout ({found}; supported: {LAYOUT}): \
+         open it with the version that wrote it"
+    )]
     UnsupportedLayout {
-        /// The file.
+        /// The path of the journal.
         path: PathBuf,
-        /// Its layout.
+        /// The layout version of the file, or the format version of its database.
         found: String,
     },
-    /// The file can be read only.
-    #[error("{path} can't be written ({reason}): check who owns it and how its disk is mounted")]
+    /// The file can't be opened or written: its permissions deny that, or its file
+    /// system is read-only.
+    #[error("cannot write journal {path} ({reason}): check who owns the file and how its file system is mounted")]
     ReadOnly {
-        /// The file.
+        /// The path of the journal.
         path: PathBuf,
-        /// The system's reason.
+        /// The error of the operating system.
         reason: String,
     },
-    /// The disk is full.
-    #[error("no room for {path}: free some; nothing was sent for what could not be written")]
+    /// The disk is full, or a disk quota or file size limit is reached.
+    #[error(
+        "no space left to write journal {path}: free some disk space; \
+         nothing was sent for changes that could not be written"
+    )]
     StorageFull {
-        /// The file.
+        /// The path of the journal.
         path: PathBuf,
     },
-    /// Another failure of the file.
-    #[error("{path}: {reason}")]
+    /// Another error of the file system or the database.
+    #[error("cannot access journal {path}: {reason}")]
     Io {
-        /// The file.
+        /// The path of the journal.
         path: PathBuf,
-        /// The system's reason.
+        /// The error of the operating system or the database.
         reason: String,
     },
-    /// The id belongs to a job with another specification.
-    #[error("{id} is in the journal with another submission: an id is one job's, for good")]
+    /// The id belongs to a job with a different specification.
+    #[error("job id {id} belongs to a job with a different specification: use a new id for each job")]
     IdTaken {
-        /// The id.
+        /// The id that both specifications have.
         id: String,
     },
 }
@@ -64,12 +73,12 @@
 pub(super) enum TransactionFailure {
     /// The database failed.
     Database(Box<redb::Error>),
-    /// What is in the journal does not allow the change.
+    /// The content of the journal does not permit the change.
     Rejected(JournalError),
 }
 
 impl TransactionFailure {
-    /// The error that a user gets, for the journal at `path`.
+    /// Converts the failure into the public error for the journal at `path`.
     pub(super) fn into_journal_error(self, path: &Path) -> JournalError {
         match self {
             TransactionFailure::Database(error) => from_redb_error(path, *error),
@@ -95,7 +104,7 @@
 }
 from_redb_errors!(TransactionError TableError StorageError CommitError);
 
-/// The error for a failure of the file system.
+/// Converts an error of the file system into a journal error.
 pub(super) fn from_io_error(path: &Path, error: &io::Error) -> JournalError {
     let path = path.to_owned();
     match error.kind() {
@@ -112,7 +121,7 @@
     }
 }
 
-/// The error for a failure of the database.
+/// Converts an error of the database into a journal error.
 pub(super) fn from_redb_error(path: &Path, error: redb::Error) -> JournalError {
     let path = path.to_owned();
     match error {
@@ -120,7 +129,7 @@
         redb::Error::DatabaseAlreadyOpen => JournalError::AlreadyOpen { path },
         redb::Error::Corrupted(reason) => JournalError::Corrupt { path, reason },
         redb::Error::UpgradeRequired(version) => {
-            JournalError::UnsupportedLayout { path, found: format!("of format {version}") }
+            JournalError::UnsupportedLayout { path, found: format!("database file format {version}") }
         }
         error => JournalError::Io { path, reason: error.to_string() },
     }
--- a/packages/client/src/outcome.rs
+++ b/packages/client/src/outcome.rs
@@ -1,5 +1,6 @@
-//! Classifies responses, and their absence, by what they mean for a job.  The
-//! table in docs/client.md is this function, row by row.
+//! Classifies responses, and missing responses, by what they mean for a job.
+//!
+//! The table in docs/client.md documents [`classify_response`] row by row.
 
 use std::time::{Duration, SystemTime};
 
@@ -9,7 +10,8 @@
 
 use crate::model::{Action, Outcome};
 
-/// The longest `Retry-After` that is obeyed; the protocol's bound.
+/// The maximum wait that a `Retry-After` header can ask for in the protocol.
+/// Longer values are reduced to it.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 /// The body of an error response.
@@ -19,7 +21,7 @@
     error: String,
 }
 
-/// The body of a response that gives a job's state.
+/// The body of a response with the state of a job.
 #[derive(Deserialize)]
 struct StateBody {
     #[serde(rename = "nameId", default)]
@@ -32,13 +34,16 @@
     running: u32,
 }
 
-/// The wait that a `Retry-After` header asks for, in seconds or as a date.  A
-/// value that is neither is ignored, a longer wait is cut to 30 s,
-/// and a date in the past is no wait.  `wall_clock` is the time of day.
+/// Parses the value of a `Retry-After` header, which is a number of seconds or an
+/// HTTP date, and returns the wait that it asks for.
+///
+/// A wait longer than 30 s is reduced to 30 s, and a date in the past results in a
+/// wait of zero.  Returns `None` for any other value.  `wall_clock` is the current
+/// time of day.
 pub fn parse_retry_after(value: &str, wall_clock: SystemTime) -> Option<Duration> {
     let value = value.trim();
     if !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit()) {
-        // more digits than a number has are a very long wait, too
+        // A number that does not fit in 64 bits also means the maximum wait.
         let seconds = value.parse::<u64>().unwrap_or(u64::MAX);
         return Some(Duration::from_secs(seconds).min(MAX_RETRY_AFTER));
     }
@@ -46,10 +51,13 @@
     Some(date.duration_since(wall_clock).unwrap_or_default().min(MAX_RETRY_AFTER))
 }
 
-/// Classifies the response to a request for the job `id`.  `wall_clock` is the
-/// time of day, for dates in responses.
+/// Classifies the response to a request for the job `id`, or the error if there is
+/// no response.
+///
+/// `wall_clock` is the current time of day, relative to which a date in a
+/// `Retry-After` header is interpreted.
 pub fn classify_response(action: Action, response: Result<Answer, Error>, id: &str, wall_clock: SystemTime) -> Outcome {
-    // reset, truncated, too late or no HTTP at all
+    // The connection failed, or the response was truncated, late or not HTTP.
     let Ok(response) = response else { return Outcome::Indeterminate };
     match (action, response.status) {
         (_, 200) | (Action::Submit, 201) => classify_state(&response.body, id),
@@ -65,7 +73,9 @@
     }
 }
 
-/// A response that is unreadable or about another job says nothing.
+/// Classifies a response body that should have the state of the job `id`.  A body
+/// that can't be decoded, is about another job or has an unknown stage is
+/// indeterminate.
 fn classify_state(body: &[u8], id: &str) -> Outcome {
     let Ok(state) = http::decode::<StateBody>(body) else { return Outcome::Indeterminate };
     if state.id.as_deref() != Some(id) {
