--- a/packages/client/examples/nightly.rs
+++ b/packages/client/examples/nightly.rs
@@ -1,5 +1,5 @@
-//! A program that submits its jobs once, whatever happens to it, and acts on
-//! each answer once.
+//! Submits a batch of jobs exactly once, even if the program is restarted, and
+//! removes each job from the journal after its final answer is printed.
 //!
 //!     cargo run -p coralnotch-client --example nightly -- 127.0.0.1:7070
 
@@ -10,7 +10,7 @@
 use coralnotch_client::{fresh_id, BlockingClient, Error as ClientError, FinalAnswer, Settings};
 use coralnotch_wire::model::{JobSpec, Priority, Shape};
 
-fn job(tasks: u32) -> Result<JobSpec, Box<dyn Error>> {
+fn job_spec(tasks: u32) -> Result<JobSpec, Box<dyn Error>> {
     Ok(JobSpec {
         id: fresh_id()?,
         class: "demo".into(),
@@ -37,29 +37,31 @@
 }
 
 fn main() -> Result<(), Box<dyn Error>> {
-    let endpoint: SocketAddr = std::env::args().nth(1).ok_or("say where to submit: IP:PORT")?.parse()?;
+    let endpoint: SocketAddr =
+        std::env::args().nth(1).ok_or("missing argument: the endpoint to submit to, as IP:PORT")?.parse()?;
     let mut settings = Settings::new(vec![endpoint]);
     settings.journal = Some("nightly.journal".into());
     let client = BlockingClient::open(settings)?;
 
-    // a batch is submitted once, also if the program is killed and restarted
-    client.submit_once("tonight", vec![job(1)?, job(2)?, job(3)?])?;
+    // The journal keeps the name of the batch, so the batch is submitted only once
+    // even if the program is killed and restarted.
+    client.submit_once("tonight", vec![job_spec(1)?, job_spec(2)?, job_spec(3)?])?;
 
     for handle in client.client().resumed() {
         let answer = loop {
             match client.wait(&handle, Duration::from_secs(10)) {
                 Ok(answer) => break answer,
-                // not known yet: the client keeps pursuing the job
+                // The answer is not known yet; the client keeps tracking the job.
                 Err(ClientError::Deadline { .. }) => println!("{} is unfinished: {:?}", handle.id(), handle.progress()),
                 Err(error) => return Err(error.into()),
             }
         };
         match &answer {
             FinalAnswer::Done => println!("{} is done", handle.id()),
-            FinalAnswer::Cancelled => println!("{} is cancelled", handle.id()),
-            FinalAnswer::Refused { status, reason } => println!("{} is refused: {status} {reason}", handle.id()),
+            FinalAnswer::Cancelled => println!("{} was cancelled", handle.id()),
+            FinalAnswer::Refused { status, reason } => println!("{} was refused ({status}): {reason}", handle.id()),
         }
-        // the answer was acted on: later runs of this program do not get it again
+        // The program has acted on the answer; later runs do not get it again.
         client.take(handle)?;
     }
     Ok(())
--- a/packages/client/src/counters.rs
+++ b/packages/client/src/counters.rs
@@ -1,16 +1,17 @@
-//! What a client has done so far, as counters.
+//! Counters of the work that a client has done.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// What a client has done so far.
+        /// A snapshot of a client's counters, which count from the time when the
+        /// client was opened.
         #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
         pub struct Counters {
             $($(#[$doc])* pub $name: u64,)*
         }
 
-        /// The same counters while the client runs.
+        /// The counters that a running client updates.
         #[derive(Default)]
         pub(crate) struct AtomicCounters {
             $(pub(crate) $name: AtomicU64,)*
@@ -25,27 +26,28 @@
 }
 
 counters! {
-    /// Jobs submitted, those resumed from the journal among them.
+    /// Jobs that were submitted or resumed from the journal.
     jobs,
-    /// Jobs that a controller accepted.
+    /// Jobs that a controller accepted.  A job whose first state in a response is
+    /// final is not counted.
     accepted,
-    /// Final answers that were recorded.
+    /// Final answers that were received and recorded.
     answers,
-    /// Requests sent.
+    /// Requests sent, including retries.
     requests,
-    /// Requests that repeat one that failed.
+    /// Requests that repeated a failed one.
     retries,
-    /// Responses that refused for now.
+    /// Responses that refused a request temporarily.
     refused_for_now,
-    /// Requests without a usable response.
+    /// Requests without a usable response, so that their effect is unknown.
     in_doubt,
-    /// Retries that waited for the retry budget.
+    /// Retries that had to wait for the retry budget.
     held_back,
-    /// Writes to the journal that failed.
+    /// Failed journal writes of acceptances and final answers.
     journal_failures,
 }
 
-/// Adds one to a counter.
+/// Increments a counter by one.
 pub(crate) fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
--- a/packages/client/src/endpoints.rs
+++ b/packages/client/src/endpoints.rs
@@ -1,22 +1,24 @@
-//! Chooses among endpoints: the same one while it works, the next when it fails,
-//! and none whose circuit breaker is open.
+//! Selects the endpoint for each request.
+//!
+//! The client stays with one endpoint and moves to the next one when a request to
+//! it fails.  Endpoints whose circuit breakers are open are skipped.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Consecutive failures that open an endpoint's circuit breaker.
-const FAILURES_TO_OPEN: u32 = 3;
+/// Number of consecutive failures that opens an endpoint's circuit breaker.
+const FAILURE_THRESHOLD: u32 = 3;
 
 #[derive(Debug)]
 struct Endpoint {
     address: SocketAddr,
-    /// Consecutive failures.
-    failures: u32,
-    /// Until when the circuit breaker is open and the endpoint is not used.
+    consecutive_failures: u32,
+    /// When the open circuit breaker becomes half-open; the endpoint is not used
+    /// before.  `None` if the circuit breaker is closed.
     open_until: Option<Instant>,
 }
 
-/// The endpoints, each with a circuit breaker.
+/// The endpoints of a client, each with a circuit breaker.
 #[derive(Debug)]
 pub struct Endpoints {
     endpoints: Vec<Endpoint>,
@@ -26,17 +28,25 @@
 }
 
 impl Endpoints {
-    /// Endpoints of which the one at index `first` is used first; one that keeps
-    /// failing is not used for `cooldown`.
+    /// Returns endpoints with closed circuit breakers.
+    ///
+    /// The endpoint at index `first`, modulo the number of endpoints, is used first.
+    /// An open circuit breaker stays open for `cooldown`.
     pub fn new(addresses: &[SocketAddr], first: usize, cooldown: Duration) -> Endpoints {
-        let endpoints: Vec<Endpoint> =
-            addresses.iter().map(|address| Endpoint { address: *address, failures: 0, open_until: None }).collect();
+        let endpoints: Vec<Endpoint> = addresses
+            .iter()
+            .map(|address| Endpoint { address: *address, consecutive_failures: 0, open_until: None })
+            .collect();
         let current = first % endpoints.len().max(1);
         Endpoints { endpoints, current, cooldown }
     }
 
-    /// The endpoint to use now; if all circuit breakers are open, the error is
-    /// how long the first one still is.
+    /// Returns the endpoint to use now.
+    ///
+    /// # Errors
+    ///
+    /// If all circuit breakers are open, returns the time until the first one
+    /// becomes half-open.
     pub fn choose(&mut self, now: Instant) -> Result<SocketAddr, Duration> {
         let count = self.endpoints.len();
         for offset in 0..count {
@@ -47,25 +57,31 @@
                 return Ok(endpoint.address);
             }
         }
-        let first_closed_at = self.endpoints.iter().filter_map(|endpoint| endpoint.open_until).min();
-        Err(first_closed_at.map_or(self.cooldown, |until| until.saturating_duration_since(now)))
+        let earliest_half_open_at = self.endpoints.iter().filter_map(|endpoint| endpoint.open_until).min();
+        Err(earliest_half_open_at.map_or(self.cooldown, |until| until.saturating_duration_since(now)))
     }
 
-    /// An endpoint gave a usable response.
+    /// Records a usable response of an endpoint and closes its circuit breaker.
     pub fn record_success(&mut self, address: SocketAddr) {
         if let Some(endpoint) = self.endpoints.iter_mut().find(|endpoint| endpoint.address == address) {
-            (endpoint.failures, endpoint.open_until) = (0, None);
+            (endpoint.consecutive_failures, endpoint.open_until) = (0, None);
         }
     }
 
-    /// An endpoint did not answer, or refused for now: the next one is used.
+    /// Records that an endpoint gave no usable response or refused a request
+    /// temporarily.
+    ///
+    /// After [`FAILURE_THRESHOLD`] consecutive failures, the endpoint's circuit
+    /// breaker opens.  If the endpoint is the current one, the next one becomes
+    /// current.
     pub fn record_failure(&mut self, address: SocketAddr, now: Instant) {
         let Some(index) = self.endpoints.iter().position(|endpoint| endpoint.address == address) else { return };
         let endpoint = &mut self.endpoints[index];
-        endpoint.failures += 1;
-        if endpoint.failures >= FAILURES_TO_OPEN {
-            // half open after the cooldown: one more failure opens it again
-            (endpoint.failures, endpoint.open_until) = (FAILURES_TO_OPEN - 1, Some(now + self.cooldown));
+        endpoint.consecutive_failures += 1;
+        if endpoint.consecutive_failures >= FAILURE_THRESHOLD {
+            // After the cooldown, the circuit breaker is half-open: one more
+            // failure opens it again.
+            (endpoint.consecutive_failures, endpoint.open_until) = (FAILURE_THRESHOLD - 1, Some(now + self.cooldown));
         }
         if self.current == index {
             self.current = (index + 1) % self.endpoints.len();
--- a/packages/client/src/error.rs
+++ b/packages/client/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a call of the client could not be carried out.
+//! The errors that calls of the client return.
 
 use coralnotch_wire::model::Name;
 
@@ -6,44 +6,50 @@
 use crate::journal::JournalError;
 use crate::settings::SettingsError;
 
-/// Why a call could not be carried out.  It says nothing about the job: one that
-/// was recorded is pursued whatever happens.
+/// An error of a call to the client.
+///
+/// It says nothing about the result of a job: the client keeps tracking every job
+/// that it has recorded, even if a later call for that job fails.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The settings can't be used.
+    /// The settings are invalid.
     #[error("{0}")]
     Settings(#[from] SettingsError),
-    /// A job that every controller would refuse.
-    #[error("{id}: bad value: {reason}")]
+    /// A job has an invalid specification, which every controller would refuse.
+    #[error("job {id} has an invalid value: {reason}")]
     InvalidJob {
-        /// The job.
+        /// The id in the specification, which may itself be invalid.
         id: Name,
-        /// The field that is wrong, or what is wrong with one.
+        /// The protocol's name of the invalid field, or a description of the error.
         reason: &'static str,
     },
-    /// More jobs in one batch than may be unfinished at once.
-    #[error("{jobs} jobs in one batch, {limit} may be unfinished at once")]
+    /// A batch has more jobs than the limit on unfinished jobs.
+    #[error("the batch has {jobs} jobs, but at most {limit} jobs may be unfinished at once: split the batch")]
     BatchTooLarge {
-        /// Jobs in the batch.
+        /// Number of jobs in the batch.
         jobs: usize,
-        /// How many jobs may be unfinished at once.
+        /// The value of [`Settings::max_unfinished_jobs`](crate::Settings::max_unfinished_jobs).
         limit: usize,
     },
-    /// The journal can't be used.
+    /// The journal can't be opened, read or written, or it already has a different
+    /// job with the same id.
     #[error("{0}")]
     Journal(#[from] JournalError),
-    /// The deadline has passed and the answer is not known *yet*: the client
-    /// keeps pursuing the job, and its handle can be waited for again.
-    #[error("{id} has no final answer yet; it is pursued on")]
+    /// The deadline has passed and the final answer is not known yet.  The client
+    /// keeps tracking the job, and the caller can wait for it again.
+    #[error("job {id} has no final answer yet; the client keeps tracking it")]
     Deadline {
-        /// The job.
+        /// The id of the job.
         id: String,
     },
-    /// The client was closed; jobs in a journal are pursued again when it is
-    /// opened again.
-    #[error("the client is closed; open its journal again to go on")]
+    /// The client is closed, or the job's answer has been taken.  A client that
+    /// opens the same journal resumes the unfinished jobs.
+    #[error(
+        "the client is closed or the job's answer has been taken: \
+         open a client with the same journal to resume unfinished jobs"
+    )]
     Closed,
-    /// No id could be generated.
-    #[error("no randomness for an id: {0}")]
+    /// A job id could not be generated.
+    #[error("cannot generate a job id: no random bytes from the operating system: {0}")]
     Random(#[from] RandomnessError),
 }
--- a/packages/client/src/ids.rs
+++ b/packages/client/src/ids.rs
@@ -1,21 +1,29 @@
-//! Job ids in the protocol's form that independent clients never choose twice.
+//! Generates random job ids in the format of the protocol.  The ids of independent
+//! clients do not collide in practice.
 
 use coralnotch_wire::model::Name;
 
-/// Digits of an id: the most that the form allows.  By the birthday bound, ten
-/// thousand million ids are all different but for one chance in 10^12.
+/// Number of digits of an id, the maximum of the format.  By the birthday bound,
+/// the probability of a collision among 10^10 ids is below 10^-12.
 const DIGITS: usize = 32;
 
-/// The system's source of randomness failed.
+/// The random number source of the operating system failed.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct RandomnessError(getrandom::Error);
 
-/// A new id from the system's randomness.  No server is asked, and clients that
-/// start at the same moment from the same image still choose different ids.
+/// Generates a job id from random bytes of the operating system.
+///
+/// No server is involved, and clients that start at the same time from the same
+/// image still generate different ids.
+///
+/// # Errors
+///
+/// Returns [`RandomnessError`] if the operating system provides no random bytes.
 pub fn fresh_id() -> Result<Name, RandomnessError> {
     let id_count = 10u128.pow(DIGITS as u32);
-    // numbers from here on would make small ids more likely
+    // Numbers from this limit on are rejected, as they would make small ids more
+    // likely (modulo bias).
     let rejected_from = u128::MAX - u128::MAX % id_count;
     loop {
         let mut bytes = [0; 16];
--- a/packages/client/src/lib.rs
+++ b/packages/client/src/lib.rs
@@ -1,20 +1,22 @@
-//! Submits jobs to coralnotch, and gives exactly one final answer for each.
+//! A client library that submits jobs to coralnotch and returns exactly one final
+//! answer for each.
 //!
-//! A program submits a job; the library writes it to its journal before anything
-//! is sent, and pursues it through refusals, lost responses, dead controllers and
-//! restarts of its own program until the job is done, cancelled or refused for
-//! good.  docs/client.md has a complete program.
+//! When a program submits a job, the library writes it to its journal before it
+//! sends the first request.  It then retries and queries until the job is done,
+//! cancelled or permanently refused, despite temporary refusals, lost responses,
+//! failed controllers and restarts of the program.  docs/client.md has a complete
+//! program.
 //!
-//! The library knows the protocol and nothing of how a controller decides.
+//! The library depends only on the protocol, not on how a controller decides.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `model` | plain types that the other modules share |
-//! | `ids`, `retry`, `endpoints`, `outcome` | ids, retry timing, choice of an endpoint, meaning of a response |
+//! | `model` | data types that the other modules share |
+//! | `ids`, `retry`, `endpoints`, `outcome` | job ids, retry timing, choice of an endpoint, classification of responses |
 //! | `job` | the state machine of one job |
-//! | `journal` | the jobs on disk |
-//! | `settings`, `counters`, `error` | what a caller sets, reads and gets |
-//! | `client` | the driver that carries out what the state machines ask for |
+//! | `journal` | durable storage of jobs |
+//! | `settings`, `counters`, `error` | settings, counters and errors of the public interface |
+//! | `client`, `blocking` | the asynchronous client with its driver, and its blocking wrapper |
 
 mod blocking;
 mod client;
--- a/packages/client/src/settings.rs
+++ b/packages/client/src/settings.rs
@@ -1,4 +1,4 @@
-//! How a client works, and the defaults.
+//! The settings of a client, their defaults and their validation.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,59 +7,68 @@
 use crate::job::Timing;
 use crate::retry::Backoff;
 
-/// How a client works.  The defaults are those of the protocol's users.
+/// The settings of a client.
+///
+/// [`Settings::new`] sets the defaults, which are those of the protocol's users.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Where to submit: load balancers or controllers.
+    /// Addresses of the load balancers or controllers that requests are sent to.
+    /// There must be at least one.
     pub endpoints: Vec<SocketAddr>,
-    /// The journal's file; without one, jobs end with the program.
+    /// Path of the journal file.  With `None`, the client forgets its jobs when the
+    /// program ends.
     pub journal: Option<PathBuf>,
-    /// Most requests in flight at once.
+    /// Maximum number of requests in flight; at least 1.
     pub max_in_flight: usize,
-    /// Most idle connections that are kept for later requests.
+    /// Maximum number of idle connections that are kept for reuse.
     pub max_idle_connections: usize,
-    /// Most unfinished jobs at once; a submission beyond waits for one to end.
+    /// Maximum number of unfinished jobs; at least 1.  A submission that would
+    /// exceed the limit waits until enough jobs have ended.
     pub max_unfinished_jobs: usize,
-    /// Changes that are kept for a slow reader; older ones are dropped, and the
-    /// reader gets their number.
+    /// Maximum number of changes that are buffered for slow readers; at least 1.
+    /// Older changes are dropped, and the reader's next read reports how many.
     pub change_buffer: usize,
-    /// Timeout of one attempt.
+    /// Timeout of one attempt to send a request and receive the response.
+    /// Waiting retries are spread over the same time when the service recovers.
     pub request_timeout: Duration,
-    /// When jobs are retried and queried.
+    /// Delays before retries and between queries.
     pub timing: Timing,
-    /// Retries as a share of first attempts.
+    /// Number of retries allowed for each first attempt; at least 0.
     pub retry_ratio: f64,
-    /// Retries a second that are always allowed.
+    /// Number of retries per second that are always allowed; above 0.
     pub min_retries_per_s: f64,
-    /// Whether retries are limited by the budget; without it, each retry is sent
-    /// as soon as it is due.
+    /// Whether the retry budget limits retries.  If `false`, each retry is sent as
+    /// soon as its backoff delay has passed.
     pub retry_budget: bool,
-    /// How long an endpoint that keeps failing is not used.
+    /// How long the circuit breaker of an endpoint stays open, so that no requests
+    /// are sent to it, after consecutive failures.
     pub endpoint_cooldown: Duration,
 }
 
-/// Why settings can't be used.
+/// The reason why settings are invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// The list of endpoints is empty.
-    #[error("there is no endpoint to submit to")]
+    #[error("the settings have no endpoint: add at least one")]
     NoEndpoint,
-    /// A limit is 0, so that nothing would ever be done.
-    #[error("a bound is 0")]
+    /// A limit is 0, so that the client could not send requests, accept jobs or
+    /// report changes.
+    #[error("max_in_flight, max_unfinished_jobs and change_buffer must be greater than 0")]
     ZeroLimit,
-    /// A duration is 0.
-    #[error("a time is 0")]
+    /// The request timeout or the maximum poll interval is 0.
+    #[error("request_timeout and max_poll_interval must be greater than 0")]
     ZeroDuration,
-    /// The least of two durations is over the most.
-    #[error("a first time is over its most")]
+    /// A minimum duration exceeds the corresponding maximum.
+    #[error("min_poll_interval must not exceed max_poll_interval, nor backoff.initial exceed backoff.maximum")]
     InvertedRange,
-    /// The retry budget would stop all retries.
-    #[error("the retry budget is not above 0")]
+    /// The rates of the retry budget are out of range, so that it could stop all
+    /// retries.
+    #[error("retry_ratio must be at least 0, and min_retries_per_s must be greater than 0")]
     EmptyRetryBudget,
 }
 
 impl Settings {
-    /// The defaults, for these endpoints, without a journal.
+    /// Returns the default settings for `endpoints`, without a journal.
     pub fn new(endpoints: Vec<SocketAddr>) -> Settings {
         Settings {
             endpoints,
@@ -81,7 +90,11 @@
         }
     }
 
-    /// Whether the settings can be used; the error is the first fault.
+    /// Checks the settings.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first error found.
     pub(crate) fn validate(&self) -> Result<(), SettingsError> {
         let Timing { backoff, min_poll_interval, max_poll_interval } = self.timing;
         if self.endpoints.is_empty() {
@@ -96,7 +109,7 @@
         if min_poll_interval > max_poll_interval || backoff.initial > backoff.maximum {
             return Err(SettingsError::InvertedRange);
         }
-        // written so that NaN is refused as well
+        // The negated condition also rejects NaN.
         if !(self.retry_ratio >= 0.0 && self.min_retries_per_s > 0.0) {
             return Err(SettingsError::EmptyRetryBudget);
         }
