--- a/packages/emulator/src/scale/control.rs
+++ b/packages/emulator/src/scale/control.rs
@@ -1,4 +1,4 @@
-//! Messages between the processes of a scale run, over HTTP.
+//! Control messages between the processes of a scale run, sent over HTTP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,147 +11,147 @@
 use crate::environment::Traffic;
 use crate::error::Error;
 
-/// Limit of one message.
-const MESSAGE_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout of one control request.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Paths of the control interface.
+/// HTTP paths of the control interfaces.
 pub mod path {
-    /// Figures of a process since it started.
+    /// Returns the counters of a process since its start (state service, cloud and workers).
     pub const STATS: &str = "/stats";
-    /// Job descriptions for the workers.
+    /// Sends job descriptions to the workers.
     pub const UPLOAD: &str = "/upload";
-    /// Machine events, which the cloud sends to the workers.
+    /// Sends machine events from the cloud to the workers.
     pub const MACHINES: &str = "/machines";
-    /// Machines that the cloud lets die.
+    /// Makes the cloud kill machines.
     pub const KILL: &str = "/kill";
-    /// A zone that fails, or is back.
+    /// Makes the cloud close a zone and kill its machines, or open the zone again.
     pub const ZONE: &str = "/zone";
 }
 
-/// Job descriptions, as users upload them for the workers.
+/// Job descriptions that users upload, from which the workers know what to run.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Upload {
-    /// The jobs.
+    /// Descriptions of the jobs.
     pub specs: Vec<JobSpec>,
-    /// The start of all their tasks is timed.
+    /// Whether the workers report when all tasks of each job have started.
     pub timed: bool,
 }
 
-/// A machine that is up.
+/// A machine that has booted.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineUp {
-    /// Its name.
+    /// Name that the cloud gave the machine.
     pub name: Name,
-    /// Name of its type.
+    /// Name of the machine type.
     pub kind: Name,
-    /// Its zone.
+    /// Zone in which the machine runs.
     pub zone: Name,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
 }
 
-/// What happened to machines, in order: those that went are gone before others come up.
+/// Machine events.  The receiver removes the machines that are gone before it adds those that are up.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct MachineEvents {
-    /// Gone with all that was on them.
+    /// Machines that no longer exist; everything on them is lost.
     pub gone: Vec<Name>,
-    /// Up.
+    /// Machines that have booted.
     pub up: Vec<MachineUp>,
 }
 
-/// Machines that die.
+/// A request to kill machines.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Kill {
-    /// How many, at random.
+    /// Number of machines to kill; the cloud chooses them at random.
     pub count: usize,
 }
 
-/// A zone that fails with all its machines, or is back.
+/// A request to fail a zone with all its machines, or to restore the zone.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ZoneChange {
-    /// The zone.
+    /// Name of the zone.
     pub zone: Name,
-    /// Whether it is closed from now on.
+    /// `true` closes the zone and kills its machines; `false` opens the zone again.
     pub closed: bool,
 }
 
-/// An answer without content.
+/// The response to a control request that changes something.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Done {
-    /// Machines that this came to.
+pub struct AffectedMachines {
+    /// Number of machines that came up or were killed; 0 for uploads.
     pub machines: usize,
 }
 
-/// When all tasks of a timed job had begun, in microseconds of the time of day.
+/// The time at which all tasks of a timed job had started.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Begun {
-    /// The job.
+pub struct JobStart {
+    /// Id of the job.
     pub job: Name,
-    /// When.
+    /// Wall-clock time in microseconds since the Unix epoch.
     pub at_us: u64,
 }
 
-/// The workers' figures; counters run from the start of their process.
+/// Counters of the workers' process, counted since its start unless stated otherwise.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct WorkerStats {
-    /// Machines that are up.
+    /// Machines that are up now.
     pub machines: u64,
-    /// Tasks that run.
+    /// Tasks that run now.
     pub running: u64,
-    /// Those of them that are replicas of services.
+    /// Running tasks that are replicas of services.
     pub replicas: u64,
-    /// Tasks that began to run.
+    /// Tasks that have started.
     pub started: u64,
     /// Tasks that were killed because the lease of their worker expired.
     pub killed: u64,
-    /// Violations of the protocol, a line each.
+    /// Observed violations of the worker protocol, one line for each.
     pub broken: Vec<String>,
-    /// Timed jobs that began since these figures were last taken.
-    pub begun: Vec<Begun>,
-    /// Messages and bytes between workers and controllers.
+    /// Starts of timed jobs since the previous request for these counters.
+    pub begun: Vec<JobStart>,
+    /// Messages and bytes exchanged between workers and controllers.
     pub traffic: Traffic,
 }
 
-/// The state service's figures since the start of its process.
+/// Counters of the state service since the start of its process.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct StateStats {
-    /// Requests.
+    /// Requests received.
     pub requests: u64,
-    /// Requests refused for their rate.
+    /// Requests refused because they exceeded the rate limit.
     pub refused: u64,
-    /// Puts and deletes that were carried out.
+    /// Puts and deletes applied.
     pub changes: u64,
-    /// Keys that there are.
+    /// Keys stored now.
     pub keys: u64,
 }
 
-/// The cloud's figures.
+/// Counters of the cloud.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct CloudStats {
-    /// Machines that are rented.
+    /// Machines that are rented now.
     pub rented: u64,
 }
 
-/// Why a message had no usable answer.
+/// A control request that received no usable response.
 #[derive(Debug, thiserror::Error)]
-#[error("{path} at {address}: {problem}")]
+#[error("control request {path} to {address} failed: {problem}")]
 pub struct ControlError {
-    /// Path of the message.
+    /// Path of the request.
     pub path: &'static str,
-    /// Address of the process.
+    /// Address of the control interface.
     pub address: SocketAddr,
-    /// What went wrong.
+    /// Cause of the failure.
     #[source]
     pub problem: ControlProblem,
 }
 
-/// What went wrong with a message.
+/// Why a control request failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlProblem {
-    /// The answer's status was not 200.
-    #[error("status {0}")]
+    /// The response status was not 200.
+    #[error("unexpected status {0}")]
     Status(u16),
-    /// There was no answer, or one that cannot be read.
+    /// No response was received, or its body could not be decoded.
     #[error("{0}")]
     Http(#[from] http::Error),
 }
@@ -162,7 +162,11 @@
     }
 }
 
-/// Sends a message and returns its answer.
+/// Sends a control message and returns the decoded response.
+///
+/// # Errors
+///
+/// Fails if no response arrives in time, its status is not 200, or its body cannot be decoded.
 pub async fn send<Q: Serialize, A: DeserializeOwned>(
     client: &Client,
     address: SocketAddr,
@@ -172,7 +176,11 @@
     exchange(client, address, "POST", path, Some(&http::encode(message))).await
 }
 
-/// Gets the figures of a process.
+/// Fetches the counters of a process.
+///
+/// # Errors
+///
+/// Fails under the same conditions as [`send`].
 pub async fn stats<A: DeserializeOwned>(client: &Client, address: SocketAddr) -> Result<A, ControlError> {
     exchange(client, address, "GET", path::STATS, None).await
 }
@@ -184,7 +192,7 @@
     path: &'static str,
     body: Option<&[u8]>,
 ) -> Result<A, ControlError> {
-    let answer = match client.send(address, method, path, body, MESSAGE_LIMIT).await {
+    let answer = match client.send(address, method, path, body, MESSAGE_TIMEOUT).await {
         Ok((200, body)) => http::decode(&body).map_err(ControlProblem::Http),
         Ok((status, _)) => Err(ControlProblem::Status(status)),
         Err(error) => Err(ControlProblem::Http(error)),
--- a/packages/emulator/src/scale/mod.rs
+++ b/packages/emulator/src/scale/mod.rs
@@ -1,7 +1,9 @@
-//! Scale runs: regions of real controllers among workers without tasks' processes.
+//! Scale runs: real controllers schedule for simulated workers that start no task processes.
 //!
-//! Each region has a state service, a cloud and workers in a process of their own, so that processor
-//! time is known by role.  A run plays parts of a target in phases, and stops at its bounds.
+//! The state service, the cloud and the workers of each region run in one process each, so that
+//! processor time can be attributed to a role.  A run plays one or more steps; each step is a
+//! fraction of the target size and is played in phases.  The run stops when it reaches a limit on
+//! time or memory.
 
 pub mod control;
 mod phases;
@@ -23,32 +25,33 @@
 use self::region::Region;
 use self::result::{Phase, RegionFigures, ScaleReport, Step};
 use self::scenario::Scenario;
-use self::users::Notes;
+use self::users::Measurements;
 use crate::error::{Error, IoContext};
 use crate::up::controller_program;
 
 /// Options of `coralnotch-emulator scale`.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
-    /// The run, see docs/emulator.md.
+    /// The scenario file; docs/emulator.md describes its format.
     pub scenario: PathBuf,
-    /// Directory for the results, one file a step.
+    /// The directory for the results, one file for each step.
     #[arg(long, default_value = "scale")]
     pub out: PathBuf,
-    /// Play these steps instead of those of the file.
+    /// Fractions of the target to play instead of the steps of the scenario file.
     #[arg(long, value_delimiter = ',')]
     pub steps: Vec<f64>,
-    /// The controller program; beside this program if not given.
+    /// The controller program; by default the one in the directory of this program.
     #[arg(long)]
     pub controller: Option<PathBuf>,
 }
 
-/// Plays a scenario, and writes the result of each step when it ends; returns the files.
+/// Plays a scenario and writes the result of each step when the step ends; returns the paths of
+/// the result files.
 ///
 /// # Errors
 ///
-/// [`Error::Input`] if the scenario cannot be used, before anything is started; [`Error::Failed`] if
-/// a rule of the protocol was broken.
+/// Returns [`Error::Input`] if the scenario is invalid, before any process is started, and
+/// [`Error::Failed`] if a violation of the protocol was observed.
 pub fn run(options: &Options, stop: &Receiver<()>) -> Result<Vec<PathBuf>, Error> {
     let scenario = read_scenario(options)?;
     let program = controller_program(options.controller.as_deref())?;
@@ -68,7 +71,7 @@
     }
     match broken.is_empty() {
         true => Ok(written),
-        false => Err(Error::Failed(format!("{} things are wrong:\n{}", broken.len(), broken.join("\n")))),
+        false => Err(Error::Failed(format!("the run found {} violations:\n{}", broken.len(), broken.join("\n")))),
     }
 }
 
@@ -83,7 +86,7 @@
     Ok(scenario)
 }
 
-/// Writes the report of one step as JSON and prints its summary; returns the file.
+/// Writes the report of one step as JSON and prints its summary; returns the path of the file.
 fn write_report(scenario: &Scenario, step: Step, dir: &Path) -> Result<PathBuf, Error> {
     let part = step.part;
     let report = ScaleReport {
@@ -98,7 +101,7 @@
     Ok(file)
 }
 
-/// Plays one step with processes of its own.
+/// Plays one step with newly started processes.
 fn play_step(
     scenario: &Scenario,
     part: f64,
@@ -109,33 +112,33 @@
     let dir = std::env::temp_dir().join(format!("coralnotch-scale-{}-{part:.4}", std::process::id()));
     std::fs::create_dir_all(&dir).context(dir.display().to_string())?;
     println!("part {part}: settings and logs in {}", dir.display());
-    let notes = Rc::new(Notes::new().map_err(Error::Failed)?);
+    let measurements = Rc::new(Measurements::new().map_err(Error::Failed)?);
     let mut regions = Vec::new();
     for number in 0..scenario.target.regions {
-        regions.push(Region::start(scenario, part, number, program, &dir, notes.clone())?);
+        regions.push(Region::start(scenario, part, number, program, &dir, measurements.clone())?);
     }
-    let mut run = StepRun::new(scenario, part, regions, notes, deadline);
+    let mut run = StepRun::new(scenario, part, regions, measurements, deadline);
     let executor = Rc::new(LocalExecutor::new());
     let mut step = Step { part, ..Step::default() };
-    let played = smol::block_on(executor.clone().run(async {
+    let outcome = smol::block_on(executor.clone().run(async {
         let stopped = async {
             let _ = stop.recv().await;
-            Err(Error::Failed("asked to stop".into()))
+            Err(Error::Failed("the run was interrupted".into()))
         };
         futures_lite::future::or(run.play(&executor, &mut step), stopped).await
     }));
     run.clear_progress();
-    step.broken.extend(run.notes.wrong.borrow().iter().cloned());
-    match played {
+    step.broken.extend(run.measurements.violations.borrow().iter().cloned());
+    match outcome {
         Ok(()) => {}
-        // a bound, or something that ended: what was measured before counts
+        // A limit was reached or a process ended: the phases measured until then are reported.
         Err(Error::Failed(reason)) => step.stopped = Some(reason),
         Err(error) => return Err(error),
     }
     Ok(step)
 }
 
-/// A summary of a report's steps, with a line for each phase.
+/// Returns a summary of a report's steps with one line for each phase.
 fn summary(report: &ScaleReport) -> String {
     let mut text = String::new();
     for step in &report.steps {
--- a/packages/emulator/src/scale/phases.rs
+++ b/packages/emulator/src/scale/phases.rs
@@ -1,4 +1,4 @@
-//! The phases of one step: load, faults, and what is measured in each phase.
+//! Plays the phases of one step: sets the load, injects faults and measures each phase.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -10,37 +10,37 @@
 use super::region::{Region, Snapshot};
 use super::result::{Phase, Quantiles, RegionFigures, Step};
 use super::scenario::{Arrays, Scenario};
-use super::users::Notes;
+use super::users::Measurements;
 use crate::error::Error;
 
-/// How long controllers may take until users are served.
-const READY_LIMIT: Duration = Duration::from_secs(30);
-/// Interval at which processes are measured.
+/// How long the controllers of all regions may take to become healthy.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval at which the resource usage of the processes is sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
-/// Interval of looks for the next start after a fault, and for healthy controllers.
+/// Interval of polling for the next task start after a fault, and for healthy controllers.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Machines that fail together, as on one switch.
-const RACK: usize = 40;
-/// A region counts as full from this share of its tasks on.
-const FULL: f64 = 0.9;
+/// Machines that fail together, like those behind one network switch.
+const RACK_MACHINES: usize = 40;
+/// A region is full when at least this share of its tasks runs.
+const FULL_SHARE: f64 = 0.9;
 const MB_PER_GB: f64 = 1024.0;
-/// Machines are restarted faster than evenly over their phase by this factor, so that the last ones
-/// are seen replaced.
+/// Machines are restarted this many times faster than an even spread over the phase requires, so
+/// that the replacement of the last ones falls within the phase.
 const RESTART_SPEEDUP: f64 = 1.5;
 
-/// The fault at the beginning of a phase.
+/// The fault that a phase injects.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fault {
     None,
-    LeaderEnds,
-    MachinesDie,
+    LeaderKilled,
+    MachinesFail,
     ZoneFails,
-    RegionEnds,
-    /// Machines are restarted one after the other, as in a day.
-    Restarts,
+    RegionControllersKilled,
+    /// Machines are killed throughout the phase, as many as are restarted in a day.
+    MachineRestarts,
 }
 
-/// A phase as it is planned.
+/// The name, duration, load and fault of a phase.
 struct PlannedPhase {
     name: &'static str,
     seconds: f64,
@@ -48,26 +48,26 @@
     fault: Fault,
 }
 
-/// A step that is being played.
+/// The state of a step while it is played.
 pub(super) struct StepRun<'a> {
     pub(super) scenario: &'a Scenario,
-    /// Part of the target.
+    /// Fraction of the target size that the step plays.
     pub(super) part: f64,
     pub(super) regions: Vec<Region>,
-    pub(super) notes: Rc<Notes>,
+    pub(super) measurements: Rc<Measurements>,
     users_meter: Meter,
-    /// The run stops at this time.
+    /// The time at which the run stops.
     deadline: Instant,
     bar: ProgressBar,
 }
 
 impl<'a> StepRun<'a> {
-    /// Prepares a step with regions whose processes are started.
+    /// Creates a step for regions whose processes are started.
     pub(super) fn new(
         scenario: &'a Scenario,
         part: f64,
         regions: Vec<Region>,
-        notes: Rc<Notes>,
+        measurements: Rc<Measurements>,
         deadline: Instant,
     ) -> StepRun<'a> {
         let bar = ProgressBar::new_spinner();
@@ -75,11 +75,14 @@
             bar.set_style(style);
         }
         let users_meter = Meter::new(std::process::id());
-        StepRun { scenario, part, regions, notes, users_meter, deadline, bar }
+        StepRun { scenario, part, regions, measurements, users_meter, deadline, bar }
     }
 
-    /// Plays all phases and adds what is measured to `step`; an error if a bound is reached, a
-    /// process ended, or a rule was broken.
+    /// Plays all phases and adds the measurements to `step`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a limit of the scenario is reached, a process ended, or a violation was observed.
     pub(super) async fn play(&mut self, executor: &Rc<LocalExecutor<'static>>, step: &mut Step) -> Result<(), Error> {
         self.wait_ready(executor).await?;
         let filled = self.fill(executor).await?;
@@ -88,13 +91,13 @@
             let phase = self.play_phase(&planned, &mut step.broken).await?;
             step.phases.push(phase);
             if !step.broken.is_empty() {
-                return Err(Error::Failed("a rule was broken".into()));
+                return Err(Error::Failed("a violation of the protocol was observed".into()));
             }
         }
         Ok(())
     }
 
-    /// Removes the progress line.
+    /// Removes the progress line from the terminal.
     pub(super) fn clear_progress(&self) {
         self.bar.finish_and_clear();
     }
@@ -107,25 +110,25 @@
         vec![
             phase("steady", phases.steady_s, steady, Fault::None),
             phase("peak", phases.peak_s, peak, Fault::None),
-            // what the peak left is over before the next phase
+            // Lets the work queued during the peak finish before the next phase.
             phase("after the peak", phases.settle_s, steady, Fault::None),
-            phase("leader", phases.leader_s, steady, Fault::LeaderEnds),
-            phase("machines", phases.machines_s, steady, Fault::MachinesDie),
+            phase("leader", phases.leader_s, steady, Fault::LeaderKilled),
+            phase("machines", phases.machines_s, steady, Fault::MachinesFail),
             phase("zone", phases.zone_s, steady, Fault::ZoneFails),
-            phase("region", phases.region_s, steady, Fault::RegionEnds),
-            phase("restarts", phases.restarts_s, steady, Fault::Restarts),
+            phase("region", phases.region_s, steady, Fault::RegionControllersKilled),
+            phase("restarts", phases.restarts_s, steady, Fault::MachineRestarts),
         ]
     }
 
-    /// Waits until users of all regions are served.
+    /// Waits until every region has a healthy controller.
     async fn wait_ready(&self, executor: &Rc<LocalExecutor<'static>>) -> Result<(), Error> {
         for region in &self.regions {
-            region.users.start(executor);
+            region.users.start_probes(executor);
         }
         let began = Instant::now();
-        while !self.regions.iter().all(|region| region.users.any_healthy()) {
-            if began.elapsed() > READY_LIMIT {
-                return Err(Error::Failed("no controller of a region got ready".into()));
+        while !self.regions.iter().all(|region| region.users.has_healthy_controller()) {
+            if began.elapsed() > READY_TIMEOUT {
+                return Err(Error::Failed("a region has no healthy controller; see the controller logs".into()));
             }
             self.check()?;
             smol::Timer::after(POLL_INTERVAL).await;
@@ -133,7 +136,7 @@
         Ok(())
     }
 
-    /// Submits the services and lets the other work arrive until the regions are full.
+    /// Submits the services and starts the arrival of other jobs, until the regions are full.
     async fn fill(&mut self, executor: &Rc<LocalExecutor<'static>>) -> Result<Phase, Error> {
         let load = self.scenario.load(self.part);
         let tasks = (load.workers * self.scenario.target.tasks_per_worker) as f64;
@@ -141,9 +144,9 @@
         let began = Instant::now();
         for region in &self.regions {
             region.users.arrays.set(load.filling);
-            region.users.arrive(executor);
+            region.users.start_arrivals(executor);
             let (users, users_executor) = (region.users.clone(), executor.clone());
-            executor.spawn(async move { users.fill(&users_executor).await }).detach();
+            executor.spawn(async move { users.submit_services(&users_executor).await }).detach();
         }
         while began.elapsed().as_secs_f64() < self.scenario.phases.fill_s {
             smol::Timer::after(SAMPLE_INTERVAL).await;
@@ -151,10 +154,10 @@
             let mut is_full = true;
             for region in &self.regions {
                 let stats = region.worker_stats().await?;
-                is_full &= stats.running as f64 >= tasks * FULL;
-                stats.begun.into_iter().for_each(|begun| self.notes.begun(begun));
+                is_full &= stats.running as f64 >= tasks * FULL_SHARE;
+                stats.begun.into_iter().for_each(|start| self.measurements.record_start(start));
             }
-            self.show_progress("fills".into());
+            self.show_progress("filling".into());
             if is_full {
                 break;
             }
@@ -163,7 +166,7 @@
     }
 
     async fn begin_phase(&mut self) -> Result<Vec<Snapshot>, Error> {
-        self.notes.begin();
+        self.measurements.begin_phase();
         let mut snapshots = Vec::new();
         for region in &self.regions {
             snapshots.push(region.snapshot().await?);
@@ -185,18 +188,18 @@
         for (region, before) in self.regions.iter().zip(before) {
             let after = region.snapshot().await?;
             broken.extend(after.workers.broken.iter().skip(before.workers.broken.len()).cloned());
-            after.workers.begun.iter().for_each(|begun| self.notes.begun(begun.clone()));
+            after.workers.begun.iter().for_each(|start| self.measurements.record_start(start.clone()));
             regions.push(region.figures(before, &after, seconds));
         }
-        let users = self.users_meter.used();
+        let users = self.users_meter.usage();
         let cores_in_all = users.cores + regions.iter().map(cores).sum::<f64>();
         Ok(Phase {
             name: name.into(),
             seconds,
             regions,
-            accept: Quantiles::of(&self.notes.accept.borrow()),
-            urgent: Quantiles::of(&self.notes.urgent.borrow()),
-            urgent_waiting: self.notes.accepted.borrow().len() as u64,
+            accept: Quantiles::from_histogram(&self.measurements.accept_times.borrow()),
+            urgent: Quantiles::from_histogram(&self.measurements.urgent_start_times.borrow()),
+            urgent_waiting: self.measurements.unstarted_urgent.borrow().len() as u64,
             users,
             cores_in_all,
         })
@@ -216,7 +219,7 @@
             let is_measuring_gap = self.regions.iter().any(Region::is_measuring_gap);
             smol::Timer::after(if is_measuring_gap { POLL_INTERVAL } else { SAMPLE_INTERVAL }).await;
             self.record_starts().await?;
-            if fault == Fault::Restarts {
+            if fault == Fault::MachineRestarts {
                 self.restart_machines(&mut restarted, began.elapsed().as_secs_f64() / seconds).await?;
             }
             if sampled_at.elapsed() >= SAMPLE_INTERVAL {
@@ -233,17 +236,17 @@
         Ok(phase)
     }
 
-    /// Looks for new starts in the regions whose time without starts is measured.
+    /// Checks for new task starts in the regions whose gap without starts is being measured.
     async fn record_starts(&self) -> Result<(), Error> {
         for region in self.regions.iter().filter(|region| region.is_measuring_gap()) {
             let stats = region.worker_stats().await?;
             region.record_started(stats.started);
-            stats.begun.into_iter().for_each(|begun| self.notes.begun(begun));
+            stats.begun.into_iter().for_each(|start| self.measurements.record_start(start));
         }
         Ok(())
     }
 
-    /// Kills as many machines of each region as are due after this share of the phase.
+    /// Kills as many machines of each region as are due once `elapsed_share` of the phase has passed.
     async fn restart_machines(&self, restarted: &mut usize, elapsed_share: f64) -> Result<(), Error> {
         let restarts = self.scenario.load(self.part).restarts;
         let due = (elapsed_share * RESTART_SPEEDUP).min(1.0) * restarts as f64;
@@ -255,7 +258,7 @@
         Ok(())
     }
 
-    /// Waits until a new rate of arrivals shows.
+    /// Waits until a new arrival rate has taken effect.
     async fn settle(&self) -> Result<(), Error> {
         let until = Instant::now() + Duration::from_secs_f64(self.scenario.phases.settle_s);
         while Instant::now() < until {
@@ -268,24 +271,24 @@
     async fn inject(&self, fault: Fault, before: &[Snapshot]) -> Result<(), Error> {
         let first = &self.regions[0];
         match fault {
-            Fault::None | Fault::Restarts => {}
-            Fault::LeaderEnds => {
+            Fault::None | Fault::MachineRestarts => {}
+            Fault::LeaderKilled => {
                 for (region, before) in self.regions.iter().zip(before) {
-                    region.end_leader(before.leader(), before.workers.started);
+                    region.kill_leader(before.leader(), before.workers.started);
                 }
             }
-            Fault::MachinesDie => drop(first.kill_machines(RACK).await?),
+            Fault::MachinesFail => drop(first.kill_machines(RACK_MACHINES).await?),
             Fault::ZoneFails => {
                 if let Some(zone) = first.zones.last() {
                     first.fail_zone(zone).await?;
                 }
             }
-            Fault::RegionEnds => first.end_all_controllers(before[0].workers.started),
+            Fault::RegionControllersKilled => first.kill_all_controllers(before[0].workers.started),
         }
         Ok(())
     }
 
-    /// Supervises and measures all processes; an error if a bound is reached or something ended.
+    /// Supervises and samples all processes; fails if a limit is reached or a process ended.
     fn check(&self) -> Result<(), Error> {
         let mut memory_mb = 0.0;
         for region in &self.regions {
@@ -295,12 +298,12 @@
         let bounds = &self.scenario.bounds;
         if memory_mb > bounds.memory_gb * MB_PER_GB {
             return Err(Error::Failed(format!(
-                "the processes hold {memory_mb:.0} MB, more than {} GB",
+                "the processes use {memory_mb:.0} MB of memory, more than the limit of {} GB",
                 bounds.memory_gb
             )));
         }
         if Instant::now() > self.deadline {
-            return Err(Error::Failed(format!("the run took longer than {} s", bounds.time_s)));
+            return Err(Error::Failed(format!("the run exceeded its time limit of {} s", bounds.time_s)));
         }
         Ok(())
     }
@@ -311,7 +314,7 @@
     }
 }
 
-/// Cores that the processes of a region used together.
+/// Returns the total number of cores that the processes of a region used.
 fn cores(region: &RegionFigures) -> f64 {
     let roles = [&region.leader, &region.followers, &region.state, &region.cloud, &region.worker_process];
     roles.iter().map(|usage| usage.cores * usage.processes as f64).sum()
--- a/packages/emulator/src/scale/process.rs
+++ b/packages/emulator/src/scale/process.rs
@@ -1,4 +1,4 @@
-//! The processes of a scale run: starting and killing them, and measuring what they use.
+//! Starts and kills the processes of a scale run and measures their resource usage.
 
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
@@ -12,55 +12,68 @@
 use super::role::Role;
 use crate::error::{Error, IoContext};
 
-const MEGABYTE: f64 = 1024.0 * 1024.0;
-/// Cores are measured over longer intervals than this, as processor time is counted in ticks.
+const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
+/// The usage of cores is measured over intervals longer than this, because the kernel counts
+/// processor time in ticks.
 const MIN_SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Why a role did not get ready.
+/// Why a process did not report its listen addresses.
 #[derive(Debug, thiserror::Error)]
 enum ReadyError {
-    #[error("nothing to read from")]
+    #[error("its standard output is not connected")]
     NoOutput,
     #[error("{0}")]
     Read(#[from] io::Error),
-    #[error("it said {0:?}")]
+    #[error("unexpected output {0:?}")]
     Unexpected(String),
-    #[error("no address: {0}")]
+    #[error("invalid listen address: {0}")]
     Address(String),
 }
 
-/// A process of a run; it is killed when this is dropped.
-pub struct Running {
+/// A child process of the run, which is killed when this value is dropped.
+pub struct ManagedProcess {
     child: Child,
     meter: Meter,
 }
 
-impl Running {
-    /// Starts a role in a process of its own; returns the addresses at which it listens.
-    pub fn start(role: &Role, dir: &Path, name: &str) -> Result<(Running, Vec<SocketAddr>), Error> {
+impl ManagedProcess {
+    /// Starts a role in a new process and waits until it listens; returns the process with its listen
+    /// addresses, the control interface first.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the process cannot be started or does not report its addresses.
+    pub fn start(role: &Role, dir: &Path, name: &str) -> Result<(ManagedProcess, Vec<SocketAddr>), Error> {
         let (mut child, out) = Self::spawn(role, dir, name, Stdio::piped())?;
         let ready = match out {
             Some(out) => read_ready(out),
             None => Err(ReadyError::NoOutput),
         };
         match ready {
-            Ok(addresses) => Ok((Running { meter: Meter::new(child.id()), child }, addresses)),
+            Ok(addresses) => Ok((ManagedProcess { meter: Meter::new(child.id()), child }, addresses)),
             Err(reason) => {
                 let _ = child.kill();
                 let _ = child.wait();
-                Err(Error::Failed(format!("{name} did not get ready: {reason}; see {}", dir.display())))
+                Err(Error::Failed(format!(
+                    "process {name} did not become ready: {reason}; see the logs in {}",
+                    dir.display()
+                )))
             }
         }
     }
 
-    /// Starts a controller.
-    pub fn start_controller(role: &Role, dir: &Path, name: &str) -> Result<Running, Error> {
+    /// Starts a controller in a new process, without waiting until it is ready.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the process cannot be started.
+    pub fn start_controller(role: &Role, dir: &Path, name: &str) -> Result<ManagedProcess, Error> {
         let (child, _) = Self::spawn(role, dir, name, Stdio::null())?;
-        Ok(Running { meter: Meter::new(child.id()), child })
+        Ok(ManagedProcess { meter: Meter::new(child.id()), child })
     }
 
     fn spawn(role: &Role, dir: &Path, name: &str, out: Stdio) -> Result<(Child, Option<ChildStdout>), Error> {
-        let program = std::env::current_exe().context("this program")?;
+        let program = std::env::current_exe().context("cannot find the path of this program")?;
         let log: PathBuf = dir.join(format!("{name}.log"));
         let open = std::fs::OpenOptions::new().create(true).append(true).open(&log);
         let log = open.context(log.display().to_string())?;
@@ -72,30 +85,30 @@
         Ok((child, out))
     }
 
-    /// Kills it.
+    /// Kills the process and waits until it has ended.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Its exit status, if it has ended.
-    pub fn ended(&mut self) -> Option<String> {
+    /// Returns the exit status as text, or `None` while the process runs.
+    pub fn exit_status(&mut self) -> Option<String> {
         self.child.try_wait().ok().flatten().map(|s| s.to_string())
     }
 
-    /// Measures what it uses.
+    /// Returns the meter of the process's resource usage.
     pub fn meter(&mut self) -> &mut Meter {
         &mut self.meter
     }
 }
 
-impl Drop for Running {
+impl Drop for ManagedProcess {
     fn drop(&mut self) {
         self.kill();
     }
 }
 
-/// Reads the line in which a role says where it listens.
+/// Reads the `ready` line in which a process lists its listen addresses.
 fn read_ready(out: ChildStdout) -> Result<Vec<SocketAddr>, ReadyError> {
     let mut line = String::new();
     BufReader::new(out).read_line(&mut line)?;
@@ -103,70 +116,72 @@
     list.split(' ').map(|text| text.parse().map_err(|_| ReadyError::Address(text.to_owned()))).collect()
 }
 
-/// Processor time of a process at one moment.
+/// The processor time that a process had used at one moment.
 #[derive(Debug, Clone, Copy)]
-struct ProcessorSample {
+struct CpuSample {
     at: Instant,
     /// Processor time since the start of the process, in seconds.
-    processor_s: f64,
+    cpu_time_s: f64,
 }
 
-impl ProcessorSample {
-    fn now(processor_s: f64) -> ProcessorSample {
-        ProcessorSample { at: Instant::now(), processor_s }
+impl CpuSample {
+    fn now(cpu_time_s: f64) -> CpuSample {
+        CpuSample { at: Instant::now(), cpu_time_s }
     }
 
-    /// Cores used between an earlier sample and this one, over at least `min_s` seconds.
-    fn cores_since(&self, earlier: &ProcessorSample, min_s: f64) -> f64 {
-        (self.processor_s - earlier.processor_s) / self.at.duration_since(earlier.at).as_secs_f64().max(min_s)
+    /// Returns the mean number of cores used between an earlier sample and this one.  The interval
+    /// counts as at least `min_s` seconds.
+    fn cores_since(&self, earlier: &CpuSample, min_s: f64) -> f64 {
+        (self.cpu_time_s - earlier.cpu_time_s) / self.at.duration_since(earlier.at).as_secs_f64().max(min_s)
     }
 }
 
-/// What the operating system says of a process.
+/// Resource usage of a process as the kernel reports it.
 struct ProcessStat {
-    /// Processor time since its start, in seconds.
-    processor_s: f64,
+    /// Processor time since the start of the process, in seconds.
+    cpu_time_s: f64,
     memory_mb: f64,
 }
 
-/// Measures what a process uses in a phase.
+/// Measures the resource usage of a process during a phase.
 pub struct Meter {
     process_id: u32,
-    /// At the beginning of the phase.
-    first: ProcessorSample,
-    /// At the last interval whose cores were measured.
-    last: ProcessorSample,
+    /// Sample at the beginning of the phase.
+    first: CpuSample,
+    /// Sample at the end of the last interval over which cores were measured.
+    last: CpuSample,
     max_cores: f64,
     max_memory_mb: f64,
 }
 
 impl Meter {
-    /// Creates a meter of the process with this id.
+    /// Creates a meter for the process with this id.
     pub fn new(process_id: u32) -> Meter {
-        let now = ProcessorSample::now(0.0);
+        let now = CpuSample::now(0.0);
         Meter { process_id, first: now, last: now, max_cores: 0.0, max_memory_mb: 0.0 }
     }
 
     fn stat(&self) -> Option<ProcessStat> {
         let stat = ProcFs::new(i32::try_from(self.process_id).ok()?).ok()?.stat().ok()?;
         let ticks = procfs::ticks_per_second() as f64;
-        let memory_mb = stat.rss as f64 * procfs::page_size() as f64 / MEGABYTE;
-        Some(ProcessStat { processor_s: (stat.utime + stat.stime) as f64 / ticks, memory_mb })
+        let memory_mb = stat.rss as f64 * procfs::page_size() as f64 / BYTES_PER_MB;
+        Some(ProcessStat { cpu_time_s: (stat.utime + stat.stime) as f64 / ticks, memory_mb })
     }
 
-    /// Begins a phase.
+    /// Resets the meter at the beginning of a phase.
     pub fn begin(&mut self) {
         let Some(stat) = self.stat() else { return };
-        self.first = ProcessorSample::now(stat.processor_s);
+        self.first = CpuSample::now(stat.cpu_time_s);
         self.last = self.first;
         self.max_cores = 0.0;
         self.max_memory_mb = stat.memory_mb;
     }
 
-    /// Records what was used since the last sample; returns the memory held now, in MB.
+    /// Records the usage since the last sample; returns the current memory usage in MB, or 0 if the
+    /// process has ended.
     pub fn sample(&mut self) -> f64 {
         let Some(stat) = self.stat() else { return 0.0 };
-        let now = ProcessorSample::now(stat.processor_s);
+        let now = CpuSample::now(stat.cpu_time_s);
         if now.at.duration_since(self.last.at) > MIN_SAMPLE_INTERVAL {
             self.max_cores = self.max_cores.max(now.cores_since(&self.last, 0.0));
             self.last = now;
@@ -175,28 +190,28 @@
         stat.memory_mb
     }
 
-    /// What was used since the phase began.
-    pub fn used(&mut self) -> Usage {
+    /// Returns the usage since the beginning of the phase; all figures are 0 if the process has ended.
+    pub fn usage(&mut self) -> Usage {
         self.sample();
         let Some(stat) = self.stat() else { return Usage::default() };
-        let cores = ProcessorSample::now(stat.processor_s).cores_since(&self.first, 1e-3);
+        let cores = CpuSample::now(stat.cpu_time_s).cores_since(&self.first, 1e-3);
         let files = ProcFs::new(self.process_id as i32).and_then(|process| process.fd_count()).unwrap_or(0);
         let (cores_most, memory_mb) = (self.max_cores.max(cores), self.max_memory_mb);
         Usage { processes: 1, cores, cores_most, memory_mb, files }
     }
 }
 
-/// Combines the usage of processes of one role: the mean of their cores, and the greatest of the
-/// other figures.
-pub fn together(usages: impl IntoIterator<Item = Usage>) -> Usage {
-    let mut sum = Usage::default();
+/// Combines the usage of the processes of one role: their number, the mean of their cores and the
+/// maximum of the other figures.
+pub fn combined_usage(usages: impl IntoIterator<Item = Usage>) -> Usage {
+    let mut combined = Usage::default();
     for usage in usages {
-        sum.processes += usage.processes;
-        sum.cores += usage.cores;
-        sum.cores_most = sum.cores_most.max(usage.cores_most);
-        sum.memory_mb = sum.memory_mb.max(usage.memory_mb);
-        sum.files = sum.files.max(usage.files);
+        combined.processes += usage.processes;
+        combined.cores += usage.cores;
+        combined.cores_most = combined.cores_most.max(usage.cores_most);
+        combined.memory_mb = combined.memory_mb.max(usage.memory_mb);
+        combined.files = combined.files.max(usage.files);
     }
-    sum.cores /= sum.processes.max(1) as f64;
-    sum
+    combined.cores /= combined.processes.max(1) as f64;
+    combined
 }
--- a/packages/emulator/src/scale/region.rs
+++ b/packages/emulator/src/scale/region.rs
@@ -1,4 +1,4 @@
-//! One region of a run: its processes, and the faults that they are given.
+//! One region of a run: supervises its processes and injects faults.
 
 mod measurement;
 mod setup;
@@ -16,42 +16,42 @@
 pub use self::measurement::{Leader, Snapshot};
 
 use self::start_gap::StartGap;
-use super::control::{self, Done};
-use super::process::Running;
+use super::control::{self, AffectedMachines};
+use super::process::ManagedProcess;
 use super::role::Role;
 use super::users::Users;
 use crate::error::Error;
 use crate::settings::ControllerSettings;
 
-/// A controller that was ended is started again after this.
+/// Delay before a killed controller is started again.
 const RESTART_DELAY: Duration = Duration::from_secs(3);
 
 /// A controller's process.
 #[derive(Default)]
 struct ControllerProcess {
-    running: Option<Running>,
-    /// When it is started, if that is planned.
+    running: Option<ManagedProcess>,
+    /// When the controller is started next; `None` if no start is scheduled.
     start_at: Option<Instant>,
 }
 
-/// A region.
+/// A running region: its services, its controllers and its users.
 pub struct Region {
-    /// Its zones.
+    /// Names of the region's zones.
     pub zones: Vec<Name>,
-    /// Its users.
+    /// The simulated users, who submit and poll jobs.
     pub users: Rc<Users>,
     settings: Vec<ControllerSettings>,
-    /// In the order of their settings.
+    /// Controllers in the order of `settings`.
     controllers: RefCell<Vec<ControllerProcess>>,
-    state: RefCell<Running>,
-    cloud: RefCell<Running>,
-    workers: RefCell<Running>,
-    /// Control interfaces of the state service, the cloud and the workers.
+    state: RefCell<ManagedProcess>,
+    cloud: RefCell<ManagedProcess>,
+    workers: RefCell<ManagedProcess>,
+    /// Addresses of the control interfaces.
     state_control: SocketAddr,
     cloud_control: SocketAddr,
     workers_control: SocketAddr,
     client: Client,
-    /// Directory of settings and logs.
+    /// Directory of the settings files and logs.
     dir: PathBuf,
     /// The controller program.
     program: PathBuf,
@@ -59,19 +59,26 @@
 }
 
 impl Region {
-    /// Starts controllers whose time has come; an error if a process ended by itself.
+    /// Starts the controllers whose scheduled start time has passed.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a process exited that the run did not kill, or if a controller cannot be started.
     pub fn supervise(&self) -> Result<(), Error> {
         let now = Instant::now();
         let services = [("state service", &self.state), ("cloud", &self.cloud), ("workers", &self.workers)];
         for (name, process) in services {
-            if let Some(status) = process.borrow_mut().ended() {
-                return Err(Error::Failed(format!("the {name} of {} ended: {status}", self.dir.display())));
+            if let Some(status) = process.borrow_mut().exit_status() {
+                return Err(Error::Failed(format!(
+                    "the {name} process of the run in {} exited unexpectedly: {status}",
+                    self.dir.display()
+                )));
             }
         }
         let mut controllers = self.controllers.borrow_mut();
         for (controller, settings) in controllers.iter_mut().zip(&self.settings) {
-            if let Some(status) = controller.running.as_mut().and_then(Running::ended) {
-                return Err(Error::Failed(format!("{} ended by itself: {status}", settings.name)));
+            if let Some(status) = controller.running.as_mut().and_then(ManagedProcess::exit_status) {
+                return Err(Error::Failed(format!("controller {} exited unexpectedly: {status}", settings.name)));
             }
             if controller.start_at.is_some_and(|at| at <= now) {
                 controller.start_at = None;
@@ -81,18 +88,18 @@
         Ok(())
     }
 
-    fn start_controller(&self, name: &str) -> Result<Running, Error> {
+    fn start_controller(&self, name: &str) -> Result<ManagedProcess, Error> {
         let role = Role::Controller {
             program: self.program.clone(),
             settings: self.dir.join(format!("{name}.toml")),
             log: self.dir.join(format!("{name}.log")),
         };
-        Running::start_controller(&role, &self.dir, name)
+        ManagedProcess::start_controller(&role, &self.dir, name)
     }
 
-    /// Kills the selected controllers; each is started again after `pause`, or when that is planned
-    /// later if `None`.
-    fn end_controllers(&self, is_selected: impl Fn(&ControllerSettings) -> bool, pause: Option<Duration>) {
+    /// Kills the selected controllers and schedules their restart after `restart_delay`; with `None`
+    /// they stay down until a restart is scheduled.
+    fn kill_controllers(&self, is_selected: impl Fn(&ControllerSettings) -> bool, restart_delay: Option<Duration>) {
         let mut controllers = self.controllers.borrow_mut();
         let selected = controllers.iter_mut().zip(&self.settings).filter(|(_, settings)| is_selected(settings));
         for (controller, settings) in selected {
@@ -100,32 +107,32 @@
             if let Some(mut running) = controller.running.take() {
                 running.kill();
             }
-            controller.start_at = pause.map(|pause| Instant::now() + pause);
+            controller.start_at = restart_delay.map(|delay| Instant::now() + delay);
         }
     }
 
-    /// Kills the leader, and measures how long no task starts; `started` is the number of starts so
-    /// far.
-    pub fn end_leader(&self, leader: Option<&Leader>, started: u64) {
+    /// Kills the leader, if there is one, and begins to measure how long no task starts; `started`
+    /// is the number of task starts so far.
+    pub fn kill_leader(&self, leader: Option<&Leader>, started: u64) {
         if let Some(leader) = leader {
-            self.end_controllers(|settings| settings.name == leader.name, Some(RESTART_DELAY));
+            self.kill_controllers(|settings| settings.name == leader.name, Some(RESTART_DELAY));
             self.start_gap.set(Some(StartGap::begin(started)));
         }
     }
 
-    /// Kills all controllers, and measures how long no task starts; `started` is the number of starts
-    /// so far.
-    pub fn end_all_controllers(&self, started: u64) {
-        self.end_controllers(|_| true, Some(RESTART_DELAY));
+    /// Kills all controllers and begins to measure how long no task starts; `started` is the number
+    /// of task starts so far.
+    pub fn kill_all_controllers(&self, started: u64) {
+        self.kill_controllers(|_| true, Some(RESTART_DELAY));
         self.start_gap.set(Some(StartGap::begin(started)));
     }
 
-    /// Whether the time without starts is being measured.
+    /// Reports whether a gap without task starts is being measured.
     pub fn is_measuring_gap(&self) -> bool {
         self.start_gap.get().is_some_and(|gap| gap.next_start().is_none())
     }
 
-    /// Records how many tasks have started by now.
+    /// Records the number of tasks that have started so far.
     pub fn record_started(&self, started: u64) {
         if let Some(mut gap) = self.start_gap.get() {
             gap.record(started, Instant::now());
@@ -133,20 +140,20 @@
         }
     }
 
-    /// Lets machines die without notice; returns how many did.
+    /// Kills up to `count` machines without a reclaim notice; returns how many were killed.
     pub async fn kill_machines(&self, count: usize) -> Result<usize, Error> {
         let kill = control::Kill { count };
         let answer = control::send(&self.client, self.cloud_control, control::path::KILL, &kill).await;
-        answer.map(|done: Done| done.machines).map_err(Error::from)
+        answer.map(|done: AffectedMachines| done.machines).map_err(Error::from)
     }
 
-    /// Lets a zone fail with its machines and controllers.
+    /// Fails a zone: kills the machines and controllers in it and closes it for new machines.
     pub async fn fail_zone(&self, zone: &Name) -> Result<(), Error> {
-        self.end_controllers(|settings| settings.zone == **zone, None);
+        self.kill_controllers(|settings| settings.zone == **zone, None);
         self.change_zone(zone, true).await
     }
 
-    /// Ends the failure of a zone; controllers that do not run are started.
+    /// Ends the failure of a zone and schedules the start of all controllers that are not running.
     pub async fn restore_zone(&self, zone: &Name) -> Result<(), Error> {
         for controller in self.controllers.borrow_mut().iter_mut().filter(|controller| controller.running.is_none()) {
             controller.start_at = Some(Instant::now());
@@ -157,6 +164,6 @@
     async fn change_zone(&self, zone: &Name, closed: bool) -> Result<(), Error> {
         let change = control::ZoneChange { zone: zone.clone(), closed };
         let answer = control::send(&self.client, self.cloud_control, control::path::ZONE, &change).await;
-        answer.map(|_: Done| ()).map_err(Error::from)
+        answer.map(|_: AffectedMachines| ()).map_err(Error::from)
     }
 }
--- a/packages/emulator/src/scale/region/measurement.rs
+++ b/packages/emulator/src/scale/region/measurement.rs
@@ -1,4 +1,4 @@
-//! What is measured of a region: counters, the leader, and what its processes use.
+//! Measurements of a region: counters, the current leader and the resource usage of its processes.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -9,22 +9,22 @@
 use super::Region;
 use crate::error::Error;
 use crate::scale::control::{self, StateStats, WorkerStats};
-use crate::scale::process::{together, Meter, Running};
+use crate::scale::process::{combined_usage, ManagedProcess, Meter};
 use crate::scale::result::RegionFigures;
 
-/// Limit of asking a controller for its status.
-const STATUS_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout of a status request to a controller.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A region's leader.
+/// The controller that leads a region.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Leader {
-    /// Name of the controller.
+    /// The controller's name.
     pub name: String,
-    /// Its term.
+    /// The term in which the controller leads.
     pub term: u64,
 }
 
-/// The part of a controller's status that says whether it leads.
+/// The fields of a controller's status that show whether the controller leads.
 #[derive(Debug, Deserialize)]
 struct StatusPart {
     name: String,
@@ -38,10 +38,10 @@
     term: u64,
 }
 
-/// Figures at one moment; counters run from the start of the processes.
+/// A region's counters at one moment, counted since the start of the region's processes.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
-    /// The workers.
+    /// Counters of the workers' process.
     pub workers: WorkerStats,
     state: StateStats,
     user_requests: u64,
@@ -49,19 +49,19 @@
 }
 
 impl Snapshot {
-    /// The leader, if there was one.
+    /// Returns the leader, or `None` if no controller reported that it leads.
     pub fn leader(&self) -> Option<&Leader> {
         self.leader.as_ref()
     }
 }
 
 impl Region {
-    /// The workers' figures now; the timed starts among them are taken.
+    /// Fetches the workers' counters; each timed job start is returned by one call only.
     pub async fn worker_stats(&self) -> Result<WorkerStats, Error> {
         Ok(control::stats(&self.client, self.workers_control).await?)
     }
 
-    /// All figures now.
+    /// Fetches all counters of the region and determines its leader.
     pub async fn snapshot(&self) -> Result<Snapshot, Error> {
         Ok(Snapshot {
             leader: self.leader().await,
@@ -71,10 +71,10 @@
         })
     }
 
-    /// The first controller whose status says that it leads.
+    /// Returns the first controller whose status reports that it leads.
     async fn leader(&self) -> Option<Leader> {
         for settings in &self.settings {
-            let answer = self.client.send(settings.bind, "GET", "/v2/status", None, STATUS_LIMIT).await;
+            let answer = self.client.send(settings.bind, "GET", "/v2/status", None, STATUS_TIMEOUT).await;
             let Ok((200, body)) = answer else { continue };
             if let Ok(StatusPart { name, leading: Some(LeadingPart { term }) }) = http::decode(&body) {
                 return Some(Leader { name, term });
@@ -83,13 +83,13 @@
         None
     }
 
-    /// Begins to measure a phase.
+    /// Resets the meters and the start gap at the beginning of a phase.
     pub fn begin_phase(&self) {
         self.start_gap.set(None);
         self.for_each_meter(|meter| meter.begin());
     }
 
-    /// Samples what all processes use; returns the memory that they hold together, in MB.
+    /// Samples the resource usage of all processes; returns their total memory in MB.
     pub fn sample(&self) -> f64 {
         let mut memory_mb = 0.0;
         self.for_each_meter(|meter| memory_mb += meter.sample());
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The figures of a phase that lasted so many seconds.
+    /// Returns the figures of a phase of `seconds` seconds between two snapshots.
     pub fn figures(&self, before: &Snapshot, after: &Snapshot, seconds: f64) -> RegionFigures {
         let rate = |counter: &dyn Fn(&Snapshot) -> u64| counter(after).saturating_sub(counter(before)) as f64 / seconds;
         let (mut leader, mut followers) = (Vec::new(), Vec::new());
@@ -113,9 +113,9 @@
             let Some(running) = &mut controller.running else { continue };
             let is_leader = after.leader.as_ref().is_some_and(|leader| leader.name == settings.name);
             let role = if is_leader { &mut leader } else { &mut followers };
-            role.push(running.meter().used());
+            role.push(running.meter().usage());
         }
-        let used = |process: &RefCell<Running>| together([process.borrow_mut().meter().used()]);
+        let used = |process: &RefCell<ManagedProcess>| combined_usage([process.borrow_mut().meter().usage()]);
         let traffic = |snapshot: &Snapshot| snapshot.workers.traffic;
         let replicas = before.workers.replicas.max(1);
         let next_start = self.start_gap.get().and_then(|gap| gap.next_start());
@@ -134,8 +134,8 @@
             state_changes_per_s: rate(&|s| s.state.changes),
             state_keys: after.state.keys,
             killed: after.workers.killed.saturating_sub(before.workers.killed),
-            leader: together(leader),
-            followers: together(followers),
+            leader: combined_usage(leader),
+            followers: combined_usage(followers),
             state: used(&self.state),
             cloud: used(&self.cloud),
             worker_process: used(&self.workers),
--- a/packages/emulator/src/scale/region/setup.rs
+++ b/packages/emulator/src/scale/region/setup.rs
@@ -1,4 +1,4 @@
-//! Starting a region's processes.
+//! Starts the processes of a region and writes the settings of its controllers.
 
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
@@ -11,19 +11,19 @@
 
 use super::{ControllerProcess, Region};
 use crate::error::{Error, IoContext};
-use crate::scale::process::Running;
+use crate::scale::process::ManagedProcess;
 use crate::scale::role::Role;
 use crate::scale::scenario::{Load, Scenario};
-use crate::scale::users::{Notes, Users};
+use crate::scale::users::{Measurements, Users};
 use crate::settings::{ClusterSettings, ControllerSettings, Team, WorkerTimes};
 
-/// A team may use so many times its share.
+/// A team's maximum of cores as a multiple of its equal share.
 const MAX_TEAM_SHARE: f64 = 40.0;
-/// Machines that can be rented, as a multiple of those that the load fills.
+/// Machines that the cloud can rent out, as a multiple of the workers that the load fills.
 const SPARE_MACHINES: f64 = 1.1;
 
-/// The machine types: half of the workers have one accelerator, the others as many as make up
-/// the target's.
+/// Returns the two machine types.  Half of the workers have one accelerator; the others have as
+/// many as are needed to reach the target's number of accelerators.
 fn machine_types(scenario: &Scenario, zones: &[Name]) -> Vec<MachineType> {
     let target = &scenario.target;
     let cpus = target.tasks_per_worker as f64;
@@ -43,13 +43,13 @@
     vec![machine_type("plain", 1.0, 1.0), machine_type("accelerated", gpus.floor().max(1.0), 1.2)]
 }
 
-/// An address on this host that is free now.
+/// Returns an address on `host` whose port is currently free.
 fn free_address(host: IpAddr) -> Result<SocketAddr, Error> {
     let bound = TcpListener::bind((host, 0)).and_then(|listener| listener.local_addr());
-    bound.context(format!("a free port on {host}"))
+    bound.context(format!("cannot find a free port on {host}"))
 }
 
-/// Settings of a region's controllers, which are spread over its zones.
+/// Returns the settings of a region's controllers, spread evenly over the zones.
 fn controller_settings(
     region: usize,
     count: usize,
@@ -67,30 +67,30 @@
     (0..count).map(settings).collect()
 }
 
-/// The processes of a region's services, with the addresses at which they listen.
+/// The processes of a region's services and the addresses on which they listen.
 struct Services {
-    state: Running,
+    state: ManagedProcess,
     state_control: SocketAddr,
     /// Addresses of the state service, one for each controller.
     state_services: Vec<SocketAddr>,
-    cloud: Running,
+    cloud: ManagedProcess,
     cloud_control: SocketAddr,
     cloud_service: SocketAddr,
-    workers: Running,
+    workers: ManagedProcess,
     workers_control: SocketAddr,
 }
 
-/// What the services of a region are started with.
+/// Parameters for starting the services of a region.
 struct ServiceConfig<'a> {
     scenario: &'a Scenario,
     load: &'a Load,
-    /// Number of the region.
+    /// Index of the region, from 0.
     number: usize,
     host: IpAddr,
     zones: &'a [Name],
     controllers: &'a [ControllerSettings],
     seed: u64,
-    /// Directory of the logs.
+    /// Directory of the settings files and logs.
     dir: &'a Path,
 }
 
@@ -110,7 +110,7 @@
             gang_peer_s: region.gang_peer_s,
             seed,
         };
-        let (workers, addresses) = Running::start(&role, dir, &process_name("workers"))?;
+        let (workers, addresses) = ManagedProcess::start(&role, dir, &process_name("workers"))?;
         let workers_control = address(&addresses, 0)?;
         let filled = config.load.workers as f64 * SPARE_MACHINES;
         let role = Role::Cloud {
@@ -122,10 +122,10 @@
             workers: workers_control,
             seed,
         };
-        let (cloud, addresses) = Running::start(&role, dir, &process_name("cloud"))?;
+        let (cloud, addresses) = ManagedProcess::start(&role, dir, &process_name("cloud"))?;
         let (cloud_control, cloud_service) = (address(&addresses, 0)?, address(&addresses, 1)?);
         let role = Role::State { host, listeners: config.controllers.len(), limits: region.state };
-        let (state, mut addresses) = Running::start(&role, dir, &process_name("state"))?;
+        let (state, mut addresses) = ManagedProcess::start(&role, dir, &process_name("state"))?;
         let state_control = address(&addresses, 0)?;
         let state_services = addresses.split_off(1);
         let services = Services {
@@ -154,14 +154,15 @@
 }
 
 impl Region {
-    /// Starts all processes of region `number`, for a part of the target.
+    /// Starts all processes of the region with index `number`, sized for the fraction `part` of the
+    /// target.
     pub fn start(
         scenario: &Scenario,
         part: f64,
         number: usize,
         program: &Path,
         dir: &Path,
-        notes: Rc<Notes>,
+        measurements: Rc<Measurements>,
     ) -> Result<Region, Error> {
         let target = &scenario.target;
         let host = IpAddr::V4(Ipv4Addr::new(127, 0, (number + 1) as u8, 1));
@@ -178,7 +179,7 @@
         let users_addresses = settings.iter().map(|settings| settings.bind).collect();
         let start_now = |_| ControllerProcess { running: None, start_at: Some(Instant::now()) };
         let region = Region {
-            users: Users::new(number, target.teams, workers_control, users_addresses, load, notes, seed),
+            users: Users::new(number, target.teams, workers_control, users_addresses, load, measurements, seed),
             zones,
             controllers: RefCell::new(settings.iter().map(start_now).collect()),
             settings,
@@ -200,10 +201,10 @@
 
 fn address(addresses: &[SocketAddr], index: usize) -> Result<SocketAddr, Error> {
     let address = addresses.get(index).copied();
-    address.ok_or_else(|| Error::Failed("a process told too few addresses".into()))
+    address.ok_or_else(|| Error::Failed("a process printed fewer listen addresses than expected".into()))
 }
 
-/// The settings that all controllers of a region share.
+/// Returns the settings that all controllers of a region share.
 fn cluster_settings(config: &ServiceConfig<'_>) -> ClusterSettings {
     let (region, target) = (&config.scenario.region, &config.scenario.target);
     let share = (config.load.workers * target.tasks_per_worker) as f64 / target.teams as f64;
--- a/packages/emulator/src/scale/result.rs
+++ b/packages/emulator/src/scale/result.rs
@@ -1,140 +1,143 @@
-//! What a scale run measured: figures by role, region and phase, as JSON.  Wall-clock on one
-//! machine.
+//! The result file of a scale run: measurements by step, phase, region and role, in JSON.
+//!
+//! All times are wall-clock times of a run on one machine.
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
 use super::scenario::Scenario;
 
-/// What processes of a role used in a phase.
+/// Resource usage of the processes of one role during a phase.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Processes.
+    /// Number of processes.
     pub processes: usize,
-    /// Cores that one used, the mean over all and over the phase.
+    /// Cores used by one process, as the mean over all processes and the whole phase.
     pub cores: f64,
-    /// Most cores that one of them used in a second.
+    /// Largest number of cores that one process used within a sampling interval of about a second.
     pub cores_most: f64,
-    /// Most memory that one of them held, in MB.
+    /// Largest memory of one process, in MB.
     pub memory_mb: f64,
-    /// Most files, nearly all of them connections, that one had open at the end of the phase.
+    /// Largest number of files, nearly all of them connections, that one process had open at the end
+    /// of the phase.
     pub files: usize,
 }
 
-/// Times in milliseconds.
+/// Quantiles of measured times, in milliseconds.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quantiles {
-    /// How many.
+    /// Number of measured times.
     pub count: u64,
-    /// Half were quicker.
+    /// Median.
     pub p50_ms: f64,
-    /// 95 of 100 were quicker.
+    /// 95th percentile.
     pub p95_ms: f64,
-    /// 99 of 100 were quicker.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// Longest time.
     pub max_ms: f64,
 }
 
 impl Quantiles {
-    /// In short, of a histogram in microseconds.
-    pub fn of(h: &Histogram<u64>) -> Quantiles {
-        let at = |q: f64| (h.value_at_quantile(q) as f64 / 100.0).round() / 10.0;
-        Quantiles { count: h.len(), p50_ms: at(0.5), p95_ms: at(0.95), p99_ms: at(0.99), max_ms: at(1.0) }
+    /// Returns the quantiles of a histogram of times in microseconds.
+    pub fn from_histogram(histogram: &Histogram<u64>) -> Quantiles {
+        let at = |q: f64| (histogram.value_at_quantile(q) as f64 / 100.0).round() / 10.0;
+        Quantiles { count: histogram.len(), p50_ms: at(0.5), p95_ms: at(0.95), p99_ms: at(0.99), max_ms: at(1.0) }
     }
 }
 
-/// One region in one phase.
+/// Measurements of one region during one phase.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RegionFigures {
-    /// Its workers that were up at the end.
+    /// Workers that were up at the end of the phase.
     pub workers: u64,
-    /// Tasks that ran at the end.
+    /// Tasks that ran at the end of the phase.
     pub running: u64,
-    /// Whether one controller led throughout.
+    /// Whether the same controller led, in the same term, at the beginning and the end of the phase.
     pub one_leader: bool,
-    /// Starts a second.
+    /// Task starts per second.
     pub starts_per_s: f64,
-    /// Reports a second.
+    /// Heartbeats of the workers per second.
     pub reports_per_s: f64,
-    /// Reports a second that were sent to another controller or got no answer.
+    /// Heartbeats per second that were redirected to another controller or received no answer.
     pub reports_elsewhere_per_s: f64,
-    /// Direct commands a second.
+    /// Commands per second that controllers sent to workers directly, outside heartbeat replies.
     pub direct_per_s: f64,
-    /// Bytes a second of reports and their answers, and of direct commands, both ways.
+    /// Bytes per second of heartbeats, their replies and direct commands, in both directions.
     pub bytes_per_s: f64,
-    /// Users' requests a second.
+    /// Requests per second from users to the controllers.
     pub user_requests_per_s: f64,
-    /// Requests to the state service a second.
+    /// Requests per second to the state service.
     pub state_requests_per_s: f64,
-    /// Requests that it refused.
+    /// Requests that the state service refused during the phase.
     pub state_refused: u64,
-    /// Puts and deletes a second.
+    /// Puts and deletes per second in the state service.
     pub state_changes_per_s: f64,
-    /// Keys in the state service at the end.
+    /// Keys in the state service at the end of the phase.
     pub state_keys: u64,
-    /// Tasks killed by leases.
+    /// Tasks killed because the lease of their worker expired.
     pub killed: u64,
-    /// The leader; of a phase in which another began, who leads at its end.
+    /// Usage of the controller that leads at the end of the phase.
     pub leader: Usage,
-    /// The other controllers.
+    /// Usage of the other controllers.
     pub followers: Usage,
-    /// State service.
+    /// Usage of the state service.
     pub state: Usage,
-    /// Cloud.
+    /// Usage of the cloud.
     pub cloud: Usage,
-    /// The workers' process.
+    /// Usage of the process that simulates all workers of the region.
     pub worker_process: Usage,
-    /// From the end of the leader, or of all controllers, to the next start, in seconds.
+    /// Time from the kill of the leader, or of all controllers, to the next task start after the gap,
+    /// in seconds; `None` without such a fault or such a start.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub next_start_s: Option<f64>,
-    /// Share of the replicas that ran before and run at the end.
+    /// Service replicas that run at the end of the phase, as a share of those before it.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub replicas_back: Option<f64>,
 }
 
-/// One phase.
+/// Measurements of one phase.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Phase {
-    /// Its name.
+    /// Name of the phase, for example `steady`.
     pub name: String,
-    /// How long it was, in seconds.
+    /// Duration of the phase, in seconds.
     pub seconds: f64,
-    /// The regions.
+    /// Measurements of each region.
     pub regions: Vec<RegionFigures>,
-    /// From submission to acceptance.
+    /// Times from the submission of a job to its acceptance.
     pub accept: Quantiles,
-    /// From the acceptance of urgent work to the start of all its tasks.
+    /// Times from the acceptance of an urgent job to the start of all its tasks.
     pub urgent: Quantiles,
-    /// Urgent jobs that were accepted in the phase and had not begun at its end.
+    /// Urgent jobs that were accepted and had not started at the end of the phase.
     pub urgent_waiting: u64,
-    /// The users' process, which also starts and measures the others.
+    /// Usage of the process that simulates the users and also starts and measures the other processes.
     pub users: Usage,
-    /// Cores that all processes used together.
+    /// Total number of cores that all processes used.
     pub cores_in_all: f64,
 }
 
-/// One step.
+/// Measurements of one step.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// Part of the target.
+    /// Fraction of the target size.
     pub part: f64,
-    /// Its phases, as far as they were played.
+    /// Phases that were played to their end.
     pub phases: Vec<Phase>,
-    /// Rules that were seen broken, and answers that are wrong.
+    /// Observed violations of the protocol and incorrect answers, one line for each.
     pub broken: Vec<String>,
-    /// Why it ended early, if it did.
+    /// Why the step stopped early; `None` if all phases were played.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub stopped: Option<String>,
 }
 
-/// A run, or one step of it, as a file.
+/// The content of a result file: a scale run, or one of its steps.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ScaleReport {
-    /// What was to be played.
+    /// Scenario that was played.
     pub scenario: Scenario,
-    /// Cores of the machine that all of it ran on.
+    /// Number of cores of the machine on which all processes ran; 0 if unknown.
     pub machine_cores: usize,
-    /// What came of each step.
+    /// Measurements of each step.
     pub steps: Vec<Step>,
 }
--- a/packages/emulator/src/scale/role.rs
+++ b/packages/emulator/src/scale/role.rs
@@ -1,6 +1,8 @@
-//! The processes of a scale run.  The state service, the cloud and the workers of a region have one
-//! each, so that their processor time is known by role; a controller's is one that replaces itself
-//! by the controller program and ends with the run.
+//! The roles that the processes of a scale run take.
+//!
+//! The state service, the cloud and the workers of a region run in one process each, so that
+//! processor time can be attributed to a role.  The process of a controller replaces itself with the
+//! controller program; like the others, it is killed when the run ends.
 
 mod cloud;
 mod state;
@@ -28,101 +30,108 @@
 use crate::state::Limits;
 use crate::worker_pool::{self, WorkerPool};
 
-/// Files that a process of a scale run may have open at once.
+/// Number of open files that each process of a scale run must be allowed.
 const REQUIRED_FILE_LIMIT: u64 = 20_000;
-/// Notice that the cloud gives before it reclaims a spot machine, in seconds.
+/// Time between a reclaim notice and the reclaim of a spot machine, in seconds.
 const RECLAIM_NOTICE_S: f64 = 5.0;
 
-/// What a process of a run does.  The run that starts it passes it as JSON.
+/// The role of a process, with its parameters.  The run passes the role as JSON on the command line.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(tag = "role", rename_all = "kebab-case")]
 pub enum Role {
     /// The state service of a region, with a listener for each controller.
     State {
-        /// Address to listen on.
+        /// IP address to listen on; the ports are assigned by the operating system.
         host: IpAddr,
-        /// Number of controllers.
+        /// Number of listeners, one for each controller.
         listeners: usize,
-        /// Limits of the service.
+        /// Request rates and sizes that the service allows.
         limits: StateLimits,
     },
     /// The cloud of a region.
     Cloud {
-        /// Address to listen on.
+        /// IP address to listen on; the ports are assigned by the operating system.
         host: IpAddr,
-        /// Machine types.
+        /// Machine types that can be rented.
         types: Vec<MachineType>,
-        /// Machines of each type, in each zone, spot and on-demand apart.
+        /// Number of machines available for each combination of type, zone, and spot or on-demand.
         capacity: usize,
-        /// Requests a second that it allows.
+        /// Requests per second that the cloud allows.
         rps: f64,
-        /// Age of its list of machines, in seconds.
+        /// Age of the machine list that the cloud returns, in seconds.
         list_lag_s: f64,
-        /// Address at which the workers' process takes machine events.
+        /// Address of the control interface of the workers' process, which receives the machine events.
         workers: SocketAddr,
-        /// Seed of its random choices.
+        /// Seed of the cloud's random choices.
         seed: u64,
     },
     /// The workers of a region.
     Workers {
-        /// Address to listen on.
+        /// IP address to listen on; the port is assigned by the operating system.
         host: IpAddr,
-        /// Machine types.
+        /// Machine types that the cloud rents out.
         types: Vec<MachineType>,
         /// Names and addresses of the controllers.
         controllers: Vec<(String, SocketAddr)>,
-        /// Interval of heartbeats, in seconds.
+        /// Interval between two heartbeats of a worker, in seconds.
         report_s: f64,
-        /// Lease, in seconds.
+        /// Duration of a worker's lease, in seconds.
         lease_s: f64,
-        /// How long a gang's task waits, in seconds.
+        /// How long a task of a gang waits for the other tasks to start, in seconds.
         gang_wait_s: f64,
-        /// How quickly a gang notices a loss, in seconds.
+        /// Time within which a gang detects the loss of a task, in seconds.
         gang_peer_s: f64,
-        /// Seed of their random choices.
+        /// Seed of the workers' random choices.
         seed: u64,
     },
-    /// A controller.
+    /// A controller of a region.
     Controller {
-        /// The program.
+        /// Path of the controller program.
         program: PathBuf,
-        /// Its settings.
+        /// Path of the controller's settings file.
         settings: PathBuf,
-        /// Its log file.
+        /// Path of the file to which standard error is appended.
         log: PathBuf,
     },
 }
 
-/// The state service's limits, as scenarios and roles have them.
+/// The limits of a state service, as written in scenario files and roles.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StateLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Puts and deletes a second.
+    /// Puts and deletes per second.
     pub write_rps: f64,
-    /// KiB a value.
+    /// Largest size of a value, in KiB.
     pub value_kb: f64,
-    /// Puts and deletes a transaction.
+    /// Largest number of puts and deletes in a transaction.
     pub txn_ops: usize,
 }
 
 impl StateLimits {
-    /// The limits in the state service's form.
+    /// Converts the limits to the type that the state service uses.
     pub fn limits(&self) -> Limits {
         let StateLimits { rps, write_rps, value_kb, txn_ops } = *self;
         Limits { rps, write_rps, value_kb, txn_ops }
     }
 }
 
-/// Runs a role until the process is ended, at the latest with its parent.
+/// Runs the role given as JSON until the process is killed, which happens at the latest when the
+/// process `parent` ends.
+///
+/// # Errors
+///
+/// Returns [`Error::Input`] if `role` cannot be parsed, and another error if the parent has already
+/// ended, the limit of open files is too low, or the role cannot be started.
 pub fn run(role: &str, parent: u32) -> Result<(), Error> {
-    // however the parent ends, this process is killed then
-    set_parent_process_death_signal(Some(Signal::KILL)).map_err(|error| failed("the parent's end", error))?;
+    // The kernel kills this process when the parent ends, also if the parent crashes.
+    set_parent_process_death_signal(Some(Signal::KILL))
+        .map_err(|error| failed("cannot set the parent death signal", error))?;
     if getppid().is_none_or(|pid| pid.as_raw_nonzero().get().unsigned_abs() != parent) {
-        return Err(Error::Failed("the run that started this has ended".into()));
+        return Err(Error::Failed("the run that started this process has already ended".into()));
     }
-    let role: Role = serde_json::from_str(role).map_err(|error| Error::Input(format!("role: {error}")))?;
+    let role: Role = serde_json::from_str(role).map_err(|error| Error::Input(format!("invalid role: {error}")))?;
     raise_file_limit()?;
     let executor = Rc::new(LocalExecutor::new());
     match role {
@@ -143,30 +152,34 @@
     }
 }
 
-/// Raises this process's limit of open files as far as it may; an error if that is too little.
+/// Raises the limit of open files of this process to the number that a scale run requires.
+///
+/// # Errors
+///
+/// Fails if the limit cannot be changed or the hard limit is too low.
 pub fn raise_file_limit() -> Result<(), Error> {
-    let limit =
-        rlimit::increase_nofile_limit(REQUIRED_FILE_LIMIT).map_err(|error| failed("limit of open files", error))?;
+    let limit = rlimit::increase_nofile_limit(REQUIRED_FILE_LIMIT)
+        .map_err(|error| failed("cannot raise the limit of open files", error))?;
     if limit < REQUIRED_FILE_LIMIT {
         return Err(Error::Failed(format!(
-            "{limit} open files are allowed and {REQUIRED_FILE_LIMIT} needed: raise the hard limit (ulimit -Hn)"
+            "{limit} open files are allowed but {REQUIRED_FILE_LIMIT} are needed; raise the hard limit (ulimit -Hn)"
         )));
     }
     Ok(())
 }
 
-/// Replaces this process by a controller; returns only if that fails.
+/// Replaces this process with the controller program; returns only on failure.
 fn become_controller(program: &Path, settings: &Path, log: &Path) -> Result<(), Error> {
     let open = std::fs::OpenOptions::new().create(true).append(true).open(log);
     let log = open.context(log.display().to_string())?;
     let mut command = Command::new(program);
     command.args(["serve", "--config"]).arg(settings);
-    // the death signal is kept by exec
+    // The parent death signal set above stays in effect across exec.
     let error = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).exec();
     Err(Error::Io { what: program.display().to_string(), error })
 }
 
-/// Prints the addresses at which a role listens, for the run that started it.
+/// Prints the listen addresses of a role on standard output, where the run reads them.
 fn print_ready(addresses: &[SocketAddr]) {
     let list: Vec<String> = addresses.iter().map(SocketAddr::to_string).collect();
     let mut out = io::stdout();
@@ -174,19 +187,19 @@
     let _ = out.flush();
 }
 
-/// A listener with its address.
+/// A listener with the address that it is bound to.
 struct BoundListener {
     listener: TcpListener,
     address: SocketAddr,
 }
 
 async fn listen(host: IpAddr) -> Result<BoundListener, Error> {
-    let listener = TcpListener::bind((host, 0)).await.map_err(|error| failed("a listener", error))?;
-    let address = listener.local_addr().map_err(|error| failed("a listener", error))?;
+    let listener = TcpListener::bind((host, 0)).await.map_err(|error| failed("cannot open a listener", error))?;
+    let address = listener.local_addr().map_err(|error| failed("cannot get the address of a listener", error))?;
     Ok(BoundListener { listener, address })
 }
 
-/// Limits of the control interface, which only the run uses.
+/// Returns the server limits of a control interface, which only processes of the run use.
 fn control_limits() -> ServerLimits {
     ServerLimits {
         connections: 64,
@@ -197,7 +210,7 @@
     }
 }
 
-/// A cloud for roles that have none.
+/// Returns an empty cloud, for the environment of roles other than the cloud.
 fn no_cloud() -> Cloud {
     Cloud::new(CloudSettings {
         types: Vec::new(),
@@ -209,7 +222,7 @@
     })
 }
 
-/// Workers for roles that have none.
+/// Returns an empty worker pool, for the environment of roles other than the workers.
 fn no_workers(rng: &mut Rng) -> WorkerPool {
     WorkerPool::new(worker_pool::Settings { lease_s: 0.0, gang_wait_s: 0.0, gang_peer_s: 0.0 }, 1.0, rng.fork())
 }
--- a/packages/emulator/src/scale/role/cloud.rs
+++ b/packages/emulator/src/scale/role/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud of a region.  It sends what happens to machines to the workers' process, in order.
+//! The cloud of a region, which sends machine events to the workers' process in order.
 
 use std::cell::RefCell;
 use std::net::{IpAddr, SocketAddr};
@@ -14,22 +14,22 @@
 use crate::cloud::{Cloud, Event, Rented, Settings};
 use crate::environment::{BootedMachine, Environment};
 use crate::error::Error;
-use crate::scale::control::{path, send, CloudStats, Done, Kill, MachineEvents, MachineUp, ZoneChange};
+use crate::scale::control::{path, send, AffectedMachines, CloudStats, Kill, MachineEvents, MachineUp, ZoneChange};
 use crate::state::{Limits, State};
 
-/// Interval at which time passes for machines.
+/// Interval at which machines advance through their states.
 const TICK: Duration = Duration::from_millis(20);
 
 struct CloudProcess {
     environment: Rc<Environment>,
-    /// Address of the workers' process.
+    /// Address of the control interface of the workers' process.
     workers: SocketAddr,
     client: Client,
-    /// Events that were not sent yet.
+    /// Machine events that are not yet sent to the workers' process.
     events: RefCell<MachineEvents>,
 }
 
-/// Serves the cloud to controllers, and a control interface to the run.
+/// Serves the cloud to the controllers and a control interface to the run.
 pub(super) async fn serve(
     executor: Rc<LocalExecutor<'static>>,
     host: IpAddr,
@@ -54,7 +54,7 @@
 }
 
 impl CloudProcess {
-    /// Keeps events until they are sent.
+    /// Adds events to those that are sent next; a machine that is gone is not reported as up.
     fn record_events(&self, events: Vec<Event>) {
         let mut pending = self.events.borrow_mut();
         for event in events {
@@ -74,14 +74,14 @@
         }
     }
 
-    /// Sends the events to the workers' process.
+    /// Sends the pending events to the workers' process; logs an error if that fails.
     async fn send_events(&self) {
         let events = std::mem::take(&mut *self.events.borrow_mut());
         if events.gone.is_empty() && events.up.is_empty() {
             return;
         }
-        if let Err(error) = send::<_, Done>(&self.client, self.workers, path::MACHINES, &events).await {
-            tracing::error!(%error, "cannot send machine events to the workers");
+        if let Err(error) = send::<_, AffectedMachines>(&self.client, self.workers, path::MACHINES, &events).await {
+            tracing::error!(%error, "cannot send machine events to the workers' process");
         }
     }
 
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Answers a controller.  Machines that it deletes are gone before it has the answer.
+    /// Handles a controller's request.  The workers' process is told of deleted machines before the
+    /// controller receives the response.
     async fn answer(self: Rc<Self>, request: Request) -> Response {
         let (answer, events) =
             self.environment.cloud.borrow_mut().ask(&request, &mut self.environment.rng.borrow_mut(), Instant::now());
@@ -103,7 +104,7 @@
         answer
     }
 
-    /// Answers the run.
+    /// Handles a request of the run.
     async fn answer_control(self: Rc<Self>, request: Request) -> Response {
         let answer = match (request.method.as_str(), request.path.as_str()) {
             ("GET", path::STATS) => {
@@ -111,11 +112,11 @@
                 Response::new(200, &CloudStats { rented })
             }
             ("POST", path::KILL) => match http::decode::<Kill>(&request.body) {
-                Ok(kill) => Response::new(200, &Done { machines: self.kill_machines(kill.count, None) }),
+                Ok(kill) => Response::new(200, &AffectedMachines { machines: self.kill_machines(kill.count, None) }),
                 Err(_) => Response::refuse(400, "malformed"),
             },
             ("POST", path::ZONE) => match http::decode::<ZoneChange>(&request.body) {
-                Ok(change) => Response::new(200, &Done { machines: self.change_zone(&change) }),
+                Ok(change) => Response::new(200, &AffectedMachines { machines: self.change_zone(&change) }),
                 Err(_) => Response::refuse(400, "malformed"),
             },
             _ => Response::refuse(404, "no such path"),
@@ -124,7 +125,8 @@
         answer
     }
 
-    /// Lets machines die, at random, of all zones or of one; returns how many did.
+    /// Kills up to `count` randomly chosen machines, in `zone` or in all zones; returns how many were
+    /// killed.
     fn kill_machines(&self, count: usize, zone: Option<&Name>) -> usize {
         let mut cloud = self.environment.cloud.borrow_mut();
         let is_candidate =
@@ -140,7 +142,8 @@
         killed
     }
 
-    /// Closes a zone and kills its machines, or opens it again; returns how many machines died.
+    /// Closes a zone and kills its machines, or opens the zone again; returns how many machines were
+    /// killed.
     fn change_zone(&self, change: &ZoneChange) -> usize {
         if !change.closed {
             self.environment.cloud.borrow_mut().open_zone(&change.zone);
--- a/packages/emulator/src/scale/role/state.rs
+++ b/packages/emulator/src/scale/role/state.rs
@@ -1,4 +1,4 @@
-//! The state service of a region.
+//! The process that runs the state service of a region.
 
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -13,7 +13,8 @@
 use crate::scale::control::{path, StateStats};
 use crate::state::State;
 
-/// Serves the state service with a listener for each controller, and its figures on another one.
+/// Serves the state service on one listener for each controller, and its counters on a control
+/// listener.
 pub(super) async fn serve(
     executor: Rc<LocalExecutor<'static>>,
     host: IpAddr,
--- a/packages/emulator/src/scale/role/workers.rs
+++ b/packages/emulator/src/scale/role/workers.rs
@@ -1,4 +1,5 @@
-//! The workers of a region: the whole worker protocol, without processes for the tasks.
+//! The simulated workers of a region: they speak the complete worker protocol, but start no processes
+//! for the tasks.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -12,12 +13,12 @@
 use super::{control_limits, listen, no_cloud, print_ready};
 use crate::environment::{BootedMachine, Controller, Environment};
 use crate::error::Error;
-use crate::scale::control::{path, Begun, Done, MachineEvents, Upload, WorkerStats};
+use crate::scale::control::{path, AffectedMachines, JobStart, MachineEvents, Upload, WorkerStats};
 use crate::settings::WorkerTimes;
 use crate::state::{Limits, State};
 use crate::worker_pool::{self, WorkerPool};
 
-/// The workers of a region.
+/// Parameters of the workers of a region.
 pub(super) struct Workers {
     pub(super) host: IpAddr,
     pub(super) types: Vec<MachineType>,
@@ -28,7 +29,7 @@
 }
 
 impl Workers {
-    /// Runs the workers, and serves a control interface to the run and to the cloud's process.
+    /// Runs the workers and serves a control interface to the run, the users and the cloud's process.
     pub(super) async fn serve(self, executor: Rc<LocalExecutor<'static>>) -> Result<(), Error> {
         let mut rng = Rng::with_seed(self.seed);
         let WorkerTimes { report_s, lease_s, gang_wait_s, gang_peer_s, .. } = self.times;
@@ -63,12 +64,12 @@
             ("POST", path::UPLOAD) => match http::decode::<Upload>(&request.body) {
                 Ok(upload) => {
                     self.upload(upload);
-                    Response::new(200, &Done { machines: 0 })
+                    Response::new(200, &AffectedMachines { machines: 0 })
                 }
                 Err(_) => Response::refuse(400, "malformed"),
             },
             ("POST", path::MACHINES) => match http::decode::<MachineEvents>(&request.body) {
-                Ok(events) => Response::new(200, &Done { machines: self.apply_machine_events(events) }),
+                Ok(events) => Response::new(200, &AffectedMachines { machines: self.apply_machine_events(events) }),
                 Err(_) => Response::refuse(400, "malformed"),
             },
             _ => Response::refuse(404, "no such path"),
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Removes the machines that are gone and starts the workers of those that came up; returns how
-    /// many came up.
+    /// Removes the machines that are gone and starts workers for the machines that came up; returns
+    /// how many came up.
     fn apply_machine_events(&self, events: MachineEvents) -> usize {
         events.gone.iter().for_each(|name| self.environment.remove_machine(name));
         let count = events.up.len();
@@ -99,7 +100,8 @@
         count
     }
 
-    /// The workers' figures; the timed starts among them are taken.
+    /// Returns the workers' counters and removes the timed job starts that they contain, so that each
+    /// is reported once.
     fn take_stats(&self) -> WorkerStats {
         let mut workers = self.environment.worker_pool.borrow_mut();
         let running = workers.running_tasks();
@@ -109,7 +111,7 @@
             let age = now.saturating_duration_since(start.at);
             let at = wall_clock.checked_sub(age).unwrap_or(wall_clock);
             let at_us = at.duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64);
-            Begun { job: start.job, at_us }
+            JobStart { job: start.job, at_us }
         });
         WorkerStats {
             machines: workers.machines().len() as u64,
--- a/packages/emulator/src/scale/users.rs
+++ b/packages/emulator/src/scale/users.rs
@@ -1,5 +1,7 @@
-//! The users of one region: jobs that arrive whether or not the last ones were answered, and
-//! polls until they are over.
+//! The simulated users of one region.
+//!
+//! Users submit jobs at a rate that does not depend on how quickly earlier requests are answered
+//! (open-loop load), and poll each job until it is done.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -14,119 +16,132 @@
 use hdrhistogram::Histogram;
 use smol::LocalExecutor;
 
-use super::control::{path, send, Begun, Done, Upload};
-use super::scenario::{Arrays, Load, ARRAY_TASKS, GANG_RUN_S, GANG_SIZES, SERVICE_TASKS};
+use super::control::{path, send, AffectedMachines, JobStart, Upload};
+use super::scenario::{Arrays, Load, ARRAY_TASKS, GANG_SIZES, GANG_TASK_DURATION_S, SERVICE_REPLICAS};
 use crate::balancer::Balancer;
 
-/// One request's limit, the pause before the next try, and the interval of polls.
-const SUBMIT_LIMIT: Duration = Duration::from_secs(5);
-const POLL_LIMIT: Duration = Duration::from_secs(2);
-const PAUSE: Duration = Duration::from_secs(1);
-const POLL_EVERY: Duration = Duration::from_secs(5);
-/// A submission is given up after this.
-const SUBMIT_GIVES_UP: Duration = Duration::from_secs(60);
-/// Tasks of an urgent job, and how long they run.
+/// Timeout of one submission request.
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of one poll request.
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay before a submission is retried.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Interval between two polls of a job.
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
+/// Time after which a submission is abandoned.
+const SUBMIT_DEADLINE: Duration = Duration::from_secs(60);
+/// Number of tasks of an urgent job.
 const URGENT_TASKS: u32 = 4;
+/// Duration of the tasks of an urgent job, in seconds.
 const URGENT_RUN_S: f64 = 3.0;
-/// Services that are submitted at once while a region fills.
-const SERVICES_AT_ONCE: usize = 16;
-/// Interval and limit of health probes.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
-const PROBE_LIMIT: Duration = Duration::from_secs(1);
+/// Number of services that are submitted concurrently while a region fills.
+const CONCURRENT_SUBMISSIONS: usize = 16;
+/// Interval between two health probes of a controller.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout of one health probe.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the users of all regions note down in a phase.
-pub struct Notes {
-    /// From submission to acceptance, in microseconds.
-    pub accept: RefCell<Histogram<u64>>,
-    /// From the acceptance of an urgent job to the start of its last task.
-    pub urgent: RefCell<Histogram<u64>>,
-    /// Urgent jobs that were accepted and have not begun, with when.
-    pub accepted: RefCell<HashMap<Name, u64>>,
-    /// Those that had begun before their acceptance was noted.
-    begun_early: RefCell<HashMap<Name, u64>>,
-    /// Answers that contradict earlier ones.
-    pub wrong: RefCell<Vec<String>>,
+/// Measurements of the users of all regions.
+pub struct Measurements {
+    /// Times from the submission of a job to its acceptance in this phase, in microseconds.
+    pub accept_times: RefCell<Histogram<u64>>,
+    /// Times from the acceptance of an urgent job to the start of its last task in this phase, in
+    /// microseconds.
+    pub urgent_start_times: RefCell<Histogram<u64>>,
+    /// Urgent jobs that are accepted but not started, with the time of acceptance in microseconds since
+    /// the Unix epoch.
+    pub unstarted_urgent: RefCell<HashMap<Name, u64>>,
+    /// Urgent jobs whose start was reported before their acceptance, with the time of the start in
+    /// microseconds since the Unix epoch.
+    started_before_acceptance: RefCell<HashMap<Name, u64>>,
+    /// Refused submissions and responses that contradict earlier ones, one line for each.
+    pub violations: RefCell<Vec<String>>,
 }
 
-/// Microseconds of the time of day.
+/// Returns the wall-clock time in microseconds since the Unix epoch.
 pub fn now_us() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
 
-/// In microseconds, three digits; it grows to what it is given.
+/// Returns an empty histogram with a precision of three significant digits, which grows as needed.
 fn histogram() -> Result<RefCell<Histogram<u64>>, String> {
-    Histogram::new(3).map(RefCell::new).map_err(|e| e.to_string())
+    Histogram::new(3).map(RefCell::new).map_err(|error| error.to_string())
 }
 
-impl Notes {
-    /// Nothing is noted yet.
-    pub fn new() -> Result<Notes, String> {
-        Ok(Notes {
-            accept: histogram()?,
-            urgent: histogram()?,
-            accepted: RefCell::default(),
-            begun_early: RefCell::default(),
-            wrong: RefCell::default(),
+impl Measurements {
+    /// Creates empty measurements.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a histogram cannot be created.
+    pub fn new() -> Result<Measurements, String> {
+        Ok(Measurements {
+            accept_times: histogram()?,
+            urgent_start_times: histogram()?,
+            unstarted_urgent: RefCell::default(),
+            started_before_acceptance: RefCell::default(),
+            violations: RefCell::default(),
         })
     }
 
-    /// A phase begins.
-    pub fn begin(&self) {
-        self.accept.borrow_mut().reset();
-        self.urgent.borrow_mut().reset();
+    /// Resets the histograms at the beginning of a phase.
+    pub fn begin_phase(&self) {
+        self.accept_times.borrow_mut().reset();
+        self.urgent_start_times.borrow_mut().reset();
     }
 
-    fn accepted(&self, job: &Name, since: Instant, urgent: bool) {
-        let _ = self.accept.borrow_mut().record(since.elapsed().as_micros() as u64);
-        if !urgent {
+    fn record_acceptance(&self, job: &Name, submitted_at: Instant, is_urgent: bool) {
+        let _ = self.accept_times.borrow_mut().record(submitted_at.elapsed().as_micros() as u64);
+        if !is_urgent {
             return;
         }
         let now = now_us();
-        match self.begun_early.borrow_mut().remove(job) {
-            Some(at) => drop(self.urgent.borrow_mut().record(at.saturating_sub(now))),
-            None => drop(self.accepted.borrow_mut().insert(job.clone(), now)),
+        match self.started_before_acceptance.borrow_mut().remove(job) {
+            Some(at) => drop(self.urgent_start_times.borrow_mut().record(at.saturating_sub(now))),
+            None => drop(self.unstarted_urgent.borrow_mut().insert(job.clone(), now)),
         }
     }
 
-    /// All tasks of an urgent job have begun.
-    pub fn begun(&self, b: Begun) {
-        match self.accepted.borrow_mut().remove(&b.job) {
-            Some(at) => drop(self.urgent.borrow_mut().record(b.at_us.saturating_sub(at))),
-            None => drop(self.begun_early.borrow_mut().insert(b.job, b.at_us)),
+    /// Records that all tasks of an urgent job have started.
+    pub fn record_start(&self, start: JobStart) {
+        match self.unstarted_urgent.borrow_mut().remove(&start.job) {
+            Some(at) => drop(self.urgent_start_times.borrow_mut().record(start.at_us.saturating_sub(at))),
+            None => drop(self.started_before_acceptance.borrow_mut().insert(start.job, start.at_us)),
         }
     }
 }
 
-/// The users of one region.
+/// The simulated users of one region.
 pub struct Users {
-    /// Their number, for ids and teams.
+    /// Index of the region, which is part of the job ids.
     region: usize,
     teams: usize,
-    /// The workers' process, which takes job descriptions.
+    /// Address of the workers' process, to which job descriptions are uploaded.
     workers: SocketAddr,
     controllers: Vec<SocketAddr>,
     balancer: RefCell<Balancer>,
     client: Client,
     rng: RefCell<Rng>,
-    next: Cell<u64>,
-    /// Requests so far.
+    next_job_number: Cell<u64>,
+    /// Number of requests sent to controllers so far.
     pub requests: Cell<u64>,
-    /// Arrays as they arrive now.
+    /// Current arrival rate and task duration of arrays.
     pub arrays: Cell<Arrays>,
     load: Load,
-    notes: Rc<Notes>,
-    ended: RefCell<HashSet<Name>>,
+    measurements: Rc<Measurements>,
+    done_jobs: RefCell<HashSet<Name>>,
 }
 
 impl Users {
-    /// Users of a region with these controllers.
+    /// Creates the users of a region, who send requests to `controllers` and upload job descriptions to
+    /// `workers`.
     pub fn new(
         region: usize,
         teams: usize,
         workers: SocketAddr,
         controllers: Vec<SocketAddr>,
         load: Load,
-        notes: Rc<Notes>,
+        measurements: Rc<Measurements>,
         seed: u64,
     ) -> Rc<Users> {
         Rc::new(Users {
@@ -137,102 +152,102 @@
             controllers,
             client: Client::new(64),
             rng: RefCell::new(Rng::with_seed(seed)),
-            next: Cell::new(0),
+            next_job_number: Cell::new(0),
             requests: Cell::new(0),
             arrays: Cell::new(load.steady),
             load,
-            notes,
-            ended: RefCell::default(),
+            measurements,
+            done_jobs: RefCell::default(),
         })
     }
 
-    /// Whether a controller takes users.
-    pub fn any_healthy(&self) -> bool {
-        (0..self.controllers.len()).any(|i| self.balancer.borrow().is_healthy(i))
+    /// Reports whether at least one controller is healthy.
+    pub fn has_healthy_controller(&self) -> bool {
+        (0..self.controllers.len()).any(|index| self.balancer.borrow().is_healthy(index))
     }
 
-    /// Probes the controllers, and lets gangs, arrays and urgent jobs arrive.
-    pub fn start(self: &Rc<Self>, ex: &Rc<LocalExecutor<'static>>) {
-        for i in 0..self.controllers.len() {
-            ex.spawn(self.clone().probe(i)).detach();
+    /// Starts the health probes of all controllers.
+    pub fn start_probes(self: &Rc<Self>, executor: &Rc<LocalExecutor<'static>>) {
+        for index in 0..self.controllers.len() {
+            executor.spawn(self.clone().probe(index)).detach();
         }
     }
 
-    /// Lets gangs, arrays and urgent jobs arrive from now on.
-    pub fn arrive(self: &Rc<Self>, ex: &Rc<LocalExecutor<'static>>) {
-        let (u, e) = (self.clone(), ex.clone());
-        ex.spawn(async move { u.arrivals(&e, |u| u.arrays.get().per_s, Users::array, false).await }).detach();
-        let (u, e) = (self.clone(), ex.clone());
-        ex.spawn(async move { u.arrivals(&e, |u| u.load.gangs_per_s, Users::gang, false).await }).detach();
-        let (u, e) = (self.clone(), ex.clone());
-        ex.spawn(async move { u.arrivals(&e, |u| u.load.urgent_per_s, Users::urgent, true).await }).detach();
+    /// Starts the arrival of arrays, gangs and urgent jobs.
+    pub fn start_arrivals(self: &Rc<Self>, executor: &Rc<LocalExecutor<'static>>) {
+        let (this, ex) = (self.clone(), executor.clone());
+        executor.spawn(async move { this.arrivals(&ex, |u| u.arrays.get().per_s, Users::array, false).await }).detach();
+        let (this, ex) = (self.clone(), executor.clone());
+        executor.spawn(async move { this.arrivals(&ex, |u| u.load.gangs_per_s, Users::gang, false).await }).detach();
+        let (this, ex) = (self.clone(), executor.clone());
+        executor.spawn(async move { this.arrivals(&ex, |u| u.load.urgent_per_s, Users::urgent, true).await }).detach();
     }
 
-    async fn probe(self: Rc<Self>, i: usize) {
+    async fn probe(self: Rc<Self>, index: usize) {
         let client = Client::new(1);
         loop {
-            let answer = client.send(self.controllers[i], "GET", "/healthz", None, PROBE_LIMIT).await;
-            let ok = matches!(answer, Ok((200, _)));
-            self.balancer.borrow_mut().record_probe(i, ok, Instant::now());
-            smol::Timer::after(PROBE_EVERY).await;
+            let answer = client.send(self.controllers[index], "GET", "/healthz", None, PROBE_TIMEOUT).await;
+            let is_healthy = matches!(answer, Ok((200, _)));
+            self.balancer.borrow_mut().record_probe(index, is_healthy, Instant::now());
+            smol::Timer::after(PROBE_INTERVAL).await;
         }
     }
 
-    /// Jobs at random times, at a rate that may change.
+    /// Generates jobs as a Poisson process whose rate may change over time.
     async fn arrivals(
         self: &Rc<Self>,
-        ex: &Rc<LocalExecutor<'static>>,
+        executor: &Rc<LocalExecutor<'static>>,
         rate: fn(&Users) -> f64,
-        make: fn(&Users) -> JobSpec,
+        new_spec: fn(&Users) -> JobSpec,
         timed: bool,
     ) {
-        let mut owed = 0.0;
-        let mut at = Instant::now();
-        let mut due = -(1.0 - self.rng.borrow_mut().f64()).ln();
+        let mut expected_arrivals = 0.0;
+        let mut updated_at = Instant::now();
+        let mut next_arrival = -(1.0 - self.rng.borrow_mut().f64()).ln();
         loop {
             smol::Timer::after(Duration::from_millis(20)).await;
             let now = Instant::now();
-            owed += rate(self) * now.duration_since(at).as_secs_f64();
-            at = now;
-            while owed >= due {
-                owed -= due;
-                due = -(1.0 - self.rng.borrow_mut().f64()).ln();
-                let (u, spec) = (self.clone(), make(self));
-                ex.spawn(async move { u.job(spec, timed).await }).detach();
+            expected_arrivals += rate(self) * now.duration_since(updated_at).as_secs_f64();
+            updated_at = now;
+            while expected_arrivals >= next_arrival {
+                expected_arrivals -= next_arrival;
+                next_arrival = -(1.0 - self.rng.borrow_mut().f64()).ln();
+                let (users, spec) = (self.clone(), new_spec(self));
+                executor.spawn(async move { users.run_job(spec, timed).await }).detach();
             }
         }
     }
 
-    /// Submits the region's services; returns once all were accepted or given up.
-    pub async fn fill(self: &Rc<Self>, ex: &Rc<LocalExecutor<'static>>) {
-        let left = Rc::new(Cell::new(self.load.services));
-        let mut all = Vec::new();
-        for _ in 0..SERVICES_AT_ONCE {
-            let (u, left, e) = (self.clone(), left.clone(), ex.clone());
-            all.push(ex.spawn(async move {
-                while left.get() > 0 {
-                    left.set(left.get() - 1);
-                    let spec = u.service();
-                    if u.submit(&spec, false).await {
-                        let u = u.clone();
-                        e.spawn(async move { u.follow(&spec).await }).detach();
+    /// Submits the region's services; returns once each was accepted, refused or abandoned.
+    pub async fn submit_services(self: &Rc<Self>, executor: &Rc<LocalExecutor<'static>>) {
+        let remaining = Rc::new(Cell::new(self.load.services));
+        let mut submissions = Vec::new();
+        for _ in 0..CONCURRENT_SUBMISSIONS {
+            let (users, remaining, spawner) = (self.clone(), remaining.clone(), executor.clone());
+            submissions.push(executor.spawn(async move {
+                while remaining.get() > 0 {
+                    remaining.set(remaining.get() - 1);
+                    let spec = users.service();
+                    if users.submit(&spec, false).await {
+                        let users = users.clone();
+                        spawner.spawn(async move { users.poll_until_done(&spec).await }).detach();
                     }
                 }
             }));
         }
-        for task in all {
-            task.await;
+        for submission in submissions {
+            submission.await;
         }
     }
 
-    fn id(&self) -> Name {
-        let n = self.next.get();
-        self.next.set(n + 1);
-        format!("j-{:02}{n:010}", self.region + 1).into()
+    fn new_id(&self) -> Name {
+        let number = self.next_job_number.get();
+        self.next_job_number.set(number + 1);
+        format!("j-{:02}{number:010}", self.region + 1).into()
     }
 
-    fn spec(&self, tasks: u32) -> JobSpec {
-        let id = self.id();
+    fn base_spec(&self, tasks: u32) -> JobSpec {
+        let id = self.new_id();
         let team = self.rng.borrow_mut().usize(0..self.teams);
         JobSpec {
             team: format!("team-{team:04}").into(),
@@ -245,7 +260,7 @@
     }
 
     fn service(&self) -> JobSpec {
-        let spec = self.spec(SERVICE_TASKS);
+        let spec = self.base_spec(SERVICE_REPLICAS);
         JobSpec {
             class: "serve".into(),
             shape: Shape::Service,
@@ -257,35 +272,42 @@
     }
 
     fn array(&self) -> JobSpec {
-        JobSpec { class: "sweep".into(), estimate_s: self.arrays.get().run_s, ..self.spec(ARRAY_TASKS) }
+        JobSpec { class: "sweep".into(), estimate_s: self.arrays.get().task_duration_s, ..self.base_spec(ARRAY_TASKS) }
     }
 
     fn gang(&self) -> JobSpec {
-        let all: u32 = GANG_SIZES.iter().map(|g| g.1).sum();
-        let mut at = self.rng.borrow_mut().u32(0..all);
+        let total_weight: u32 = GANG_SIZES.iter().map(|gang| gang.1).sum();
+        let mut position = self.rng.borrow_mut().u32(0..total_weight);
         let mut tasks = GANG_SIZES[0].0;
-        for (size, times) in GANG_SIZES {
+        for (size, weight) in GANG_SIZES {
             tasks = size;
-            if at < times {
+            if position < weight {
                 break;
             }
-            at -= times;
+            position -= weight;
+        }
+        let spec = self.base_spec(tasks);
+        JobSpec {
+            class: "train".into(),
+            shape: Shape::Gang,
+            one_zone: true,
+            gpus: 1.0,
+            estimate_s: GANG_TASK_DURATION_S,
+            ..spec
         }
-        let spec = self.spec(tasks);
-        JobSpec { class: "train".into(), shape: Shape::Gang, one_zone: true, gpus: 1.0, estimate_s: GANG_RUN_S, ..spec }
     }
 
     fn urgent(&self) -> JobSpec {
-        let spec = self.spec(URGENT_TASKS);
+        let spec = self.base_spec(URGENT_TASKS);
         JobSpec { class: "urgent".into(), priority: Priority::Production, estimate_s: URGENT_RUN_S, ..spec }
     }
 
-    /// A healthy controller, at random.
-    fn controller(&self) -> Option<SocketAddr> {
+    /// Returns a randomly chosen healthy controller, or `None` if there is none.
+    fn choose_controller(&self) -> Option<SocketAddr> {
         let balancer = self.balancer.borrow();
-        let healthy: Vec<usize> = (0..self.controllers.len()).filter(|i| balancer.is_healthy(*i)).collect();
-        let i = self.rng.borrow_mut().choice(healthy)?;
-        Some(self.controllers[i])
+        let healthy: Vec<usize> = (0..self.controllers.len()).filter(|index| balancer.is_healthy(*index)).collect();
+        let index = self.rng.borrow_mut().choice(healthy)?;
+        Some(self.controllers[index])
     }
 
     async fn request(
@@ -293,68 +315,80 @@
         method: &str,
         target: &str,
         body: Option<&[u8]>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Option<(u16, Vec<u8>)> {
-        let to = self.controller()?;
+        let address = self.choose_controller()?;
         self.requests.set(self.requests.get() + 1);
-        self.client.send(to, method, target, body, limit).await.ok()
+        self.client.send(address, method, target, body, timeout).await.ok()
     }
 
-    /// One job, to its end.
-    async fn job(&self, spec: JobSpec, timed: bool) {
+    /// Submits a job and, if it was accepted, polls it until it is done.
+    async fn run_job(&self, spec: JobSpec, timed: bool) {
         if self.submit(&spec, timed).await {
-            self.follow(&spec).await;
+            self.poll_until_done(&spec).await;
         }
     }
 
-    /// Uploads and submits a job; whether it was accepted.
+    /// Uploads and submits a job; reports whether the job was accepted.
     async fn submit(&self, spec: &JobSpec, timed: bool) -> bool {
         let upload = Upload { specs: vec![spec.clone()], timed };
-        if let Err(e) = send::<_, Done>(&self.client, self.workers, path::UPLOAD, &upload).await {
-            tracing::error!("{e}");
+        if let Err(error) = send::<_, AffectedMachines>(&self.client, self.workers, path::UPLOAD, &upload).await {
+            tracing::error!("cannot upload a job description to the workers' process: {error}");
             return false;
         }
-        let (body, since) = (http::encode(spec), Instant::now());
-        while since.elapsed() < SUBMIT_GIVES_UP {
-            match self.request("POST", "/v2/runs", Some(&body), SUBMIT_LIMIT).await {
+        let (body, submitted_at) = (http::encode(spec), Instant::now());
+        while submitted_at.elapsed() < SUBMIT_DEADLINE {
+            match self.request("POST", "/v2/runs", Some(&body), SUBMIT_TIMEOUT).await {
                 Some((200 | 201, _)) => {
-                    self.notes.accepted(&spec.id, since, timed);
+                    self.measurements.record_acceptance(&spec.id, submitted_at, timed);
                     return true;
                 }
                 Some((status @ (400 | 422), _)) => {
-                    self.notes.wrong.borrow_mut().push(format!("{} of {} is refused: {status}", spec.id, spec.team));
+                    self.measurements
+                        .violations
+                        .borrow_mut()
+                        .push(format!("job {} of team {} was refused with status {status}", spec.id, spec.team));
                     return false;
                 }
-                _ => drop(smol::Timer::after(PAUSE).await),
+                _ => drop(smol::Timer::after(RETRY_DELAY).await),
             }
         }
         false
     }
 
-    /// Polls a job until it is over, and once more after that.
-    async fn follow(&self, spec: &JobSpec) {
+    /// Polls a job until it is done, and once more to check that it stays done.
+    async fn poll_until_done(&self, spec: &JobSpec) {
         let target = format!("/v2/runs/{}", spec.id);
         loop {
-            smol::Timer::after(POLL_EVERY).await;
-            let Some((status, body)) = self.request("GET", &target, None, POLL_LIMIT).await else { continue };
+            smol::Timer::after(POLL_INTERVAL).await;
+            let Some((status, body)) = self.request("GET", &target, None, POLL_TIMEOUT).await else { continue };
             if status == 404 {
-                self.notes.wrong.borrow_mut().push(format!("forgotten: {}", spec.id));
+                self.measurements
+                    .violations
+                    .borrow_mut()
+                    .push(format!("job {} was accepted but is not known any more (status 404)", spec.id));
                 return;
             }
-            let stage = http::decode::<JobState>(&body).map(|s| s.stage).unwrap_or_default();
-            let over = self.ended.borrow().contains(&spec.id);
-            match (stage.as_str(), over) {
+            let stage = http::decode::<JobState>(&body).map(|state| state.stage).unwrap_or_default();
+            let was_done = self.done_jobs.borrow().contains(&spec.id);
+            match (stage.as_str(), was_done) {
                 ("done", true) => {
-                    self.ended.borrow_mut().remove(&spec.id);
+                    self.done_jobs.borrow_mut().remove(&spec.id);
                     return;
                 }
-                ("done", false) => drop(self.ended.borrow_mut().insert(spec.id.clone())),
+                ("done", false) => drop(self.done_jobs.borrow_mut().insert(spec.id.clone())),
                 ("cancelled", _) => {
-                    self.notes.wrong.borrow_mut().push(format!("went_back: {} is cancelled", spec.id));
+                    self.measurements
+                        .violations
+                        .borrow_mut()
+                        .push(format!("job {} is cancelled, but no user cancelled it", spec.id));
                     return;
                 }
                 (other @ ("pending" | "running"), true) => {
-                    self.notes.wrong.borrow_mut().push(format!("went_back: {} is {other} after done", spec.id));
+                    self.measurements
+                        .violations
+                        .borrow_mut()
+                        .push(format!("job {} is {other} after it was done", spec.id));
                     return;
                 }
                 _ => {}
