--- a/packages/emulator/src/capacity/bench.rs
+++ b/packages/emulator/src/capacity/bench.rs
@@ -1,51 +1,51 @@
-//! Days of the users' bench at large sizes, as `docs/capacity/bench.json` keeps them.
+//! Results of the users' bench at large sizes, as stored in `docs/capacity/bench.json`.
 
 use serde::{Deserialize, Serialize};
 
-/// One day that was played, or that was not.
+/// The result of one simulated day.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BenchRow {
-    /// Deployment that the site was made from.
+    /// Name of the deployment of which the simulated site is a copy.
     pub site: String,
-    /// Times its machines and traffic.
+    /// Factor by which the deployment's machines and traffic are multiplied.
     pub times: f64,
-    /// Controllers.
+    /// Number of controllers.
     pub controllers: u32,
-    /// Teams.
+    /// Number of teams.
     pub teams: u32,
-    /// Day.
+    /// Name of the simulated day.
     pub day: String,
-    /// The code that was played.
+    /// Label of the code version that was simulated.
     pub code: String,
-    /// Machines at most.
+    /// Largest number of machines at one time.
     pub machines: u32,
-    /// Figure of the day.
+    /// The bench's overall figure for the day.
     pub figure: f64,
-    /// Least share of a class, and of a team, that was served.
+    /// Smallest served share of a job class.
     pub least_class: f64,
-    /// ... of a team.
+    /// Smallest served share of a team.
     pub least_team: f64,
-    /// Processor of the busiest controller, in shares of its own: mean.
+    /// Mean processor usage of the busiest controller, as a share of the controller's processor.
     pub busiest_mean: f64,
-    /// ... and peak.
+    /// Peak processor usage of the busiest controller, as a share of the controller's processor.
     pub busiest_peak: f64,
-    /// The mean of the others.
+    /// Mean processor usage of the other controllers, as a share of a controller's processor.
     pub others_mean: f64,
-    /// Most connections of one controller.
+    /// Largest number of connections of one controller.
     pub connections: u32,
-    /// Requests to the state service a second.
+    /// Requests per second to the state service.
     pub state_requests: f64,
-    /// Requests that it refused.
+    /// Requests that the state service refused.
     pub state_refused: u64,
-    /// Tasks started.
+    /// Number of tasks that were started.
     pub started: u64,
-    /// Tasks killed by their leases.
+    /// Number of tasks killed because the lease of their worker expired.
     pub killed: u64,
-    /// 95 of 100 submissions were accepted within this, in seconds.
+    /// 95th percentile of the time from submission to acceptance, in seconds.
     pub accept_p95_s: f64,
-    /// Rules broken.
+    /// Number of violations of the protocol.
     pub broken: u64,
-    /// The journal's entry.
+    /// Journal entry that records the result.
     pub journal: String,
 }
--- a/packages/emulator/src/capacity/fit.rs
+++ b/packages/emulator/src/capacity/fit.rs
@@ -1,92 +1,101 @@
-//! A straight line through measured points: least squares in one or two variables.
+//! Linear least-squares fits in one or two variables.
 
-/// A measured point: what it was measured at, and what was measured.
+/// A measured value with the variables at which it was measured.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Point {
-    /// The variables; the second is 0 where there is one.
-    pub at: [f64; 2],
-    /// The value.
+    /// Values of the variables; the second is 0 in a fit with one variable.
+    pub variables: [f64; 2],
+    /// Measured value.
     pub value: f64,
 }
 
-/// A fit: `constant + slopes · at`.
+/// A linear function `constant + slopes · variables` fitted to points.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Fit {
-    /// At zero.
+    /// Value of the function where all variables are 0.
     pub constant: f64,
-    /// For each of the variables.
+    /// Change of the value for each unit of a variable.
     pub slopes: [f64; 2],
-    /// Root of the mean square of what the line misses.
+    /// Root mean square of the differences between the points and the function.
     pub residual: f64,
-    /// Points.
+    /// Number of points.
     pub points: usize,
-    /// Largest value of each variable that was measured.
-    pub most: [f64; 2],
+    /// Largest measured value of each variable.
+    pub max_variables: [f64; 2],
 }
 
 impl Fit {
-    /// The value on the line.
-    pub fn at(&self, at: [f64; 2]) -> f64 {
-        self.constant + self.slopes[0] * at[0] + self.slopes[1] * at[1]
+    /// Returns the value of the function.
+    pub fn value_at(&self, variables: [f64; 2]) -> f64 {
+        self.constant + self.slopes[0] * variables[0] + self.slopes[1] * variables[1]
     }
 
-    /// How far beyond the measured range this lies: the larger of both variables.
-    pub fn beyond(&self, at: [f64; 2]) -> f64 {
-        let factor = |i: usize| if self.most[i] > 0.0 { at[i] / self.most[i] } else { 0.0 };
+    /// Returns how far beyond the measured range the variables lie: the larger ratio of a variable to
+    /// its largest measured value.
+    pub fn extrapolation(&self, variables: [f64; 2]) -> f64 {
+        let factor = |i: usize| if self.max_variables[i] > 0.0 { variables[i] / self.max_variables[i] } else { 0.0 };
         factor(0).max(factor(1))
     }
 }
 
-/// Unknowns: the constant and both slopes.
+/// Number of unknowns of a fit in two variables: the constant and both slopes.
 const UNKNOWNS: usize = 3;
 
-/// The line through the points; `None` where they do not tell its slopes.
+/// Fits a linear function to the points; returns `None` if the points do not determine its slopes.
 pub fn fit(points: &[Point]) -> Option<Fit> {
-    let second = points.iter().any(|p| p.at[1] != 0.0);
-    let used = if second { UNKNOWNS } else { UNKNOWNS - 1 };
-    if points.len() < used {
+    let has_second_variable = points.iter().any(|point| point.variables[1] != 0.0);
+    let unknowns = if has_second_variable { UNKNOWNS } else { UNKNOWNS - 1 };
+    if points.len() < unknowns {
         return None;
     }
-    let mut sums = [[0.0; UNKNOWNS + 1]; UNKNOWNS];
-    for p in points {
-        let row = [1.0, p.at[0], p.at[1], p.value];
-        for (i, sum) in sums.iter_mut().enumerate() {
-            for (j, s) in sum.iter_mut().enumerate() {
-                *s += row[i] * row[j];
+    let mut equations = [[0.0; UNKNOWNS + 1]; UNKNOWNS];
+    for point in points {
+        let row = [1.0, point.variables[0], point.variables[1], point.value];
+        for (i, equation) in equations.iter_mut().enumerate() {
+            for (j, coefficient) in equation.iter_mut().enumerate() {
+                *coefficient += row[i] * row[j];
             }
         }
     }
-    let x = solve(&mut sums, used)?;
-    let mut fit = Fit { constant: x[0], slopes: [x[1], x[2]], residual: 0.0, points: points.len(), most: [0.0; 2] };
-    let missed: f64 = points.iter().map(|p| (p.value - fit.at(p.at)).powi(2)).sum();
-    fit.residual = (missed / points.len() as f64).sqrt();
-    for p in points {
-        fit.most = [fit.most[0].max(p.at[0]), fit.most[1].max(p.at[1])];
+    let solution = solve(&mut equations, unknowns)?;
+    let mut fit = Fit {
+        constant: solution[0],
+        slopes: [solution[1], solution[2]],
+        residual: 0.0,
+        points: points.len(),
+        max_variables: [0.0; 2],
+    };
+    let squared_error: f64 = points.iter().map(|point| (point.value - fit.value_at(point.variables)).powi(2)).sum();
+    fit.residual = (squared_error / points.len() as f64).sqrt();
+    for point in points {
+        fit.max_variables =
+            [fit.max_variables[0].max(point.variables[0]), fit.max_variables[1].max(point.variables[1])];
     }
     Some(fit)
 }
 
-/// Solves the first `n` equations by elimination, the largest pivot first.
-fn solve(m: &mut [[f64; UNKNOWNS + 1]; UNKNOWNS], n: usize) -> Option<[f64; UNKNOWNS]> {
-    for i in 0..n {
-        let pivot = (i..n).max_by(|a, b| m[*a][i].abs().total_cmp(&m[*b][i].abs()))?;
-        m.swap(i, pivot);
-        if m[i][i].abs() < 1e-12 {
+/// Solves the first `unknowns` equations by Gauss-Jordan elimination with partial pivoting; returns
+/// `None` if they are singular.  The last column of `matrix` holds the right-hand sides.
+fn solve(matrix: &mut [[f64; UNKNOWNS + 1]; UNKNOWNS], unknowns: usize) -> Option<[f64; UNKNOWNS]> {
+    for i in 0..unknowns {
+        let pivot = (i..unknowns).max_by(|a, b| matrix[*a][i].abs().total_cmp(&matrix[*b][i].abs()))?;
+        matrix.swap(i, pivot);
+        if matrix[i][i].abs() < 1e-12 {
             return None;
         }
-        for j in (0..n).filter(|j| *j != i) {
-            let factor = m[j][i] / m[i][i];
-            let row = m[i];
-            for (to, from) in m[j].iter_mut().zip(row) {
-                *to -= factor * from;
+        for j in (0..unknowns).filter(|j| *j != i) {
+            let factor = matrix[j][i] / matrix[i][i];
+            let row = matrix[i];
+            for (target, source) in matrix[j].iter_mut().zip(row) {
+                *target -= factor * source;
             }
         }
     }
-    let mut x = [0.0; UNKNOWNS];
-    for i in 0..n {
-        x[i] = m[i][UNKNOWNS] / m[i][i];
+    let mut solution = [0.0; UNKNOWNS];
+    for i in 0..unknowns {
+        solution[i] = matrix[i][UNKNOWNS] / matrix[i][i];
     }
-    Some(x)
+    Some(solution)
 }
 
 #[cfg(test)]
--- a/packages/emulator/src/capacity/mod.rs
+++ b/packages/emulator/src/capacity/mod.rs
@@ -1,5 +1,7 @@
-//! The capacity page: what each role needs at the target, reckoned from the results of scale
-//! runs and of the bench, and made by a command so that page and runs cannot part.
+//! The capacity page: what each role needs at the target size.
+//!
+//! The page is computed from the results of scale runs and of the bench.  A command generates it, so
+//! that the page always agrees with the results.
 
 pub mod bench;
 pub mod fit;
@@ -15,31 +17,35 @@
 use crate::scale::result::{Phase, RegionFigures, ScaleReport};
 use crate::scale::scenario::Scenario;
 
-/// File of the bench's figures; all others of the directory are results of scale runs.
+/// File with the results of the bench; all other JSON files in the directory are results of scale runs.
 const BENCH_FILE: &str = "bench.json";
-/// What whoever ran them has to say of the runs.
+/// File with remarks on the runs, which are copied to the page.
 const NOTES_FILE: &str = "notes.md";
-/// Phases in which load and processor belong together: nothing fails in them.
-const QUIET_PHASES: [&str; 3] = ["steady", "peak", "after the peak"];
+/// Phases without faults, in which processor usage depends on the load alone.
+const FAULT_FREE_PHASES: [&str; 3] = ["steady", "peak", "after the peak"];
 
 /// Options of `coralnotch-emulator capacity`.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
-    /// Directory with the results.
+    /// The directory with the result files.
     #[arg(default_value = "docs/capacity")]
     pub results: PathBuf,
-    /// Where the page goes.
+    /// The file to which the page is written, in Markdown.
     #[arg(long, default_value = "docs/CAPACITY.md")]
     pub out: PathBuf,
-    /// A page with a plot of each slope as well.
+    /// A file for an HTML page with a plot of each slope; not written by default.
     #[arg(long)]
     pub plots: Option<PathBuf>,
 }
 
-/// Writes the page.
+/// Writes the capacity page and, if requested, the page with plots.
+///
+/// # Errors
+///
+/// Fails if the results cannot be read or a page cannot be written.
 pub fn run(options: &Options) -> Result<(), Error> {
     let results = Results::read(&options.results)?;
-    write(&options.out, &page::text(&results)?)?;
+    write(&options.out, &page::render(&results)?)?;
     match &options.plots {
         Some(file) => write(file, &plots::page(&results)?),
         None => Ok(()),
@@ -50,190 +56,206 @@
     fs::write(file, text).map_err(|error| Error::Io { what: file.display().to_string(), error })
 }
 
-/// The page that the results of a directory give.
+/// Returns the capacity page, in Markdown, for the results in a directory.
+///
+/// # Errors
+///
+/// Returns [`Error::Input`] if a result file cannot be read, or if there is none.
 pub fn page(results: &Path) -> Result<String, Error> {
-    let r = Results::read(results)?;
-    page::text(&r)
+    let results = Results::read(results)?;
+    page::render(&results)
 }
 
-/// All results.
+/// The results from which the capacity page is computed.
 #[derive(Debug)]
 pub struct Results {
-    /// Steps of scale runs, the smallest part first.
+    /// File name and content of each scale report, the smallest fraction of the target first.
     pub runs: Vec<(String, ScaleReport)>,
-    /// Days of the bench.
+    /// Results of the bench.
     pub bench: Vec<BenchRow>,
-    /// What else is to be known of the runs, as text.
+    /// Remarks on the runs, in Markdown; empty if there are none.
     pub notes: String,
 }
 
 impl Results {
-    /// Reads a directory; the error names every file that can't be read.
+    /// Reads the results in a directory.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Error::Input`] if the directory holds no scale report or a file cannot be read.  The
+    /// error names every file whose content is invalid.
     pub fn read(dir: &Path) -> Result<Results, Error> {
-        let (mut runs, mut bench, mut wrong) = (Vec::new(), Vec::new(), Vec::new());
-        let list = fs::read_dir(dir).map_err(|e| Error::Input(format!("{}: {e}", dir.display())))?;
-        let mut files: Vec<PathBuf> = list.flatten().map(|e| e.path()).collect();
-        files.retain(|f| f.extension().is_some_and(|e| e == "json"));
+        let (mut runs, mut bench, mut problems) = (Vec::new(), Vec::new(), Vec::new());
+        let entries = fs::read_dir(dir)
+            .map_err(|error| Error::Input(format!("cannot read the directory {}: {error}", dir.display())))?;
+        let mut files: Vec<PathBuf> = entries.flatten().map(|entry| entry.path()).collect();
+        files.retain(|file| file.extension().is_some_and(|extension| extension == "json"));
         files.sort();
-        for f in files {
-            let name = f.file_name().map(|n| n.to_string_lossy().into_owned()).unwrap_or_default();
-            let text = fs::read_to_string(&f).map_err(|e| Error::Input(format!("{name}: {e}")))?;
+        for file in files {
+            let name = file.file_name().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
+            let text = fs::read_to_string(&file).map_err(|error| Error::Input(format!("{name}: {error}")))?;
             let read = if name == BENCH_FILE {
                 serde_json::from_str(&text).map(|rows| bench = rows)
             } else {
                 serde_json::from_str(&text).map(|report| runs.push((name.clone(), report)))
             };
-            if let Err(e) = read {
-                wrong.push(format!("{name}: {e}"));
+            if let Err(error) = read {
+                problems.push(format!("{name}: {error}"));
             }
         }
-        if !wrong.is_empty() {
-            return Err(Error::Input(wrong.join("\n")));
+        if !problems.is_empty() {
+            return Err(Error::Input(problems.join("\n")));
         }
-        let part = |r: &ScaleReport| r.steps.first().map_or(0.0, |s| s.part);
+        let part = |report: &ScaleReport| report.steps.first().map_or(0.0, |step| step.part);
         runs.sort_by(|a, b| part(&a.1).total_cmp(&part(&b.1)));
         if runs.is_empty() {
-            return Err(Error::Input(format!("{}: no result of a scale run", dir.display())));
+            return Err(Error::Input(format!("{} contains no result of a scale run", dir.display())));
         }
         let notes = fs::read_to_string(dir.join(NOTES_FILE)).unwrap_or_default();
         Ok(Results { runs, bench, notes })
     }
 
-    /// The scenario, which all runs share but for their steps.
+    /// Returns the scenario, which is the same in all runs except for the steps.
     pub fn scenario(&self) -> &Scenario {
         &self.runs[0].1.scenario
     }
 
-    /// Phases of a name, or of all quiet ones.
+    /// Returns the phases with a name, or all fault-free phases if `name` is `None`.
     pub fn phases<'a>(&'a self, name: Option<&'a str>) -> impl Iterator<Item = &'a Phase> + 'a {
-        let steps = self.runs.iter().flat_map(|r| &r.1.steps);
-        steps.flat_map(|s| &s.phases).filter(move |p| match name {
-            Some(n) => p.name == n,
-            None => QUIET_PHASES.contains(&p.name.as_str()),
+        let steps = self.runs.iter().flat_map(|run| &run.1.steps);
+        steps.flat_map(|step| &step.phases).filter(move |phase| match name {
+            Some(name) => phase.name == name,
+            None => FAULT_FREE_PHASES.contains(&phase.name.as_str()),
         })
     }
 
-    /// Regions in quiet phases in which one controller led throughout.
+    /// Returns the figures of fault-free phases for all regions in which one controller led throughout.
     fn regions(&self) -> impl Iterator<Item = &RegionFigures> + '_ {
-        self.phases(None).flat_map(|p| &p.regions).filter(|r| r.one_leader)
+        self.phases(None).flat_map(|phase| &phase.regions).filter(|region| region.one_leader)
     }
 
-    fn points(&self, at: fn(&RegionFigures) -> [f64; 2], value: fn(&RegionFigures) -> f64) -> Vec<Point> {
-        self.regions().map(|r| Point { at: at(r), value: value(r) }).collect()
+    fn points(&self, variables: fn(&RegionFigures) -> [f64; 2], value: fn(&RegionFigures) -> f64) -> Vec<Point> {
+        self.regions().map(|region| Point { variables: variables(region), value: value(region) }).collect()
     }
 }
 
-/// The load of one region of the target.
+/// A load on one region of the target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RegionLoad {
-    /// What it is called.
+    /// Name of the load on the page.
     pub name: &'static str,
-    /// Workers.
+    /// Number of workers.
     pub workers: f64,
-    /// Running tasks.
+    /// Number of running tasks.
     pub running: f64,
-    /// Starts a second.
+    /// Task starts per second.
     pub starts: f64,
 }
 
-/// What a region has to carry: steadily, at the peak, and at the peak with one region lost.
-pub fn loads(s: &Scenario) -> [RegionLoad; 3] {
-    let regions = s.target.regions as f64;
-    let workers = s.target.workers as f64 / regions;
-    let running = workers * s.target.tasks_per_worker as f64;
-    let whole = s.load(1.0);
-    let starts = s.target.starts_per_s / regions;
-    let steady = starts * whole.steady.per_s / whole.peak.per_s;
-    let more = regions / (regions - 1.0).max(1.0);
+/// Returns the loads that a region must carry: steady, at the peak, and at the peak after the loss of
+/// another region.
+pub fn region_loads(scenario: &Scenario) -> [RegionLoad; 3] {
+    let regions = scenario.target.regions as f64;
+    let workers = scenario.target.workers as f64 / regions;
+    let running = workers * scenario.target.tasks_per_worker as f64;
+    let load = scenario.load(1.0);
+    let starts = scenario.target.starts_per_s / regions;
+    let steady = starts * load.steady.per_s / load.peak.per_s;
+    let load_factor = regions / (regions - 1.0).max(1.0);
     [
         RegionLoad { name: "steady", workers, running, starts: steady },
         RegionLoad { name: "peak", workers, running, starts },
         RegionLoad {
             name: "peak, one region lost",
-            workers: workers * more,
-            running: running * more,
-            starts: starts * more,
+            workers: workers * load_factor,
+            running: running * load_factor,
+            starts: starts * load_factor,
         },
     ]
 }
 
-/// A quantity with the slope that it is reckoned from.
+/// A quantity with its fit over two variables.
 #[derive(Debug, Clone)]
 pub struct Slope {
-    /// What it is.
+    /// Name of the quantity on the page.
     pub name: &'static str,
-    /// Its unit.
+    /// Unit of the quantity; empty for a plain number.
     pub unit: &'static str,
-    /// Its variables.
-    pub by: [&'static str; 2],
-    /// What it is fitted to.
+    /// Names of the variables, in the singular.
+    pub variables: [&'static str; 2],
+    /// Points to which the function is fitted.
     pub points: Vec<Point>,
-    /// The line.
+    /// The fitted function; `None` if the points do not determine it.
     pub fit: Option<Fit>,
 }
 
 impl Slope {
-    fn new(name: &'static str, unit: &'static str, by: [&'static str; 2], points: Vec<Point>) -> Slope {
-        Slope { name, unit, by, fit: fit(&points), points }
+    fn new(name: &'static str, unit: &'static str, variables: [&'static str; 2], points: Vec<Point>) -> Slope {
+        Slope { name, unit, variables, fit: fit(&points), points }
     }
 }
 
-/// All slopes, each from regions in quiet phases.
+/// All slopes, each fitted to the regions in fault-free phases.
 #[derive(Debug)]
 pub struct Slopes {
-    /// Reports a second.
+    /// Heartbeats per second.
     pub reports: Slope,
-    /// Direct commands a second.
+    /// Commands per second that are sent to workers directly.
     pub direct: Slope,
-    /// Bytes a second between workers and controllers.
+    /// Kilobytes per second between workers and controllers.
     pub bytes: Slope,
-    /// Processor of the leader.
+    /// Processor usage of the leader, in cores.
     pub leader_cores: Slope,
-    /// Its memory.
+    /// Memory of the leader, in MB.
     pub leader_memory: Slope,
-    /// Its connections.
+    /// Connections of the leader.
     pub leader_files: Slope,
-    /// Processor of a controller that follows.
+    /// Processor usage of a controller that does not lead, in cores.
     pub follower_cores: Slope,
-    /// Its memory.
+    /// Memory of a controller that does not lead, in MB.
     pub follower_memory: Slope,
-    /// Requests to the state service.
+    /// Requests per second to the state service.
     pub state_requests: Slope,
-    /// Changes in it.
+    /// Puts and deletes per second in the state service.
     pub state_changes: Slope,
-    /// Its processor.
+    /// Processor usage of the state service, in cores.
     pub state_cores: Slope,
-    /// The cloud's processor.
+    /// Processor usage of the cloud, in cores.
     pub cloud_cores: Slope,
-    /// Processor of all workers of a region.
+    /// Processor usage of all workers of a region, in cores.
     pub worker_cores: Slope,
-    /// Memory of all workers of a region.
+    /// Memory of all workers of a region, in MB.
     pub worker_memory: Slope,
 }
 
-/// Slopes are taken over these pairs.
-const BY_SIZE: [&str; 2] = ["worker", "start a second"];
-const BY_MESSAGE: [&str; 2] = ["report a second", "start a second"];
-const BY_TASK: [&str; 2] = ["worker", "running task"];
+/// Names of the variables of quantities that depend on workers and task starts.
+const WORKERS_AND_STARTS: [&str; 2] = ["worker", "start a second"];
+/// Names of the variables of quantities that depend on heartbeats and task starts.
+const REPORTS_AND_STARTS: [&str; 2] = ["report a second", "start a second"];
+/// Names of the variables of quantities that depend on workers and running tasks.
+const WORKERS_AND_TASKS: [&str; 2] = ["worker", "running task"];
 
-fn by_size(r: &RegionFigures) -> [f64; 2] {
-    [r.workers as f64, r.starts_per_s]
+fn workers_and_starts(region: &RegionFigures) -> [f64; 2] {
+    [region.workers as f64, region.starts_per_s]
 }
 
-fn by_message(r: &RegionFigures) -> [f64; 2] {
-    [r.reports_per_s, r.starts_per_s]
+fn reports_and_starts(region: &RegionFigures) -> [f64; 2] {
+    [region.reports_per_s, region.starts_per_s]
 }
 
-fn by_task(r: &RegionFigures) -> [f64; 2] {
-    [r.workers as f64, r.running as f64]
+fn workers_and_tasks(region: &RegionFigures) -> [f64; 2] {
+    [region.workers as f64, region.running as f64]
 }
 
 impl Slopes {
-    /// The slopes that the results give.
-    pub fn of(r: &Results) -> Slopes {
-        let size = |name, unit, value| Slope::new(name, unit, BY_SIZE, r.points(by_size, value));
-        let message = |name, unit, value| Slope::new(name, unit, BY_MESSAGE, r.points(by_message, value));
-        let task = |name, unit, value| Slope::new(name, unit, BY_TASK, r.points(by_task, value));
+    /// Fits all slopes to the results.
+    pub fn from_results(results: &Results) -> Slopes {
+        let size =
+            |name, unit, value| Slope::new(name, unit, WORKERS_AND_STARTS, results.points(workers_and_starts, value));
+        let message =
+            |name, unit, value| Slope::new(name, unit, REPORTS_AND_STARTS, results.points(reports_and_starts, value));
+        let task =
+            |name, unit, value| Slope::new(name, unit, WORKERS_AND_TASKS, results.points(workers_and_tasks, value));
         Slopes {
             reports: size("reports", "a second", |r| r.reports_per_s),
             direct: size("direct commands", "a second", |r| r.direct_per_s),
@@ -252,7 +274,7 @@
         }
     }
 
-    /// All of them, in the order of the page.
+    /// Returns all slopes in the order of the page.
     pub fn all(&self) -> [&Slope; 14] {
         [
             &self.reports,
@@ -272,22 +294,23 @@
         ]
     }
 
-    /// Where a slope is to be read for a load.
-    pub fn place(&self, s: &Slope, l: &RegionLoad) -> [f64; 2] {
-        match s.by {
-            BY_MESSAGE => {
-                let reports = self.reports.fit.map_or(0.0, |f| f.at([l.workers, l.starts]));
-                [reports, l.starts]
+    /// Returns the values of a slope's variables at a load.
+    pub fn variables_at(&self, slope: &Slope, load: &RegionLoad) -> [f64; 2] {
+        match slope.variables {
+            REPORTS_AND_STARTS => {
+                let reports = self.reports.fit.map_or(0.0, |fit| fit.value_at([load.workers, load.starts]));
+                [reports, load.starts]
             }
-            BY_TASK => [l.workers, l.running],
-            _ => [l.workers, l.starts],
+            WORKERS_AND_TASKS => [load.workers, load.running],
+            _ => [load.workers, load.starts],
         }
     }
 
-    /// A value at a load, with how far beyond the measured range that is.
-    pub fn value(&self, s: &Slope, l: &RegionLoad) -> Option<(f64, f64)> {
-        let at = self.place(s, l);
-        s.fit.map(|f| (f.at(at), f.beyond(at)))
+    /// Returns the predicted value of a quantity at a load, and how far beyond the measured range the
+    /// load lies; see [`Fit::extrapolation`].
+    pub fn predict(&self, slope: &Slope, load: &RegionLoad) -> Option<(f64, f64)> {
+        let variables = self.variables_at(slope, load);
+        slope.fit.map(|fit| (fit.value_at(variables), fit.extrapolation(variables)))
     }
 }
 
--- a/packages/emulator/src/capacity/page/measured.rs
+++ b/packages/emulator/src/capacity/page/measured.rs
@@ -1,13 +1,13 @@
-//! What was measured: how far each step of the runs got, and the slopes fitted to them.
+//! The measurements: the results of each step of the runs, and the slopes fitted to them.
 
 use std::fmt::Write as _;
 
-use super::{short, Section};
-use crate::capacity::{loads, Results, Slopes};
+use super::{format_number, Section};
+use crate::capacity::{region_loads, Results, Slopes};
 use crate::scale::result::{Phase, RegionFigures, ScaleReport};
 use crate::scale::scenario::Scenario;
 
-/// How far one machine got.
+/// Returns the section with the results of each step.
 pub(super) fn steps(results: &Results) -> Section {
     let scenario = results.scenario();
     let mut out = String::from("## How far one machine gets\n\n");
@@ -35,7 +35,7 @@
 
 fn step_row(out: &mut String, run: &ScaleReport) -> std::fmt::Result {
     for step in &run.steps {
-        let ended = step.stopped.as_deref().unwrap_or("whole");
+        let ended = step.stopped.as_deref().unwrap_or("complete");
         let Some(phase) = step.phases.iter().find(|phase| phase.name == "peak") else {
             writeln!(out, "| {} | | | | | | | | | {} | {ended} |", step.part, step.broken.len())?;
             continue;
@@ -44,33 +44,34 @@
             out,
             "| {} | {:.0} | {:.0} | {} ({}) | {} | {} | {} ({}) | {} ms | {} ms | {} | {ended} |",
             step.part,
-            sum(phase, |r| r.workers as f64),
-            sum(phase, |r| r.running as f64),
-            short(sum(phase, |r| r.starts_per_s)),
-            short(run.scenario.target.starts_per_s * step.part),
-            short(sum(phase, |r| r.reports_per_s)),
-            short(phase.cores_in_all),
-            short(most(phase, |r| r.leader.cores)),
-            short(most(phase, |r| r.leader.cores_most)),
-            short(phase.accept.p95_ms),
-            short(phase.urgent.p95_ms),
+            sum(phase, |region| region.workers as f64),
+            sum(phase, |region| region.running as f64),
+            format_number(sum(phase, |region| region.starts_per_s)),
+            format_number(run.scenario.target.starts_per_s * step.part),
+            format_number(sum(phase, |region| region.reports_per_s)),
+            format_number(phase.cores_in_all),
+            format_number(max(phase, |region| region.leader.cores)),
+            format_number(max(phase, |region| region.leader.cores_most)),
+            format_number(phase.accept.p95_ms),
+            format_number(phase.urgent.p95_ms),
             step.broken.len(),
         )?;
     }
     Ok(())
 }
 
-/// Every slope with its points, its residual and how far beyond the target lies.
+/// Returns the section with all slopes, their residuals, and how far the target lies beyond the
+/// measured range.
 pub(super) fn slope_table(slopes: &Slopes, scenario: &Scenario) -> Section {
-    let peak = loads(scenario)[1];
+    let peak = region_loads(scenario)[1];
     let mut out = String::from(
-        "## Slopes\n\nLeast squares over the regions of all steps in the phases in which nothing fails (steady, peak, after the \
-         peak), one point a region and phase. *Beyond*: the region's peak at the target over the largest that was measured.\n\n",
+        "## Slopes\n\nLeast-squares fits over the regions of all steps, in the phases without faults (steady, peak, after the \
+         peak), with one point for each region and phase. *Beyond*: the region's peak at the target divided by the largest measured value.\n\n",
     );
     out += "| quantity | constant | a | b | points | residual | measured up to | beyond |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n";
     for slope in slopes.all() {
-        let Some(f) = slope.fit else {
-            writeln!(out, "| {} | not told by the points | | | | | | |", slope.name)?;
+        let Some(fit) = slope.fit else {
+            writeln!(out, "| {} | not determined by the points | | | | | | |", slope.name)?;
             continue;
         };
         writeln!(
@@ -78,26 +79,26 @@
             "| {}, {} | {} | {} a {} | {} a {} | {} | {} | {}; {} | {:.1} |",
             slope.name,
             slope.unit,
-            short(f.constant),
-            short(f.slopes[0]),
-            slope.by[0],
-            short(f.slopes[1]),
-            slope.by[1],
-            f.points,
-            short(f.residual),
-            short(f.most[0]),
-            short(f.most[1]),
-            f.beyond(slopes.place(slope, &peak)),
+            format_number(fit.constant),
+            format_number(fit.slopes[0]),
+            slope.variables[0],
+            format_number(fit.slopes[1]),
+            slope.variables[1],
+            fit.points,
+            format_number(fit.residual),
+            format_number(fit.max_variables[0]),
+            format_number(fit.max_variables[1]),
+            fit.extrapolation(slopes.variables_at(slope, &peak)),
         )?;
     }
     out.push('\n');
     Ok(out)
 }
 
-fn sum(phase: &Phase, f: fn(&RegionFigures) -> f64) -> f64 {
-    phase.regions.iter().map(f).sum()
+fn sum(phase: &Phase, figure: fn(&RegionFigures) -> f64) -> f64 {
+    phase.regions.iter().map(figure).sum()
 }
 
-fn most(phase: &Phase, f: fn(&RegionFigures) -> f64) -> f64 {
-    phase.regions.iter().map(f).fold(0.0, f64::max)
+fn max(phase: &Phase, figure: fn(&RegionFigures) -> f64) -> f64 {
+    phase.regions.iter().map(figure).fold(0.0, f64::max)
 }
--- a/packages/emulator/src/capacity/tests.rs
+++ b/packages/emulator/src/capacity/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use crate::scale::result::{Step, Usage};
 
-/// A run whose figures lie on known lines.
-fn made_up(part: f64) -> ScaleReport {
+/// Returns a report whose figures are known linear functions of the load.
+fn report_on_known_lines(part: f64) -> ScaleReport {
     let text = include_str!("../../../../examples/scale/target.toml");
-    let scenario = Scenario::parse(text).expect("the example is in order");
+    let scenario = Scenario::parse(text).expect("the example scenario is valid");
     let region = |starts: f64| {
         let workers = 3500.0 * part;
         let reports = 0.2 * workers + starts;
@@ -27,59 +27,61 @@
 
 fn results() -> Results {
     Results {
-        runs: vec![("a".into(), made_up(0.125)), ("b".into(), made_up(0.5))],
+        runs: vec![("a".into(), report_on_known_lines(0.125)), ("b".into(), report_on_known_lines(0.5))],
         bench: Vec::new(),
         notes: String::new(),
     }
 }
 
-/// Slopes are those of the phases in which nothing fails, and the target is read off them.
+/// Slopes are fitted to the fault-free phases alone and predict the figures at the target.
 #[test]
-fn the_target_is_read_off_the_slopes() {
-    let r = results();
-    let s = Slopes::of(&r);
-    let [steady, peak, lost] = loads(r.scenario());
+fn slopes_of_fault_free_phases_predict_the_target() {
+    let results = results();
+    let slopes = Slopes::from_results(&results);
+    let [steady, peak, lost] = region_loads(results.scenario());
     assert_eq!((peak.workers, peak.starts, peak.running), (3500.0, 1850.0, 52_500.0));
     assert!((steady.starts - 462.5).abs() < 0.1 && (lost.workers - 3500.0 * 4.0 / 3.0).abs() < 0.1);
-    let (reports, beyond) = s.value(&s.reports, &peak).expect("a slope");
+    let (reports, extrapolation) = slopes.predict(&slopes.reports, &peak).expect("the points determine the slope");
     assert!((reports - 2550.0).abs() < 1.0, "{reports}");
-    assert!((beyond - 2.0).abs() < 0.01, "{beyond}");
-    let (cores, _) = s.value(&s.leader_cores, &peak).expect("a slope");
+    assert!((extrapolation - 2.0).abs() < 0.01, "{extrapolation}");
+    let (cores, _) = slopes.predict(&slopes.leader_cores, &peak).expect("the points determine the slope");
     assert!((cores - (0.01 + 0.255 + 0.74)).abs() < 0.01, "{cores}");
 }
 
-/// What is over its limit is called so, in its row and in the list.
+/// A figure above its limit is marked in its table row and listed in the section of unmet limits.
 #[test]
-fn what_does_not_hold_is_said() {
-    let r = results();
-    let text = page::text(&r).expect("a page");
-    let row = text.lines().find(|l| l.starts_with("| leader | processor")).expect("a row");
+fn exceeded_limit_is_marked_and_listed() {
+    let results = results();
+    let text = page::render(&results).expect("the page can be generated");
+    let row = text.lines().find(|line| line.starts_with("| leader | processor")).expect("the table has the row");
     assert!(row.contains("does not hold"), "{row}");
-    let row = text.lines().find(|l| l.starts_with("| state service | requests")).expect("a row");
+    let row = text.lines().find(|line| line.starts_with("| state service | requests")).expect("the table has the row");
     assert!(row.ends_with("| holds |"), "{row}");
-    let (_, list) = text.split_once("## What does not hold").expect("a list");
+    let (_, list) = text.split_once("## What does not hold").expect("the page has the section");
     assert!(list.contains("leader: processor at the peak"), "{list}");
 }
 
-/// Each slope has its plot.
+/// The page of plots has one plot for each slope, with the name of the slope.
 #[test]
-fn each_slope_is_plotted() {
-    let r = results();
-    let page = plots::page(&r).expect("a page");
-    let slopes = Slopes::of(&r);
+fn page_of_plots_shows_each_slope() {
+    let results = results();
+    let page = plots::page(&results).expect("the page can be generated");
+    let slopes = Slopes::from_results(&results);
     assert_eq!(page.matches("<svg").count(), slopes.all().len());
-    assert!(slopes.all().iter().all(|s| page.contains(s.name)));
+    assert!(slopes.all().iter().all(|slope| page.contains(slope.name)));
 }
 
-/// A result that can't be read is named.
+/// The error names every result file that cannot be parsed, and reports a directory without results.
 #[test]
-fn unreadable_results_are_named() {
+fn invalid_result_files_are_named_in_the_error() {
     let dir = std::env::temp_dir().join(format!("coralnotch-capacity-{}", std::process::id()));
-    fs::create_dir_all(&dir).expect("a directory");
-    assert!(matches!(page(&dir), Err(Error::Input(why)) if why.contains("no result")));
-    fs::write(dir.join("scale-1.json"), "{}").expect("a file");
-    fs::write(dir.join("bench.json"), "[{}]").expect("a file");
-    let why = page(&dir).expect_err("two unreadable files");
-    assert!(matches!(why, Error::Input(why) if why.contains("scale-1.json") && why.contains("bench.json")));
+    fs::create_dir_all(&dir).expect("the directory can be created");
+    assert!(matches!(page(&dir), Err(Error::Input(message)) if message.contains("no result")));
+    fs::write(dir.join("scale-1.json"), "{}").expect("the file can be written");
+    fs::write(dir.join("bench.json"), "[{}]").expect("the file can be written");
+    let message = page(&dir).expect_err("two unreadable files");
+    assert!(
+        matches!(message, Error::Input(message) if message.contains("scale-1.json") && message.contains("bench.json"))
+    );
     let _ = fs::remove_dir_all(dir);
 }
