--- a/packages/emulator/src/capacity/fit.rs
+++ b/packages/emulator/src/capacity/fit.rs
@@ -14,7 +14,7 @@
 pub struct Fit {
     /// Value of the function where all variables are 0.
     pub constant: f64,
-    /// Change of the value for each unit of a variable.
+    /// Change of the value per unit of each variable.
     pub slopes: [f64; 2],
     /// Root mean square of the differences between the points and the function.
     pub residual: f64,
@@ -31,7 +31,7 @@
     }
 
     /// Returns how far beyond the measured range the variables lie: the larger ratio of a variable to
-    /// its largest measured value.
+    /// its largest measured value, which is above 1 outside the range.
     pub fn extrapolation(&self, variables: [f64; 2]) -> f64 {
         let factor = |i: usize| if self.max_variables[i] > 0.0 { variables[i] / self.max_variables[i] } else { 0.0 };
         factor(0).max(factor(1))
--- a/packages/emulator/src/capacity/mod.rs
+++ b/packages/emulator/src/capacity/mod.rs
@@ -116,6 +116,10 @@
     }
 
     /// Returns the scenario, which is the same in all runs except for the steps.
+    ///
+    /// # Panics
+    ///
+    /// Panics if there are no runs, which [`Results::read`] rules out.
     pub fn scenario(&self) -> &Scenario {
         &self.runs[0].1.scenario
     }
@@ -181,8 +185,8 @@
     pub name: &'static str,
     /// Unit of the quantity; empty for a plain number.
     pub unit: &'static str,
-    /// Names of the variables, in the singular.
-    pub variables: [&'static str; 2],
+    /// Names of the two variables, for example `worker`.
+    pub variable_names: [&'static str; 2],
     /// Points to which the function is fitted.
     pub points: Vec<Point>,
     /// The fitted function; `None` if the points do not determine it.
@@ -190,8 +194,8 @@
 }
 
 impl Slope {
-    fn new(name: &'static str, unit: &'static str, variables: [&'static str; 2], points: Vec<Point>) -> Slope {
-        Slope { name, unit, variables, fit: fit(&points), points }
+    fn new(name: &'static str, unit: &'static str, variable_names: [&'static str; 2], points: Vec<Point>) -> Slope {
+        Slope { name, unit, variable_names, fit: fit(&points), points }
     }
 }
 
@@ -250,27 +254,27 @@
 impl Slopes {
     /// Fits all slopes to the results.
     pub fn from_results(results: &Results) -> Slopes {
-        let size =
+        let over_starts =
             |name, unit, value| Slope::new(name, unit, WORKERS_AND_STARTS, results.points(workers_and_starts, value));
-        let message =
+        let over_reports =
             |name, unit, value| Slope::new(name, unit, REPORTS_AND_STARTS, results.points(reports_and_starts, value));
-        let task =
+        let over_tasks =
             |name, unit, value| Slope::new(name, unit, WORKERS_AND_TASKS, results.points(workers_and_tasks, value));
         Slopes {
-            reports: size("reports", "a second", |r| r.reports_per_s),
-            direct: size("direct commands", "a second", |r| r.direct_per_s),
-            bytes: size("bytes, workers and controllers", "KB a second", |r| r.bytes_per_s / 1000.0),
-            leader_cores: message("leader: processor", "cores", |r| r.leader.cores),
-            leader_memory: task("leader: memory", "MB", |r| r.leader.memory_mb),
-            leader_files: size("leader: connections", "", |r| r.leader.files as f64),
-            follower_cores: message("other controller: processor", "cores", |r| r.followers.cores),
-            follower_memory: task("other controller: memory", "MB", |r| r.followers.memory_mb),
-            state_requests: size("state service: requests", "a second", |r| r.state_requests_per_s),
-            state_changes: size("state service: changes", "a second", |r| r.state_changes_per_s),
-            state_cores: size("state service: processor", "cores", |r| r.state.cores),
-            cloud_cores: size("cloud: processor", "cores", |r| r.cloud.cores),
-            worker_cores: message("all workers: processor", "cores", |r| r.worker_process.cores),
-            worker_memory: task("all workers: memory", "MB", |r| r.worker_process.memory_mb),
+            reports: over_starts("reports", "a second", |r| r.reports_per_s),
+            direct: over_starts("direct commands", "a second", |r| r.direct_per_s),
+            bytes: over_starts("bytes, workers and controllers", "KB a second", |r| r.bytes_per_s / 1000.0),
+            leader_cores: over_reports("leader: processor", "cores", |r| r.leader.cores),
+            leader_memory: over_tasks("leader: memory", "MB", |r| r.leader.memory_mb),
+            leader_files: over_starts("leader: connections", "", |r| r.leader.files as f64),
+            follower_cores: over_reports("other controller: processor", "cores", |r| r.followers.cores),
+            follower_memory: over_tasks("other controller: memory", "MB", |r| r.followers.memory_mb),
+            state_requests: over_starts("state service: requests", "a second", |r| r.state_requests_per_s),
+            state_changes: over_starts("state service: changes", "a second", |r| r.state_changes_per_s),
+            state_cores: over_starts("state service: processor", "cores", |r| r.state.cores),
+            cloud_cores: over_starts("cloud: processor", "cores", |r| r.cloud.cores),
+            worker_cores: over_reports("all workers: processor", "cores", |r| r.worker_process.cores),
+            worker_memory: over_tasks("all workers: memory", "MB", |r| r.worker_process.memory_mb),
         }
     }
 
@@ -296,7 +300,7 @@
 
     /// Returns the values of a slope's variables at a load.
     pub fn variables_at(&self, slope: &Slope, load: &RegionLoad) -> [f64; 2] {
-        match slope.variables {
+        match slope.variable_names {
             REPORTS_AND_STARTS => {
                 let reports = self.reports.fit.map_or(0.0, |fit| fit.value_at([load.workers, load.starts]));
                 [reports, load.starts]
--- a/packages/emulator/src/capacity/page/measured.rs
+++ b/packages/emulator/src/capacity/page/measured.rs
@@ -66,7 +66,7 @@
     let peak = region_loads(scenario)[1];
     let mut out = String::from(
         "## Slopes\n\nLeast-squares fits over the regions of all steps, in the phases without faults (steady, peak, after the \
-         peak), with one point for each region and phase. *Beyond*: the region's peak at the target divided by the largest measured value.\n\n",
+         peak), with one point for each region and phase. *Beyond*: the region's peak at the target divided by the largest that was measured.\n\n",
     );
     out += "| quantity | constant | a | b | points | residual | measured up to | beyond |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n";
     for slope in slopes.all() {
@@ -81,9 +81,9 @@
             slope.unit,
             format_number(fit.constant),
             format_number(fit.slopes[0]),
-            slope.variables[0],
+            slope.variable_names[0],
             format_number(fit.slopes[1]),
-            slope.variables[1],
+            slope.variable_names[1],
             fit.points,
             format_number(fit.residual),
             format_number(fit.max_variables[0]),
--- a/packages/emulator/src/capacity/page/roles.rs
+++ b/packages/emulator/src/capacity/page/roles.rs
@@ -26,9 +26,9 @@
             "leader",
             &slopes.leader_cores,
             region.cores,
-            "duties run before requests; the time of passes is limited to a share",
+            "duties run before requests; the time of scheduling passes is limited to a share",
         ),
-        row("leader", &slopes.leader_memory, region.memory_mb, "ended jobs leave memory"),
+        row("leader", &slopes.leader_memory, region.memory_mb, "ended jobs are removed from memory"),
         row(
             "leader",
             &slopes.leader_files,
@@ -36,7 +36,7 @@
             "above `spread_from` machines reports go through the other controllers",
         ),
         row("other controller", &slopes.follower_cores, region.cores, "users' requests and forwarded reports"),
-        row("other controller", &slopes.follower_memory, region.memory_mb, "ended jobs leave memory"),
+        row("other controller", &slopes.follower_memory, region.memory_mb, "ended jobs are removed from memory"),
         row(
             "state service",
             &slopes.state_requests,
--- a/packages/emulator/src/capacity/plots.rs
+++ b/packages/emulator/src/capacity/plots.rs
@@ -23,5 +23,5 @@
         .fit
         .map(|fit| points.iter().map(|point| (point.variables[0], fit.value_at(point.variables).max(0.0))).collect());
     let lines = [("measured", measured), ("fit", fitted.unwrap_or_default())];
-    plot(slope.name, (slope.variables[0], slope.unit), &lines)
+    plot(slope.name, (slope.variable_names[0], slope.unit), &lines)
 }
--- a/packages/emulator/src/capacity/tests.rs
+++ b/packages/emulator/src/capacity/tests.rs
@@ -79,9 +79,9 @@
     assert!(matches!(page(&dir), Err(Error::Input(message)) if message.contains("no result")));
     fs::write(dir.join("scale-1.json"), "{}").expect("the file can be written");
     fs::write(dir.join("bench.json"), "[{}]").expect("the file can be written");
-    let message = page(&dir).expect_err("two unreadable files");
+    let error = page(&dir).expect_err("neither file can be parsed");
     assert!(
-        matches!(message, Error::Input(message) if message.contains("scale-1.json") && message.contains("bench.json"))
+        matches!(error, Error::Input(message) if message.contains("scale-1.json") && message.contains("bench.json"))
     );
     let _ = fs::remove_dir_all(dir);
 }
--- a/packages/emulator/src/scale/control.rs
+++ b/packages/emulator/src/scale/control.rs
@@ -16,15 +16,15 @@
 
 /// HTTP paths of the control interfaces.
 pub mod path {
-    /// Returns the counters of a process since its start (state service, cloud and workers).
+    /// `GET`: the counters of the state service, the cloud or the workers.
     pub const STATS: &str = "/stats";
-    /// Sends job descriptions to the workers.
+    /// `POST` to the workers: job descriptions from the users.
     pub const UPLOAD: &str = "/upload";
-    /// Sends machine events from the cloud to the workers.
+    /// `POST` to the workers: machine events from the cloud.
     pub const MACHINES: &str = "/machines";
-    /// Makes the cloud kill machines.
+    /// `POST` to the cloud: machines to kill.
     pub const KILL: &str = "/kill";
-    /// Makes the cloud close a zone and kill its machines, or open the zone again.
+    /// `POST` to the cloud: a zone to close or to open again.
     pub const ZONE: &str = "/zone";
 }
 
--- a/packages/emulator/src/scale/mod.rs
+++ b/packages/emulator/src/scale/mod.rs
@@ -51,7 +51,9 @@
 /// # Errors
 ///
 /// Returns [`Error::Input`] if the scenario is invalid, before any process is started, and
-/// [`Error::Failed`] if a violation of the protocol was observed.
+/// [`Error::Failed`] if a violation of the protocol was observed.  Also fails if the controller program
+/// is missing, a process cannot be started, or a file cannot be written.  A step that stops early is
+/// not an error: its result file states the reason.
 pub fn run(options: &Options, stop: &Receiver<()>) -> Result<Vec<PathBuf>, Error> {
     let scenario = read_scenario(options)?;
     let program = controller_program(options.controller.as_deref())?;
@@ -131,7 +133,7 @@
     step.broken.extend(run.measurements.violations.borrow().iter().cloned());
     match outcome {
         Ok(()) => {}
-        // A limit was reached or a process ended: the phases measured until then are reported.
+        // The step stopped early, for example at a limit: the phases measured until then are reported.
         Err(Error::Failed(reason)) => step.stopped = Some(reason),
         Err(error) => return Err(error),
     }
--- a/packages/emulator/src/scale/phases.rs
+++ b/packages/emulator/src/scale/phases.rs
@@ -58,7 +58,7 @@
     users_meter: Meter,
     /// The time at which the run stops.
     deadline: Instant,
-    bar: ProgressBar,
+    progress_bar: ProgressBar,
 }
 
 impl<'a> StepRun<'a> {
@@ -70,12 +70,12 @@
         measurements: Rc<Measurements>,
         deadline: Instant,
     ) -> StepRun<'a> {
-        let bar = ProgressBar::new_spinner();
+        let progress_bar = ProgressBar::new_spinner();
         if let Ok(style) = ProgressStyle::with_template("{elapsed} {msg}") {
-            bar.set_style(style);
+            progress_bar.set_style(style);
         }
         let users_meter = Meter::new(std::process::id());
-        StepRun { scenario, part, regions, measurements, users_meter, deadline, bar }
+        StepRun { scenario, part, regions, measurements, users_meter, deadline, progress_bar }
     }
 
     /// Plays all phases and adds the measurements to `step`.
@@ -99,7 +99,7 @@
 
     /// Removes the progress line from the terminal.
     pub(super) fn clear_progress(&self) {
-        self.bar.finish_and_clear();
+        self.progress_bar.finish_and_clear();
     }
 
     fn planned_phases(&self) -> Vec<PlannedPhase> {
@@ -128,9 +128,11 @@
         let began = Instant::now();
         while !self.regions.iter().all(|region| region.users.has_healthy_controller()) {
             if began.elapsed() > READY_TIMEOUT {
-                return Err(Error::Failed("a region has no healthy controller; see the controller logs".into()));
+                return Err(Error::Failed(
+                    "no controller of a region became healthy in time; see the controller logs".into(),
+                ));
             }
-            self.check()?;
+            self.check_processes()?;
             smol::Timer::after(POLL_INTERVAL).await;
         }
         Ok(())
@@ -150,7 +152,7 @@
         }
         while began.elapsed().as_secs_f64() < self.scenario.phases.fill_s {
             smol::Timer::after(SAMPLE_INTERVAL).await;
-            self.check()?;
+            self.check_processes()?;
             let mut is_full = true;
             for region in &self.regions {
                 let stats = region.worker_stats().await?;
@@ -165,6 +167,7 @@
         self.end_phase("fill", &before, began, &mut Vec::new()).await
     }
 
+    /// Resets the measurements; returns a snapshot of each region.
     async fn begin_phase(&mut self) -> Result<Vec<Snapshot>, Error> {
         self.measurements.begin_phase();
         let mut snapshots = Vec::new();
@@ -176,6 +179,8 @@
         Ok(snapshots)
     }
 
+    /// Returns the measurements of a phase that began with the snapshots `before`, and appends the
+    /// violations observed in it to `broken`.
     async fn end_phase(
         &mut self,
         name: &str,
@@ -192,7 +197,7 @@
             regions.push(region.figures(before, &after, seconds));
         }
         let users = self.users_meter.usage();
-        let cores_in_all = users.cores + regions.iter().map(cores).sum::<f64>();
+        let cores_in_all = users.cores + regions.iter().map(total_cores).sum::<f64>();
         Ok(Phase {
             name: name.into(),
             seconds,
@@ -213,7 +218,7 @@
         }
         let before = self.begin_phase().await?;
         let began = Instant::now();
-        self.inject(fault, &before).await?;
+        self.inject_fault(fault, &before).await?;
         let (mut restarted, mut sampled_at) = (0, began);
         while began.elapsed().as_secs_f64() < seconds {
             let is_measuring_gap = self.regions.iter().any(Region::is_measuring_gap);
@@ -224,7 +229,7 @@
             }
             if sampled_at.elapsed() >= SAMPLE_INTERVAL {
                 sampled_at = Instant::now();
-                self.check()?;
+                self.check_processes()?;
                 self.show_progress(format!("{name}, {:.0} s", began.elapsed().as_secs_f64()));
             }
         }
@@ -263,12 +268,12 @@
         let until = Instant::now() + Duration::from_secs_f64(self.scenario.phases.settle_s);
         while Instant::now() < until {
             smol::Timer::after(SAMPLE_INTERVAL).await;
-            self.check()?;
+            self.check_processes()?;
         }
         Ok(())
     }
 
-    async fn inject(&self, fault: Fault, before: &[Snapshot]) -> Result<(), Error> {
+    async fn inject_fault(&self, fault: Fault, before: &[Snapshot]) -> Result<(), Error> {
         let first = &self.regions[0];
         match fault {
             Fault::None | Fault::MachineRestarts => {}
@@ -289,7 +294,7 @@
     }
 
     /// Supervises and samples all processes; fails if a limit is reached or a process ended.
-    fn check(&self) -> Result<(), Error> {
+    fn check_processes(&self) -> Result<(), Error> {
         let mut memory_mb = 0.0;
         for region in &self.regions {
             region.supervise()?;
@@ -309,13 +314,13 @@
     }
 
     fn show_progress(&self, message: String) {
-        self.bar.set_message(format!("part {}: {message}", self.part));
-        self.bar.tick();
+        self.progress_bar.set_message(format!("part {}: {message}", self.part));
+        self.progress_bar.tick();
     }
 }
 
 /// Returns the total number of cores that the processes of a region used.
-fn cores(region: &RegionFigures) -> f64 {
+fn total_cores(region: &RegionFigures) -> f64 {
     let roles = [&region.leader, &region.followers, &region.state, &region.cloud, &region.worker_process];
     roles.iter().map(|usage| usage.cores * usage.processes as f64).sum()
 }
--- a/packages/emulator/src/scale/process.rs
+++ b/packages/emulator/src/scale/process.rs
@@ -93,7 +93,7 @@
 
     /// Returns the exit status as text, or `None` while the process runs.
     pub fn exit_status(&mut self) -> Option<String> {
-        self.child.try_wait().ok().flatten().map(|s| s.to_string())
+        self.child.try_wait().ok().flatten().map(|status| status.to_string())
     }
 
     /// Returns the meter of the process's resource usage.
--- a/packages/emulator/src/scale/region.rs
+++ b/packages/emulator/src/scale/region.rs
@@ -26,7 +26,7 @@
 /// Delay before a killed controller is started again.
 const RESTART_DELAY: Duration = Duration::from_secs(3);
 
-/// A controller's process.
+/// A controller's process, which may be down.
 #[derive(Default)]
 struct ControllerProcess {
     running: Option<ManagedProcess>,
--- a/packages/emulator/src/scale/region/setup.rs
+++ b/packages/emulator/src/scale/region/setup.rs
@@ -18,9 +18,9 @@
 use crate::settings::{ClusterSettings, ControllerSettings, Team, WorkerTimes};
 
 /// A team's maximum of cores as a multiple of its equal share.
-const MAX_TEAM_SHARE: f64 = 40.0;
+const TEAM_MAX_FACTOR: f64 = 40.0;
 /// Machines that the cloud can rent out, as a multiple of the workers that the load fills.
-const SPARE_MACHINES: f64 = 1.1;
+const SPARE_MACHINE_FACTOR: f64 = 1.1;
 
 /// Returns the two machine types.  Half of the workers have one accelerator; the others have as
 /// many as are needed to reach the target's number of accelerators.
@@ -112,7 +112,7 @@
         };
         let (workers, addresses) = ManagedProcess::start(&role, dir, &process_name("workers"))?;
         let workers_control = address(&addresses, 0)?;
-        let filled = config.load.workers as f64 * SPARE_MACHINES;
+        let filled = config.load.workers as f64 * SPARE_MACHINE_FACTOR;
         let role = Role::Cloud {
             host,
             types,
@@ -176,10 +176,10 @@
         let services = Services::start(&config)?;
         services.write_settings(&config)?;
         let Services { state, state_control, cloud, cloud_control, workers, workers_control, .. } = services;
-        let users_addresses = settings.iter().map(|settings| settings.bind).collect();
+        let controller_addresses = settings.iter().map(|settings| settings.bind).collect();
         let start_now = |_| ControllerProcess { running: None, start_at: Some(Instant::now()) };
         let region = Region {
-            users: Users::new(number, target.teams, workers_control, users_addresses, load, measurements, seed),
+            users: Users::new(number, target.teams, workers_control, controller_addresses, load, measurements, seed),
             zones,
             controllers: RefCell::new(settings.iter().map(start_now).collect()),
             settings,
@@ -211,7 +211,7 @@
     let team = |index: usize| Team {
         name: format!("team-{index:04}"),
         cpus: share,
-        cpus_max: (share * MAX_TEAM_SHARE).max(MAX_TEAM_SHARE * 2.0),
+        cpus_max: (share * TEAM_MAX_FACTOR).max(TEAM_MAX_FACTOR * 2.0),
     };
     ClusterSettings {
         nodes: config.controllers.to_vec(),
--- a/packages/emulator/src/scale/role/cloud.rs
+++ b/packages/emulator/src/scale/role/cloud.rs
@@ -17,7 +17,7 @@
 use crate::scale::control::{path, send, AffectedMachines, CloudStats, Kill, MachineEvents, MachineUp, ZoneChange};
 use crate::state::{Limits, State};
 
-/// Interval at which machines advance through their states.
+/// Interval at which the states of the machines are brought up to date.
 const TICK: Duration = Duration::from_millis(20);
 
 struct CloudProcess {
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Handles a controller's request.  The workers' process is told of deleted machines before the
-    /// controller receives the response.
+    /// Handles a controller's request.  Deleted machines are removed from the workers' process before
+    /// the controller receives the response.
     async fn answer(self: Rc<Self>, request: Request) -> Response {
         let (answer, events) =
             self.environment.cloud.borrow_mut().ask(&request, &mut self.environment.rng.borrow_mut(), Instant::now());
--- a/packages/emulator/src/scale/scenario.rs
+++ b/packages/emulator/src/scale/scenario.rs
@@ -58,7 +58,8 @@
     pub cloud_rps: f64,
     /// Age of the machine list that the cloud returns, in seconds.
     pub list_lag_s: f64,
-    /// Number of cores of each controller, as written in its settings; the run does not enforce it.
+    /// Cores of each controller, possibly a fraction of one, as written in the controller's settings.
+    /// The run does not enforce this limit.
     pub cores: f64,
     /// Memory of each controller, in MB.
     pub memory_mb: f64,
--- a/packages/emulator/src/scale/users.rs
+++ b/packages/emulator/src/scale/users.rs
@@ -21,19 +21,19 @@
 use crate::balancer::Balancer;
 
 /// Timeout of one submission request.
-const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
+const SUBMIT_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// Timeout of one poll request.
-const POLL_TIMEOUT: Duration = Duration::from_secs(2);
+const POLL_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Delay before a submission is retried.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Interval between two polls of a job.
 const POLL_INTERVAL: Duration = Duration::from_secs(5);
-/// Time after which a submission is abandoned.
-const SUBMIT_DEADLINE: Duration = Duration::from_secs(60);
+/// Time after which a submission is abandoned, including its retries.
+const SUBMIT_TOTAL_TIMEOUT: Duration = Duration::from_secs(60);
 /// Number of tasks of an urgent job.
 const URGENT_TASKS: u32 = 4;
 /// Duration of the tasks of an urgent job, in seconds.
-const URGENT_RUN_S: f64 = 3.0;
+const URGENT_TASK_DURATION_S: f64 = 3.0;
 /// Number of services that are submitted concurrently while a region fills.
 const CONCURRENT_SUBMISSIONS: usize = 16;
 /// Interval between two health probes of a controller.
@@ -201,6 +201,8 @@
         new_spec: fn(&Users) -> JobSpec,
         timed: bool,
     ) {
+        // The integral of the rate since the last arrival; on this scale the intervals between arrivals
+        // are exponentially distributed with a mean of 1, whatever the rate.
         let mut expected_arrivals = 0.0;
         let mut updated_at = Instant::now();
         let mut next_arrival = -(1.0 - self.rng.borrow_mut().f64()).ln();
@@ -299,7 +301,7 @@
 
     fn urgent(&self) -> JobSpec {
         let spec = self.base_spec(URGENT_TASKS);
-        JobSpec { class: "urgent".into(), priority: Priority::Production, estimate_s: URGENT_RUN_S, ..spec }
+        JobSpec { class: "urgent".into(), priority: Priority::Production, estimate_s: URGENT_TASK_DURATION_S, ..spec }
     }
 
     /// Returns a randomly chosen healthy controller, or `None` if there is none.
@@ -329,7 +331,8 @@
         }
     }
 
-    /// Uploads and submits a job; reports whether the job was accepted.
+    /// Uploads and submits a job; reports whether the job was accepted.  If `timed` is set, the time
+    /// until all tasks of the job have started is measured.
     async fn submit(&self, spec: &JobSpec, timed: bool) -> bool {
         let upload = Upload { specs: vec![spec.clone()], timed };
         if let Err(error) = send::<_, AffectedMachines>(&self.client, self.workers, path::UPLOAD, &upload).await {
@@ -337,8 +340,8 @@
             return false;
         }
         let (body, submitted_at) = (http::encode(spec), Instant::now());
-        while submitted_at.elapsed() < SUBMIT_DEADLINE {
-            match self.request("POST", "/v2/runs", Some(&body), SUBMIT_TIMEOUT).await {
+        while submitted_at.elapsed() < SUBMIT_TOTAL_TIMEOUT {
+            match self.request("POST", "/v2/runs", Some(&body), SUBMIT_REQUEST_TIMEOUT).await {
                 Some((200 | 201, _)) => {
                     self.measurements.record_acceptance(&spec.id, submitted_at, timed);
                     return true;
@@ -361,7 +364,7 @@
         let target = format!("/v2/runs/{}", spec.id);
         loop {
             smol::Timer::after(POLL_INTERVAL).await;
-            let Some((status, body)) = self.request("GET", &target, None, POLL_TIMEOUT).await else { continue };
+            let Some((status, body)) = self.request("GET", &target, None, POLL_REQUEST_TIMEOUT).await else { continue };
             if status == 404 {
                 self.measurements
                     .violations
