--- a/packages/emulator/src/balancer/submission_reader.rs
+++ b/packages/emulator/src/balancer/submission_reader.rs
@@ -1,45 +1,47 @@
-//! Reading submissions off a connection's bytes.
+//! Extraction of submissions from the bytes of a connection.
 
 use coralnotch_wire::http;
 use coralnotch_wire::model::JobSpec;
 
-/// Most bytes kept of a request that is not complete; beyond that the reader gives up.
+/// Maximum size of the buffer for an incomplete request; beyond it, the reader stops parsing the
+/// connection.
 const MAX_BUFFERED_BYTES: usize = 128 * 1024;
 
-/// Reads submissions off the bytes that a user sends: users upload a job's description for the
-/// workers, and here that is the submission itself.
+/// Extracts submissions from the bytes that a user sends.  Users upload the spec of a job for the
+/// workers; the emulator uses the submission in place of a separate upload.
 #[derive(Debug, Default)]
 pub struct SubmissionReader {
     buffer: Vec<u8>,
-    /// The bytes could not be read as requests; what follows is not read any more.
-    has_given_up: bool,
-    /// Complete requests so far.
+    /// Whether parsing failed or the buffer was exceeded; further bytes are ignored.
+    has_stopped_parsing: bool,
+    /// Number of complete requests so far.
     pub requests: u64,
 }
 
 impl SubmissionReader {
-    /// Reads more bytes of a connection; returns the submissions that they complete.
-    pub fn take(&mut self, bytes: &[u8]) -> Vec<JobSpec> {
+    /// Parses further bytes of the connection; returns the submissions that they complete.
+    pub fn parse(&mut self, bytes: &[u8]) -> Vec<JobSpec> {
         let mut submissions = Vec::new();
-        if self.has_given_up {
+        if self.has_stopped_parsing {
             return submissions;
         }
         self.buffer.extend_from_slice(bytes);
-        while !self.buffer.is_empty() && self.take_request(&mut submissions) {}
-        self.has_given_up |= self.buffer.len() > MAX_BUFFERED_BYTES;
-        if self.has_given_up {
+        while !self.buffer.is_empty() && self.parse_next_request(&mut submissions) {}
+        self.has_stopped_parsing |= self.buffer.len() > MAX_BUFFERED_BYTES;
+        if self.has_stopped_parsing {
             self.buffer = Vec::new();
         }
         submissions
     }
 
-    /// Takes one request off the buffer; returns whether it was complete.
-    fn take_request(&mut self, submissions: &mut Vec<JobSpec>) -> bool {
+    /// Parses one request and removes it from the buffer; returns `false` if it is incomplete or
+    /// malformed.
+    fn parse_next_request(&mut self, submissions: &mut Vec<JobSpec>) -> bool {
         let head = match http::parse_request(&self.buffer) {
             Ok(Some(head)) => head,
             Ok(None) => return false,
             Err(_) => {
-                self.has_given_up = true;
+                self.has_stopped_parsing = true;
                 return false;
             }
         };
--- a/packages/emulator/src/cloud.rs
+++ b/packages/emulator/src/cloud.rs
@@ -1,8 +1,8 @@
-//! The cloud: machine types, rentals, deletions, reclaimed spot machines, and a list of machines
-//! that is out of date.
+//! The emulated cloud: machine types, rentals, deletions, reclaimed spot instances, and lists of
+//! machines that lag behind.
 //!
-//! A plain state machine: every step takes the current time, and a generator where it chooses at
-//! random.
+//! [`Cloud`] is a state machine without I/O.  Calls receive the current time, and a random number
+//! generator where they choose at random.
 
 mod requests;
 
@@ -13,49 +13,51 @@
 use coralnotch_wire::model::{MachineType, Name};
 use fastrand::Rng;
 
-use crate::state::Rate;
+use crate::state::TokenBucket;
 
-/// How long a dead machine stays listed as running.
-const DEAD_LISTED: Duration = Duration::from_secs(30);
-/// Interval of the snapshots that lists are taken from.
+/// Time for which a dead machine stays in the list of machines.
+const DEAD_MACHINE_LISTED_TIME: Duration = Duration::from_secs(30);
+/// Interval between the snapshots from which lists are answered.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(250);
-/// Each machine is paid for at least so long, in seconds.
+/// Shortest time for which a machine is billed, in seconds.
 const MIN_BILLED_S: f64 = 60.0;
 const SECONDS_PER_HOUR: f64 = 3600.0;
 
-/// How the cloud behaves.
+/// Capacity, limits and faults of the cloud.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Machine types.
+    /// Machine types that can be rented.
     pub types: Vec<MachineType>,
-    /// Machines that can be rented of each type, in each zone, spot and on-demand apart.
+    /// Number of machines of each type that can be rented in each zone, separately for spot and
+    /// on-demand instances.
     pub capacity: usize,
-    /// Requests a second; bursts may be of two seconds' requests.
+    /// Requests per second; a burst may have twice as many.
     pub rps: f64,
-    /// Ordinary age of a list, in seconds.
+    /// Nominal age of a list in seconds; lists are 0.5 to 2 times as old.
     pub list_lag_s: f64,
-    /// Nominal time from a notice until a spot machine is reclaimed, in seconds.
+    /// Nominal time from the notice until a spot instance is reclaimed, in seconds; the actual time
+    /// is 0.5 to 1.5 times as long.
     pub notice_s: f64,
-    /// Share of the machines that never come up.
+    /// Share of the rented machines that never boot, from 0 to 1.
     pub boot_fail: f64,
 }
 
-/// A machine that was rented and is not gone.
+/// A machine that was rented and has not been removed.
 #[derive(Debug, Clone)]
 pub struct Rented {
-    /// Type.
+    /// Name of the machine type.
     pub kind: Name,
-    /// Zone.
+    /// Zone in which the machine was rented.
     pub zone: Name,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// When it was rented.
+    /// When the machine was rented.
     pub rented_at: Instant,
-    /// When it comes up; `None` if it never does.
+    /// When the machine finishes booting; `None` if it never does.
     pub up_at: Option<Instant>,
-    /// When it died; it stays listed for a while.
+    /// When the machine died; it stays in the list for a while after that.
     pub died_at: Option<Instant>,
-    /// When the cloud reclaims it, once the cloud has given notice.
+    /// When the cloud reclaims the machine; `None` until the cloud gives notice.
     pub reclaim_at: Option<Instant>,
 }
 
@@ -64,54 +66,56 @@
         self.up_at.is_some_and(|at| at <= now)
     }
 
-    /// Whether the cloud has reclaimed it, or it died long enough ago to be listed no more.
-    fn is_over(&self, now: Instant) -> bool {
-        self.reclaim_at.is_some_and(|at| at <= now) || self.died_at.is_some_and(|at| at + DEAD_LISTED <= now)
+    /// Reports whether the machine is to be removed: the cloud has reclaimed it, or it died so long
+    /// ago that it is no longer listed.
+    fn is_removable(&self, now: Instant) -> bool {
+        self.reclaim_at.is_some_and(|at| at <= now)
+            || self.died_at.is_some_and(|at| at + DEAD_MACHINE_LISTED_TIME <= now)
     }
 }
 
-/// What happened to a machine, for the workers to follow.
+/// A change of a machine that its worker has to follow.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// It is up: its worker starts.
+    /// The machine has booted, so its worker starts.
     Up(Name),
-    /// The cloud gave notice: it reclaims the machine at that time.
+    /// The cloud gave notice that it reclaims the machine at this time.
     ReclaimNotice(Name, Instant),
-    /// It is gone with all that is on it.
+    /// The machine has died or was removed, and its tasks are lost.
     Gone(Name),
 }
 
-/// The list of machines at one time.
+/// The list of machines at the time `at`.
 #[derive(Debug)]
 struct ListSnapshot {
     at: Instant,
     machines: Vec<ListedMachine>,
 }
 
-/// The cloud.
+/// State of the cloud: rented machines, answered rentals and list snapshots.
 #[derive(Debug)]
 pub struct Cloud {
     settings: Settings,
     machines: BTreeMap<Name, Rented>,
-    /// Machines that each request rented: a repeated request is idempotent.
+    /// Machines rented by each request id, so that repeated requests are idempotent.
     rentals: HashMap<Name, Vec<Name>>,
-    /// Machines that have not come up yet.
+    /// Machines that have not finished booting.
     booting: Vec<Name>,
     last_machine_number: u64,
-    request_rate: Rate,
-    /// The oldest first.
+    request_rate: TokenBucket,
+    /// Snapshots of the list, the oldest first.
     snapshots: VecDeque<ListSnapshot>,
-    is_out: bool,
-    /// Zones that have failed: nothing can be rented there.
+    is_in_outage: bool,
+    /// Zones that have failed, in which no machines can be rented.
     closed_zones: BTreeSet<Name>,
-    /// Cost of the machines that are gone, in the currency of the types' prices.
-    cost_of_gone: f64,
+    /// Cost of the removed machines, in the currency of the machine types' prices.
+    cost_of_removed: f64,
 }
 
 impl Cloud {
-    /// Creates a cloud without rentals.
+    /// Creates a cloud without rented machines.
     pub fn new(settings: Settings) -> Cloud {
-        let request_rate = Rate::new(settings.rps, settings.rps * 2.0);
+        let request_rate = TokenBucket::new(settings.rps, settings.rps * 2.0);
         Cloud {
             settings,
             machines: BTreeMap::new(),
@@ -120,65 +124,67 @@
             last_machine_number: 0,
             request_rate,
             snapshots: VecDeque::new(),
-            is_out: false,
+            is_in_outage: false,
             closed_zones: BTreeSet::new(),
-            cost_of_gone: 0.0,
+            cost_of_removed: 0.0,
         }
     }
 
-    /// The rented machines by name.
+    /// Returns the rented machines by name.
     pub fn machines(&self) -> &BTreeMap<Name, Rented> {
         &self.machines
     }
 
-    /// A machine type by its name.
+    /// Returns the machine type with this name.
     pub fn machine_type(&self, name: &str) -> Option<&MachineType> {
         self.settings.types.iter().find(|kind| *kind.name == *name)
     }
 
-    /// Begins an outage: everything is refused.
+    /// Begins an outage, in which all requests are refused.
     pub fn begin_outage(&mut self) {
-        self.is_out = true;
+        self.is_in_outage = true;
     }
 
-    /// Ends an outage.
+    /// Ends an outage; requests are handled again.
     pub fn end_outage(&mut self) {
-        self.is_out = false;
+        self.is_in_outage = false;
     }
 
-    /// Closes a zone that has failed: nothing can be rented there.
+    /// Closes a zone that has failed; no machines can be rented in it.
     pub fn close_zone(&mut self, zone: &Name) {
         self.closed_zones.insert(zone.clone());
     }
 
-    /// Opens a zone that is back.
+    /// Opens a zone that has recovered; machines can be rented in it again.
     pub fn open_zone(&mut self, zone: &Name) {
         self.closed_zones.remove(zone);
     }
 
-    /// Cost of all rentals so far, in the currency of the types' prices.
+    /// Returns the cost of all rentals so far, in the currency of the machine types' prices.
     pub fn cost(&self, now: Instant) -> f64 {
-        self.cost_of_gone + self.machines.values().map(|machine| self.machine_cost(machine, now)).sum::<f64>()
+        self.cost_of_removed + self.machines.values().map(|machine| self.machine_cost(machine, now)).sum::<f64>()
     }
 
     fn machine_cost(&self, machine: &Rented, now: Instant) -> f64 {
-        let hourly = self.machine_type(&machine.kind).map_or(0.0, |kind| match machine.spot {
+        let price_per_hour = self.machine_type(&machine.kind).map_or(0.0, |kind| match machine.spot {
             true => kind.spot_price,
             false => kind.price,
         });
         let until = machine.died_at.unwrap_or(now);
         let billed_s = until.saturating_duration_since(machine.rented_at).as_secs_f64().max(MIN_BILLED_S);
-        billed_s * hourly / SECONDS_PER_HOUR
+        billed_s * price_per_hour / SECONDS_PER_HOUR
     }
 
-    /// Lets a machine die without notice; it stays listed for a while.  `None` if there is none.
+    /// Kills a machine without notice; it stays in the list for a while.  Returns `None` if the
+    /// machine does not exist or is dead already.
     pub fn kill(&mut self, name: &str, now: Instant) -> Option<Event> {
         let machine = self.machines.get_mut(name).filter(|machine| machine.died_at.is_none())?;
         machine.died_at = Some(now);
         Some(Event::Gone(name.into()))
     }
 
-    /// Gives notice that a spot machine will be reclaimed; `None` if it can't be, or will be already.
+    /// Gives notice that a spot instance will be reclaimed.  Returns `None` if the machine does not
+    /// exist, is not a spot instance, is dead, or has been given notice before.
     pub fn reclaim(&mut self, name: &str, rng: &mut Rng, now: Instant) -> Option<Event> {
         let notice_s = self.settings.notice_s * (0.5 + rng.f64());
         let can_be_reclaimed =
@@ -189,18 +195,19 @@
         Some(Event::ReclaimNotice(name.into(), at))
     }
 
-    /// Brings the cloud up to the present: machines come up, and others go.
+    /// Advances the cloud to the time `now`: machines finish booting, and dead and reclaimed ones are
+    /// removed.
     pub fn step(&mut self, now: Instant) -> Vec<Event> {
-        let mut events = self.boot_machines(now);
-        let over = self.machines.iter().filter(|(_, machine)| machine.is_over(now));
-        for name in over.map(|(name, _)| name.clone()).collect::<Vec<_>>() {
+        let mut events = self.finish_boots(now);
+        let removable = self.machines.iter().filter(|(_, machine)| machine.is_removable(now));
+        for name in removable.map(|(name, _)| name.clone()).collect::<Vec<_>>() {
             events.extend(self.remove(&name, now));
         }
         self.take_snapshot(now);
         events
     }
 
-    fn boot_machines(&mut self, now: Instant) -> Vec<Event> {
+    fn finish_boots(&mut self, now: Instant) -> Vec<Event> {
         let mut events = Vec::new();
         let machines = &self.machines;
         self.booting.retain(|name| match machines.get(name) {
@@ -216,11 +223,12 @@
 
     fn remove(&mut self, name: &str, now: Instant) -> Option<Event> {
         let machine = self.machines.remove(name)?;
-        self.cost_of_gone += self.machine_cost(&machine, now);
+        self.cost_of_removed += self.machine_cost(&machine, now);
         Some(Event::Gone(name.into()))
     }
 
-    /// Takes a snapshot of the list if one is due, and drops those that no list is taken from.
+    /// Takes a snapshot of the list if one is due, and drops the snapshots that are too old for any
+    /// list.
     fn take_snapshot(&mut self, now: Instant) {
         let last = self.snapshots.back();
         if last.is_some_and(|last| now.saturating_duration_since(last.at) < SNAPSHOT_INTERVAL) {
--- a/packages/emulator/src/cloud/requests.rs
+++ b/packages/emulator/src/cloud/requests.rs
@@ -1,4 +1,4 @@
-//! The cloud's HTTP interface.
+//! HTTP interface of the cloud.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -11,14 +11,14 @@
 
 use super::{Cloud, Event, Rented};
 
-/// Most machines in one rental.
-const MAX_RENTED: u32 = 50;
-/// Most names in one deletion.
-const MAX_DELETED: usize = 100;
-/// Most machines in one part of a list.
-const MAX_LISTED: usize = 500;
+/// Maximum number of machines in one rental.
+const MAX_MACHINES_PER_RENTAL: u32 = 50;
+/// Maximum number of names in one deletion.
+const MAX_NAMES_PER_DELETION: usize = 100;
+/// Maximum number of machines in one page of a list.
+const MAX_MACHINES_PER_PAGE: usize = 500;
 
-/// Machines, or their names; the rest follows with another request if it is truncated.
+/// Machines or their names.  If the list is truncated, the client requests the next page.
 #[derive(Serialize)]
 struct Machines<T> {
     #[serde(rename = "polyps")]
@@ -40,12 +40,12 @@
 }
 
 impl Cloud {
-    /// Handles a request; returns the response, and what the request did to machines.
+    /// Handles a request; returns the response and the resulting changes of machines.
     pub fn ask(&mut self, request: &Request, rng: &mut Rng, now: Instant) -> (Response, Vec<Event>) {
-        if self.is_out {
+        if self.is_in_outage {
             return (Response::refuse(503, "trouble"), Vec::new());
         }
-        if !self.request_rate.allows(1.0, now) {
+        if !self.request_rate.try_take(1.0, now) {
             return (Response::refuse(429, "too many requests"), Vec::new());
         }
         let response = match (request.method.as_str(), request.path.as_str()) {
@@ -58,18 +58,18 @@
         (response, Vec::new())
     }
 
-    /// Rents machines, fewer than asked for if there is no capacity for all.  A repeated request
-    /// rents nothing and has the same response.
+    /// Rents machines, or as many of them as there is capacity for.  A repeated request rents nothing
+    /// and gets the same response.
     fn rent(&mut self, body: &[u8], rng: &mut Rng, now: Instant) -> Response {
         let Ok(rental) = http::decode::<Rental>(body) else { return Response::refuse(400, "malformed") };
         if let Some(names) = self.rentals.get(&rental.request_id) {
             return Response::new(200, &Machines { machines: names.clone(), truncated: false });
         }
-        let is_asked_for = |kind: &&MachineType| kind.name == rental.kind && kind.zones.contains(&rental.zone);
-        let Some(boot_s) = self.settings.types.iter().find(is_asked_for).map(|kind| kind.boot_s) else {
+        let is_requested = |kind: &&MachineType| kind.name == rental.kind && kind.zones.contains(&rental.zone);
+        let Some(boot_s) = self.settings.types.iter().find(is_requested).map(|kind| kind.boot_s) else {
             return Response::refuse(400, "no such type there");
         };
-        if !(1..=MAX_RENTED).contains(&rental.count) {
+        if !(1..=MAX_MACHINES_PER_RENTAL).contains(&rental.count) {
             return Response::refuse(400, "count");
         }
         let free = self.free_capacity(&rental);
@@ -82,15 +82,16 @@
         Response::new(200, &Machines { machines: names, truncated: false })
     }
 
-    /// How many more machines of a rental's type, zone and kind there are.
+    /// Returns how many more machines can be rented of the rental's type, in its zone and of its
+    /// kind (spot or on-demand).
     fn free_capacity(&self, rental: &Rental) -> usize {
-        let is_same = |machine: &&Rented| {
+        let uses_same_capacity = |machine: &&Rented| {
             machine.kind == rental.kind
                 && machine.zone == rental.zone
                 && machine.spot == rental.spot
                 && machine.died_at.is_none()
         };
-        self.settings.capacity.saturating_sub(self.machines.values().filter(is_same).count())
+        self.settings.capacity.saturating_sub(self.machines.values().filter(uses_same_capacity).count())
     }
 
     fn add_machine(&mut self, rental: &Rental, boot_s: f64, rng: &mut Rng, now: Instant) -> Name {
@@ -111,28 +112,33 @@
         name
     }
 
-    /// Lists machines as they were a while ago, from after the name `since`.
+    /// Lists the machines whose names come after `since`, as they were some time ago.
     fn list(&self, query: &str, rng: &mut Rng, now: Instant) -> Response {
         let query: BTreeMap<&str, &str> = query.split('&').filter_map(|pair| pair.split_once('=')).collect();
         let since = query.get("since").copied().unwrap_or_default();
-        let max_listed = query.get("page").and_then(|page| page.parse().ok()).unwrap_or(MAX_LISTED).min(MAX_LISTED);
-        // ordinarily about the lag, now and then up to twice it: a list can be older than the one before
+        let max_machines = query
+            .get("page")
+            .and_then(|page| page.parse().ok())
+            .unwrap_or(MAX_MACHINES_PER_PAGE)
+            .min(MAX_MACHINES_PER_PAGE);
+        // A list is 0.5 to 1.5 times as old as the nominal lag, and one list in eight is a third older
+        // than that, so a list can be older than the one before it.
         let lag_s = self.settings.list_lag_s * (0.5 + rng.f64()) * if rng.u8(0..8) == 0 { 1.33 } else { 1.0 };
         let as_of = now.checked_sub(Duration::from_secs_f64(lag_s));
         let is_old_enough = |at: Instant| as_of.is_some_and(|as_of| at <= as_of);
         let snapshot = self.snapshots.iter().rev().find(|snapshot| is_old_enough(snapshot.at));
         let listed = snapshot.map(|snapshot| snapshot.machines.as_slice()).unwrap_or_default();
         let mut machines: Vec<ListedMachine> =
-            listed.iter().filter(|machine| *machine.name > *since).take(max_listed + 1).cloned().collect();
-        let truncated = machines.len() > max_listed;
-        machines.truncate(max_listed);
+            listed.iter().filter(|machine| *machine.name > *since).take(max_machines + 1).cloned().collect();
+        let truncated = machines.len() > max_machines;
+        machines.truncate(max_machines);
         Response::new(200, &Machines { machines, truncated })
     }
 
-    /// Deletes machines; those that are gone already are passed over.
+    /// Deletes machines; names of machines that no longer exist are ignored.
     fn delete(&mut self, body: &[u8], now: Instant) -> (Response, Vec<Event>) {
         match http::decode::<MachineNames>(body) {
-            Ok(names) if names.machines.len() <= MAX_DELETED => {
+            Ok(names) if names.machines.len() <= MAX_NAMES_PER_DELETION => {
                 let gone = names.machines.iter().filter_map(|name| self.remove(name, now)).collect();
                 (Response::new(200, &BTreeMap::<&str, u8>::new()), gone)
             }
--- a/packages/emulator/src/cloud/tests.rs
+++ b/packages/emulator/src/cloud/tests.rs
@@ -28,10 +28,10 @@
     (response.status, http::decode::<MachineNames>(&response.body).map(|names| names.machines).unwrap_or_default())
 }
 
-/// A repeated request rents nothing; a rental may be filled in part; one without any capacity is
-/// refused.
+/// A repeated request rents nothing and gets the same response.  A rental beyond the capacity is
+/// filled in part; it is refused if no capacity is left.
 #[test]
-fn requests_rent_once_and_capacity_ends() {
+fn repeated_request_rents_nothing_and_exhausted_capacity_is_refused() {
     let now = Instant::now();
     let mut cloud = Cloud::new(settings());
     let first = rent(&mut cloud, "r-1", now);
@@ -42,9 +42,10 @@
     assert_eq!(cloud.machines().len(), 3);
 }
 
-/// Machines come up, get a reclaim notice and go; lists show it late.
+/// Machines boot, get one reclaim notice and are removed.  Lists show a new machine only after the
+/// list lag.
 #[test]
-fn machines_come_and_go_and_lists_lag() {
+fn machines_boot_and_are_reclaimed_and_lists_lag_behind() {
     let (t0, mut rng) = (Instant::now(), Rng::with_seed(2));
     let at = |s: f64| t0 + Duration::from_secs_f64(s);
     let mut cloud = Cloud::new(settings());
@@ -53,12 +54,14 @@
     assert_eq!(cloud.step(at(1.6)).len(), 2);
     let list = |cloud: &mut Cloud, now, rng: &mut Rng| {
         let request = Request { method: "GET".into(), path: "/rentals".into(), query: "page=1".into(), body: vec![] };
-        http::decode::<rmpv::Value>(&cloud.ask(&request, rng, now).0.body).map(|v| v.to_string()).unwrap_or_default()
+        http::decode::<rmpv::Value>(&cloud.ask(&request, rng, now).0.body)
+            .map(|value| value.to_string())
+            .unwrap_or_default()
     };
-    assert!(!list(&mut cloud, t0, &mut rng).contains("i-000001"), "too fresh to be listed");
+    assert!(!list(&mut cloud, t0, &mut rng).contains("i-000001"), "a new machine must not be listed yet");
     let listed = list(&mut cloud, at(6.0), &mut rng);
-    assert!(listed.contains("i-000001") && listed.contains("true"), "one of two, and more to come: {listed}");
+    assert!(listed.contains("i-000001") && listed.contains("true"), "expected one machine and `truncated`: {listed}");
     assert!(matches!(cloud.reclaim(&names[0], &mut rng, at(6.0)), Some(Event::ReclaimNotice(..))));
-    assert!(cloud.reclaim(&names[0], &mut rng, at(6.0)).is_none(), "one notice");
+    assert!(cloud.reclaim(&names[0], &mut rng, at(6.0)).is_none(), "a machine must get only one notice");
     assert_eq!(cloud.step(at(21.5)), [Event::Gone(names[0].clone())]);
 }
--- a/packages/emulator/src/environment.rs
+++ b/packages/emulator/src/environment.rs
@@ -1,7 +1,8 @@
-//! Everything around the controllers, over TCP on one thread: the state service, the cloud, the
-//! workers and the load balancer.
+//! The environment of the controllers, served over TCP on one thread: the state service, the cloud,
+//! the workers and the load balancer.
 //!
-//! The plain state machines of the other modules decide; here their decisions are carried out.
+//! The state machines of the other modules hold the logic; this module does their I/O and calls them
+//! as time passes.
 
 mod load_balancer;
 mod machines;
@@ -27,95 +28,97 @@
 use crate::state::State;
 use crate::worker_pool::WorkerPool;
 
-/// Interval at which time passes for machines and watches.
-const TICK: Duration = Duration::from_millis(20);
-/// Connections that an emulated service accepts at once.
+/// Interval at which machines and the cloud are advanced and watches are polled.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of open connections of an emulated service.
 const MAX_CONNECTIONS: usize = 4000;
 
-/// A controller, as workers and the load balancer know it.
+/// Name and address of a controller, as the workers and the load balancer use them.
 #[derive(Debug, Clone)]
 pub struct Controller {
-    /// Its name.
+    /// Name by which other controllers refer to the controller in redirections.
     pub name: String,
-    /// Where it listens for users and workers.
+    /// Address on which the controller listens for users and workers.
     pub addr: SocketAddr,
 }
 
-/// Users' requests in each second.
+/// Counts of the users' requests in each second.
 #[derive(Debug, Clone)]
 pub struct RequestCounts {
-    began: Instant,
-    /// Requests in each second since the count began.
+    started_at: Instant,
+    /// Number of requests in each second since the counting started.
     pub per_second: Vec<u64>,
 }
 
 impl RequestCounts {
-    /// Begins to count.
+    /// Starts counting at the present time.
     pub fn begin() -> RequestCounts {
-        RequestCounts { began: Instant::now(), per_second: Vec::new() }
+        RequestCounts { started_at: Instant::now(), per_second: Vec::new() }
     }
 
     fn add(&mut self, requests: u64) {
-        let second = self.began.elapsed().as_secs() as usize;
+        let second = self.started_at.elapsed().as_secs() as usize;
         self.per_second.resize(self.per_second.len().max(second + 1), 0);
         self.per_second[second] += requests;
     }
 }
 
-/// Messages between workers and controllers; sizes are those of the HTTP messages in bytes.
+/// Counts of the messages between workers and controllers, and the sizes of the HTTP messages in
+/// bytes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Traffic {
-    /// Heartbeats sent.
+    /// Heartbeats that workers sent.
     #[serde(rename = "reports")]
     pub heartbeats: u64,
-    /// Heartbeats answered with 200.
+    /// Heartbeats answered with status 200.
     pub answered: u64,
-    /// Heartbeats answered with another controller's name.
+    /// Heartbeats answered with status 421, which redirects the worker to another controller.
     pub redirected: u64,
-    /// Heartbeats with another answer or none.
+    /// Heartbeats with any other answer, or without an answer.
     pub failed: u64,
-    /// Size of the heartbeats.
+    /// Total size of the heartbeats in bytes.
     #[serde(rename = "report_bytes")]
     pub heartbeat_bytes: u64,
-    /// Size of the answers to heartbeats.
+    /// Total size of the answers to heartbeats in bytes.
     pub answer_bytes: u64,
-    /// Direct commands.
+    /// Direct requests that workers answered.
     pub direct: u64,
-    /// Size of direct commands and of their answers.
+    /// Total size of direct requests and their answers in bytes.
     pub direct_bytes: u64,
 }
 
-/// Everything around the controllers.
+/// The emulated services, machines and load balancer around the controllers.
 pub struct Environment {
-    /// State service.
+    /// The state service.
     pub state: RefCell<State>,
-    /// Cloud.
+    /// The cloud.
     pub cloud: RefCell<Cloud>,
-    /// Machines with their workers.
+    /// The machines and their workers.
     pub worker_pool: RefCell<WorkerPool>,
-    /// Load balancer.
+    /// The load balancer's view of the controllers.
     pub balancer: RefCell<Balancer>,
-    /// Source of all random choices.
+    /// Random number generator of the cloud, of the fault injection, and of the workers' choice of
+    /// controllers and heartbeat delays.
     pub rng: RefCell<Rng>,
-    /// Users' requests, once they are counted.
+    /// Counts of the users' requests; `None` until counting starts.
     pub request_counts: RefCell<Option<RequestCounts>>,
-    /// Indexes of the controllers that the state service refuses.
+    /// Indexes of the controllers whose requests the state service refuses.
     pub refused: RefCell<HashSet<usize>>,
-    /// How much longer the state service's answers take.
+    /// Delay that is added to each answer of the state service.
     pub delay: Cell<Duration>,
     controllers: Vec<Controller>,
-    /// Ordinary interval of a worker's heartbeats, in seconds.
+    /// Nominal interval of a worker's heartbeats in seconds.
     heartbeat_interval_s: f64,
     workers: RefCell<HashMap<Name, RunningWorker>>,
-    /// Address that the workers listen on.
+    /// IP address on which the workers listen.
     pub host: Cell<IpAddr>,
-    /// Messages between workers and controllers so far.
+    /// Counts of the messages between workers and controllers so far.
     pub traffic: Cell<Traffic>,
 }
 
 impl Environment {
-    /// Creates an environment around these controllers; `heartbeat_interval_s` is the ordinary
-    /// interval of a worker's heartbeats, in seconds.
+    /// Creates an environment for these controllers; `heartbeat_interval_s` is the nominal interval
+    /// of a worker's heartbeats in seconds.
     pub fn new(
         state: State,
         cloud: Cloud,
@@ -142,7 +145,8 @@
     }
 }
 
-/// Limits of an emulated service's HTTP server; they are wide, as faults are injected elsewhere.
+/// Returns the limits of an emulated service's HTTP server.  They are wide, because faults are
+/// injected by other means.
 fn server_limits() -> ServerLimits {
     ServerLimits {
         connections: MAX_CONNECTIONS,
--- a/packages/emulator/src/environment/services.rs
+++ b/packages/emulator/src/environment/services.rs
@@ -1,4 +1,4 @@
-//! The state service and the cloud as HTTP servers, and the passing of time.
+//! HTTP servers of the state service and the cloud, and the clock that advances machines and cloud.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -7,11 +7,12 @@
 use smol::net::TcpListener;
 use smol::LocalExecutor;
 
-use super::{server_limits, Environment, TICK};
+use super::{server_limits, Environment, TICK_INTERVAL};
 use crate::state::{Step, Watch};
 
 impl Environment {
-    /// Serves the state service to one controller, on a listener of its own.
+    /// Serves the state service to one controller, which has a listener of its own so that faults can
+    /// be injected for that controller alone.
     pub async fn serve_state(
         self: Rc<Self>,
         executor: Rc<LocalExecutor<'static>>,
@@ -42,7 +43,7 @@
 
     async fn wait_for_changes(&self, controller: usize, watch: &Watch) -> Response {
         loop {
-            smol::Timer::after(TICK).await;
+            smol::Timer::after(TICK_INTERVAL).await;
             if self.refused.borrow().contains(&controller) {
                 return Response::refuse(503, "trouble");
             }
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Serves the cloud.
+    /// Serves the cloud to all controllers.
     pub async fn serve_cloud(self: Rc<Self>, executor: Rc<LocalExecutor<'static>>, listener: TcpListener) {
         let worker_executor = executor.clone();
         let handler = move |request: Request| {
@@ -63,10 +64,10 @@
         http::serve(executor, listener, server_limits(), Rc::new(handler)).await;
     }
 
-    /// Lets time pass for machines and cloud, until it is dropped.
+    /// Advances the machines and the cloud at a fixed interval until the future is dropped.
     pub async fn run_clock(self: Rc<Self>, executor: Rc<LocalExecutor<'static>>) {
         loop {
-            smol::Timer::after(TICK).await;
+            smol::Timer::after(TICK_INTERVAL).await;
             let now = Instant::now();
             self.worker_pool.borrow_mut().step(now);
             self.wake_changed_workers();
--- a/packages/emulator/src/environment/worker.rs
+++ b/packages/emulator/src/environment/worker.rs
@@ -1,4 +1,4 @@
-//! One machine's worker: its heartbeats, and its server for direct commands.
+//! The worker of one machine: its heartbeats and its server for direct commands.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,35 +16,35 @@
 use super::{server_limits, BootedMachine, Environment, Traffic};
 use crate::worker_pool::NewMachine;
 
-/// Least time between two heartbeats of a worker.
-const MIN_HEARTBEAT_GAP: Duration = Duration::from_millis(500);
-/// Limit of one heartbeat.
-const HEARTBEAT_LIMIT: Duration = Duration::from_secs(4);
-/// Pause before a worker tries the next controller.
+/// Minimum time between a heartbeat and an early one that follows it.
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout of a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
+/// Delay before a worker tries the next controller.
 const NEXT_CONTROLLER_DELAY: Duration = Duration::from_secs(1);
-/// Greatest pause, in milliseconds, before a worker follows a redirection; at random, so that not
-/// all workers come to a new leader at the same time.
+/// Upper bound of the delay, in milliseconds, before a worker follows a redirection.  The delay is
+/// random, so that the workers do not all contact a new leader at the same time.
 const MAX_REDIRECT_DELAY_MS: u64 = 500;
 
-/// The answer 421: the controller that takes heartbeats now.
+/// Body of an answer with status 421, which names the controller that accepts heartbeats.
 #[derive(Deserialize, Default)]
 struct Redirection {
     #[serde(rename = "answerTo", default)]
     leader: Option<String>,
 }
 
-/// Where a worker sends its next heartbeat, and how long it waits before that.
-struct NextTry {
+/// The controller that receives a worker's next heartbeat, and the delay before it is sent.
+struct NextHeartbeat {
     controller: usize,
     delay: Duration,
 }
 
 impl Environment {
-    /// Runs one machine's worker until this is dropped.
-    pub(super) async fn run_worker(self: Rc<Self>, machine: BootedMachine, woken: Receiver<()>) {
+    /// Runs one machine's worker until the machine is gone or the future is dropped.
+    pub(super) async fn run_worker(self: Rc<Self>, machine: BootedMachine, wake_receiver: Receiver<()>) {
         let BootedMachine { name, kind, zone, spot } = machine;
         let Ok(listener) = TcpListener::bind((self.host.get(), 0)).await else {
-            tracing::error!(machine = %name, "worker has no free port to listen on");
+            tracing::error!(machine = %name, "worker failed to bind a port for direct commands; it does not start");
             return;
         };
         let Ok(address) = listener.local_addr() else { return };
@@ -56,17 +56,17 @@
             async move {
                 match answer {
                     Some(answer) => answer,
-                    // the machine is gone: nothing answers there
+                    // The machine is gone, so the request never gets an answer.
                     None => std::future::pending().await,
                 }
             }
         };
         let executor = Rc::new(LocalExecutor::new());
         let server = http::serve(executor.clone(), listener, server_limits(), Rc::new(handler));
-        executor.run(or(server, self.send_heartbeats(name, woken))).await;
+        executor.run(or(server, self.send_heartbeats(name, wake_receiver))).await;
     }
 
-    /// Answers a direct request and counts it; `None` if the machine is gone.
+    /// Handles a direct request and counts its traffic; returns `None` if the machine is gone.
     fn answer_direct_request(&self, machine: &Name, request: &Request) -> Option<Response> {
         let answer = self.handle_direct_request(machine, request)?;
         self.wake_changed_workers();
@@ -98,9 +98,9 @@
         Some(Response::new(status, &worker_pool.heartbeat(machine, now)?.0))
     }
 
-    /// Sends a heartbeat every interval, and earlier when something changed; returns when the
-    /// machine is gone.
-    async fn send_heartbeats(&self, machine: Name, woken: Receiver<()>) {
+    /// Sends heartbeats at the nominal interval, and earlier ones when the machine has changed;
+    /// returns when the machine is gone.
+    async fn send_heartbeats(&self, machine: Name, wake_receiver: Receiver<()>) {
         let client = Client::new(1);
         let mut controller = self.rng.borrow_mut().usize(0..self.controllers.len().max(1));
         let mut due = Instant::now();
@@ -108,27 +108,28 @@
         loop {
             let now = Instant::now();
             let has_changed = self.worker_pool.borrow().has_changed(&machine);
-            let early = has_changed.then(|| last_sent.map_or(now, |sent| sent + MIN_HEARTBEAT_GAP));
+            let early = has_changed.then(|| last_sent.map_or(now, |sent| sent + MIN_HEARTBEAT_INTERVAL));
             let next = early.map_or(due, |early| due.min(early));
             if now < next {
-                wait_until_or_woken(next, &woken).await;
+                wait_until_or_woken(next, &wake_receiver).await;
                 continue;
             }
             last_sent = Some(now);
-            let Some(next_try) = self.send_heartbeat(&client, &machine, controller, now).await else { return };
-            controller = next_try.controller;
-            due = Instant::now() + next_try.delay;
+            let Some(next_heartbeat) = self.send_heartbeat(&client, &machine, controller, now).await else { return };
+            controller = next_heartbeat.controller;
+            due = Instant::now() + next_heartbeat.delay;
         }
     }
 
-    /// Sends one heartbeat and applies its answer; `None` if the machine is gone.
+    /// Sends one heartbeat, applies its answer and determines the next heartbeat.  Returns `None` if
+    /// the machine is gone or there is no such controller.
     async fn send_heartbeat(
         &self,
         client: &Client,
         machine: &Name,
         controller: usize,
         now: Instant,
-    ) -> Option<NextTry> {
+    ) -> Option<NextHeartbeat> {
         let (heartbeat, sent) = self.worker_pool.borrow_mut().heartbeat(machine, now)?;
         let address = self.controllers.get(controller)?.addr;
         let body = http::encode(&heartbeat);
@@ -137,7 +138,7 @@
             traffic.heartbeats += 1;
             traffic.heartbeat_bytes += (head.len() + body.len()) as u64;
         });
-        let answer = client.send(address, "POST", "/hello", Some(&body), HEARTBEAT_LIMIT).await;
+        let answer = client.send(address, "POST", "/hello", Some(&body), HEARTBEAT_TIMEOUT).await;
         self.count_answer(&answer);
         Some(match answer {
             Ok((200, body)) => {
@@ -145,28 +146,29 @@
                     self.worker_pool.borrow_mut().apply_reply(machine, sent, reply, Instant::now());
                 }
                 let jitter = 0.75 + 0.5 * self.rng.borrow_mut().f64();
-                NextTry { controller, delay: Duration::from_secs_f64(self.heartbeat_interval_s * jitter) }
+                NextHeartbeat { controller, delay: Duration::from_secs_f64(self.heartbeat_interval_s * jitter) }
             }
             Ok((421, body)) => self.follow_redirection(controller, &body),
             _ => self.next_controller(controller),
         })
     }
 
-    /// Where a worker goes that a controller redirected: to the leader if it knows that one.
-    fn follow_redirection(&self, from: usize, body: &[u8]) -> NextTry {
+    /// Determines the next heartbeat after a redirection: to the named leader if it is another known
+    /// controller, otherwise to the next controller.
+    fn follow_redirection(&self, from: usize, body: &[u8]) -> NextHeartbeat {
         let leader = http::decode::<Redirection>(body).unwrap_or_default().leader;
-        let known = self.controllers.iter().position(|controller| Some(&controller.name) == leader.as_ref());
-        match known.filter(|known| *known != from) {
+        let leader_index = self.controllers.iter().position(|controller| Some(&controller.name) == leader.as_ref());
+        match leader_index.filter(|leader_index| *leader_index != from) {
             Some(controller) => {
                 let delay = Duration::from_millis(self.rng.borrow_mut().u64(0..MAX_REDIRECT_DELAY_MS));
-                NextTry { controller, delay }
+                NextHeartbeat { controller, delay }
             }
             None => self.next_controller(from),
         }
     }
 
-    fn next_controller(&self, controller: usize) -> NextTry {
-        NextTry { controller: (controller + 1) % self.controllers.len(), delay: NEXT_CONTROLLER_DELAY }
+    fn next_controller(&self, controller: usize) -> NextHeartbeat {
+        NextHeartbeat { controller: (controller + 1) % self.controllers.len(), delay: NEXT_CONTROLLER_DELAY }
     }
 
     fn count_answer(&self, answer: &Result<(u16, Vec<u8>), http::Error>) {
@@ -190,12 +192,12 @@
     }
 }
 
-async fn wait_until_or_woken(at: Instant, woken: &Receiver<()>) {
+async fn wait_until_or_woken(at: Instant, wake_receiver: &Receiver<()>) {
     let timer = async {
         smol::Timer::at(at).await;
     };
     let wake = async {
-        let _ = woken.recv().await;
+        let _ = wake_receiver.recv().await;
     };
     or(timer, wake).await;
 }
--- a/packages/emulator/src/state/messages.rs
+++ b/packages/emulator/src/state/messages.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and responses, with the names that the protocol gives their fields.
+//! Bodies of requests and responses, with the field names of the protocol.
 
 use std::collections::BTreeMap;
 
@@ -21,29 +21,29 @@
 
 impl<'a> KeyValue<'a> {
     pub(super) fn new(key: &'a str, value: &StoredValue) -> KeyValue<'a> {
-        KeyValue { path: key, data: decoded(&value.data), revision: value.revision, lease_id: value.lease_id }
+        KeyValue { path: key, data: decode_value(&value.data), revision: value.revision, lease_id: value.lease_id }
     }
 }
 
-/// A part of a list of keys.
+/// One page of a list of keys.
 #[derive(Serialize)]
 pub(super) struct KeyList<'a> {
     #[serde(rename = "rows")]
     pub(super) keys: Vec<KeyValue<'a>>,
-    /// More keys follow.
+    /// Whether more keys follow after this page.
     pub(super) truncated: bool,
     #[serde(rename = "epoch")]
     pub(super) revision: u64,
 }
 
-/// The service's revision.
+/// The current revision of the store.
 #[derive(Serialize)]
 pub(super) struct CurrentRevision {
     #[serde(rename = "epoch")]
     pub(super) revision: u64,
 }
 
-/// The keys whose preconditions a transaction failed on.
+/// The keys whose preconditions did not hold, so that the transaction was not carried out.
 #[derive(Serialize)]
 pub(super) struct FailedPreconditions {
     #[serde(rename = "failed")]
@@ -58,7 +58,7 @@
     pub(super) id: u64,
 }
 
-/// Changes that a watch found.
+/// Response to a watch: the changes after the client's revision.
 #[derive(Serialize)]
 pub(super) struct Changes {
     #[serde(rename = "epoch")]
@@ -68,19 +68,19 @@
 }
 
 impl Change {
-    /// The change as a watch shows it.
-    pub(super) fn event(&self) -> BTreeMap<&'static str, Value> {
-        let mut event = BTreeMap::from([("stamp", Value::from(self.revision))]);
+    /// Returns the change in the form in which a watch returns it.
+    pub(super) fn watch_event(&self) -> BTreeMap<&'static str, Value> {
+        let mut watch_event = BTreeMap::from([("stamp", Value::from(self.revision))]);
         match &self.data {
             Some(data) => {
-                event.insert("set", Value::from(self.key.as_str()));
-                event.insert("data", decoded(data));
+                watch_event.insert("set", Value::from(self.key.as_str()));
+                watch_event.insert("data", decode_value(data));
             }
             None => {
-                event.insert("delete", Value::from(self.key.as_str()));
+                watch_event.insert("delete", Value::from(self.key.as_str()));
             }
         }
-        event
+        watch_event
     }
 }
 
@@ -99,6 +99,6 @@
     pub(super) ttl_ms: u64,
 }
 
-fn decoded(bytes: &[u8]) -> Value {
+fn decode_value(bytes: &[u8]) -> Value {
     rmpv::decode::read_value(&mut &bytes[..]).unwrap_or(Value::Nil)
 }
--- a/packages/emulator/src/state/requests.rs
+++ b/packages/emulator/src/state/requests.rs
@@ -1,4 +1,4 @@
-//! The service's HTTP interface: reading and listing keys, watches, leases.
+//! HTTP interface of the state service: reading and listing keys, watches and leases.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -6,21 +6,21 @@
 use coralnotch_wire::http::{self, Request, Response};
 
 use super::messages::{Changes, CurrentRevision, KeyList, KeyValue, LeaseId, NewLease};
-use super::{counted_size, Lease, State, Step, Watch, CHANGES_KEPT};
+use super::{counted_size, Lease, State, Step, Watch, MAX_RETAINED_CHANGES};
 
-/// Most keys in one part of a list.
+/// Maximum number of keys in one page of a list.
 const MAX_LISTED_KEYS: usize = 1000;
-/// Largest part of a list in bytes as the service counts them.
+/// Maximum size of one page of a list in bytes, as the service counts it.
 const MAX_LIST_BYTES: usize = 512 * 1024;
-/// What the service counts for a listed key beside its name and value.
+/// Size that the service adds for each listed key to the sizes of its name and value.
 const LISTED_KEY_OVERHEAD_BYTES: usize = 40;
-/// Longest watch.  It is longer than any ordinary one; that watches keep to the protocol's own bound
-/// is the caller's business.
+/// Maximum time for which a watch blocks.  The service does not enforce the shorter bound of the
+/// protocol; clients are responsible for keeping to it.
 const MAX_WATCH_MS: u64 = 600_000;
-/// Shortest and longest lease.
+/// Allowed time to live of a lease.
 const LEASE_TTL_MS: std::ops::RangeInclusive<u64> = 100..=600_000;
 
-/// Parameters of a request's query.
+/// Parameters of a request's query string.
 struct Query<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Query<'a> {
@@ -28,7 +28,7 @@
         Query(text.split('&').filter_map(|parameter| parameter.split_once('=')).collect())
     }
 
-    /// A parameter's text, empty if it is missing.
+    /// Returns the value of a parameter, or an empty string if it is missing.
     fn text(&self, name: &str) -> &'a str {
         self.0.get(name).copied().unwrap_or_default()
     }
@@ -39,13 +39,13 @@
 }
 
 impl State {
-    /// Handles a request.
+    /// Handles a request, after removing the leases that have expired by `now`.
     pub fn ask(&mut self, request: &Request, now: Instant) -> Step {
         self.requests += 1;
-        if self.is_out {
+        if self.is_in_outage {
             return Step::Answer(Response::refuse(503, "trouble"));
         }
-        if !self.request_rate.allows(1.0, now) {
+        if !self.request_rate.try_take(1.0, now) {
             self.refused += 1;
             return Step::Answer(Response::refuse(429, "too many requests"));
         }
@@ -54,11 +54,11 @@
         Step::Answer(match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/kv") => self.list(&query),
             ("GET", "/changes") => return self.watch(&query, now),
-            ("POST", "/txn") => self.transact(&request.body, now),
+            ("POST", "/txn") => self.execute_transaction(&request.body, now),
             ("POST", "/leases") => self.grant_lease(&request.body, now),
             ("GET", path) if path.starts_with("/kv/") => self.get(&path["/kv/".len()..]),
             (method, path) => match path.strip_prefix("/leases/") {
-                Some(lease) => self.change_lease(method, lease, now),
+                Some(lease) => self.renew_or_revoke_lease(method, lease, now),
                 None => Response::refuse(404, "no such path"),
             },
         })
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Lists keys under a prefix, from after the key `since`.
+    /// Lists the keys that start with a prefix and come after the key `since`.
     fn list(&self, query: &Query<'_>) -> Response {
         let (prefix, since) = (query.text("under"), query.text("since"));
         let max_keys = query.number("page").unwrap_or(MAX_LISTED_KEYS).min(MAX_LISTED_KEYS);
@@ -91,8 +91,8 @@
     fn watch(&mut self, query: &Query<'_>, now: Instant) -> Step {
         let block = Duration::from_millis(query.number("blockMs").unwrap_or(0).min(MAX_WATCH_MS));
         let watch = Watch {
-            under: query.text("under").to_owned(),
-            since: query.number("since").unwrap_or(0),
+            prefix: query.text("under").to_owned(),
+            since_revision: query.number("since").unwrap_or(0),
             until: now + block,
         };
         match self.news(&watch, now) {
@@ -101,22 +101,22 @@
         }
     }
 
-    /// The response to a watch, if there are changes or its time is over; a refusal if the changes
-    /// that it asks for are no longer kept.
+    /// Returns the response to a watch once there are changes or its time is over.  The response is a
+    /// refusal during an outage, or if the changes that the watch asks for are no longer retained.
     pub fn news(&mut self, watch: &Watch, now: Instant) -> Option<Response> {
-        if self.is_out {
+        if self.is_in_outage {
             return Some(Response::refuse(503, "trouble"));
         }
         self.expire_leases(now);
-        let is_full = self.changes.len() >= CHANGES_KEPT;
-        if is_full && self.changes.front().is_some_and(|oldest| oldest.revision > watch.since + 1) {
+        let is_full = self.changes.len() >= MAX_RETAINED_CHANGES;
+        if is_full && self.changes.front().is_some_and(|oldest| oldest.revision > watch.since_revision + 1) {
             return Some(Response::refuse(410, "too old"));
         }
-        let newer = self.changes.iter().rev().take_while(|change| change.revision > watch.since).count();
+        let newer = self.changes.iter().rev().take_while(|change| change.revision > watch.since_revision).count();
         let newer = self.changes.iter().skip(self.changes.len() - newer);
         let changes: Vec<_> =
-            newer.filter(|change| change.key.starts_with(&watch.under)).map(|change| change.event()).collect();
-        let revision = self.revision.max(watch.since);
+            newer.filter(|change| change.key.starts_with(&watch.prefix)).map(|change| change.watch_event()).collect();
+        let revision = self.revision.max(watch.since_revision);
         (!changes.is_empty() || now >= watch.until).then(|| Response::new(200, &Changes { revision, changes }))
     }
 
@@ -132,12 +132,12 @@
         }
     }
 
-    /// Renews or ends a lease; `lease` is the rest of the path, an id with `/renew` or without.
-    fn change_lease(&mut self, method: &str, lease: &str, now: Instant) -> Response {
+    /// Renews or revokes a lease; `lease` is the rest of the path, an id that `/renew` may follow.
+    fn renew_or_revoke_lease(&mut self, method: &str, lease: &str, now: Instant) -> Response {
         let is_renewal = lease.ends_with("/renew");
         let id = lease.trim_end_matches("/renew").parse().unwrap_or(0);
         let exists = match (method, is_renewal) {
-            ("DELETE", false) => self.end_lease(id),
+            ("DELETE", false) => self.revoke_lease(id),
             ("POST", true) => self.leases.get_mut(&id).map(|lease| lease.renewed_at = now).is_some(),
             _ => return Response::refuse(400, "malformed"),
         };
--- a/packages/emulator/src/state/transaction.rs
+++ b/packages/emulator/src/state/transaction.rs
@@ -8,21 +8,21 @@
 use super::messages::{CurrentRevision, FailedPreconditions, Transaction};
 use super::{counted_size, is_valid_key, State, StoredValue};
 
-/// Largest transaction in bytes as the service counts them.
+/// Maximum size of a transaction in bytes, as the service counts it.
 const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
-/// A transaction may have so many preconditions for each write that the limits allow.
+/// Number of preconditions that a transaction may have for each write that the limits allow.
 const PRECONDITIONS_PER_WRITE: usize = 4;
 
-/// A write that was checked.
+/// A checked write.  Sets have passed the checks of key, size and lease; deletes need no check.
 enum CheckedWrite {
     Set { key: String, data: Vec<u8>, lease_id: Option<u64> },
     Delete { key: String },
 }
 
 impl State {
-    /// Carries out all writes of a transaction if all of its preconditions hold, or none.  Sizes and
-    /// leases are checked first, then the rate of writes, then the preconditions.
-    pub(super) fn transact(&mut self, body: &[u8], now: Instant) -> Response {
+    /// Carries out all writes of a transaction if all of its preconditions hold, and none otherwise.
+    /// Sizes and leases are checked first, then the rate of writes, then the preconditions.
+    pub(super) fn execute_transaction(&mut self, body: &[u8], now: Instant) -> Response {
         let Ok(transaction) = http::decode::<Transaction>(body) else { return Response::refuse(400, "malformed") };
         let max_writes = self.limits.txn_ops;
         if counted_size(body.len()) > MAX_TRANSACTION_BYTES
@@ -36,7 +36,7 @@
                 Ok(writes) => writes,
                 Err(reason) => return Response::refuse(400, reason),
             };
-        if !self.write_rate.allows(writes.len() as f64, now) {
+        if !self.write_rate.try_take(writes.len() as f64, now) {
             self.refused += 1;
             return Response::refuse(429, "too many changes");
         }
@@ -50,7 +50,12 @@
         Response::new(200, &CurrentRevision { revision: self.revision })
     }
 
-    /// Checks a write against the limits; the error is the reason of the refusal.
+    /// Checks a write against the limits.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason for the refusal if the key is invalid, the value is too large or the lease
+    /// does not exist.
     fn check_write(&self, write: Write) -> Result<CheckedWrite, &'static str> {
         let (key, data, lease_id) = match write {
             Write::Delete { delete } => return Ok(CheckedWrite::Delete { key: delete }),
@@ -65,7 +70,8 @@
         Ok(CheckedWrite::Set { key, data, lease_id })
     }
 
-    /// Keys whose revision is not the one that a precondition asks for.
+    /// Returns the keys whose revision differs from the one that their precondition requires; a key
+    /// that does not exist has revision 0.
     fn failed_preconditions(&self, preconditions: &[Precondition]) -> Vec<String> {
         let revision = |key: &str| self.keys.get(key).map_or(0, |value| value.revision);
         let failed = preconditions.iter().filter(|condition| revision(&condition.key) != condition.revision);
--- a/packages/emulator/src/worker_pool.rs
+++ b/packages/emulator/src/worker_pool.rs
@@ -1,9 +1,9 @@
-//! Machines with their workers, as the protocol describes them: incarnations, leases and fencing
-//! tokens, image fetches, gangs, checkpoints.
+//! Emulated machines and their workers: incarnations, leases, fencing tokens, image fetches, gangs
+//! and checkpoints.
 //!
-//! A plain state machine over all machines at once, as gangs span them; every step takes the
-//! current time.  It also records each violation of the protocol that can be seen from where tasks
-//! run.
+//! [`WorkerPool`] is a state machine without I/O that receives the current time with each call.  It
+//! holds all machines, because the tasks of a gang run on several of them.  It also records each
+//! violation of the protocol that is visible on the machines.
 
 mod commands;
 mod gang;
@@ -22,73 +22,74 @@
 pub use self::heartbeat::SentHeartbeat;
 pub use self::machine::{Machine, NewMachine};
 
-/// How workers behave, all in seconds.
+/// Time limits of the workers, all in seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct Settings {
-    /// A worker whose last answered heartbeat was sent longer ago kills its tasks.
+    /// A worker kills its tasks when its last answered heartbeat was sent longer ago than this.
     pub lease_s: f64,
-    /// How long a task of a gang waits for the others.
+    /// Longest time that a task of a gang waits for the other tasks before it exits.
     pub gang_wait_s: f64,
-    /// How quickly a gang notices the loss of a task, and within what time all of its tasks must be
-    /// stopped for their checkpoint to count.
+    /// Time from the loss of a task of a gang until the other tasks exit.  Also the time from a stop
+    /// command within which all tasks of the gang must be stopped for their checkpoint to count.
     pub gang_peer_s: f64,
 }
 
-/// The tasks that run at one moment.
+/// Numbers of running tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunningTasks {
-    /// All of them.
+    /// All running tasks.
     pub all: u64,
-    /// Those that are replicas of services.
+    /// Running tasks that are replicas of services.
     pub service_replicas: u64,
 }
 
-/// The start of a job that was to be timed.
+/// The measured start of a job for which [`WorkerPool::time_start`] was called.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TimedStart {
-    /// The job.
+    /// Id of the job.
     pub job: Name,
-    /// When its last task began to run.
+    /// When the last task of the job began to run.
     pub at: Instant,
 }
 
-/// All machines, the uploaded job descriptions, and what came of the jobs.
+/// All machines, the uploaded job specs, and the progress of the jobs.
 #[derive(Debug)]
 pub struct WorkerPool {
     settings: Settings,
     machines: BTreeMap<Name, Machine>,
-    /// The machines that list a task, in any phase.
+    /// The machines that hold a record of a task, whatever its phase.
     machines_by_task: HashMap<Task, Vec<Name>>,
-    /// Machines with something to report since the last [`WorkerPool::take_changed`].
+    /// Machines that changed since the last call of [`WorkerPool::take_changed_machines`].
     changed_machines: Vec<Name>,
     specs: HashMap<Name, Arc<JobSpec>>,
-    /// Jobs whose start is timed, with how many of their tasks have yet to start.
+    /// Jobs whose start is timed, with the number of their tasks that have not started.
     tasks_to_start: HashMap<Name, u32>,
-    /// Completed tasks of each job; their results are kept.
+    /// Completed tasks of each job; a completed task does not run again.
     completed_tasks: HashMap<Name, BTreeSet<u32>>,
-    /// When the last task of a job completed.
+    /// When the last task of each completed job completed.
     completed_at: HashMap<Name, Instant>,
-    /// Saved progress, in seconds of the estimate; by job for gangs.
-    saved_progress: HashMap<Task, f64>,
+    /// Saved progress in seconds of the job's estimate.  A gang has one entry, under task index 0.
+    saved_progress_s: HashMap<Task, f64>,
     rng: Rng,
-    /// Seconds that a task runs for each second of its estimate.
-    pub pace: f64,
-    /// Violations of the protocol, a line each.
+    /// Run time of a task in seconds per second of the job's estimate.
+    pub runtime_factor: f64,
+    /// Recorded violations of the protocol, one line each, which starts with the name of the violated
+    /// rule.
     pub violations: Vec<String>,
-    /// Tasks that began to run.
+    /// Number of task attempts that began to run.
     pub started: u64,
-    /// Tasks that were killed because the lease of their worker expired.
+    /// Number of tasks that were killed because the lease of their worker expired.
     pub killed: u64,
-    /// Timed jobs whose last task began to run; whoever reads them takes them out.
+    /// Timed jobs whose last task began to run; the reader removes the entries.
     pub timed_starts: Vec<TimedStart>,
 }
 
-fn seconds(s: f64) -> Duration {
+fn duration_from_seconds(s: f64) -> Duration {
     Duration::from_secs_f64(s.clamp(0.0, 1e9))
 }
 
-/// Removes a machine from those that list a task.
-fn unlist(machines_by_task: &mut HashMap<Task, Vec<Name>>, task: &Task, machine: &str) {
+/// Removes a machine from the index of the machines that hold a task.
+fn remove_task_machine(machines_by_task: &mut HashMap<Task, Vec<Name>>, task: &Task, machine: &str) {
     if let Some(machines) = machines_by_task.get_mut(task) {
         machines.retain(|name| **name != *machine);
         if machines.is_empty() {
@@ -98,8 +99,9 @@
 }
 
 impl WorkerPool {
-    /// Creates an empty pool; `pace` is how many seconds a task runs for each second of its estimate.
-    pub fn new(settings: Settings, pace: f64, rng: Rng) -> WorkerPool {
+    /// Creates an empty pool; `runtime_factor` is the run time of a task in seconds per second of the
+    /// job's estimate.
+    pub fn new(settings: Settings, runtime_factor: f64, rng: Rng) -> WorkerPool {
         WorkerPool {
             settings,
             machines: BTreeMap::new(),
@@ -109,9 +111,9 @@
             tasks_to_start: HashMap::new(),
             completed_tasks: HashMap::new(),
             completed_at: HashMap::new(),
-            saved_progress: HashMap::new(),
+            saved_progress_s: HashMap::new(),
             rng,
-            pace,
+            runtime_factor,
             violations: Vec::new(),
             started: 0,
             killed: 0,
@@ -119,29 +121,30 @@
         }
     }
 
-    /// Stores a job's description, as users upload it for the workers; the first one stays.
+    /// Stores the spec that a user uploads for the workers.  A second spec for the same job is ignored.
     pub fn upload(&mut self, spec: JobSpec) {
         self.specs.entry(spec.id.clone()).or_insert_with(|| Arc::new(spec));
     }
 
-    /// Times the start of a job that was uploaded before.
+    /// Requests that the start of a job is timed.  The call has no effect unless the job's spec was
+    /// uploaded before.
     pub fn time_start(&mut self, job: &Name) {
         if let Some(spec) = self.specs.get(job) {
             self.tasks_to_start.insert(job.clone(), spec.tasks);
         }
     }
 
-    /// Number of completed tasks of a job.
+    /// Returns the number of completed tasks of a job.
     pub fn completed_task_count(&self, job: &str) -> usize {
         self.completed_tasks.get(job).map_or(0, BTreeSet::len)
     }
 
-    /// Completed jobs, with when the last task of each completed.
+    /// Returns the completed jobs, each with the time at which its last task completed.
     pub fn completed_at(&self) -> &HashMap<Name, Instant> {
         &self.completed_at
     }
 
-    /// Counts the tasks that run now.
+    /// Counts the running tasks.
     pub fn running_tasks(&self) -> RunningTasks {
         let mut running = RunningTasks { all: 0, service_replicas: 0 };
         for (task, record) in self.machines.values().flat_map(|machine| &machine.tasks) {
@@ -155,18 +158,18 @@
         running
     }
 
-    /// All machines by name.
+    /// Returns all machines by name.
     pub fn machines(&self) -> &BTreeMap<Name, Machine> {
         &self.machines
     }
 
-    /// Adds a machine that came up.
+    /// Adds a booted machine, whose speed is chosen at random within 5% of its type's.
     pub fn add_machine(&mut self, new: NewMachine, now: Instant) {
         let speed = 0.95 + 0.1 * self.rng.f64();
         self.machines.insert(new.name.clone(), Machine::new(new, speed, now));
     }
 
-    /// Notes when the cloud will reclaim a machine.
+    /// Records when the cloud will reclaim a machine.
     pub fn schedule_reclaim(&mut self, name: &str, at: Instant) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.reclaim_at = Some(at);
@@ -174,21 +177,21 @@
         }
     }
 
-    /// Removes a machine with all that is on it.
+    /// Removes a machine and its tasks.
     pub fn remove_machine(&mut self, name: &str) {
         let Some(machine) = self.machines.remove(name) else { return };
         for task in machine.tasks.keys() {
-            unlist(&mut self.machines_by_task, task, name);
+            remove_task_machine(&mut self.machines_by_task, task, name);
         }
     }
 
-    /// Takes the names of the machines that got something to report since the last call; a name may
-    /// be in it more than once.
-    pub fn take_changed(&mut self) -> Vec<Name> {
+    /// Removes and returns the names of the machines that changed since the last call.  A name can
+    /// occur more than once.
+    pub fn take_changed_machines(&mut self) -> Vec<Name> {
         std::mem::take(&mut self.changed_machines)
     }
 
-    /// Whether a machine has something to report.
+    /// Reports whether a machine has changed since its last heartbeat.
     pub fn has_changed(&self, name: &str) -> bool {
         self.machines.get(name).is_some_and(|machine| machine.has_changed)
     }
--- a/packages/emulator/src/worker_pool/commands.rs
+++ b/packages/emulator/src/worker_pool/commands.rs
@@ -1,4 +1,5 @@
-//! Commands of the leader: starting and stopping tasks, and removing exited ones from the list.
+//! Execution of the leader's commands: starting and stopping tasks, and removing the records of
+//! exited tasks.
 
 use std::time::Instant;
 
@@ -7,56 +8,57 @@
 use fastrand::Rng;
 
 use super::machine::{Machine, TaskPhase, TaskRecord};
-use super::{seconds, unlist, WorkerPool};
+use super::{duration_from_seconds, remove_task_machine, WorkerPool};
 
-/// Which part of a stopped task's progress is kept.
+/// The checkpoint that determines how much of a stopped task's progress is kept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Checkpoint {
-    /// All of it: the task saves a checkpoint when it is stopped.
+    /// The task saves a checkpoint when it is stopped, so all of its progress is kept.
     OnStop,
-    /// The part up to the last periodic checkpoint.
+    /// Only the progress up to the last periodic checkpoint is kept.
     LastPeriodic,
 }
 
 impl WorkerPool {
-    pub(super) fn execute(&mut self, name: &str, commands: Vec<Command>, now: Instant) {
+    pub(super) fn execute_commands(&mut self, name: &str, commands: Vec<Command>, now: Instant) {
         for command in commands {
             match command {
                 Command::Start { task, attempt } => self.start_task(name, task, attempt, now),
                 Command::Stop { task, attempt, grace } => self.stop_task(name, &task, attempt, grace, now),
-                Command::Acknowledge { task, attempt } => self.acknowledge(name, &task, attempt),
+                Command::Acknowledge { task, attempt } => self.remove_exited_task(name, &task, attempt),
             }
         }
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.next_change = now;
+            machine.next_change_at = now;
             self.mark_changed(name);
         }
     }
 
-    /// Removes an exited attempt, whose end the leader has recorded.
-    fn acknowledge(&mut self, name: &str, task: &Task, attempt: u64) {
+    /// Removes the record of an exited attempt after the leader has stored its exit.
+    fn remove_exited_task(&mut self, name: &str, task: &Task, attempt: u64) {
         let Some(machine) = self.machines.get_mut(name) else { return };
-        let is_recorded = |record: &TaskRecord| record.attempt == attempt && record.phase.has_exited();
-        if machine.tasks.get(task).is_some_and(is_recorded) {
+        let is_exited_attempt = |record: &TaskRecord| record.attempt == attempt && record.phase.has_exited();
+        if machine.tasks.get(task).is_some_and(is_exited_attempt) {
             machine.tasks.remove(task);
-            unlist(&mut self.machines_by_task, task, name);
+            remove_task_machine(&mut self.machines_by_task, task, name);
         }
     }
 
     fn start_task(&mut self, name: &str, task: Task, attempt: u64, now: Instant) {
         let spec = self.specs.get(&task.job).filter(|spec| task.index < spec.tasks).cloned();
-        let used = self.used(name);
+        let used_resources = self.used_resources(name);
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.has_gang_tasks |= spec.as_ref().is_some_and(|spec| spec.shape == Shape::Gang);
         if machine.tasks.contains_key(&task) {
-            // a repeated command, or busy with another attempt: the next heartbeat shows which
+            // The command is a repetition, or another attempt of the task is on this machine; the next
+            // heartbeat tells the leader which attempt it is.
             return;
         }
         let phase = match spec {
             None => TaskPhase::exited(ExitCause::UnknownJob),
             Some(spec) => {
                 let mut free = machine.kind.size();
-                free.subtract(&used);
+                free.subtract(&used_resources);
                 if free.fits(&spec.size()) {
                     fetch_image(machine, &spec, &mut self.rng, now);
                     TaskPhase::Pulling
@@ -69,21 +71,21 @@
         self.machines_by_task.entry(task).or_default().push(name.into());
     }
 
-    /// What the tasks on a machine use that have not exited.
-    fn used(&self, name: &str) -> Resources {
-        let mut used = Resources::default();
+    /// Returns the resources of all tasks on a machine that have not exited.
+    fn used_resources(&self, name: &str) -> Resources {
+        let mut used_resources = Resources::default();
         let tasks = self.machines.get(name).into_iter().flat_map(|machine| &machine.tasks);
         for (task, _) in tasks.filter(|(_, record)| !record.phase.has_exited()) {
             if let Some(spec) = self.specs.get(&task.job) {
-                used.add(&spec.size());
+                used_resources.add(&spec.size());
             }
         }
-        used
+        used_resources
     }
 
     fn stop_task(&mut self, name: &str, task: &Task, attempt: u64, grace_s: f64, now: Instant) {
         let Some(spec) = self.specs.get(&task.job).cloned() else { return };
-        let gang_deadline = now + seconds(self.settings.gang_peer_s);
+        let gang_deadline = now + duration_from_seconds(self.settings.gang_peer_s);
         let Some(machine) = self.machines.get_mut(name) else { return };
         let Some(phase) = machine.tasks.get(task).filter(|record| record.attempt == attempt).map(|record| record.phase)
         else {
@@ -91,7 +93,7 @@
         };
         let (next, checkpoint) = match phase {
             TaskPhase::Running { .. } if spec.checkpoint_s > 0.0 && grace_s >= spec.save_s => {
-                let until = now + seconds(spec.save_s);
+                let until = now + duration_from_seconds(spec.save_s);
                 (TaskPhase::Checkpointing { until, gang_deadline }, Checkpoint::OnStop)
             }
             TaskPhase::Checkpointing { .. } if grace_s > 0.0 => return,
@@ -108,24 +110,25 @@
         }
     }
 
-    /// Key of a task's progress: a gang has one for all of its tasks.
+    /// Returns the key of a task's entry in `saved_progress_s`, which the tasks of a gang share.
     fn progress_key(task: &Task, spec: &JobSpec) -> Task {
         let index = if spec.shape == Shape::Gang { 0 } else { task.index };
         Task { job: task.job.clone(), index }
     }
 
-    /// Seconds of the estimate that are left after the saved progress.
+    /// Returns the seconds of the job's estimate that remain after the saved progress.
     pub(super) fn remaining_s(&self, task: &Task, spec: &JobSpec) -> f64 {
-        spec.estimate_s - self.saved_progress.get(&Self::progress_key(task, spec)).copied().unwrap_or(0.0)
+        spec.estimate_s - self.saved_progress_s.get(&Self::progress_key(task, spec)).copied().unwrap_or(0.0)
     }
 
-    /// Saves what a task did since its start.
+    /// Saves the progress of a task that worked for `work_done_s` seconds since its start, as far as
+    /// `checkpoint` covers it.
     fn save_progress(&mut self, task: &Task, spec: &JobSpec, work_done_s: f64, checkpoint: Checkpoint) {
         if spec.checkpoint_s <= 0.0 {
             return;
         }
-        let saved = self.saved_progress.entry(Self::progress_key(task, spec)).or_default();
-        let total = *saved + work_done_s / self.pace.max(1e-9);
+        let saved = self.saved_progress_s.entry(Self::progress_key(task, spec)).or_default();
+        let total = *saved + work_done_s / self.runtime_factor.max(1e-9);
         let kept = match checkpoint {
             Checkpoint::OnStop => total,
             Checkpoint::LastPeriodic => (total / spec.checkpoint_s).floor() * spec.checkpoint_s,
@@ -134,12 +137,12 @@
     }
 }
 
-/// Begins to fetch a job's image unless the machine has it.
+/// Starts the fetch of a job's image unless the image is in the machine's cache.
 fn fetch_image(machine: &mut Machine, spec: &JobSpec, rng: &mut Rng, now: Instant) {
     if machine.images.ready_at(&spec.image).is_some() {
         return;
     }
     let gb_per_s = (machine.kind.fetch_gb_per_s * (0.67 + 0.66 * rng.f64())).max(1e-6);
-    let ready_at = now + seconds(spec.image_gb / gb_per_s);
+    let ready_at = now + duration_from_seconds(spec.image_gb / gb_per_s);
     machine.images.insert(spec.image.clone(), spec.image_gb, ready_at, machine.kind.cache_gb);
 }
--- a/packages/emulator/src/worker_pool/gang.rs
+++ b/packages/emulator/src/worker_pool/gang.rs
@@ -1,4 +1,4 @@
-//! How far the attempts of gangs are, over all machines.
+//! Progress of gang attempts across all machines.
 
 use std::collections::HashMap;
 
@@ -15,17 +15,18 @@
     pub(super) attempt: u64,
 }
 
-/// How many tasks of a gang's attempt are how far.
+/// Numbers of the tasks of a gang attempt that wait or have started.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct GangProgress {
-    /// They wait for the others.
+    /// Tasks that wait for the other tasks of the gang.
     pub(super) waiting: u32,
-    /// They run, save a checkpoint, or have completed or saved one.
+    /// Tasks that run, are saving a checkpoint, have completed, or have exited with a saved
+    /// checkpoint.
     pub(super) started: u32,
 }
 
 impl GangProgress {
-    /// Tasks that are ready to start together or have started; one that was lost is not counted.
+    /// Returns the number of tasks that wait or have started; lost tasks are not counted.
     pub(super) fn present(&self) -> u32 {
         self.waiting + self.started
     }
--- a/packages/emulator/src/worker_pool/heartbeat.rs
+++ b/packages/emulator/src/worker_pool/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and what answers them, with the checks of incarnation and fencing token.
+//! Heartbeats, their replies and direct commands, with the checks of incarnation and fencing token.
 
 use std::time::Instant;
 
@@ -6,8 +6,8 @@
 
 use super::WorkerPool;
 
-/// A heartbeat that was sent.  The lease is renewed from when it was sent, and only by a reply to
-/// the present incarnation.
+/// A heartbeat that was sent and may be answered.  A reply renews the lease from the time at which
+/// the heartbeat was sent, and only if the worker's incarnation is still the same.
 #[derive(Debug, Clone, Copy)]
 pub struct SentHeartbeat {
     incarnation: u64,
@@ -15,7 +15,7 @@
 }
 
 impl WorkerPool {
-    /// Makes the next heartbeat of a machine; `None` if there is no such machine.
+    /// Creates the next heartbeat of a machine; returns `None` if the machine does not exist.
     pub fn heartbeat(&mut self, name: &str, now: Instant) -> Option<(Heartbeat, SentHeartbeat)> {
         let machine = self.machines.get_mut(name)?;
         machine.sequence += 1;
@@ -35,8 +35,8 @@
         Some((heartbeat, SentHeartbeat { incarnation: machine.incarnation, sent_at: now }))
     }
 
-    /// Applies the reply to a heartbeat.  One for an earlier incarnation, or with a lower fencing
-    /// token, is dropped.
+    /// Applies the reply to a heartbeat.  A reply to an earlier incarnation, or with a fencing token
+    /// lower than the highest one seen, is dropped.
     pub fn apply_reply(&mut self, name: &str, sent: SentHeartbeat, reply: HeartbeatReply, now: Instant) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         if sent.incarnation != machine.incarnation || reply.fencing_token < machine.fencing_token {
@@ -44,24 +44,25 @@
         }
         let has_new_leader = reply.fencing_token > machine.fencing_token;
         machine.fencing_token = reply.fencing_token;
-        machine.lease_renewed = sent.sent_at;
+        machine.lease_renewed_at = sent.sent_at;
         if has_new_leader {
             self.mark_changed(name);
         }
         if !reply.commands.is_empty() {
-            self.execute(name, reply.commands, now);
+            self.execute_commands(name, reply.commands, now);
         }
     }
 
-    /// Executes commands that a leader sent directly.  Returns whether they were executed: not if
-    /// they are for another incarnation or have a lower fencing token.
+    /// Executes commands that a leader sent directly to the worker.  Returns `false`, and executes
+    /// none, if the machine does not exist, the commands are for another incarnation, or their fencing
+    /// token is lower than the highest one seen.
     pub fn apply_direct_commands(&mut self, name: &str, body: DirectCommandBody, now: Instant) -> bool {
         let Some(machine) = self.machines.get_mut(name) else { return false };
         if body.incarnation != machine.incarnation || body.fencing_token < machine.fencing_token {
             return false;
         }
         machine.fencing_token = body.fencing_token;
-        self.execute(name, body.commands, now);
+        self.execute_commands(name, body.commands, now);
         true
     }
 }
--- a/packages/emulator/src/worker_pool/machine.rs
+++ b/packages/emulator/src/worker_pool/machine.rs
@@ -1,4 +1,5 @@
-//! One machine with its worker: what is on it, and what it last agreed on with the controllers.
+//! One machine with its worker: tasks, cached images, and the lease and fencing token of the
+//! worker.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -6,7 +7,7 @@
 use coralnotch_wire::model::{MachineType, Name, Task};
 use coralnotch_wire::workers::{ExitCause, TaskState, TaskStatus};
 
-/// What a task is doing on its machine.
+/// Phase of a task on its machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum TaskPhase {
     Pulling,
@@ -16,12 +17,13 @@
     Running {
         since: Instant,
     },
-    /// Another task of the gang is gone: this one exits at `until`.
+    /// Another task of the gang is lost; this task exits at `until` and is reported as running until
+    /// then.
     GangMemberLost {
         until: Instant,
     },
-    /// Saves a checkpoint until `until`; one of a gang counts if all of the gang's tasks were stopped
-    /// by `gang_deadline`.
+    /// The task saves a checkpoint until `until`.  The checkpoint of a gang counts only if all of its
+    /// tasks were stopped by `gang_deadline`.
     Checkpointing {
         until: Instant,
         gang_deadline: Instant,
@@ -46,7 +48,7 @@
     }
 }
 
-/// One attempt of a task on a machine.
+/// An attempt of a task on a machine.
 #[derive(Debug, Clone)]
 pub(super) struct TaskRecord {
     pub(super) attempt: u64,
@@ -54,7 +56,7 @@
 }
 
 impl TaskRecord {
-    /// The attempt as a heartbeat lists it.
+    /// Returns the entry for this attempt in a heartbeat.
     pub(super) fn status(&self, task: &Task) -> TaskStatus {
         let (state, cause, saved) = match self.phase {
             TaskPhase::Pulling => (TaskState::Pulling, None, None),
@@ -71,23 +73,23 @@
 struct CachedImage {
     name: Name,
     size_gb: f64,
-    /// When the fetch is complete.
+    /// When the fetch completes or completed.
     ready_at: Instant,
 }
 
-/// The images on a machine, the oldest first.
+/// The images on a machine in the order of their fetches, the oldest first.
 #[derive(Debug, Default)]
 pub(super) struct ImageCache {
     images: Vec<CachedImage>,
 }
 
 impl ImageCache {
-    /// When an image is, or was, completely fetched; `None` if it is not in the cache.
+    /// Returns when the fetch of an image completes or completed; `None` if it is not in the cache.
     pub(super) fn ready_at(&self, name: &Name) -> Option<Instant> {
         self.images.iter().find(|image| image.name == *name).map(|image| image.ready_at)
     }
 
-    /// Adds an image, and evicts the oldest ones until the rest fits or only one is left.
+    /// Adds an image, and evicts the oldest images until the rest fits or only one image is left.
     pub(super) fn insert(&mut self, name: Name, size_gb: f64, ready_at: Instant, capacity_gb: f64) {
         self.images.push(CachedImage { name, size_gb, ready_at });
         while self.images.len() > 1 && self.images.iter().map(|image| image.size_gb).sum::<f64>() > capacity_gb {
@@ -96,46 +98,46 @@
     }
 }
 
-/// A machine that came up.
+/// A booted machine that is to be added to the pool.
 #[derive(Debug, Clone)]
 pub struct NewMachine {
-    /// Its name.
+    /// Name of the machine, which the cloud assigns.
     pub name: Name,
-    /// Its type.
+    /// Machine type.
     pub kind: MachineType,
-    /// Its zone.
+    /// Zone in which the machine was rented.
     pub zone: Name,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// Address where its worker takes direct commands.
+    /// Address on which the worker accepts direct commands.
     pub address: Name,
 }
 
-/// A machine with its worker.
+/// A machine and the state of its worker.
 #[derive(Debug)]
 pub struct Machine {
-    /// Type.
+    /// Machine type.
     pub kind: MachineType,
-    /// Zone.
+    /// Zone in which the machine was rented.
     pub zone: Name,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// Address where its worker takes direct commands.
+    /// Address on which the worker accepts direct commands.
     pub address: Name,
-    /// When the cloud will reclaim it, once the cloud has given notice.
+    /// When the cloud will reclaim the machine; `None` until the cloud gives notice.
     pub reclaim_at: Option<Instant>,
-    /// Something changed that is worth an early heartbeat.
+    /// Whether a change since the last heartbeat warrants an early heartbeat.
     pub(super) has_changed: bool,
-    /// Nothing on it changes by itself before this.
-    pub(super) next_change: Instant,
-    /// It has tasks of gangs, whose progress depends on other machines.
+    /// No task on the machine changes its phase by itself before this time, tasks of gangs excepted.
+    pub(super) next_change_at: Instant,
+    /// Whether the machine has tasks of gangs, whose progress depends on other machines.
     pub(super) has_gang_tasks: bool,
     pub(super) incarnation: u64,
     pub(super) sequence: u64,
     pub(super) fencing_token: u64,
-    /// When the last heartbeat that was answered in time was sent.
-    pub(super) lease_renewed: Instant,
-    /// Speed relative to its type.
+    /// When the heartbeat that last renewed the lease was sent, or the incarnation began.
+    pub(super) lease_renewed_at: Instant,
+    /// Speed relative to the nominal speed of the machine type.
     pub(super) speed: f64,
     pub(super) tasks: BTreeMap<Task, TaskRecord>,
     pub(super) images: ImageCache,
@@ -150,24 +152,24 @@
             address: new.address,
             reclaim_at: None,
             has_changed: true,
-            next_change: now,
+            next_change_at: now,
             has_gang_tasks: false,
             incarnation: 1,
             sequence: 0,
             fencing_token: 0,
-            lease_renewed: now,
+            lease_renewed_at: now,
             speed,
             tasks: BTreeMap::new(),
             images: ImageCache::default(),
         }
     }
 
-    /// Whether the worker's lease has expired.
+    /// Reports whether the worker's lease of this duration has expired.
     pub(super) fn is_lease_expired(&self, lease: Duration, now: Instant) -> bool {
-        now.saturating_duration_since(self.lease_renewed) > lease
+        now.saturating_duration_since(self.lease_renewed_at) > lease
     }
 
-    /// Seconds of the estimate's work that a task does here in the time since `since`.
+    /// Returns the work that a task did on this machine since `since`, in seconds at nominal speed.
     pub(super) fn work_done_s(&self, since: Instant, now: Instant) -> f64 {
         now.saturating_duration_since(since).as_secs_f64() * self.speed
     }
--- a/packages/emulator/src/worker_pool/tests.rs
+++ b/packages/emulator/src/worker_pool/tests.rs
@@ -42,18 +42,20 @@
 }
 
 fn states(pool: &mut WorkerPool, machine: &str, now: Instant) -> Vec<(TaskState, Option<ExitCause>)> {
-    pool.heartbeat(machine, now).map(|r| r.0.tasks.iter().map(|t| (t.state, t.cause)).collect()).unwrap_or_default()
+    pool.heartbeat(machine, now)
+        .map(|sent_heartbeat| sent_heartbeat.0.tasks.iter().map(|status| (status.state, status.cause)).collect())
+        .unwrap_or_default()
 }
 
-/// A command with a lower fencing token is refused, and a lease expiry ends the tasks and the
-/// incarnation.
+/// Commands with a lower fencing token than the highest one seen are rejected.  The expiry of the
+/// lease kills the tasks and starts a new incarnation, which ignores replies to the previous one.
 #[test]
-fn lower_tokens_are_refused_and_lease_expiry_ends_tasks() {
+fn lower_fencing_token_is_rejected_and_lease_expiry_kills_tasks() {
     let t0 = Instant::now();
     let mut pool = worker_pool(1, t0);
     pool.upload((*spec("j-000001", 3)).clone());
     assert!(start(&mut pool, "i-0", 5, 0, t0));
-    assert!(!start(&mut pool, "i-0", 4, 1, t0), "a command of a former leader");
+    assert!(!start(&mut pool, "i-0", 4, 1, t0), "a command of a former leader must be rejected");
     assert!(start(&mut pool, "i-0", 5, 1, t0) && start(&mut pool, "i-0", 5, 2, t0));
     let refused = (TaskState::Exited, Some(ExitCause::NoRoom));
     assert_eq!(states(&mut pool, "i-0", t0), [(TaskState::Pulling, None), (TaskState::Pulling, None), refused]);
@@ -68,12 +70,13 @@
         HeartbeatReply { fencing_token: 9, commands: vec![Command::Start { task: task(0), attempt: 2 }] },
         later,
     );
-    assert!(states(&mut pool, "i-0", later).is_empty(), "a reply to an earlier incarnation");
+    assert!(states(&mut pool, "i-0", later).is_empty(), "a reply to an earlier incarnation must be dropped");
 }
 
-/// Tasks run for their time and complete; a second copy is reported as a violation.
+/// A task completes after its run time.  Starting the same task on a second machine meanwhile is
+/// recorded as a violation.
 #[test]
-fn tasks_complete_and_a_second_copy_is_seen() {
+fn task_completes_and_a_second_copy_is_recorded_as_a_violation() {
     let t0 = Instant::now();
     let at = |s| t0 + Duration::from_secs(s);
     let mut pool = worker_pool(2, t0);
@@ -84,18 +87,19 @@
     start(&mut pool, "i-1", 1, 0, at(2));
     pool.step(at(4));
     assert_eq!(pool.violations.len(), 1, "{:?}", pool.violations);
-    for m in ["i-0", "i-1"] {
-        let (_, sent) = pool.heartbeat(m, at(4)).expect("the machine exists");
-        pool.apply_reply(m, sent, HeartbeatReply { fencing_token: 1, commands: vec![] }, at(4));
+    for machine in ["i-0", "i-1"] {
+        let (_, sent) = pool.heartbeat(machine, at(4)).expect("the machine exists");
+        pool.apply_reply(machine, sent, HeartbeatReply { fencing_token: 1, commands: vec![] }, at(4));
     }
     pool.step(at(13));
     assert_eq!(states(&mut pool, "i-0", at(13)), [(TaskState::Exited, Some(ExitCause::Completed))]);
     assert_eq!(pool.completed_task_count("j-000001"), 1);
 }
 
-/// A gang waits, starts together, and falls with one of its tasks.
+/// The tasks of a gang wait for each other and start together.  When one of them is lost, the others
+/// exit.
 #[test]
-fn gangs_start_and_fall_together() {
+fn gang_tasks_start_together_and_exit_when_one_is_lost() {
     let t0 = Instant::now();
     let at = |s| t0 + Duration::from_secs(s);
     let mut pool = worker_pool(2, t0);
