--- a/packages/emulator/src/faults.rs
+++ b/packages/emulator/src/faults.rs
@@ -1,10 +1,12 @@
-//! Faults at given times, from a file that is checked with all its errors at once.
+//! Faults to inject into a cluster, and the fault plan that says when.
+//!
+//! A fault plan is a TOML file.  Reading it reports all of its problems at once:
 //!
 //! ```toml
 //! [[fault]]
-//! kind = "crash"      # of a controller, which is started again
-//! at_s = 3.5
-//! node = 0
+//! kind = "crash"      # kill a controller; it is restarted
+//! at_s = 3.5          # seconds after the cluster is ready
+//! node = 0            # index of the controller
 //! ```
 
 mod error;
@@ -15,76 +17,77 @@
 pub use self::error::{FaultProblem, InvalidFault, PlanError};
 pub use self::plan::{parse, plan};
 
-/// A fault that is injected into a cluster.
+/// A fault to inject into a cluster.  The command `up` prints each fault in its `Debug` form when it
+/// injects the fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// A controller's process is killed and started again.
+    /// The process of one controller is killed and restarted.
     Crash {
         /// Index of the controller.
         node: usize,
     },
-    /// All controllers are killed and stay down for a while.
+    /// All controllers are killed; none is restarted before the fault ends.
     Down {
         /// Duration of the fault.
-        lasts: Duration,
+        duration: Duration,
     },
-    /// The state service refuses everything for a while.
+    /// The state service refuses all requests.
     StateOutage {
         /// Duration of the fault.
-        lasts: Duration,
+        duration: Duration,
     },
-    /// The state service refuses one controller for a while.
+    /// The state service refuses the requests of one controller.
     Refused {
         /// Index of the controller.
         node: usize,
         /// Duration of the fault.
-        lasts: Duration,
+        duration: Duration,
     },
-    /// The state service's answers take longer for a while.
+    /// The responses of the state service are delayed.
     Delay {
-        /// Additional time of each answer.
-        by: Duration,
+        /// Additional latency of each response.
+        latency: Duration,
         /// Duration of the fault.
-        lasts: Duration,
+        duration: Duration,
     },
-    /// The cloud refuses everything for a while.
+    /// The cloud refuses all requests.
     CloudOutage {
         /// Duration of the fault.
-        lasts: Duration,
+        duration: Duration,
     },
-    /// The state service's limits are changed without notice.  The settings of all controllers say
-    /// so from the start, as `state.next`.
+    /// The limits of the state service change without notice.  The settings of all controllers
+    /// announce the new limits from the start, in the section `deployment.state.next`.
     StateLimits {
-        /// Puts and deletes a second.
+        /// Limit of puts and deletes per second.
         write_rps: usize,
-        /// KiB a value.
+        /// Size limit of a value, in KiB.
         value_kb: usize,
-        /// Puts and deletes a transaction.
+        /// Limit of puts and deletes in one transaction.
         txn_ops: usize,
     },
-    /// A controller's process is killed and started again with the new program.
+    /// The process of one controller is killed and restarted with the upgrade program.
     Upgrade {
         /// Index of the controller.
         node: usize,
     },
-    /// Machines die without notice.
+    /// Machines fail without notice.
     KillMachines {
         /// Number of machines.
         count: usize,
     },
-    /// The cloud reclaims spot machines, with notice.
+    /// The cloud reclaims spot machines after a notice.
     SpotWave {
         /// Number of machines.
         count: usize,
     },
 }
 
-/// A fault and its time.
+/// A fault and the time at which it is injected.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Planned {
-    /// Time after the cluster got ready.
+pub struct PlannedFault {
+    /// Time after the cluster became ready.
     pub at: Duration,
-    /// The fault.
+    /// The fault to inject.
     pub fault: Fault,
 }
 
--- a/packages/emulator/src/faults/error.rs
+++ b/packages/emulator/src/faults/error.rs
@@ -1,15 +1,15 @@
-//! What can be wrong with a fault plan.
+//! Errors of reading a fault plan.
 
-use super::plan::LATEST_S;
+use super::plan::MAX_TIME_S;
 
-/// Why a fault plan cannot be used.
+/// The reason why a fault plan cannot be used.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum PlanError {
-    /// The file is not TOML, or has no list of faults.
+    /// The text is not valid TOML, or `fault` is not an array of tables.
     #[error("{}", .0.to_string().trim())]
     Syntax(#[source] toml::de::Error),
-    /// All problems of all faults, a line each.
-    #[error("{}", lines(.0))]
+    /// All problems of all faults; the message has one line for each.
+    #[error("{}", join_lines(.0))]
     Invalid(Vec<InvalidFault>),
 }
 
@@ -17,56 +17,56 @@
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("fault {number}: {problem}")]
 pub struct InvalidFault {
-    /// Position of the fault in the plan, from 1.
+    /// Position of the fault in the file, counted from 1.
     pub number: usize,
-    /// What is wrong with it.
+    /// The problem of this fault.
     #[source]
     pub problem: FaultProblem,
 }
 
-/// What is wrong with a fault.
+/// A problem of one fault of a plan.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum FaultProblem {
-    /// A key that the kind of fault needs is missing.
+    /// A required key is missing.
     #[error("{key} is missing")]
     Missing {
         /// The key.
         key: &'static str,
     },
-    /// A time is no number, negative or too late.
-    #[error("{key} = {value} is not a number of seconds from 0 to {LATEST_S}")]
+    /// A time is not a number, negative or more than 24 hours.
+    #[error("{key} = {value} is not a number of seconds from 0 to {MAX_TIME_S}")]
     NotSeconds {
         /// The key.
         key: &'static str,
-        /// Its value.
+        /// The rejected value of the key.
         value: toml::Value,
     },
-    /// A number is not whole or out of its range.
+    /// A value is not an integer or is outside the permitted range.
     #[error("{key} = {value} is not a whole number from {min} to {max}")]
     NotWholeNumber {
         /// The key.
         key: &'static str,
-        /// Its value.
+        /// The rejected value of the key.
         value: toml::Value,
-        /// Least permitted value.
+        /// Smallest permitted value.
         min: i64,
-        /// Greatest permitted value.
+        /// Largest permitted value.
         max: i64,
     },
-    /// There is no such kind of fault.
+    /// The kind of the fault is missing or unknown.
     #[error(
-        "kind {kind:?} is none of crash, down, refused, delay, state-outage, state-limits, upgrade, cloud-outage, \
+        "kind {kind:?} is not one of crash, down, refused, delay, state-outage, state-limits, upgrade, cloud-outage, \
          kill-machines, spot-wave"
     )]
     UnknownKind {
-        /// The kind.
+        /// The value of `kind`; empty if the key is missing or not a string.
         kind: String,
     },
-    /// The duration is missing or no number of seconds.
-    #[error("for_s is missing, or no number of seconds")]
-    NoDuration,
-    /// A key that this kind of fault does not have.
-    #[error("{key} means nothing to {kind}")]
+    /// The duration `for_s` is missing or is not a number of seconds within 24 hours.
+    #[error("for_s is missing or is not a number of seconds from 0 to {MAX_TIME_S}")]
+    InvalidDuration,
+    /// A key does not belong to this kind of fault.
+    #[error("unknown key {key} for a fault of kind {kind}")]
     UnknownKey {
         /// The key.
         key: String,
@@ -75,6 +75,7 @@
     },
 }
 
-fn lines(problems: &[InvalidFault]) -> String {
+/// Joins the messages of the problems, one on each line.
+fn join_lines(problems: &[InvalidFault]) -> String {
     problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
--- a/packages/emulator/src/up.rs
+++ b/packages/emulator/src/up.rs
@@ -1,5 +1,5 @@
-//! A cluster on one machine: the emulated services in this process, and the controllers as
-//! processes of their own.
+//! The `up` command: runs a cluster on one machine, with the emulated services in this process and
+//! each controller in a process of its own.
 
 mod demo;
 mod deployment;
@@ -31,42 +31,45 @@
 use self::processes::Processes;
 use crate::environment::{Controller, Environment, RequestCounts};
 use crate::error::{Error, IoContext};
-use crate::faults::{self, Planned};
+use crate::faults::{self, PlannedFault};
 use crate::state::State;
 
-/// Interval of looks at the processes and at the fault plan.
+/// Interval at which the controller processes and the fault plan are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// A cluster in which no controller serves users after this has failed.
+/// Time after the start within which at least one controller must serve users; otherwise the run
+/// fails.
 const READY_LIMIT: Duration = Duration::from_secs(30);
 
-/// What was seen while a cluster ran.
+/// Observations of a cluster run, collected when the run ends.
 #[derive(Debug, Clone, Default)]
 pub struct Report {
-    /// Tasks that began to run.
+    /// Number of tasks that began to run.
     pub started: u64,
-    /// Tasks that were killed because the lease of their worker expired.
+    /// Number of tasks that were killed because the lease of their worker expired.
     pub killed: u64,
-    /// Cost of the machines, in the currency of the machine types.
+    /// Cost of all rented machines, in the currency of the machine types' prices.
     pub cost: f64,
-    /// Violations of the protocol, a line each.
+    /// Violations of the protocol, one line each.
     pub violations: Vec<String>,
-    /// Users' requests in each second, from when the cluster was ready.
+    /// Number of users' requests in each second since the cluster became ready.
     pub requests_per_second: Vec<u64>,
-    /// Keys that the state service held at the end.
+    /// Keys in the state service at the end of the run.
     pub stored_keys: Vec<String>,
-    /// When each completed job's last task completed.
+    /// Time at which the last task of each completed job completed.
     pub completed_at: HashMap<Name, Instant>,
 }
 
-/// Runs a cluster until `stop` yields a message, or until the demonstration is over if it is to end
-/// then.  `ready` is called with the load balancer's address once a controller serves users.
+/// Runs a cluster until `stop` yields a message or, if `options.exit` is set, until the demo job is
+/// over.  Calls `ready` with the address of the load balancer once a controller serves users.
 ///
 /// # Errors
 ///
-/// [`Error::Input`] if an option cannot be used, before anything is started; [`Error::Failed`] if
-/// the cluster does not get ready or a rule of the protocol was broken.
+/// Returns [`Error::Input`] if an option cannot be used; nothing has been started then.  Returns
+/// [`Error::Io`] if a listener, file or process cannot be opened or started.  Returns
+/// [`Error::Failed`] if no controller becomes ready, if the demo job is rejected, or if a violation
+/// of the protocol was observed.
 pub fn run(options: &Options, stop: Receiver<()>, ready: impl FnOnce(SocketAddr)) -> Result<Report, Error> {
-    let plan: VecDeque<Planned> = read_plan(options)?.into();
+    let plan: VecDeque<PlannedFault> = read_plan(options)?.into();
     let program = controller_program(options.controller.as_deref())?;
     let temporary = || std::env::temp_dir().join(format!("coralnotch-{}", std::process::id()));
     let dir = options.dir.clone().unwrap_or_else(temporary);
@@ -83,28 +86,32 @@
         let injector = FaultInjector::new(environment.clone(), executor.clone(), options.size.limits());
         let mut cluster =
             Cluster { options, environment: environment.clone(), executor, processes, injector, plan, balancer };
-        let stopped = async {
+        let stop_requested = async {
             let _ = stop.recv().await;
             Ok(())
         };
-        let result = or(cluster.run(ready), stopped).await;
+        let result = or(cluster.run(ready), stop_requested).await;
         drop(cluster);
         result?;
         report(&environment)
     }))
 }
 
-/// The faults of the options and of their file, in the order of their times.
-fn read_plan(options: &Options) -> Result<Vec<Planned>, Error> {
+/// Returns the faults given in the options and those of the fault file, sorted by time.
+fn read_plan(options: &Options) -> Result<Vec<PlannedFault>, Error> {
     let mut plan = options.plan.clone();
     let Some(file) = &options.faults else { return Ok(plan) };
-    let text = fs::read_to_string(file).map_err(|e| Error::Input(format!("{}: {e}", file.display())))?;
-    plan.extend(faults::parse(&text, ZONES.len()).map_err(|e| Error::Input(format!("{}:\n{e}", file.display())))?);
+    let text = fs::read_to_string(file)
+        .map_err(|e| Error::Input(format!("cannot read the fault file {}: {e}", file.display())))?;
+    plan.extend(
+        faults::parse(&text, ZONES.len())
+            .map_err(|e| Error::Input(format!("invalid fault file {}:\n{e}", file.display())))?,
+    );
     plan.sort_by_key(|planned| planned.at);
     Ok(plan)
 }
 
-/// The emulated services around controllers at these addresses.
+/// Creates the emulated services for controllers that listen on `addresses`.
 fn new_environment(options: &Options, addresses: &[ControllerAddresses]) -> Rc<Environment> {
     let mut rng = Rng::with_seed(options.seed);
     let workers = deployment::worker_pool(rng.fork());
@@ -117,21 +124,21 @@
     Environment::new(state, deployment::cloud(options), workers, controllers, HEARTBEAT_INTERVAL_S, rng)
 }
 
-/// A cluster whose emulated services are served.
+/// A cluster whose emulated services already accept connections.
 struct Cluster<'a> {
     options: &'a Options,
     environment: Rc<Environment>,
     executor: Rc<LocalExecutor<'static>>,
     processes: Processes,
     injector: FaultInjector,
-    /// Faults to come, the next one first.
-    plan: VecDeque<Planned>,
+    /// Faults that have not been injected yet, sorted by time.
+    plan: VecDeque<PlannedFault>,
     /// Address of the load balancer.
     balancer: SocketAddr,
 }
 
 impl Cluster<'_> {
-    /// Starts the controllers, and supervises them until the demonstration is over.
+    /// Starts the controllers and supervises them until [`run_demo`] returns.
     async fn run(&mut self, ready: impl FnOnce(SocketAddr)) -> Result<(), Error> {
         for index in 0..self.processes.count() {
             self.processes.start(index)?;
@@ -140,30 +147,37 @@
         self.wait_ready().await?;
         *self.environment.request_counts.borrow_mut() = Some(RequestCounts::begin());
         ready(self.balancer);
-        let demonstration = demonstrate(self.options, self.balancer);
-        or(demonstration, self.supervise()).await
+        let demo = run_demo(self.options, self.balancer);
+        or(demo, self.supervise()).await
     }
 
+    /// Waits until the load balancer finds a controller healthy; restarts those that exit before.
     async fn wait_ready(&mut self) -> Result<(), Error> {
         let began = Instant::now();
         while !(0..self.processes.count()).any(|index| self.environment.balancer.borrow().is_healthy(index)) {
             if began.elapsed() > READY_LIMIT {
                 let dir = self.processes.dir().display();
-                return Err(Error::Failed(format!("no controller is ready; see the logs in {dir}")));
+                return Err(Error::Failed(format!(
+                    "no controller became ready within {READY_LIMIT:?}; see the controller logs in {dir}"
+                )));
             }
-            self.processes.restart_ended(Instant::now())?;
+            self.processes.restart_exited(Instant::now())?;
             smol::Timer::after(POLL_INTERVAL).await;
         }
         let dir = self.processes.dir().display();
-        print_line(&format!("ready: submit to {}; settings and logs in {dir}; Ctrl-C ends it", self.balancer));
+        print_line(&format!(
+            "ready: submit to {}; settings and logs are in {dir}; press Ctrl-C to stop",
+            self.balancer
+        ));
         Ok(())
     }
 
-    /// Restarts controllers that ended, and injects the faults when their time comes.
+    /// Restarts controllers that exited and injects each fault of the plan at its time; never
+    /// returns unless a controller cannot be started.
     async fn supervise(&mut self) -> Result<(), Error> {
         let began = Instant::now();
         loop {
-            self.processes.restart_ended(Instant::now())?;
+            self.processes.restart_exited(Instant::now())?;
             while let Some(planned) = self.plan.front().copied().filter(|planned| began.elapsed() >= planned.at) {
                 self.plan.pop_front();
                 print_line(&format!("{:5.1} s  {:?}", began.elapsed().as_secs_f64(), planned.fault));
@@ -174,9 +188,9 @@
     }
 }
 
-/// Runs the demonstration, if the options ask for one; returns only if they say that it ends the
-/// cluster.
-async fn demonstrate(options: &Options, balancer: SocketAddr) -> Result<(), Error> {
+/// Runs the demo job if `options.demo` is set.  Returns only if the job fails or `options.exit` is
+/// set; otherwise the cluster keeps running.
+async fn run_demo(options: &Options, balancer: SocketAddr) -> Result<(), Error> {
     if options.demo {
         demo::run_job(balancer, &demo::demo_job()).await?;
     }
@@ -186,7 +200,11 @@
     Ok(())
 }
 
-/// Reports what was seen, and prints it in short; an error if a rule of the protocol was broken.
+/// Collects the observations of the run and prints a summary.
+///
+/// # Errors
+///
+/// Returns [`Error::Failed`] if a violation of the protocol was observed.
 fn report(environment: &Environment) -> Result<Report, Error> {
     let workers = environment.worker_pool.borrow();
     let requests = environment.request_counts.borrow();
@@ -200,14 +218,17 @@
         completed_at: workers.completed_at().clone(),
     };
     let Report { started, killed, cost, violations, .. } = &report;
-    print_line(&format!("{started} tasks started, {killed} killed by a lease; the machines cost {cost:.2}"));
+    print_line(&format!(
+        "{started} tasks started, {killed} killed because a worker's lease expired; the machines cost {cost:.2}"
+    ));
     if !violations.is_empty() {
-        return Err(Error::Failed(format!("rules broken:\n{}", violations.join("\n"))));
+        return Err(Error::Failed(format!("violations of the protocol:\n{}", violations.join("\n"))));
     }
     Ok(report)
 }
 
-/// Prints a line, and goes on if nobody reads the output any more.
+/// Prints a line to standard output.  Write errors, as from a closed pipe, are ignored so that the
+/// cluster keeps running.
 fn print_line(line: &str) {
     let _ = writeln!(io::stdout(), "{line}");
 }
--- a/packages/emulator/src/up/demo.rs
+++ b/packages/emulator/src/up/demo.rs
@@ -1,4 +1,4 @@
-//! The demonstration: one job, followed until it is over.
+//! The demo of `up --demo`: submits one job and follows its state until the job is over.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -10,16 +10,16 @@
 use super::print_line;
 use crate::error::Error;
 
-/// Limit of one request.
+/// Time limit of one request.
 const REQUEST_LIMIT: Duration = Duration::from_secs(5);
-/// Pause before a submission is repeated.
+/// Delay before a failed submission is retried.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Interval of queries.
+/// Interval at which the job's state is queried.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The job that `--demo` submits.
+/// Returns the job that `--demo` submits.
 pub(super) fn demo_job() -> JobSpec {
-    // the protocol's form of an id; the time makes it new to the state service
+    // job ids have the form j-DIGITS; the current time makes the id unique in the state service
     let id = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_millis());
     JobSpec {
         class: "demo".into(),
@@ -31,13 +31,19 @@
     }
 }
 
-/// Submits a job and prints each change of its state until it is over.
+/// Submits a job and prints each change of its state until the job is done or cancelled.
 pub(super) async fn run_job(balancer: SocketAddr, spec: &JobSpec) -> Result<(), Error> {
     let client = Client::default();
     let began = Instant::now();
     let elapsed = || format!("{:5.1} s", began.elapsed().as_secs_f64());
     submit(&client, balancer, spec).await?;
-    print_line(&format!("{}  {} is submitted: {} tasks of {} s", elapsed(), spec.id, spec.tasks, spec.estimate_s));
+    print_line(&format!(
+        "{}  {} was submitted: {} tasks of {} s each",
+        elapsed(),
+        spec.id,
+        spec.tasks,
+        spec.estimate_s
+    ));
     let mut printed = None;
     loop {
         if let Some(state) = query(&client, balancer, spec).await {
@@ -54,17 +60,25 @@
     }
 }
 
-/// Submits a job until it is accepted; an error if it is refused for good.
+/// Submits a job and retries until it is accepted.
+///
+/// # Errors
+///
+/// Returns [`Error::Failed`] if the job is rejected as invalid (status 400 or 422): a retry would
+/// not change that.
 async fn submit(client: &Client, balancer: SocketAddr, spec: &JobSpec) -> Result<(), Error> {
     loop {
         match client.send(balancer, "POST", "/v2/runs", Some(&http::encode(spec)), REQUEST_LIMIT).await {
             Ok((200 | 201, _)) => return Ok(()),
-            Ok((status @ (400 | 422), _)) => return Err(Error::Failed(format!("{} is refused: {status}", spec.id))),
+            Ok((status @ (400 | 422), _)) => {
+                return Err(Error::Failed(format!("job {} was rejected with HTTP status {status}", spec.id)))
+            }
             _ => smol::Timer::after(RETRY_DELAY).await,
         };
     }
 }
 
+/// Queries the state of a job; `None` if there is no usable answer.
 async fn query(client: &Client, balancer: SocketAddr, spec: &JobSpec) -> Option<JobState> {
     let path = format!("/v2/runs/{}", spec.id);
     match client.send(balancer, "GET", &path, None, REQUEST_LIMIT).await {
--- a/packages/emulator/src/up/deployment.rs
+++ b/packages/emulator/src/up/deployment.rs
@@ -1,5 +1,5 @@
-//! The small cluster's fixed parts: zones, machine types, time limits, and the controllers'
-//! settings.
+//! The fixed properties of the cluster that `up` runs: zones, machine types, time limits, and the
+//! settings of the controllers.
 
 use std::net::SocketAddr;
 
@@ -8,41 +8,45 @@
 
 use super::{Options, Size};
 use crate::cloud::{self, Cloud};
-use crate::faults::{Fault, Planned};
+use crate::faults::{Fault, PlannedFault};
 use crate::settings::{ClusterSettings, ControllerSettings, Team, WorkerTimes};
 use crate::state::Limits;
 use crate::worker_pool::{self, WorkerPool};
 
-/// Zones, one controller in each.
+/// Names of the zones; each has one controller.
 pub(super) const ZONES: [&str; 3] = ["north", "east", "south"];
-/// Intervals and leases in seconds, short ones: a job takes seconds from its submission to its end,
-/// not minutes.
+/// Interval of a worker's heartbeats, in seconds.  All intervals and leases of this cluster are short
+/// so that a job takes seconds from its submission to its end, not minutes.
 pub(super) const HEARTBEAT_INTERVAL_S: f64 = 1.0;
+/// Duration of a worker's lease, in seconds.
 const LEASE_S: f64 = 10.0;
+/// Time that a task of a gang waits for the other tasks to start, in seconds.
 const GANG_WAIT_S: f64 = 15.0;
+/// Time within which the tasks of a gang detect the loss of one of them, in seconds.
 const GANG_PEER_S: f64 = 2.0;
+/// Time within which the tasks of a cancelled job have left the machines, in seconds.
 const CANCEL_S: f64 = 20.0;
-/// Requests a second that the cloud allows.
+/// Rate limit of the cloud, in requests per second.
 const CLOUD_RPS: f64 = 10.0;
-/// Age of the cloud's list of machines, in seconds.
+/// Age of the machine list that the cloud returns, in seconds.
 const LIST_LAG_S: f64 = 2.0;
-/// Notice that the cloud gives before it reclaims a spot machine, in seconds.
+/// Nominal time from the cloud's notice until it reclaims a spot machine, in seconds.
 const RECLAIM_NOTICE_S: f64 = 5.0;
-/// Share of machines that do not boot.
+/// Share of the rented machines that fail to boot, from 0 to 1.
 const BOOT_FAILURE_SHARE: f64 = 0.02;
-/// Memory of a controller in MB, as its settings say.
+/// Memory quota in the settings of each controller, in MB; the emulator does not enforce it.
 const MEMORY_MB: f64 = 136.0;
 
-/// Addresses at which a controller will listen.
+/// Addresses on which a controller listens.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ControllerAddresses {
-    /// For users and workers.
+    /// Address for users and workers.
     pub(super) users: SocketAddr,
-    /// For the other controllers.
+    /// Address for the other controllers.
     pub(super) peers: SocketAddr,
 }
 
-/// The machine types of the small cluster's cloud.
+/// Returns the machine types that the emulated cloud offers in `up` and in load runs.
 pub fn machine_types() -> Vec<MachineType> {
     let zones = ZONES.map(|zone| zone.into());
     let machine_type = |name: &str, cpus: f64, price: f64| MachineType {
@@ -60,7 +64,7 @@
     vec![machine_type("small", 4.0, 0.4), machine_type("large", 16.0, 1.5)]
 }
 
-/// The state service's limits after a fault, the same ones unless it changes them.
+/// Returns the limits of the state service after `fault`; only [`Fault::StateLimits`] changes them.
 pub(super) fn limits_after(limits: Limits, fault: Fault) -> Limits {
     match fault {
         Fault::StateLimits { write_rps, value_kb, txn_ops } => {
@@ -70,8 +74,9 @@
     }
 }
 
-/// The lowest limits that the state service has now or after one of the faults.
-fn lowest_limits<'a>(plan: impl Iterator<Item = &'a Planned>, size: &Size) -> Limits {
+/// Returns the lowest value of each limit of the state service, at the start or after any fault of
+/// the plan.
+fn lowest_limits<'a>(plan: impl Iterator<Item = &'a PlannedFault>, size: &Size) -> Limits {
     let mut lowest = size.limits();
     for planned in plan {
         let limits = limits_after(lowest, planned.fault);
@@ -82,20 +87,21 @@
     lowest
 }
 
-/// The settings of the cluster's controllers; `plan` are the faults that will come.
+/// Returns the settings of the controllers that listen on `addresses`.  The faults of `plan` determine
+/// the lower limits that the settings announce for the state service.
 pub(super) fn cluster_settings<'a>(
     addresses: &[ControllerAddresses],
-    plan: impl Iterator<Item = &'a Planned>,
+    plan: impl Iterator<Item = &'a PlannedFault>,
     size: &Size,
 ) -> ClusterSettings {
-    let node = |(index, addresses): (usize, &ControllerAddresses)| ControllerSettings {
+    let controller = |(index, addresses): (usize, &ControllerAddresses)| ControllerSettings {
         name: controller_name(index),
         zone: ZONES[index].into(),
         bind: addresses.users,
         peer_bind: addresses.peers,
     };
     ClusterSettings {
-        nodes: addresses.iter().enumerate().map(node).collect(),
+        nodes: addresses.iter().enumerate().map(controller).collect(),
         zones: ZONES.map(Into::into).to_vec(),
         teams: vec![Team { name: "demo".into(), cpus: 0.0, cpus_max: 0.0 }],
         workers: WorkerTimes {
@@ -115,11 +121,12 @@
     }
 }
 
+/// Returns the name of a controller in settings and file names.
 pub(super) fn controller_name(index: usize) -> String {
     format!("node-{index}")
 }
 
-/// The cloud, with no machine rented yet.
+/// Creates the cloud, with no machine rented.
 pub(super) fn cloud(options: &Options) -> Cloud {
     Cloud::new(cloud::Settings {
         types: machine_types(),
@@ -131,7 +138,7 @@
     })
 }
 
-/// The workers, none of which is up yet.
+/// Creates the worker pool, with no worker running.
 pub(super) fn worker_pool(rng: Rng) -> WorkerPool {
     let settings = worker_pool::Settings { lease_s: LEASE_S, gang_wait_s: GANG_WAIT_S, gang_peer_s: GANG_PEER_S };
     WorkerPool::new(settings, 1.0, rng)
--- a/packages/emulator/src/up/injection.rs
+++ b/packages/emulator/src/up/injection.rs
@@ -12,24 +12,25 @@
 use crate::faults::Fault;
 use crate::state::Limits;
 
-/// Injects faults, and ends those that last for a while.
+/// Injects faults into the environment and the controllers, and ends each fault that has a duration.
 pub(super) struct FaultInjector {
     environment: Rc<Environment>,
     executor: Rc<LocalExecutor<'static>>,
-    /// The state service's limits now.
+    /// Current limits of the state service.
     limits: Limits,
 }
 
-/// How machines are lost.
+/// The way in which machines are lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MachineLoss {
-    /// They die without notice.
+    /// The machines fail without notice.
     Crash,
-    /// The cloud reclaims spot machines, with notice.
+    /// The cloud reclaims spot machines after a notice.
     Reclaim,
 }
 
 impl FaultInjector {
+    /// Creates an injector; `limits` are the current limits of the state service.
     pub(super) fn new(
         environment: Rc<Environment>,
         executor: Rc<LocalExecutor<'static>>,
@@ -38,51 +39,51 @@
         FaultInjector { environment, executor, limits }
     }
 
-    /// Injects a fault; what lasts for a while ends by itself.
+    /// Injects a fault.  A fault with a duration ends without another call.
     pub(super) fn inject(&mut self, processes: &mut Processes, fault: Fault) {
         let now = Instant::now();
         match fault {
             Fault::Crash { node } => processes.crash(node),
             Fault::Upgrade { node } => processes.upgrade(node),
-            Fault::Down { lasts } => processes.crash_all(now + lasts),
+            Fault::Down { duration } => processes.crash_all(now + duration),
             Fault::StateLimits { .. } => {
                 self.limits = limits_after(self.limits, fault);
                 self.environment.state.borrow_mut().set_limits(self.limits);
             }
-            Fault::StateOutage { lasts } => {
+            Fault::StateOutage { duration } => {
                 self.environment.state.borrow_mut().begin_outage();
-                self.after(lasts, |environment| environment.state.borrow_mut().end_outage(Instant::now()));
+                self.run_after(duration, |environment| environment.state.borrow_mut().end_outage(Instant::now()));
             }
-            Fault::Refused { node, lasts } => {
+            Fault::Refused { node, duration } => {
                 self.environment.refused.borrow_mut().insert(node);
-                self.after(lasts, move |environment| {
+                self.run_after(duration, move |environment| {
                     environment.refused.borrow_mut().remove(&node);
                 });
             }
-            Fault::Delay { by, lasts } => {
-                self.environment.delay.set(by);
-                self.after(lasts, |environment| environment.delay.set(Duration::ZERO));
+            Fault::Delay { latency, duration } => {
+                self.environment.delay.set(latency);
+                self.run_after(duration, |environment| environment.delay.set(Duration::ZERO));
             }
-            Fault::CloudOutage { lasts } => {
+            Fault::CloudOutage { duration } => {
                 self.environment.cloud.borrow_mut().begin_outage();
-                self.after(lasts, |environment| environment.cloud.borrow_mut().end_outage());
+                self.run_after(duration, |environment| environment.cloud.borrow_mut().end_outage());
             }
             Fault::KillMachines { count } => self.lose_machines(count, MachineLoss::Crash, now),
             Fault::SpotWave { count } => self.lose_machines(count, MachineLoss::Reclaim, now),
         }
     }
 
-    /// Runs `end` after a delay, unless the executor ends before.
-    fn after(&self, delay: Duration, end: impl FnOnce(&Environment) + 'static) {
+    /// Runs `end_fault` after a delay, unless the executor is dropped before.
+    fn run_after(&self, delay: Duration, end_fault: impl FnOnce(&Environment) + 'static) {
         let environment = self.environment.clone();
         let task = async move {
             smol::Timer::after(delay).await;
-            end(&environment);
+            end_fault(&environment);
         };
         self.executor.spawn(task).detach();
     }
 
-    /// Lets `count` machines be lost, chosen at random.
+    /// Causes the loss of up to `count` machines, chosen at random.
     fn lose_machines(&self, count: usize, loss: MachineLoss, now: Instant) {
         let mut rng = self.environment.rng.borrow_mut();
         let mut names: Vec<Name> = self.environment.worker_pool.borrow().machines().keys().cloned().collect();
@@ -92,7 +93,8 @@
             MachineLoss::Crash => cloud.kill(name, now),
             MachineLoss::Reclaim => cloud.reclaim(name, &mut rng, now),
         };
-        // machines that cannot be lost in this way are passed over and do not count
+        // machines that cannot be lost in this way, such as on-demand ones in a reclaim, are skipped
+        // and do not count
         let events = names.iter().filter_map(lose).take(count).collect();
         drop((cloud, rng));
         self.environment.apply_cloud_events(&self.executor, events);
--- a/packages/emulator/src/up/options.rs
+++ b/packages/emulator/src/up/options.rs
@@ -1,53 +1,54 @@
-//! Options of a cluster.
+//! Options of the `up` command.
 
 use std::path::PathBuf;
 
 use serde::{Deserialize, Serialize};
 
-use crate::faults::Planned;
+use crate::faults::PlannedFault;
 use crate::state::Limits;
 
-/// Limits of the small cluster's state service that no option changes: KiB a value, and puts and
-/// deletes a transaction.
+/// Size limit of a value in the state service, in KiB.
 const VALUE_KB: f64 = 16.0;
+/// Limit of the puts and deletes in one transaction of the state service.
 const TXN_OPS: usize = 24;
 
-/// Options of `coralnotch-emulator up`; the fields without an argument are for callers in Rust.
+/// Options of `coralnotch-emulator up`.  Fields marked `skip` have no command-line argument; callers
+/// in Rust set them.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
-    /// Where users come: port of the load balancer, 0 for any that is free.
+    /// Port of the load balancer, to which users connect; 0 selects a free port.
     #[arg(long, default_value_t = 7070)]
     pub port: u16,
-    /// The controller program; beside this program if not given.
+    /// Path of the controller program; defaults to `coralnotch` in the directory of this program.
     #[arg(long)]
     pub controller: Option<PathBuf>,
-    /// The program that a controller comes back with after a fault `upgrade`;
-    /// the same if not given.
+    /// Path of the program that a controller runs after an `upgrade` fault; defaults to the
+    /// controller program.
     #[arg(long)]
     pub upgrade: Option<PathBuf>,
-    /// Directory for settings and logs; a new one under the temporary
-    /// directory if not given.
+    /// Directory for settings and logs; defaults to a new one in the system's directory for
+    /// temporary files.
     #[arg(long)]
     pub dir: Option<PathBuf>,
-    /// Seed of the stand-ins' chances.
+    /// Seed of the random choices of the emulated services.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Machines of each type, zone and kind that can be rented.
+    /// Number of machines that can be rented of each machine type, in each zone, both on demand and spot.
     #[arg(long, default_value_t = 4)]
     pub capacity: usize,
-    /// Submit a job at once and follow it.
+    /// Submit a demo job when the cluster is ready and print the changes of its state.
     #[arg(long)]
     pub demo: bool,
-    /// Faults at given times, see docs/emulator.md.
+    /// TOML file with faults to inject at given times; see docs/emulator.md for the format.
     #[arg(long)]
     pub faults: Option<PathBuf>,
-    /// How much the services allow.
+    /// Limits of the emulated services and of the controllers.
     #[arg(skip)]
     pub size: Size,
-    /// Faults beside those of the file.
+    /// Faults to inject in addition to those of the `faults` file.
     #[arg(skip)]
-    pub plan: Vec<Planned>,
-    /// With --demo: end when the job is done.
+    pub plan: Vec<PlannedFault>,
+    /// Stop the cluster when the demo job is over; requires --demo.
     #[arg(long, requires = "demo")]
     pub exit: bool,
 }
@@ -56,14 +57,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Size {
-    /// Requests a second that the state service allows.
+    /// Rate limit of the state service, in requests per second.
     pub state_rps: f64,
-    /// Puts and deletes a second.
+    /// Rate limit of the state service, in puts and deletes per second.
     pub write_rps: f64,
-    /// Sockets of each controller.
+    /// Number of sockets that each controller may open, as its settings say.
     pub sockets: usize,
-    /// Share of a core for each controller, as its settings say; nothing here
-    /// enforces it.
+    /// CPU quota in the settings of each controller, in cores; the emulator does not enforce it.
     pub cores: f64,
 }
 
@@ -74,7 +74,7 @@
 }
 
 impl Size {
-    /// The state service's limits at the start.
+    /// Returns the limits of the state service at the start of the cluster.
     pub(super) fn limits(&self) -> Limits {
         Limits { rps: self.state_rps, write_rps: self.write_rps, value_kb: VALUE_KB, txn_ops: TXN_OPS }
     }
--- a/packages/emulator/src/up/processes.rs
+++ b/packages/emulator/src/up/processes.rs
@@ -1,4 +1,4 @@
-//! The controllers' processes: starting, crashing, upgrading and restarting them.
+//! Starts, kills, upgrades and restarts the controller processes.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -8,33 +8,35 @@
 use super::{print_line, Options};
 use crate::error::{Error, IoContext};
 
-/// A controller that ended is started again after this.
+/// Delay before a controller that exited is restarted.
 const RESTART_DELAY: Duration = Duration::from_secs(2);
 
-/// One controller.
+/// A controller and its process.
 #[derive(Debug, Default)]
 struct Controller {
+    /// The running process; `None` before the first start and after an exit.
     process: Option<Child>,
-    /// When its process ended, until it is started again.
-    ended_at: Option<Instant>,
+    /// Time at which the process exited; `None` while it runs and before the first start.
+    exited_at: Option<Instant>,
+    /// Whether the next start runs the upgrade program.
     is_upgraded: bool,
 }
 
-/// The processes of a cluster's controllers; they are killed when this is dropped.
+/// The controller processes of a cluster.  Dropping this value kills them.
 #[derive(Debug)]
 pub(super) struct Processes {
     program: PathBuf,
-    /// The program of controllers that were upgraded.
+    /// The program that upgraded controllers run.
     upgrade: PathBuf,
-    /// Directory of settings and logs.
+    /// Directory of the settings and log files.
     dir: PathBuf,
     controllers: Vec<Controller>,
-    /// No controller is started again before this.
+    /// Time before which no controller is restarted.
     down_until: Option<Instant>,
 }
 
 impl Processes {
-    /// Prepares `count` controllers; none is started yet.
+    /// Prepares `count` controllers without starting them.
     pub(super) fn new(options: &Options, program: PathBuf, dir: PathBuf, count: usize) -> Processes {
         Processes {
             upgrade: options.upgrade.clone().unwrap_or_else(|| program.clone()),
@@ -45,12 +47,12 @@
         }
     }
 
-    /// Directory of settings and logs.
+    /// Returns the directory of the settings and log files.
     pub(super) fn dir(&self) -> &Path {
         &self.dir
     }
 
-    /// Number of controllers.
+    /// Returns the number of controllers, running or not.
     pub(super) fn count(&self) -> usize {
         self.controllers.len()
     }
@@ -59,7 +61,11 @@
         self.dir.join(format!("node-{index}.log"))
     }
 
-    /// Starts a controller.
+    /// Starts a controller with its settings file; appends its standard error to its log file.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Error::Io`] if the log file cannot be opened or the program cannot be started.
     pub(super) fn start(&mut self, index: usize) -> Result<(), Error> {
         let settings = self.dir.join(format!("node-{index}.toml"));
         let log = self.log_file(index);
@@ -78,7 +84,7 @@
         Ok(())
     }
 
-    /// Kills a controller; it is started again like any that ended.
+    /// Kills a controller; [`Processes::restart_exited`] restarts it after [`RESTART_DELAY`].
     pub(super) fn crash(&mut self, index: usize) {
         let controller = self.controllers.get_mut(index);
         if let Some(process) = controller.and_then(|controller| controller.process.as_mut()) {
@@ -86,38 +92,44 @@
         }
     }
 
-    /// Kills a controller that then starts again with the new program.
+    /// Kills a controller; its next start runs the upgrade program.
     pub(super) fn upgrade(&mut self, index: usize) {
         self.controllers[index].is_upgraded = true;
         self.crash(index);
     }
 
-    /// Kills all controllers and starts none before `until`.
+    /// Kills all controllers; none is restarted before `until`.
     pub(super) fn crash_all(&mut self, until: Instant) {
         self.down_until = Some(until);
         (0..self.controllers.len()).for_each(|index| self.crash(index));
     }
 
-    /// Notes which controllers ended, and starts again those that ended a while ago.
-    pub(super) fn restart_ended(&mut self, now: Instant) -> Result<(), Error> {
+    /// Records which controllers exited, and restarts those that exited more than [`RESTART_DELAY`]
+    /// before `now`.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Error::Io`] if a controller cannot be started.
+    pub(super) fn restart_exited(&mut self, now: Instant) -> Result<(), Error> {
         let is_down = self.down_until.is_some_and(|until| now < until);
         for index in 0..self.controllers.len() {
-            self.note_end(index, now);
-            let ended_at = self.controllers[index].ended_at;
-            if !is_down && ended_at.is_some_and(|at| now.saturating_duration_since(at) > RESTART_DELAY) {
-                self.controllers[index].ended_at = None;
+            self.record_exit(index, now);
+            let exited_at = self.controllers[index].exited_at;
+            if !is_down && exited_at.is_some_and(|at| now.saturating_duration_since(at) > RESTART_DELAY) {
+                self.controllers[index].exited_at = None;
                 self.start(index)?;
             }
         }
         Ok(())
     }
 
-    fn note_end(&mut self, index: usize, now: Instant) {
+    /// Records and prints the exit of a controller's process, if the process has exited.
+    fn record_exit(&mut self, index: usize, now: Instant) {
         let controller = &mut self.controllers[index];
         if let Some(Ok(Some(status))) = controller.process.as_mut().map(Child::try_wait) {
             controller.process = None;
-            controller.ended_at = Some(now);
-            print_line(&format!("node-{index} ended ({status}); see {}", self.log_file(index).display()));
+            controller.exited_at = Some(now);
+            print_line(&format!("node-{index} exited ({status}); see {}", self.log_file(index).display()));
         }
     }
 }
@@ -131,15 +143,19 @@
     }
 }
 
-/// Path of the controller program: the given one, or `coralnotch` beside this program.  An error if
-/// there is no such file.
+/// Returns the path of the controller program: `given`, or else `coralnotch` in the directory of this
+/// program.
+///
+/// # Errors
+///
+/// Returns [`Error::Input`] if there is no such file.
 pub(crate) fn controller_program(given: Option<&Path>) -> Result<PathBuf, Error> {
-    let beside = || std::env::current_exe().ok().map(|path| path.with_file_name("coralnotch"));
-    let path = given.map(Path::to_owned).or_else(beside).unwrap_or_else(|| "coralnotch".into());
+    let default_path = || std::env::current_exe().ok().map(|path| path.with_file_name("coralnotch"));
+    let path = given.map(Path::to_owned).or_else(default_path).unwrap_or_else(|| "coralnotch".into());
     match path.is_file() {
         true => Ok(path),
         false => Err(Error::Input(format!(
-            "{} is not there: build it with `cargo build --release --workspace`, or name it with --controller",
+            "controller program {} not found: build it with `cargo build --release --workspace`, or give its path with --controller",
             path.display()
         ))),
     }
