--- a/packages/emulator/src/error.rs
+++ b/packages/emulator/src/error.rs
@@ -1,30 +1,31 @@
-//! The error of the emulator's commands, as `main` prints it.
+//! The error type of the emulator's commands; `main` prints the error and derives the exit code from it.
 
 use std::io;
 
-/// Why a command of the emulator failed.
+/// The reason why a command of the emulator failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An argument or a file cannot be used; nothing was started.
+    /// An argument or an input file cannot be used; nothing was started.
     #[error("{0}")]
     Input(String),
-    /// The operating system refused something.
+    /// An operation of the operating system failed.
     #[error("{what}: {error}")]
     Io {
-        /// What was tried, or on which file.
+        /// The operation that failed, or the file that it was applied to.
         what: String,
-        /// The error of the operating system.
+        /// The error that the operating system returned.
         #[source]
         error: io::Error,
     },
-    /// What was started did not get ready, ended early, or broke a rule of the protocol.
+    /// A process or cluster did not become ready or ended early, a job was rejected, or the protocol was
+    /// violated.
     #[error("{0}")]
     Failed(String),
 }
 
-/// Adds to an I/O result what was tried.
+/// Adds context to the error of an I/O result.
 pub(crate) trait IoContext<T> {
-    /// Turns the error into [`Error::Io`]; `what` says what was tried, or on which file.
+    /// Converts the error into [`Error::Io`]; `what` names the operation that failed, or its file.
     fn context(self, what: impl Into<String>) -> Result<T, Error>;
 }
 
--- a/packages/emulator/src/lib.rs
+++ b/packages/emulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for the systems that coralnotch serves: a state service, a cloud,
-//! workers and a load balancer, over TCP on loopback; and a cluster on one
-//! machine made of them and real controller processes.
+//! Emulators of the systems that coralnotch works with: a state service, a cloud, workers and a load
+//! balancer, which communicate over TCP on loopback.  Together with real controller processes they form
+//! a cluster on one machine.
 //!
-//! Knows the protocol and nothing of how a controller decides.
+//! The emulators implement the protocol and do not depend on how a controller makes its decisions.
 
 pub mod balancer;
 pub mod capacity;
--- a/packages/emulator/src/load.rs
+++ b/packages/emulator/src/load.rs
@@ -1,8 +1,9 @@
-//! Load runs: jobs that arrive whether or not earlier ones were answered, submitted with the client
-//! library or with one request at a time, against a cluster on this machine, with faults.
+//! The `load` command: an open-loop load test of a cluster on this machine, with faults.  Jobs arrive
+//! whether or not earlier ones have been answered, and are submitted either with the client library
+//! or with one request at a time.
 //!
-//! Times count from when a job should have been sent, so a service that stalls is charged for all
-//! that it kept waiting.
+//! Latencies are measured from the time when a job should have been sent, not from when it was sent.
+//! They therefore include the delay of every job that a stalled service kept waiting.
 
 mod observations;
 mod report;
@@ -21,7 +22,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use smol::Task;
 
-pub use self::report::{read, table, Report, Times};
+pub use self::report::{read, table, LatencySummary, Report};
 pub use self::scenario::{Scenario, ScenarioError, Users};
 
 use self::observations::{lock, Observations};
@@ -31,20 +32,28 @@
 use crate::history::check;
 use crate::up::{self, Options};
 
-/// Interval at which the progress is shown.
+/// Interval at which the progress bar is updated.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
-/// Connections that a client of the library keeps open; with very many clients it keeps none.
+/// Idle connections that each client of the library keeps open.
 const IDLE_CONNECTIONS: usize = 8;
-const MANY_CLIENTS: u64 = 1000;
+/// Largest number of clients that keep idle connections; with more clients, none is kept.
+const MAX_CLIENTS_WITH_IDLE_CONNECTIONS: u64 = 1000;
 
-/// When a run began, and how many jobs arrived in it.
-struct Played {
+/// The load that was generated in a run.
+struct GeneratedLoad {
+    /// Number of jobs that arrived.
     jobs: usize,
+    /// Start of the run, from which the times of arrival count.
     began: Instant,
 }
 
-/// Runs a scenario on a cluster of its own; `controller` is the program of the controllers, the one
-/// beside this program if `None`.
+/// Runs a scenario on a new cluster.  `controller` is the path of the controller program; `None` selects
+/// `coralnotch` in the directory of this program.
+///
+/// # Errors
+///
+/// Returns [`Error::Input`] if the fault plan or the controller program cannot be used, and the error
+/// of [`up::run`] if the cluster fails.  Returns [`Error::Failed`] if a client cannot be opened.
 pub fn run(scenario: &Scenario, controller: Option<PathBuf>) -> Result<Report, Error> {
     let options = cluster_options(scenario, controller)?;
     let (stop, stopped) = smol::channel::bounded(1);
@@ -55,15 +64,17 @@
         })
     });
     let observations = Arc::new(Observations::new().map_err(failed)?);
-    let played = match ready.recv() {
-        Ok(balancer) => smol::block_on(play(scenario, balancer, &observations)),
-        Err(_) => Err(Error::Failed("the cluster did not get ready".into())),
+    let generated = match ready.recv() {
+        Ok(balancer) => smol::block_on(generate_load(scenario, balancer, &observations)),
+        Err(_) => Err(Error::Failed("the cluster ended before a controller became ready".into())),
     };
     let _ = stop.try_send(());
-    let seen = cluster.join().unwrap_or_else(|_| Err(Error::Failed("the cluster's thread ended".into())))?;
-    Ok(report(scenario, &played?, &observations, seen))
+    let cluster_report =
+        cluster.join().unwrap_or_else(|_| Err(Error::Failed("the thread of the cluster panicked".into())))?;
+    Ok(report(scenario, &generated?, &observations, cluster_report))
 }
 
+/// Returns the options of a cluster for the scenario.
 fn cluster_options(scenario: &Scenario, controller: Option<PathBuf>) -> Result<Options, Error> {
     let plan = faults::plan(scenario.faults.clone(), CONTROLLERS).map_err(|error| Error::Input(error.to_string()))?;
     Ok(Options {
@@ -81,29 +92,40 @@
     })
 }
 
-fn report(scenario: &Scenario, played: &Played, observations: &Observations, seen: up::Report) -> Report {
+/// Creates the report of a run and checks the answers that the users were given.
+fn report(
+    scenario: &Scenario,
+    generated: &GeneratedLoad,
+    observations: &Observations,
+    cluster_report: up::Report,
+) -> Report {
     let answers = lock(&observations.answers).clone();
-    let accept = Times::of(&lock(&observations.accept));
+    let accept = LatencySummary::from_histogram(&lock(&observations.accept));
     let last_accept = *lock(&observations.last_accept);
-    let accepting_s = last_accept.map_or(0.0, |at| at.duration_since(played.began).as_secs_f64());
-    let expected_answers = if scenario.unfinished { answers.len() } else { played.jobs };
-    let mut wrong = check(expected_answers, &answers, None, &seen.completed_at);
-    wrong.extend(seen.violations);
-    let requests = seen.requests_per_second;
+    let accepting_s = last_accept.map_or(0.0, |at| at.duration_since(generated.began).as_secs_f64());
+    let expected_answers = if scenario.unfinished { answers.len() } else { generated.jobs };
+    let mut wrong = check(expected_answers, &answers, None, &cluster_report.completed_at);
+    wrong.extend(cluster_report.violations);
+    let requests = cluster_report.requests_per_second;
     Report {
         scenario: scenario.clone(),
-        jobs: played.jobs,
+        jobs: generated.jobs,
         accepted_per_s: if accepting_s > 0.0 { accept.count as f64 / accepting_s } else { 0.0 },
-        answer: Times::of(&lock(&observations.answer)),
-        requests_per_job: requests.iter().sum::<u64>() as f64 / played.jobs.max(1) as f64,
+        answer: LatencySummary::from_histogram(&lock(&observations.answer)),
+        requests_per_job: requests.iter().sum::<u64>() as f64 / generated.jobs.max(1) as f64,
         accept,
         requests,
         wrong,
     }
 }
 
-/// Sends each job when it is due, and waits for the answers as long as the scenario says.
-async fn play(scenario: &Scenario, balancer: SocketAddr, observations: &Arc<Observations>) -> Result<Played, Error> {
+/// Submits each job at its time of arrival, then waits until all jobs have a final answer, at most
+/// `settle_s` after the last arrival.
+async fn generate_load(
+    scenario: &Scenario,
+    balancer: SocketAddr,
+    observations: &Arc<Observations>,
+) -> Result<GeneratedLoad, Error> {
     let clients = Clients::open(scenario, balancer).await?;
     let began = Instant::now();
     let arrivals = scenario.arrivals();
@@ -134,24 +156,27 @@
     or(all_answered, or(show_progress, timeout)).await;
     bar.finish_and_clear();
     clients.print_counters();
-    Ok(Played { jobs: arrivals.len(), began })
+    Ok(GeneratedLoad { jobs: arrivals.len(), began })
 }
 
 fn progress_bar(jobs: usize) -> ProgressBar {
     let bar = ProgressBar::new(jobs as u64);
-    if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} over, {elapsed}") {
+    if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} jobs answered, {elapsed}") {
         bar.set_style(style);
     }
     bar
 }
 
-/// The clients of a run.
+/// The clients of a run, to which the jobs are assigned in rotation.
 enum Clients {
+    /// Clients of the client library.
     Library(Vec<Client>),
+    /// Plain HTTP clients that send one request at a time.
     Http { balancer: SocketAddr, clients: Vec<Arc<HttpClient>> },
 }
 
 impl Clients {
+    /// Opens the clients that the scenario asks for.
     async fn open(scenario: &Scenario, balancer: SocketAddr) -> Result<Clients, Error> {
         if scenario.users == Users::OneRequest {
             let clients = (0..scenario.clients).map(|_| Arc::new(HttpClient::new(1))).collect();
@@ -161,13 +186,15 @@
         for _ in 0..scenario.clients {
             let mut settings = Settings::new(vec![balancer]);
             settings.retry_budget = scenario.retry_budget;
-            settings.max_idle_connections = if scenario.clients > MANY_CLIENTS { 0 } else { IDLE_CONNECTIONS };
+            settings.max_idle_connections =
+                if scenario.clients > MAX_CLIENTS_WITH_IDLE_CONNECTIONS { 0 } else { IDLE_CONNECTIONS };
             clients.push(Client::open(settings).await.map_err(failed)?);
         }
         Ok(Clients::Library(clients))
     }
 
-    /// Starts a user with a job that is due; it is cancelled when the task is dropped.
+    /// Starts a user that submits one job with the client `index`.  Latencies count from `due`.  Dropping
+    /// the returned task stops the user.
     fn start_user(
         &self,
         scenario: &Scenario,
@@ -189,7 +216,7 @@
         })
     }
 
-    /// Prints what the library's clients counted, all together.
+    /// Prints the sums of the counters of all library clients; prints nothing for HTTP clients.
     fn print_counters(&self) {
         let Clients::Library(clients) = self else { return };
         let sum = clients.iter().map(Client::counters).fold(Counters::default(), |sum, counters| Counters {
@@ -199,7 +226,7 @@
             ..sum
         });
         println!(
-            "library: {} requests, {} of them retries, {} times held back",
+            "client library: {} requests, {} of them retries, {} delays by the retry budget",
             sum.requests, sum.retries, sum.held_back
         );
     }
--- a/packages/emulator/src/load/report.rs
+++ b/packages/emulator/src/load/report.rs
@@ -1,4 +1,4 @@
-//! Reports of load runs.
+//! Reports of load runs, their JSON files, and the table that compares them.
 
 use std::fs;
 use std::path::Path;
@@ -9,65 +9,79 @@
 use super::Scenario;
 use crate::error::Error;
 
-/// Quantiles in milliseconds.
+/// Quantiles of a latency, in milliseconds.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Times {
-    /// How many.
+pub struct LatencySummary {
+    /// Number of measured jobs.
     pub count: u64,
-    /// Half were quicker.
+    /// Median.
     pub p50_ms: f64,
-    /// 99 of 100 were quicker.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// 999 of 1,000 were quicker.
+    /// 99.9th percentile.
     pub p999_ms: f64,
-    /// The longest.
+    /// Maximum.
     pub max_ms: f64,
-    /// Share and time of a curve of quantiles.
+    /// Points of the quantile curve: a share of the jobs from 0 to 1, and the latency that this share does
+    /// not exceed.
     pub curve: Vec<(f64, f64)>,
 }
 
-impl Times {
-    /// Quantiles of a histogram in microseconds.
-    pub(super) fn of(histogram: &Histogram<u64>) -> Times {
+impl LatencySummary {
+    /// Computes the quantiles of a histogram whose values are in microseconds.
+    pub(super) fn from_histogram(histogram: &Histogram<u64>) -> LatencySummary {
         let at = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1000.0;
         let quantiles = (0..=100).map(|percent| percent as f64 / 100.0).chain([0.995, 0.999]);
         let curve = quantiles.map(|quantile| (quantile, at(quantile))).collect();
-        Times { count: histogram.len(), p50_ms: at(0.5), p99_ms: at(0.99), p999_ms: at(0.999), max_ms: at(1.0), curve }
+        LatencySummary {
+            count: histogram.len(),
+            p50_ms: at(0.5),
+            p99_ms: at(0.99),
+            p999_ms: at(0.999),
+            max_ms: at(1.0),
+            curve,
+        }
     }
 }
 
 /// The result of a load run.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Report {
-    /// The scenario.
+    /// The scenario that was run, without its faults.
     pub scenario: Scenario,
-    /// Jobs that arrived.
+    /// Number of jobs that arrived.
     pub jobs: usize,
-    /// Accepted a second, from the first arrival to the last acceptance.
+    /// Accepted jobs per second, from the start of the run to the last acceptance.
     pub accepted_per_s: f64,
-    /// From a job's arrival to its acceptance.
-    pub accept: Times,
-    /// From a job's arrival to its final answer.
-    pub answer: Times,
-    /// Users' requests that reached the balancer, by second.
+    /// Latency from a job's arrival to its acceptance.
+    pub accept: LatencySummary,
+    /// Latency from a job's arrival to its final answer.
+    pub answer: LatencySummary,
+    /// Number of users' requests that reached the load balancer in each second since the cluster became
+    /// ready.
     pub requests: Vec<u64>,
-    /// The same for each job.
+    /// Mean number of users' requests for each job that arrived.
     pub requests_per_job: f64,
-    /// Violations of the protocol, and answers that are wrong or missing, a line each.
+    /// Violations of the protocol, and wrong or missing answers, one line each.
     pub wrong: Vec<String>,
 }
 
 /// Reads a report from its JSON file.
+///
+/// # Errors
+///
+/// Returns [`Error::Input`] if the file cannot be read or does not contain a report.
 pub fn read(file: &Path) -> Result<Report, Error> {
-    let unusable = |error: &dyn std::fmt::Display| Error::Input(format!("{}: {error}", file.display()));
-    let text = fs::read_to_string(file).map_err(|error| unusable(&error))?;
-    serde_json::from_str(&text).map_err(|error| unusable(&error))
+    let input_error =
+        |error: &dyn std::fmt::Display| Error::Input(format!("cannot read the report {}: {error}", file.display()));
+    let text = fs::read_to_string(file).map_err(|error| input_error(&error))?;
+    serde_json::from_str(&text).map_err(|error| input_error(&error))
 }
 
-/// Formats a figure of a report.
+/// A function that formats one figure of a report.
 type Figure = dyn Fn(&Report) -> String;
 
-/// A table of reports side by side, with a line for each figure.
+/// Returns a text table with a column for each named report and a line for each figure.
 pub fn table(reports: &[(&str, &Report)]) -> String {
     let rows: [(&str, &Figure); 12] = [
         ("users", &|r| format!("{:?}", r.scenario.users)),
@@ -87,10 +101,10 @@
     for (name, _) in reports {
         text += &format!("{name:>16}");
     }
-    for (what, of) in rows {
-        text += &format!("\n{what:28}");
+    for (label, format_figure) in rows {
+        text += &format!("\n{label:28}");
         for (_, r) in reports {
-            text += &format!("{:>16}", of(r));
+            text += &format!("{:>16}", format_figure(r));
         }
     }
     text
--- a/packages/emulator/src/load/scenario.rs
+++ b/packages/emulator/src/load/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenario of a load run, as its file has it.
+//! The scenario of a load run, and the reader of its TOML file.
 
 use std::time::Duration;
 
@@ -10,73 +10,74 @@
 use crate::faults;
 use crate::up::Size;
 
-/// Controllers of a cluster.
+/// Number of controllers in the cluster of a load run.
 pub(super) const CONTROLLERS: usize = 3;
-/// Most jobs of a scenario.
+/// Maximum number of jobs in a scenario.
 const MAX_JOBS: usize = 100_000;
 
-/// Why a scenario cannot be used.
+/// The reason why a scenario cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// The file is not TOML, or not a scenario.
+    /// The text is not valid TOML, or has unknown, missing or mistyped keys.
     #[error("{}", .0.to_string().trim())]
     Syntax(#[source] toml::de::Error),
-    /// All that is wrong with its values, a line each.
+    /// All problems of the values; the message has one line for each.
     #[error("{}", .0.join("\n"))]
     Invalid(Vec<String>),
 }
 
-/// How jobs are submitted.
+/// The way in which users submit jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Users {
-    /// The client library.
+    /// With the client library.
     Library,
-    /// One request at a time, repeated after a second, without the client library.
+    /// Without the client library: one request at a time, retried after a second.
     OneRequest,
 }
 
-/// A scenario, as its file has it.
+/// The scenario of a load run; the fields are the keys of its file.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Seed of the arrivals and of the emulated services.
+    /// Seed of the arrival times and of the emulated services.
     #[serde(default = "one")]
     pub seed: u64,
-    /// Who submits.
+    /// The way in which jobs are submitted.
     pub users: Users,
-    /// Independent clients, to which the jobs are given in rotation.
+    /// Number of independent clients, to which the jobs are assigned in rotation.
     #[serde(default = "one")]
     pub clients: u64,
-    /// With the library: whether its retry budget is in force.
-    #[serde(default = "yes")]
+    /// Whether the client library limits retries by its retry budget; has no effect without the library.
+    #[serde(default = "enabled")]
     pub retry_budget: bool,
-    /// Arrivals a second, at random times.
+    /// Mean number of arrivals per second; the arrivals are a Poisson process.
     #[serde(default)]
     pub rate: f64,
-    /// For how long jobs arrive, in seconds.
+    /// Time during which jobs arrive, in seconds.
     #[serde(default)]
     pub for_s: f64,
-    /// Arrivals at given times instead, in seconds.
+    /// Arrival times in seconds since the start of the run; replaces `rate` and `for_s`.
     #[serde(default)]
     pub trace_s: Vec<f64>,
-    /// How long to wait for answers after the last arrival, in seconds.
+    /// Maximum time to wait for final answers after the last arrival, in seconds.
     pub settle_s: f64,
-    /// Jobs may be unfinished at the end: no answer is missing then.
+    /// Whether jobs may be unfinished at the end of the run; a missing answer is then no problem.
     #[serde(default)]
     pub unfinished: bool,
-    /// Tasks of a job.
+    /// Number of tasks of each job.
     #[serde(default = "one")]
     pub tasks: u64,
-    /// Time of a task, in seconds.
+    /// Run time of each task, in seconds; the jobs state the same time as their estimate.
     pub expect_s: f64,
-    /// Machines of each type, zone and kind.
-    #[serde(default = "dozen")]
+    /// Number of machines of each type that can be rented in each zone, counted apart for spot and
+    /// on-demand machines.
+    #[serde(default = "default_capacity")]
     pub capacity: usize,
-    /// How much the services allow.
+    /// Limits of the emulated services and of the controllers.
     #[serde(default)]
     pub cluster: Size,
-    /// What goes wrong, from when the cluster is ready.
+    /// Faults to inject, as in a fault plan; their times count from when the cluster is ready.
     #[serde(default, rename = "fault", skip_serializing)]
     pub faults: Vec<toml::Table>,
 }
@@ -84,19 +85,20 @@
 fn one() -> u64 {
     1
 }
-fn yes() -> bool {
+fn enabled() -> bool {
     true
 }
-fn dozen() -> usize {
+fn default_capacity() -> usize {
     12
 }
 
 impl Scenario {
-    /// Reads a scenario.
+    /// Parses the text of a scenario file and checks all of its values.
     ///
     /// # Errors
     ///
-    /// [`ScenarioError::Invalid`] with all that is wrong with it.
+    /// Returns [`ScenarioError::Syntax`] if the text is not TOML with the keys of a scenario, and
+    /// [`ScenarioError::Invalid`] with all problems of the values.
     pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario = toml::from_str(text).map_err(ScenarioError::Syntax)?;
         let mut problems = scenario.problems();
@@ -109,23 +111,40 @@
         }
     }
 
+    /// Returns the problems of all values except the faults.
     fn problems(&self) -> Vec<String> {
-        let is_amount = |value: f64| value.is_finite() && value >= 0.0;
+        let is_valid_amount = |value: f64| value.is_finite() && value >= 0.0;
         let amounts = [self.rate, self.for_s, self.settle_s, self.expect_s];
         let expected_jobs = self.rate * self.for_s;
         let checks = [
-            (amounts.into_iter().all(is_amount), "a time or rate is negative"),
-            (self.trace_s.iter().all(|at| is_amount(*at)), "trace_s has a negative time"),
-            (self.trace_s.is_empty() == (expected_jobs > 0.0), "either rate and for_s, or trace_s"),
-            (expected_jobs <= MAX_JOBS as f64 && self.trace_s.len() <= MAX_JOBS, "more than 100000 jobs"),
-            ((1..=20_000).contains(&self.clients), "clients: from 1 to 20000"),
-            ((1..=1000).contains(&self.tasks), "tasks: from 1 to 1000"),
-            (self.cluster.state_rps >= 10.0 && self.cluster.write_rps >= 10.0, "cluster: rates of at least 10"),
+            (
+                amounts.into_iter().all(is_valid_amount),
+                "rate, for_s, settle_s and expect_s must be finite and not negative",
+            ),
+            (
+                self.trace_s.iter().all(|at| is_valid_amount(*at)),
+                "all times in trace_s must be finite and not negative",
+            ),
+            (
+                self.trace_s.is_empty() == (expected_jobs > 0.0),
+                "set either both rate and for_s to more than 0, or trace_s",
+            ),
+            (
+                expected_jobs <= MAX_JOBS as f64 && self.trace_s.len() <= MAX_JOBS,
+                "the scenario must not have more than 100000 jobs",
+            ),
+            ((1..=20_000).contains(&self.clients), "clients must be from 1 to 20000"),
+            ((1..=1000).contains(&self.tasks), "tasks must be from 1 to 1000"),
+            (
+                self.cluster.state_rps >= 10.0 && self.cluster.write_rps >= 10.0,
+                "cluster.state_rps and cluster.write_rps must be at least 10",
+            ),
         ];
         checks.into_iter().filter(|(holds, _)| !holds).map(|(_, problem)| problem.to_owned()).collect()
     }
 
-    /// When jobs arrive, from the start of the run.
+    /// Returns the arrival times of the jobs since the start of the run, sorted.  The times depend only on
+    /// the scenario and its seed.
     pub fn arrivals(&self) -> Vec<Duration> {
         let mut rng = Rng::with_seed(self.seed);
         let mut arrivals_s: Vec<f64> = self.trace_s.clone();
@@ -141,6 +160,7 @@
         arrivals_s.into_iter().map(Duration::from_secs_f64).collect()
     }
 
+    /// Returns a job of the scenario with this id.
     pub(super) fn job(&self, id: Name) -> JobSpec {
         JobSpec {
             class: "demo".into(),
--- a/packages/emulator/src/load/users.rs
+++ b/packages/emulator/src/load/users.rs
@@ -1,4 +1,4 @@
-//! Users of a run: each follows one job from its submission to its final answer.
+//! Simulated users of a load run.  Each user submits one job and waits for its final answer.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,11 +9,13 @@
 
 use super::observations::Observations;
 
-/// Limit of one request without the library, and the pause before the next one.
+/// Time limit of one request that is sent without the client library.
 const REQUEST_LIMIT: Duration = Duration::from_secs(5);
-const PAUSE: Duration = Duration::from_secs(1);
+/// Delay before a failed submission is retried, and before each query.
+const REQUEST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Submits a job with one request at a time and polls it until it is over.
+/// Submits a job without the client library and polls it until it is done or cancelled.  Records the
+/// acceptance and the final answer, with latencies measured from `due`.
 pub(super) async fn run_with_requests(
     balancer: SocketAddr,
     client: &HttpClient,
@@ -26,13 +28,13 @@
         match client.send(balancer, "POST", "/v2/runs", Some(&body), REQUEST_LIMIT).await {
             Ok((200 | 201, _)) => break,
             Ok((400 | 422, _)) => return observations.record_answer(spec.id, "refused", due),
-            _ => smol::Timer::after(PAUSE).await,
+            _ => smol::Timer::after(REQUEST_INTERVAL).await,
         };
     }
     observations.record_acceptance(due);
     let path = format!("/v2/runs/{}", spec.id);
     loop {
-        smol::Timer::after(PAUSE).await;
+        smol::Timer::after(REQUEST_INTERVAL).await;
         let response = client.send(balancer, "GET", &path, None, REQUEST_LIMIT).await;
         let Ok((200, body)) = response else { continue };
         let stage = http::decode::<JobState>(&body).map(|state| state.stage);
@@ -42,11 +44,12 @@
     }
 }
 
-/// Submits a job with the client library and waits for its final answer.
+/// Submits a job with the client library and waits for its final answer.  Records the acceptance and
+/// the answer, with latencies measured from `due`.
 pub(super) async fn run_with_library(client: &Client, spec: JobSpec, due: Instant, observations: &Observations) {
     let (id, mut changes) = (spec.id.clone(), client.changes());
     let Ok(handle) = client.submit(spec).await else { return };
-    // the first change of the job is its acceptance
+    // the first change that the client reports for a job is its acceptance
     loop {
         match changes.recv().await {
             Ok(change) if change.id == id => break,
--- a/packages/emulator/src/main.rs
+++ b/packages/emulator/src/main.rs
@@ -1,4 +1,4 @@
-//! The emulator's command line.
+//! The command line of the emulator.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -13,7 +13,11 @@
 use coralnotch_emulator::up::{self, Options};
 
 #[derive(Parser)]
-#[command(name = "coralnotch-emulator", version, about = "A coralnotch cluster on one machine")]
+#[command(
+    name = "coralnotch-emulator",
+    version,
+    about = "Runs coralnotch clusters on one machine, with emulated services"
+)]
 struct Args {
     #[command(subcommand)]
     command: Command,
@@ -21,61 +25,61 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a cluster: stand-ins and three controllers, until Ctrl-C.
+    /// Run a cluster of emulated services and three controllers until Ctrl-C.
     Up(Options),
-    /// Play a scenario of load and faults on a cluster of its own.
+    /// Run a load test with faults on a new cluster.
     Load {
-        /// The scenario.
+        /// TOML file with the scenario of the load test.
         scenario: PathBuf,
-        /// Where the report goes, as JSON; a page with plots goes beside it.
+        /// JSON file for the report; a page with plots is written beside it, with the extension html.
         #[arg(long, default_value = "load.json")]
         report: PathBuf,
-        /// The controller program; beside this program if not given.
+        /// Path of the controller program; defaults to `coralnotch` in the directory of this program.
         #[arg(long)]
         controller: Option<PathBuf>,
     },
-    /// Play parts of a large target: regions of controllers among hollow workers.
+    /// Measure parts of a large target deployment: regions of controllers with emulated workers.
     Scale(scale::Options),
-    /// Make the capacity page from results.
+    /// Generate the capacity page from the results of scale runs.
     Capacity(capacity::Options),
-    /// A process of a scale run.
+    /// Run one process of a scale run; started only by `scale`.
     #[command(hide = true)]
     ScaleRole {
-        /// What to be.
+        /// The role of the process, as JSON.
         role: String,
-        /// The process that started this.
+        /// Process id of the scale run that starts this process.
         #[arg(long)]
         parent: u32,
     },
-    /// Set reports side by side.
+    /// Compare the reports of load tests in one table.
     Compare {
-        /// Reports.
+        /// JSON files of the reports.
         #[arg(required = true, num_args = 2..)]
         reports: Vec<PathBuf>,
-        /// A page with plots of them all.
+        /// HTML file for a page with plots of all reports.
         #[arg(long)]
         page: Option<PathBuf>,
     },
 }
 
-/// Exit code for what can't be used.
+/// Exit code if an argument or a file cannot be used.
 const BAD_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
     let args = Args::parse();
     if let Command::ScaleRole { role, parent } = &args.command {
-        // ends with the run that started it, not at a signal meant for that
-        return ended(scale::role::run(role, *parent));
+        // no signal handler: the process ends with the run that started it
+        return exit_code(scale::role::run(role, *parent));
     }
     tracing_subscriber::fmt().with_max_level(tracing::Level::WARN).with_writer(std::io::stderr).init();
     let (stop, stopped) = smol::channel::bounded(1);
     if let Err(e) = ctrlc::set_handler(move || {
         let _ = stop.try_send(());
     }) {
-        eprintln!("coralnotch-emulator: signals: {e}");
+        eprintln!("coralnotch-emulator: cannot install the Ctrl-C handler: {e}");
         return ExitCode::FAILURE;
     }
-    let done = match &args.command {
+    let result = match &args.command {
         Command::Up(options) => up::run(options, stopped, |_| ()).map(drop),
         Command::Load { scenario, report, controller } => load(scenario, report, controller.clone()),
         Command::Compare { reports, page } => compare(reports, page.as_deref()),
@@ -83,12 +87,12 @@
         Command::Capacity(options) => capacity::run(options),
         Command::ScaleRole { .. } => Ok(()),
     };
-    ended(done)
+    exit_code(result)
 }
 
-/// The exit code, with the error said.
-fn ended(done: Result<(), Error>) -> ExitCode {
-    match done {
+/// Returns the exit code for the result of a command, and prints the error if there is one.
+fn exit_code(result: Result<(), Error>) -> ExitCode {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("coralnotch-emulator: {e}");
@@ -100,26 +104,35 @@
     }
 }
 
+/// Writes a text file.
 fn write(file: &Path, text: &str) -> Result<(), Error> {
     fs::write(file, text).map_err(|error| Error::Io { what: file.display().to_string(), error })
 }
 
+/// Runs a load test, prints its table, and writes the report and its page.
 fn load(scenario: &Path, report: &Path, controller: Option<PathBuf>) -> Result<(), Error> {
-    let text = fs::read_to_string(scenario).map_err(|e| Error::Input(format!("{}: {e}", scenario.display())))?;
-    let s = Scenario::parse(&text).map_err(|e| Error::Input(format!("{}:\n{e}", scenario.display())))?;
-    let r = load::run(&s, controller)?;
+    let text = fs::read_to_string(scenario)
+        .map_err(|e| Error::Input(format!("cannot read the scenario {}: {e}", scenario.display())))?;
+    let parsed =
+        Scenario::parse(&text).map_err(|e| Error::Input(format!("invalid scenario {}:\n{e}", scenario.display())))?;
+    let r = load::run(&parsed, controller)?;
     let name = scenario.file_stem().map(|n| n.to_string_lossy().into_owned()).unwrap_or_default();
-    let all = [(name.as_str(), &r)];
-    println!("{}", load::table(&all));
+    let named_reports = [(name.as_str(), &r)];
+    println!("{}", load::table(&named_reports));
     write(report, &serde_json::to_string_pretty(&r).unwrap_or_default())?;
-    write(&report.with_extension("html"), &page::page(&all)?)?;
+    write(&report.with_extension("html"), &page::page(&named_reports)?)?;
     match r.wrong.is_empty() {
         true => Ok(()),
-        false => Err(Error::Failed(format!("{} things are wrong:\n{}", r.wrong.len(), some(&r.wrong)))),
+        false => Err(Error::Failed(format!(
+            "the load test found {} problems:\n{}",
+            r.wrong.len(),
+            join_first_problems(&r.wrong)
+        ))),
     }
 }
 
-fn some(wrong: &[String]) -> String {
+/// Joins the first ten problems, one on each line.
+fn join_first_problems(wrong: &[String]) -> String {
     let mut text = wrong.iter().take(10).cloned().collect::<Vec<_>>().join("\n");
     if wrong.len() > 10 {
         text += "\n…";
@@ -127,14 +140,15 @@
     text
 }
 
-fn compare(files: &[PathBuf], to: Option<&Path>) -> Result<(), Error> {
+/// Prints the table of several reports, and writes their page to `page_file` if it is given.
+fn compare(files: &[PathBuf], page_file: Option<&Path>) -> Result<(), Error> {
     let reports = files.iter().map(|f| load::read(f)).collect::<Result<Vec<_>, _>>()?;
     let names: Vec<String> =
         files.iter().map(|f| f.file_stem().map(|n| n.to_string_lossy().into_owned()).unwrap_or_default()).collect();
-    let all: Vec<(&str, &load::Report)> = names.iter().map(String::as_str).zip(&reports).collect();
-    println!("{}", load::table(&all));
-    match to {
-        Some(file) => write(file, &page::page(&all)?),
+    let named_reports: Vec<(&str, &load::Report)> = names.iter().map(String::as_str).zip(&reports).collect();
+    println!("{}", load::table(&named_reports));
+    match page_file {
+        Some(file) => write(file, &page::page(&named_reports)?),
         None => Ok(()),
     }
 }
--- a/packages/emulator/src/settings.rs
+++ b/packages/emulator/src/settings.rs
@@ -1,77 +1,84 @@
-//! The settings files of a cluster's controllers, in the form that `coralnotch serve` reads.
+//! Generates the settings files of a cluster's controllers, in the TOML form that `coralnotch serve`
+//! reads.
 
 use std::net::SocketAddr;
 
 use crate::state::Limits;
 
-/// What differs between the controllers of a cluster.
+/// The settings that differ between the controllers of a cluster.
 #[derive(Debug, Clone)]
 pub struct ControllerSettings {
-    /// Its name.
+    /// Host name of the controller, unique in the cluster.
     pub name: String,
-    /// Its zone.
+    /// Name of the zone in which the controller runs.
     pub zone: String,
-    /// Address for users and workers.
+    /// Address on which the controller listens for users and workers.
     pub bind: SocketAddr,
-    /// Address for the other controllers.
+    /// Address on which the controller listens for the other controllers.
     pub peer_bind: SocketAddr,
 }
 
 /// Time limits of the workers, all in seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct WorkerTimes {
-    /// Interval of heartbeats.
+    /// Interval of a worker's heartbeats.
     pub report_s: f64,
-    /// Lease.
+    /// Duration of a worker's lease; a worker that gets no answer for so long kills its tasks.
     pub lease_s: f64,
-    /// How long a gang's task waits for the others.
+    /// Time that a task of a gang waits for the other tasks.
     pub gang_wait_s: f64,
-    /// How quickly a gang notices a loss.
+    /// Time within which the tasks of a gang detect the loss of one of them, and within which all of them
+    /// must stop for a checkpoint of the gang to count.
     pub gang_peer_s: f64,
-    /// A cancelled job has left the machines within this time.
+    /// Time within which the tasks of a cancelled job have left the machines.
     pub cancel_s: f64,
 }
 
-/// A team with its quota in cores; 0 for none.
+/// A team with its quotas of CPU cores; a value of 0 means that there is no quota.
 #[derive(Debug, Clone)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team, as jobs state it.
     pub name: String,
-    /// Guaranteed cores.
+    /// Guaranteed CPU cores.
     pub cpus: f64,
-    /// Limit of cores.
+    /// Maximum number of CPU cores at any time.
     pub cpus_max: f64,
 }
 
-/// Settings that all controllers of a cluster share.
+/// The settings of a cluster, from which the file of each controller is generated.
 #[derive(Debug, Clone)]
 pub struct ClusterSettings {
-    /// The controllers.
+    /// The settings of each controller, by its index.
     pub nodes: Vec<ControllerSettings>,
-    /// Zones.
+    /// Names of all zones of the cluster.
     pub zones: Vec<String>,
-    /// Teams.
+    /// Teams that may submit jobs.
     pub teams: Vec<Team>,
     /// Time limits of the workers.
     pub workers: WorkerTimes,
-    /// What the state service allows.
+    /// Limits of the state service at the start.
     pub state: Limits,
-    /// Lower limits that it may have later without notice.
+    /// Limits that the state service may have later without notice; its `rps` is not used.
     pub state_next: Limits,
-    /// Requests a second that the cloud allows.
+    /// Rate limit of the cloud, in requests per second.
     pub cloud_rps: f64,
-    /// Age of the cloud's list of machines, in seconds.
+    /// Age of the machine list that the cloud returns, in seconds.
     pub list_lag_s: f64,
-    /// Share of a core for each controller.
+    /// CPU quota of each controller, in cores.
     pub cores: f64,
-    /// Memory of each controller, in MB.
+    /// Memory quota of each controller, in MB.
     pub memory_mb: f64,
-    /// Sockets that each may open.
+    /// Number of sockets that each controller may open.
     pub sockets: usize,
 }
 
 impl ClusterSettings {
-    /// The settings file of one controller, for a state service and a cloud at these addresses.
+    /// Returns the text of the settings file of the controller `index`.  `state` and `cloud` are the
+    /// addresses of the state service and of the cloud.
+    ///
+    /// # Panics
+    ///
+    /// Panics if there is no controller with this index.
     pub fn controller_file(&self, index: usize, state: SocketAddr, cloud: SocketAddr) -> String {
         let ControllerSettings { name, zone, bind, peer_bind } = &self.nodes[index];
         let peers = self.nodes.iter().enumerate().filter(|(peer, _)| *peer != index);
@@ -97,11 +104,13 @@
     }
 }
 
+/// Returns the section that describes another controller.
 fn peer_section(peer: &ControllerSettings) -> String {
     let ControllerSettings { name, zone, peer_bind, .. } = peer;
     format!("[[siblings]]\nhost_name = \"{name}\"\ndomain = \"{zone}\"\naddr = \"{peer_bind}\"\n\n")
 }
 
+/// Returns the section that describes a team.
 fn team_section(team: &Team) -> String {
     let Team { name, cpus, cpus_max } = team;
     format!("[[deployment.teams]]\nname = \"{name}\"\ncpus = {cpus:?}\ncpus_max = {cpus_max:?}\n\n")
--- a/packages/emulator/src/up/deployment.rs
+++ b/packages/emulator/src/up/deployment.rs
@@ -22,7 +22,8 @@
 const LEASE_S: f64 = 10.0;
 /// Time that a task of a gang waits for the other tasks to start, in seconds.
 const GANG_WAIT_S: f64 = 15.0;
-/// Time within which the tasks of a gang detect the loss of one of them, in seconds.
+/// Time within which the tasks of a gang detect the loss of one of them, in seconds.  A checkpoint of
+/// the gang counts only if all of its tasks stop within this time.
 const GANG_PEER_S: f64 = 2.0;
 /// Time within which the tasks of a cancelled job have left the machines, in seconds.
 const CANCEL_S: f64 = 20.0;
--- a/packages/emulator/src/up/options.rs
+++ b/packages/emulator/src/up/options.rs
@@ -33,7 +33,8 @@
     /// Seed of the random choices of the emulated services.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Number of machines that can be rented of each machine type, in each zone, both on demand and spot.
+    /// Number of machines of each type that can be rented in each zone, counted apart for spot and
+    /// on-demand machines.
     #[arg(long, default_value_t = 4)]
     pub capacity: usize,
     /// Submit a demo job when the cluster is ready and print the changes of its state.
