--- a/packages/emulator/src/error.rs
+++ b/packages/emulator/src/error.rs
@@ -1,4 +1,5 @@
-//! The error type of the emulator's commands; `main` prints the error and derives the exit code from it.
+//! The error type of the emulator's commands.  `main` prints the error and derives the exit code from
+//! it.
 
 use std::io;
 
--- a/packages/emulator/src/faults.rs
+++ b/packages/emulator/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults to inject into a cluster, and the fault plan that says when.
+//! Faults to inject into a cluster, and the fault plan that sets the time of each fault.
 //!
 //! A fault plan is a TOML file.  Reading it reports all of its problems at once:
 //!
@@ -17,8 +17,8 @@
 pub use self::error::{FaultProblem, InvalidFault, PlanError};
 pub use self::plan::{parse, plan};
 
-/// A fault to inject into a cluster.  The command `up` prints each fault in its `Debug` form when it
-/// injects the fault.
+/// A fault to inject into a cluster.  The emulator prints the `Debug` form of each fault when it injects
+/// the fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
     /// The process of one controller is killed and restarted.
--- a/packages/emulator/src/faults/error.rs
+++ b/packages/emulator/src/faults/error.rs
@@ -30,13 +30,13 @@
     /// A required key is missing.
     #[error("{key} is missing")]
     Missing {
-        /// The key.
+        /// Name of the key.
         key: &'static str,
     },
-    /// A time is not a number, negative or more than 24 hours.
+    /// A time is not a number of seconds from 0 to 24 hours.
     #[error("{key} = {value} is not a number of seconds from 0 to {MAX_TIME_S}")]
     NotSeconds {
-        /// The key.
+        /// Name of the key.
         key: &'static str,
         /// The rejected value of the key.
         value: toml::Value,
@@ -44,7 +44,7 @@
     /// A value is not an integer or is outside the permitted range.
     #[error("{key} = {value} is not a whole number from {min} to {max}")]
     NotWholeNumber {
-        /// The key.
+        /// Name of the key.
         key: &'static str,
         /// The rejected value of the key.
         value: toml::Value,
@@ -62,15 +62,15 @@
         /// The value of `kind`; empty if the key is missing or not a string.
         kind: String,
     },
-    /// The duration `for_s` is missing or is not a number of seconds within 24 hours.
+    /// The duration `for_s` is missing or is not a number of seconds from 0 to 24 hours.
     #[error("for_s is missing or is not a number of seconds from 0 to {MAX_TIME_S}")]
     InvalidDuration,
     /// A key does not belong to this kind of fault.
     #[error("unknown key {key} for a fault of kind {kind}")]
     UnknownKey {
-        /// The key.
+        /// Name of the unknown key.
         key: String,
-        /// The kind of fault.
+        /// The value of `kind`.
         kind: String,
     },
 }
--- a/packages/emulator/src/faults/plan.rs
+++ b/packages/emulator/src/faults/plan.rs
@@ -17,8 +17,8 @@
     faults: Vec<toml::Table>,
 }
 
-/// Parses the text of a fault plan for a cluster with `nodes` controllers; returns the faults sorted by
-/// time.
+/// Parses the text of a fault plan for a cluster with `nodes` controllers; returns the faults sorted
+/// by time.
 ///
 /// # Errors
 ///
--- a/packages/emulator/src/load.rs
+++ b/packages/emulator/src/load.rs
@@ -47,8 +47,8 @@
     began: Instant,
 }
 
-/// Runs a scenario on a new cluster.  `controller` is the path of the controller program; `None` selects
-/// `coralnotch` in the directory of this program.
+/// Runs a scenario on a new cluster.  `controller` is the path of the controller program; `None`
+/// selects `coralnotch` in the directory of this program.
 ///
 /// # Errors
 ///
@@ -193,8 +193,8 @@
         Ok(Clients::Library(clients))
     }
 
-    /// Starts a user that submits one job with the client `index`.  Latencies count from `due`.  Dropping
-    /// the returned task stops the user.
+    /// Starts a user that submits one job with the client `index`.  Latencies count from `due`.
+    /// Dropping the returned task stops the user.
     fn start_user(
         &self,
         scenario: &Scenario,
--- a/packages/emulator/src/load/observations.rs
+++ b/packages/emulator/src/load/observations.rs
@@ -9,8 +9,8 @@
 
 use crate::history::Given;
 
-/// Observations of all users of a load run.  Latencies are in microseconds, measured from the time when
-/// a job should have been sent.
+/// Observations of all users of a load run.  Latencies are in microseconds, measured from the time
+/// when a job should have been sent.
 pub(super) struct Observations {
     /// Latencies until acceptance.
     pub(super) accept: Mutex<Histogram<u64>>,
--- a/packages/emulator/src/load/report.rs
+++ b/packages/emulator/src/load/report.rs
@@ -22,8 +22,8 @@
     pub p999_ms: f64,
     /// Maximum.
     pub max_ms: f64,
-    /// Points of the quantile curve: a share of the jobs from 0 to 1, and the latency that this share does
-    /// not exceed.
+    /// Points of the quantile curve: a share of the jobs from 0 to 1, and the latency that this share
+    /// does not exceed.
     pub curve: Vec<(f64, f64)>,
 }
 
@@ -57,8 +57,8 @@
     pub accept: LatencySummary,
     /// Latency from a job's arrival to its final answer.
     pub answer: LatencySummary,
-    /// Number of users' requests that reached the load balancer in each second since the cluster became
-    /// ready.
+    /// Number of users' requests that reached the load balancer in each second since the cluster
+    /// became ready.
     pub requests: Vec<u64>,
     /// Mean number of users' requests for each job that arrived.
     pub requests_per_job: f64,
--- a/packages/emulator/src/load/scenario.rs
+++ b/packages/emulator/src/load/scenario.rs
@@ -48,7 +48,8 @@
     /// Number of independent clients, to which the jobs are assigned in rotation.
     #[serde(default = "one")]
     pub clients: u64,
-    /// Whether the client library limits retries by its retry budget; has no effect without the library.
+    /// Whether the client library limits retries by its retry budget; without the library, the value has
+    /// no effect.
     #[serde(default = "enabled")]
     pub retry_budget: bool,
     /// Mean number of arrivals per second; the arrivals are a Poisson process.
@@ -143,8 +144,8 @@
         checks.into_iter().filter(|(holds, _)| !holds).map(|(_, problem)| problem.to_owned()).collect()
     }
 
-    /// Returns the arrival times of the jobs since the start of the run, sorted.  The times depend only on
-    /// the scenario and its seed.
+    /// Returns the arrival times of the jobs since the start of the run, sorted.  The times depend only
+    /// on the scenario and its seed.
     pub fn arrivals(&self) -> Vec<Duration> {
         let mut rng = Rng::with_seed(self.seed);
         let mut arrivals_s: Vec<f64> = self.trace_s.clone();
--- a/packages/emulator/src/main.rs
+++ b/packages/emulator/src/main.rs
@@ -63,12 +63,13 @@
 }
 
 /// Exit code if an argument or a file cannot be used.
-const BAD_INPUT: u8 = 2;
+const BAD_INPUT_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
     let args = Args::parse();
     if let Command::ScaleRole { role, parent } = &args.command {
-        // no signal handler: the process ends with the run that started it
+        // no handler for Ctrl-C here: that signal is meant for the run that started this process, and
+        // the process ends with that run
         return exit_code(scale::role::run(role, *parent));
     }
     tracing_subscriber::fmt().with_max_level(tracing::Level::WARN).with_writer(std::io::stderr).init();
@@ -97,7 +98,7 @@
         Err(e) => {
             eprintln!("coralnotch-emulator: {e}");
             match e {
-                Error::Input(_) => ExitCode::from(BAD_INPUT),
+                Error::Input(_) => ExitCode::from(BAD_INPUT_EXIT_CODE),
                 Error::Io { .. } | Error::Failed(_) => ExitCode::FAILURE,
             }
         }
@@ -115,18 +116,18 @@
         .map_err(|e| Error::Input(format!("cannot read the scenario {}: {e}", scenario.display())))?;
     let parsed =
         Scenario::parse(&text).map_err(|e| Error::Input(format!("invalid scenario {}:\n{e}", scenario.display())))?;
-    let r = load::run(&parsed, controller)?;
+    let load_report = load::run(&parsed, controller)?;
     let name = scenario.file_stem().map(|n| n.to_string_lossy().into_owned()).unwrap_or_default();
-    let named_reports = [(name.as_str(), &r)];
+    let named_reports = [(name.as_str(), &load_report)];
     println!("{}", load::table(&named_reports));
-    write(report, &serde_json::to_string_pretty(&r).unwrap_or_default())?;
+    write(report, &serde_json::to_string_pretty(&load_report).unwrap_or_default())?;
     write(&report.with_extension("html"), &page::page(&named_reports)?)?;
-    match r.wrong.is_empty() {
+    match load_report.wrong.is_empty() {
         true => Ok(()),
         false => Err(Error::Failed(format!(
             "the load test found {} problems:\n{}",
-            r.wrong.len(),
-            join_first_problems(&r.wrong)
+            load_report.wrong.len(),
+            join_first_problems(&load_report.wrong)
         ))),
     }
 }
--- a/packages/emulator/src/settings.rs
+++ b/packages/emulator/src/settings.rs
@@ -27,8 +27,8 @@
     pub lease_s: f64,
     /// Time that a task of a gang waits for the other tasks.
     pub gang_wait_s: f64,
-    /// Time within which the tasks of a gang detect the loss of one of them, and within which all of them
-    /// must stop for a checkpoint of the gang to count.
+    /// Time within which the tasks of a gang detect the loss of one of them.  A checkpoint of the gang
+    /// counts only if all of its tasks stop within this time.
     pub gang_peer_s: f64,
     /// Time within which the tasks of a cancelled job have left the machines.
     pub cancel_s: f64,
--- a/packages/emulator/src/up.rs
+++ b/packages/emulator/src/up.rs
@@ -151,7 +151,12 @@
         or(demo, self.supervise()).await
     }
 
-    /// Waits until the load balancer finds a controller healthy; restarts those that exit before.
+    /// Waits until the load balancer considers at least one controller healthy.  Restarts controllers
+    /// that exit in the meantime.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Error::Failed`] if no controller is healthy after [`READY_LIMIT`].
     async fn wait_ready(&mut self) -> Result<(), Error> {
         let began = Instant::now();
         while !(0..self.processes.count()).any(|index| self.environment.balancer.borrow().is_healthy(index)) {
--- a/packages/emulator/src/up/processes.rs
+++ b/packages/emulator/src/up/processes.rs
@@ -18,7 +18,7 @@
     process: Option<Child>,
     /// Time at which the process exited; `None` while it runs and before the first start.
     exited_at: Option<Instant>,
-    /// Whether the next start runs the upgrade program.
+    /// Whether starts run the upgrade program.
     is_upgraded: bool,
 }
 
