--- a/packages/emulator/src/up.rs
+++ b/packages/emulator/src/up.rs
@@ -170,10 +170,7 @@
             smol::Timer::after(POLL_INTERVAL).await;
         }
         let dir = self.processes.dir().display();
-        print_line(&format!(
-            "ready: submit to {}; settings and logs are in {dir}; press Ctrl-C to stop",
-            self.balancer
-        ));
+        print_line(&format!("ready: submit to {}; settings and logs in {dir}; Ctrl-C ends it", self.balancer));
         Ok(())
     }
 
