--- a/packages/core/src/dependency.rs
+++ b/packages/core/src/dependency.rs
@@ -91,11 +91,11 @@
             return true;
         }
         let mut missing = BTreeSet::new();
-        let mut needs_cancelled_job = false;
+        let mut depends_on_cancelled_job = false;
         for dependency in &spec.needs {
             let is_blocked = self.blocked.contains_key(dependency);
             let status = if is_blocked { DependencyStatus::Open } else { status_of(dependency) };
-            needs_cancelled_job |=
+            depends_on_cancelled_job |=
                 status == DependencyStatus::Ended(JobOutcome::Cancelled) || self.needing_cancelled.contains(dependency);
             match status {
                 DependencyStatus::Ended(JobOutcome::Done) => continue,
@@ -112,7 +112,7 @@
         let urgency = self.urgency(id, Urgency::own(spec, now));
         let dependency_urgencies = missing.iter().map(|dependency| (dependency.clone(), urgency)).collect();
         self.blocked.insert(id.clone(), BlockedJob { spec: spec.clone(), revision, first_seen: now, missing });
-        if needs_cancelled_job {
+        if depends_on_cancelled_job {
             self.mark_needing_cancelled(id.clone());
         }
         self.raise_urgency(dependency_urgencies);
--- a/packages/core/src/dependency/tests.rs
+++ b/packages/core/src/dependency/tests.rs
@@ -30,11 +30,12 @@
     fn is_blocked(&self, j: &JobSpec) -> bool {
         self.is_open(&j.id) && j.needs.iter().any(|n| self.outcomes.get(n) != Some(&JobOutcome::Done))
     }
-    fn needs_cancelled_job(&self, id: &Name) -> bool {
+    fn depends_on_cancelled_job(&self, id: &Name) -> bool {
         let needs = self.spec(id).map(|j| j.needs.clone()).unwrap_or_default();
         self.is_open(id)
             && needs.iter().any(|n| {
-                self.outcomes.get(n) == Some(&JobOutcome::Cancelled) || self.is_open(n) && self.needs_cancelled_job(n)
+                self.outcomes.get(n) == Some(&JobOutcome::Cancelled)
+                    || self.is_open(n) && self.depends_on_cancelled_job(n)
             })
     }
     fn priority(&self, id: &Name) -> Priority {
@@ -110,7 +111,7 @@
                 let is_blocked = model.is_blocked(j);
                 prop_assert_eq!(graph.is_blocked(&j.id), is_blocked, "whether {} is blocked", j.id);
                 prop_assert_eq!(runnable.contains(&j.id) && model.is_open(&j.id), model.is_open(&j.id) && !is_blocked);
-                prop_assert_eq!(model.needing_cancelled.contains(&j.id), model.needs_cancelled_job(&j.id), "whether {} depends on a cancelled job", j.id);
+                prop_assert_eq!(model.needing_cancelled.contains(&j.id), model.depends_on_cancelled_job(&j.id), "whether {} depends on a cancelled job", j.id);
                 if model.is_open(&j.id) {
                     let priority = graph.urgency(&j.id, Urgency::own(j, now)).priority;
                     prop_assert_eq!(priority, model.priority(&j.id), "priority of {}", j.id);
--- a/packages/core/src/sim/request_history/controller.rs
+++ b/packages/core/src/sim/request_history/controller.rs
@@ -13,7 +13,7 @@
     pub(super) request: RequestId,
     pub(super) spec: Arc<JobSpec>,
     /// Whether the job is stored as cancelled, because a job that it depends on is cancelled.
-    pub(super) needs_cancelled_job: bool,
+    pub(super) depends_on_cancelled_job: bool,
 }
 
 /// A stored job with the revision of its record.
--- a/packages/core/src/sim/request_history/evaluation.rs
+++ b/packages/core/src/sim/request_history/evaluation.rs
@@ -21,8 +21,8 @@
                 pending.request.apply_validation(validation);
                 RequestStage::AtController
             }
-            NextAction::Store { needs_cancelled_job } => {
-                let submission = Submission { request: id, spec: spec(&pending.job, 1), needs_cancelled_job };
+            NextAction::Store { depends_on_cancelled_job } => {
+                let submission = Submission { request: id, spec: spec(&pending.job, 1), depends_on_cancelled_job };
                 controller.submissions.push(submission);
                 RequestStage::Queued
             }
@@ -74,14 +74,14 @@
     /// Validates a submission.  One in four validations of a job whose id ends in 5 finds that
     /// the job depends on a cancelled one.
     fn validate(&mut self, pending: &PendingRequest) -> Validation {
-        let needs_cancelled_job = pending.job.ends_with('5') && self.rng.u32(0..4) == 0;
+        let depends_on_cancelled_job = pending.job.ends_with('5') && self.rng.u32(0..4) == 0;
         if !self.controllers[pending.controller].is_synced {
             return Validation::Undetermined("not ready");
         }
         if is_unsatisfiable(&pending.job) {
             return Validation::Unsatisfiable("unknown team");
         }
-        Validation::Valid { needs_cancelled_job }
+        Validation::Valid { depends_on_cancelled_job }
     }
 
     /// Records a reply that a user receives, and checks that it agrees with the records that are
--- a/packages/core/src/sim/request_history/mod.rs
+++ b/packages/core/src/sim/request_history/mod.rs
@@ -172,7 +172,7 @@
                 // the transaction conflicts if the job was submitted before
                 let _ = self.state_store.apply(&submissions_txn(std::iter::once(crate::user_request::Submission {
                     spec: &spec(&job, 1),
-                    needs_cancelled_job: false,
+                    depends_on_cancelled_job: false,
                 })));
             }
             self.complete_job(leader);
--- a/packages/core/src/sim/request_history/transactions.rs
+++ b/packages/core/src/sim/request_history/transactions.rs
@@ -36,11 +36,10 @@
             return;
         }
         let batch = std::mem::take(&mut self.controllers[index].submissions);
-        let txn =
-            submissions_txn(batch.iter().map(|s| crate::user_request::Submission {
-                spec: &s.spec,
-                needs_cancelled_job: s.needs_cancelled_job,
-            }));
+        let txn = submissions_txn(batch.iter().map(|s| crate::user_request::Submission {
+            spec: &s.spec,
+            depends_on_cancelled_job: s.depends_on_cancelled_job,
+        }));
         match self.write_submissions(&txn) {
             None => self.apply_unknown_result(&batch),
             Some(Ok(revision)) => self.apply_stored(index, batch, &txn, revision),
@@ -90,13 +89,13 @@
     fn apply_stored(&mut self, index: usize, batch: Vec<Submission>, txn: &Txn, revision: u64) {
         let now = self.now_instant();
         let trust_local = self.defect == InjectedDefect::TrustLocalCancellation;
-        for Submission { request, spec, needs_cancelled_job } in batch {
+        for Submission { request, spec, depends_on_cancelled_job } in batch {
             let outcome_key = format!("{}{}", key::OUTCOME, spec.id);
             let is_stored_as_cancelled =
                 txn.writes.iter().any(|w| matches!(w, Write::Set { set, .. } if *set == outcome_key));
             let job = spec.id.clone();
             self.controllers[index].unread_responses.push(StoredJob { spec, revision });
-            if is_stored_as_cancelled || needs_cancelled_job && trust_local {
+            if is_stored_as_cancelled || depends_on_cancelled_job && trust_local {
                 self.read_responses(index);
                 self.controllers[index].apply_outcome(&job, JobOutcome::Cancelled, revision, now);
             }
--- a/packages/core/src/sim/users.rs
+++ b/packages/core/src/sim/users.rs
@@ -59,7 +59,7 @@
     /// Submits a random job for a user.
     pub(super) fn submit_job(&mut self, size: JobSize) {
         let spec = self.random_job(size);
-        let txn = submissions_txn(std::iter::once(Submission { spec: &spec, needs_cancelled_job: false }));
+        let txn = submissions_txn(std::iter::once(Submission { spec: &spec, depends_on_cancelled_job: false }));
         let revision = self.state_store.apply(&txn).expect("the transaction of a new job has no conflict");
         if self.rng.u32(0..12) == 0 {
             self.failing_jobs.insert(spec.id.clone());
--- a/packages/core/src/user_request.rs
+++ b/packages/core/src/user_request.rs
@@ -69,7 +69,7 @@
     Store {
         /// Whether the job depends on a cancelled job, so that its own cancellation is stored in
         /// the same transaction.
-        needs_cancelled_job: bool,
+        depends_on_cancelled_job: bool,
     },
     /// Store the job's cancellation, and pass the resulting outcome to
     /// [`UserRequest::apply_cancellation`].
@@ -90,7 +90,7 @@
     /// The job can be stored.
     Valid {
         /// Whether the job depends on a cancelled job.
-        needs_cancelled_job: bool,
+        depends_on_cancelled_job: bool,
     },
     /// The job can never run for this reason.
     Unsatisfiable(&'static str),
@@ -216,7 +216,7 @@
     fn submit_unknown(&self) -> NextAction {
         match self.validation {
             None => NextAction::Validate,
-            Some(Validation::Valid { needs_cancelled_job }) => NextAction::Store { needs_cancelled_job },
+            Some(Validation::Valid { depends_on_cancelled_job }) => NextAction::Store { depends_on_cancelled_job },
             // The request may repeat a submission that was accepted, which must not be refused.
             Some(Validation::Unsatisfiable(_)) => NextAction::LookUp,
             Some(Validation::Undetermined(reason)) => NextAction::Reply(Reply::RetryLater(reason)),
@@ -292,7 +292,7 @@
     pub fn apply_store_result(&mut self, result: StoreResult, jobs: &mut JobIndex) {
         // A cancellation that is stored in the same transaction follows the acceptance, so the
         // known outcome does not rule out the reply "accepted".
-        let stored_as_cancelled = self.validation == Some(Validation::Valid { needs_cancelled_job: true });
+        let stored_as_cancelled = self.validation == Some(Validation::Valid { depends_on_cancelled_job: true });
         match result {
             StoreResult::Unknown => self.failure = Some(STORE_UNAVAILABLE),
             StoreResult::AlreadyStored | StoreResult::New { slow: true } => self.found = Some(LookupResult::Open),
--- a/packages/core/src/user_request/tests.rs
+++ b/packages/core/src/user_request/tests.rs
@@ -53,13 +53,13 @@
 /// state by then.  The controller therefore asks the store again, as for a query.
 #[test]
 fn a_slow_acceptance_is_confirmed_by_the_store() {
-    let valid = Validation::Valid { needs_cancelled_job: false };
+    let valid = Validation::Valid { depends_on_cancelled_job: false };
     let accepted = |slow: bool, ended: Option<JobOutcome>| {
         let (mut controller, mut request) =
             (TestController::new(), UserRequest::new("j-1".into(), RequestKind::Submit));
         assert_eq!(controller.next_action(&mut request, 1), NextAction::Validate);
         request.apply_validation(valid);
-        assert_eq!(controller.next_action(&mut request, 1), NextAction::Store { needs_cancelled_job: false });
+        assert_eq!(controller.next_action(&mut request, 1), NextAction::Store { depends_on_cancelled_job: false });
         controller.jobs.insert_stored(spec("j-1", 1), 5);
         if let Some(outcome) = ended {
             controller.jobs.apply_outcome("j-1", outcome);
@@ -83,7 +83,7 @@
 #[test]
 fn an_id_that_is_submitted_twice_is_stored_once() {
     let (first, second) = (spec("j-1", 1), spec("j-2", 1));
-    let submission = |spec, needs_cancelled_job| Submission { spec, needs_cancelled_job };
+    let submission = |spec, depends_on_cancelled_job| Submission { spec, depends_on_cancelled_job };
     let written_keys = |submissions: &[Submission]| {
         let txn = submissions_txn(submissions.iter().copied());
         assert_eq!(txn.preconditions.len(), txn.writes.len(), "each written key has a precondition");
@@ -110,8 +110,8 @@
 fn a_job_that_is_stored_with_its_cancellation_is_accepted_first() {
     let (mut controller, mut request) = (TestController::new(), UserRequest::new("j-1".into(), RequestKind::Submit));
     assert_eq!(controller.next_action(&mut request, 1), NextAction::Validate);
-    request.apply_validation(Validation::Valid { needs_cancelled_job: true });
-    assert_eq!(controller.next_action(&mut request, 1), NextAction::Store { needs_cancelled_job: true });
+    request.apply_validation(Validation::Valid { depends_on_cancelled_job: true });
+    assert_eq!(controller.next_action(&mut request, 1), NextAction::Store { depends_on_cancelled_job: true });
     controller.jobs.insert_stored(spec("j-1", 1), 5);
     controller.jobs.apply_outcome("j-1", JobOutcome::Cancelled);
     request.apply_store_result(StoreResult::New { slow: false }, &mut controller.jobs);
--- a/packages/core/src/user_request/transactions.rs
+++ b/packages/core/src/user_request/transactions.rs
@@ -12,21 +12,21 @@
     pub spec: &'a JobSpec,
     /// Whether the job depends on a cancelled job, so that its own cancellation is stored in the
     /// same transaction.
-    pub needs_cancelled_job: bool,
+    pub depends_on_cancelled_job: bool,
 }
 
 /// Returns one transaction that stores these submissions, with a precondition for each that its
 /// id has no record yet.  Of several submissions with the same id only the first is stored.
 pub fn submissions_txn<'a>(submissions: impl Iterator<Item = Submission<'a>>) -> Txn {
     let mut txn = Txn::default();
-    for Submission { spec, needs_cancelled_job } in submissions {
+    for Submission { spec, depends_on_cancelled_job } in submissions {
         let path = format!("{}{}", key::JOB, spec.id);
         if txn.preconditions.iter().any(|precondition| precondition.key == path) {
             continue;
         }
         txn.require(path.clone(), 0);
         txn.writes.push(Write::set(path, spec));
-        if needs_cancelled_job {
+        if depends_on_cancelled_job {
             key::put_outcome(&mut txn, &spec.id, JobOutcome::Cancelled);
         }
     }
--- a/src/users/queues.rs
+++ b/src/users/queues.rs
@@ -43,7 +43,7 @@
 pub(crate) struct SubmissionRequest {
     pub(crate) spec: Arc<JobSpec>,
     /// Whether the job depends on a cancelled one.  Its own cancellation is then stored with it.
-    pub(crate) needs_cancelled_job: bool,
+    pub(crate) depends_on_cancelled_job: bool,
     pub(crate) reply: ReplySender<StoreResult>,
 }
 
--- a/src/users/request.rs
+++ b/src/users/request.rs
@@ -41,8 +41,8 @@
                 (NextAction::Validate, Some(spec)) => {
                     request.apply_validation(self.validate_submission(spec).await);
                 }
-                (NextAction::Store { needs_cancelled_job }, Some(spec)) => {
-                    let result = self.store_submission(spec.clone(), needs_cancelled_job).await;
+                (NextAction::Store { depends_on_cancelled_job }, Some(spec)) => {
+                    let result = self.store_submission(spec.clone(), depends_on_cancelled_job).await;
                     request.apply_store_result(result, &mut self.lock().jobs);
                 }
                 (NextAction::Validate | NextAction::Store { .. }, None) => return Reply::NotFound,
--- a/src/users/submit.rs
+++ b/src/users/submit.rs
@@ -38,9 +38,9 @@
     }
 
     /// Queues a submission to be stored with the next batch, and waits for the result.
-    pub(super) async fn store_submission(&self, spec: Arc<JobSpec>, needs_cancelled_job: bool) -> StoreResult {
+    pub(super) async fn store_submission(&self, spec: Arc<JobSpec>, depends_on_cancelled_job: bool) -> StoreResult {
         let (reply, result) = smol::channel::bounded(1);
-        let request = SubmissionRequest { spec, needs_cancelled_job, reply };
+        let request = SubmissionRequest { spec, depends_on_cancelled_job, reply };
         if self.user_requests.submissions.sender.try_send(request).is_err() {
             return StoreResult::Unknown;
         }
@@ -59,7 +59,7 @@
     /// transaction.
     fn collect_submissions(&self, first: SubmissionRequest) -> Vec<SubmissionRequest> {
         // a submission that needs a cancelled job is stored together with its own cancellation
-        let writes_of = |s: &SubmissionRequest| 1 + usize::from(s.needs_cancelled_job);
+        let writes_of = |s: &SubmissionRequest| 1 + usize::from(s.depends_on_cancelled_job);
         let mut writes = writes_of(&first);
         let mut batch = vec![first];
         let mut bytes = 0;
@@ -78,7 +78,9 @@
         let mut retries = 0;
         while !batch.is_empty() {
             let txn = submissions_txn(
-                batch.iter().map(|s| Submission { spec: &s.spec, needs_cancelled_job: s.needs_cancelled_job }),
+                batch
+                    .iter()
+                    .map(|s| Submission { spec: &s.spec, depends_on_cancelled_job: s.depends_on_cancelled_job }),
             );
             let sent_at = Instant::now();
             match self.store.txn(&txn).await {
--- a/src/users/validation.rs
+++ b/src/users/validation.rs
@@ -57,7 +57,7 @@
     /// needed job was never accepted, because the jobs known here may lag behind it.
     async fn validate_dependencies(&self, spec: &JobSpec) -> Validation {
         if spec.needs.is_empty() {
-            return Validation::Valid { needs_cancelled_job: false };
+            return Validation::Valid { depends_on_cancelled_job: false };
         }
         let Some(known) = self.known_dependencies(spec) else {
             return Validation::Undetermined("not every controller knows of jobs that wait for others yet");
@@ -67,7 +67,7 @@
         if let Some(why) = rejection_reason {
             return Validation::Unsatisfiable(why);
         }
-        let valid = Validation::Valid { needs_cancelled_job: known.has_cancelled };
+        let valid = Validation::Valid { depends_on_cancelled_job: known.has_cancelled };
         if known.unknown.is_empty() {
             return valid;
         }
@@ -128,7 +128,7 @@
                 }
             }
         }
-        Validation::Valid { needs_cancelled_job: false }
+        Validation::Valid { depends_on_cancelled_job: false }
     }
 
     /// Reads the shape of a stored job; `None` if it cannot be read.
