--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -332,7 +332,7 @@
         assert_eq!(cluster.dependency.unknown(), ["j-1".into()]);
         cluster.add_job(spec("j-1", 1), 1, Some(outcome), now);
         assert_eq!(cluster.jobs.contains_key("j-2"), is_released);
-        assert_eq!(cluster.dependency.needing_cancelled().count(), usize::from(!is_released));
+        assert_eq!(cluster.dependency.dependents_of_cancelled().count(), usize::from(!is_released));
     }
 }
 
--- a/packages/core/src/dependency.rs
+++ b/packages/core/src/dependency.rs
@@ -67,7 +67,7 @@
     inherited: NameMap<Urgency>,
     /// Blocked jobs that depend on a cancelled job, directly or through others.  Their own
     /// cancellation has to be stored.
-    needing_cancelled: BTreeSet<Name>,
+    dependents_of_cancelled: BTreeSet<Name>,
     /// Jobs whose inherited urgency has changed since the last call of
     /// [`DependencyGraph::take_changed`].
     changed: Vec<Name>,
@@ -95,8 +95,8 @@
         for dependency in &spec.needs {
             let is_blocked = self.blocked.contains_key(dependency);
             let status = if is_blocked { DependencyStatus::Open } else { status_of(dependency) };
-            depends_on_cancelled_job |=
-                status == DependencyStatus::Ended(JobOutcome::Cancelled) || self.needing_cancelled.contains(dependency);
+            depends_on_cancelled_job |= status == DependencyStatus::Ended(JobOutcome::Cancelled)
+                || self.dependents_of_cancelled.contains(dependency);
             match status {
                 DependencyStatus::Ended(JobOutcome::Done) => continue,
                 DependencyStatus::Unknown => drop(self.unknown.entry(dependency.clone()).or_default()),
@@ -113,7 +113,7 @@
         let dependency_urgencies = missing.iter().map(|dependency| (dependency.clone(), urgency)).collect();
         self.blocked.insert(id.clone(), BlockedJob { spec: spec.clone(), revision, first_seen: now, missing });
         if depends_on_cancelled_job {
-            self.mark_needing_cancelled(id.clone());
+            self.mark_dependents_of_cancelled(id.clone());
         }
         self.raise_urgency(dependency_urgencies);
         true
@@ -175,8 +175,8 @@
 
     /// Returns an iterator over the blocked jobs that depend on a cancelled job, directly or
     /// through others.  Their own cancellation has to be stored.
-    pub fn needing_cancelled(&self) -> impl Iterator<Item = &Name> {
-        self.needing_cancelled.iter()
+    pub fn dependents_of_cancelled(&self) -> impl Iterator<Item = &Name> {
+        self.dependents_of_cancelled.iter()
     }
 
     /// Returns at most `limit` unknown dependencies whose outcome has to be read from the store.
@@ -210,7 +210,7 @@
         match outcome {
             JobOutcome::Cancelled => {
                 for dependent in self.edges.direct_dependents(id).cloned().collect::<Vec<_>>() {
-                    self.mark_needing_cancelled(dependent);
+                    self.mark_dependents_of_cancelled(dependent);
                 }
                 Vec::new()
             }
@@ -240,7 +240,7 @@
     /// for dependencies that only this job had.
     pub fn unblock(&mut self, id: &str) -> Option<BlockedJob> {
         let job = self.blocked.remove(id)?;
-        self.needing_cancelled.remove(id);
+        self.dependents_of_cancelled.remove(id);
         self.edges.remove(id, &job.missing);
         for dependency in &job.missing {
             if self.edges.direct_dependents(dependency).next().is_none() {
@@ -253,10 +253,10 @@
 
     /// Marks a blocked job and all its direct and indirect dependents as depending on a cancelled
     /// job.
-    fn mark_needing_cancelled(&mut self, id: Name) {
+    fn mark_dependents_of_cancelled(&mut self, id: Name) {
         let mut to_mark = vec![id];
         while let Some(id) = to_mark.pop() {
-            if self.blocked.contains_key(&id) && self.needing_cancelled.insert(id.clone()) {
+            if self.blocked.contains_key(&id) && self.dependents_of_cancelled.insert(id.clone()) {
                 to_mark.extend(self.edges.direct_dependents(&id).cloned());
             }
         }
--- a/packages/core/src/dependency/tests.rs
+++ b/packages/core/src/dependency/tests.rs
@@ -17,7 +17,7 @@
 struct ReferenceModel {
     jobs: Vec<Arc<JobSpec>>,
     outcomes: HashMap<Name, JobOutcome>,
-    needing_cancelled: Vec<Name>,
+    dependents_of_cancelled: Vec<Name>,
 }
 
 impl ReferenceModel {
@@ -99,19 +99,19 @@
                 }
                 _ => {
                     // the cancellations of some jobs that depend on a cancelled one are stored
-                    let due: Vec<Name> = graph.needing_cancelled().take(2).cloned().collect();
+                    let due: Vec<Name> = graph.dependents_of_cancelled().take(2).cloned().collect();
                     for job_id in due {
                         model.outcomes.insert(job_id.clone(), JobOutcome::Cancelled);
                         graph.apply_outcome(&job_id, JobOutcome::Cancelled);
                     }
                 }
             }
-            model.needing_cancelled = graph.needing_cancelled().cloned().collect();
+            model.dependents_of_cancelled = graph.dependents_of_cancelled().cloned().collect();
             for j in &model.jobs {
                 let is_blocked = model.is_blocked(j);
                 prop_assert_eq!(graph.is_blocked(&j.id), is_blocked, "whether {} is blocked", j.id);
                 prop_assert_eq!(runnable.contains(&j.id) && model.is_open(&j.id), model.is_open(&j.id) && !is_blocked);
-                prop_assert_eq!(model.needing_cancelled.contains(&j.id), model.depends_on_cancelled_job(&j.id), "whether {} depends on a cancelled job", j.id);
+                prop_assert_eq!(model.dependents_of_cancelled.contains(&j.id), model.depends_on_cancelled_job(&j.id), "whether {} depends on a cancelled job", j.id);
                 if model.is_open(&j.id) {
                     let priority = graph.urgency(&j.id, Urgency::own(j, now)).priority;
                     prop_assert_eq!(priority, model.priority(&j.id), "priority of {}", j.id);
@@ -142,7 +142,7 @@
     graph.apply_outcome(&id(N + 1), JobOutcome::Cancelled);
     assert_eq!(graph.urgency(&id(0), own).priority, Priority::Low, "inherited urgency is removed from the whole chain");
     graph.apply_outcome(&id(0), JobOutcome::Cancelled);
-    assert_eq!(graph.needing_cancelled().count(), N);
+    assert_eq!(graph.dependents_of_cancelled().count(), N);
 
     let mut graph = DependencyGraph::default();
     for n in 1..=N {
--- a/packages/core/src/sim/controllers.rs
+++ b/packages/core/src/sim/controllers.rs
@@ -65,7 +65,7 @@
                 self.cluster.machines.values_mut().for_each(|machine| machine.last_direct_fence = None);
             }
             InjectedDefect::SkipCascadingCancellation => {
-                let dependents: Vec<Name> = self.cluster.dependency.needing_cancelled().cloned().collect();
+                let dependents: Vec<Name> = self.cluster.dependency.dependents_of_cancelled().cloned().collect();
                 for id in dependents {
                     self.cluster.dependency.unblock(&id);
                 }
