--- a/packages/core/src/cluster/admission.rs
+++ b/packages/core/src/cluster/admission.rs
@@ -61,7 +61,7 @@
 
     /// Updates the urgency of the jobs whose dependents have become more or less urgent.
     pub(super) fn update_urgencies(&mut self) {
-        for id in self.dependency.take_changed() {
+        for id in self.dependency.take_changed_urgencies() {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             job.urgency = self.dependency.urgency(&id, Urgency::own(&job.spec, job.first_seen));
             self.queue_changed = true;
--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -329,7 +329,7 @@
         let mut cluster = cluster(2, now);
         let last = JobSpec { needs: vec!["j-1".into()], ..(*spec("j-2", 1)).clone() };
         cluster.add_job(Arc::new(last), 2, None, now);
-        assert_eq!(cluster.dependency.unknown(), ["j-1".into()]);
+        assert_eq!(cluster.dependency.unknown_dependencies(), ["j-1".into()]);
         cluster.add_job(spec("j-1", 1), 1, Some(outcome), now);
         assert_eq!(cluster.jobs.contains_key("j-2"), is_released);
         assert_eq!(cluster.dependency.dependents_of_cancelled().count(), usize::from(!is_released));
--- a/packages/core/src/dependency.rs
+++ b/packages/core/src/dependency.rs
@@ -61,7 +61,7 @@
     edges: DependencyEdges,
     /// Dependencies that are not known here, with the earliest time to ask the store again; `None`
     /// if it has not been asked yet.
-    unknown: BTreeMap<Name, Option<Instant>>,
+    unknown_dependencies: BTreeMap<Name, Option<Instant>>,
     /// The urgency that each job inherits from its dependents.  Jobs without dependents have no
     /// entry.
     inherited: NameMap<Urgency>,
@@ -69,7 +69,7 @@
     /// cancellation has to be stored.
     dependents_of_cancelled: BTreeSet<Name>,
     /// Jobs whose inherited urgency has changed since the last call of
-    /// [`DependencyGraph::take_changed`].
+    /// [`DependencyGraph::take_changed_urgencies`].
     changed: Vec<Name>,
 }
 
@@ -99,7 +99,7 @@
                 || self.dependents_of_cancelled.contains(dependency);
             match status {
                 DependencyStatus::Ended(JobOutcome::Done) => continue,
-                DependencyStatus::Unknown => drop(self.unknown.entry(dependency.clone()).or_default()),
+                DependencyStatus::Unknown => drop(self.unknown_dependencies.entry(dependency.clone()).or_default()),
                 DependencyStatus::Open | DependencyStatus::Ended(JobOutcome::Cancelled) => {}
             }
             missing.insert(dependency.clone());
@@ -139,7 +139,7 @@
 
     /// Records that a job is known here from now on, so that the store need not be asked for it.
     pub fn mark_known(&mut self, id: &str) {
-        self.unknown.remove(id);
+        self.unknown_dependencies.remove(id);
     }
 
     /// Reports whether the job waits for dependencies.
@@ -169,7 +169,7 @@
     }
 
     /// Returns the jobs whose inherited urgency has changed since the last call.
-    pub fn take_changed(&mut self) -> Vec<Name> {
+    pub fn take_changed_urgencies(&mut self) -> Vec<Name> {
         std::mem::take(&mut self.changed)
     }
 
@@ -183,7 +183,7 @@
     /// A dependency that is still unknown after `retry_after` is returned again.
     pub fn outcomes_to_fetch(&mut self, limit: usize, retry_after: Duration, now: Instant) -> Vec<Name> {
         let is_due = |(_, ask_at): &(&Name, &mut Option<Instant>)| ask_at.is_none_or(|at| at <= now);
-        let due = self.unknown.iter_mut().filter(is_due).take(limit);
+        let due = self.unknown_dependencies.iter_mut().filter(is_due).take(limit);
         due.map(|(id, ask_at)| {
             *ask_at = Some(now + retry_after);
             id.clone()
@@ -192,13 +192,13 @@
     }
 
     /// Returns the dependencies that are not known here.
-    pub fn unknown(&self) -> Vec<Name> {
-        self.unknown.keys().cloned().collect()
+    pub fn unknown_dependencies(&self) -> Vec<Name> {
+        self.unknown_dependencies.keys().cloned().collect()
     }
 
     /// Reports whether the job is a dependency that is not known here.
     pub fn is_unknown(&self, id: &str) -> bool {
-        self.unknown.contains_key(id)
+        self.unknown_dependencies.contains_key(id)
     }
 
     /// Applies a stored outcome, and returns the jobs that the outcome releases.  A cancellation
@@ -244,7 +244,7 @@
         self.edges.remove(id, &job.missing);
         for dependency in &job.missing {
             if self.edges.direct_dependents(dependency).next().is_none() {
-                self.unknown.remove(dependency);
+                self.unknown_dependencies.remove(dependency);
             }
         }
         self.recompute_urgency(job.missing.iter().cloned().collect());
--- a/packages/core/src/dependency/tests.rs
+++ b/packages/core/src/dependency/tests.rs
@@ -117,7 +117,7 @@
                     prop_assert_eq!(priority, model.priority(&j.id), "priority of {}", j.id);
                 }
             }
-            prop_assert!(graph.unknown.is_empty());
+            prop_assert!(graph.unknown_dependencies.is_empty());
         }
     }
 }
