--- a/packages/core/src/job_index.rs
+++ b/packages/core/src/job_index.rs
@@ -106,7 +106,7 @@
     }
 
     /// Returns the number of ended jobs that are kept.
-    pub fn ended(&self) -> usize {
+    pub fn ended_count(&self) -> usize {
         self.ended.len()
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// Records that the initial scan or the watch covers all records up to this revision.
-    pub fn raise_floor(&mut self, revision: u64) {
+    pub fn raise_covered_revision(&mut self, revision: u64) {
         self.covered_revision = self.covered_revision.max(revision);
     }
 
--- a/packages/core/src/sim/request_history/controller.rs
+++ b/packages/core/src/sim/request_history/controller.rs
@@ -73,7 +73,7 @@
 
     /// Starts a scan of all records, and a watch of changes from the same revision on.
     fn begin_scan(&mut self, revision: u64, now: Instant) {
-        self.jobs.raise_floor(revision);
+        self.jobs.raise_covered_revision(revision);
         self.cancellations.begin_watch(revision, now);
         self.watched_revision = Some(revision);
         self.scan = Some(InitialScan::new(HashSet::new()));
@@ -158,7 +158,7 @@
         }
         let revision = self.state_store.store.last_revision;
         controller.watched_revision = Some(revision);
-        controller.jobs.raise_floor(revision);
+        controller.jobs.raise_covered_revision(revision);
     }
 
     /// Applies the responses to a controller's own submission transactions.
--- a/packages/core/src/sim/request_history/mod.rs
+++ b/packages/core/src/sim/request_history/mod.rs
@@ -197,7 +197,7 @@
             ));
         }
         assert!(
-            self.controllers[index].jobs.ended() <= MAX_ENDED_JOBS,
+            self.controllers[index].jobs.ended_count() <= MAX_ENDED_JOBS,
             "controller {index} keeps more than {MAX_ENDED_JOBS} ended jobs in memory"
         );
     }
--- a/src/operators/status.rs
+++ b/src/operators/status.rs
@@ -113,7 +113,7 @@
             leader: state.leader.as_ref().map(|l| l.record.name.clone()),
             served: !self.store.is_failing(),
             known_jobs: state.jobs.len(),
-            ended_jobs: state.jobs.ended(),
+            ended_jobs: state.jobs.ended_count(),
             leading: leading.map(|cluster| leader_status(cluster, self.policy.fresh, now)),
             dependencies_enabled: state.dependencies_enabled,
             versions: self.peer_versions(),
--- a/src/state_store/initial_read.rs
+++ b/src/state_store/initial_read.rs
@@ -68,7 +68,7 @@
         let revision = leader.revision;
         {
             let mut state = self.lock();
-            state.jobs.raise_floor(revision);
+            state.jobs.raise_covered_revision(revision);
             state.cancellations.begin_watch(revision, sent_at);
             if leader.items.is_empty() {
                 state.leader = None;
--- a/src/state_store/watch.rs
+++ b/src/state_store/watch.rs
@@ -96,7 +96,7 @@
         for event in events {
             self.apply_event(event);
         }
-        self.lock().jobs.raise_floor(revision);
+        self.lock().jobs.raise_covered_revision(revision);
         revision
     }
 
