--- a/packages/core/src/sim/request_history/evaluation.rs
+++ b/packages/core/src/sim/request_history/evaluation.rs
@@ -51,7 +51,7 @@
             notices: &mut controller.notices,
             cancellations_complete_as_of: controller.is_synced.then_some(now),
             notices_required: true,
-            no_task_left: false,
+            has_no_task: false,
             policy: &self.policy,
             now,
         })
--- a/packages/core/src/sim/snapshots.rs
+++ b/packages/core/src/sim/snapshots.rs
@@ -234,7 +234,7 @@
     fn notify_of_cancellation(&mut self, i: usize, peer: usize, id: &Name, now: Instant) {
         let leader = self.controllers[peer].as_ref().filter(|controller| controller.has_lease(self.now));
         let unchecked = self.defect == InjectedDefect::ReportNoTasksUnchecked;
-        let no_task_left = leader.map_or(unchecked, |leader| leader.cluster.has_no_task_of(id));
+        let has_no_task = leader.map_or(unchecked, |leader| leader.cluster.has_no_task_of(id));
         if peer != i {
             if !self.is_reachable(i, peer) {
                 return;
@@ -246,7 +246,7 @@
             }
             self.snapshots[i].notices.mark_acknowledged(peer, &sent);
         }
-        if no_task_left {
+        if has_no_task {
             self.snapshots[i].notices.settle(id);
         }
     }
--- a/packages/core/src/user_request.rs
+++ b/packages/core/src/user_request.rs
@@ -140,7 +140,7 @@
     /// [`CancellationNotices`] allows it.
     pub notices_required: bool,
     /// Whether the controller is the leader and finds no task of the job on any machine.
-    pub no_task_left: bool,
+    pub has_no_task: bool,
     /// The tunables, which determine how old `cancellations_complete_as_of` may be.
     pub policy: &'a Policy,
     /// The current time.
@@ -257,7 +257,7 @@
         if !view.is_fresh() {
             return NextAction::Reply(Reply::RetryLater(PEERS_NOT_NOTIFIED));
         }
-        if view.no_task_left {
+        if view.has_no_task {
             view.notices.settle(&self.id);
         }
         match view.notices.may_confirm(&self.id, view.cancellations, view.policy, view.now) {
--- a/packages/core/src/user_request/tests.rs
+++ b/packages/core/src/user_request/tests.rs
@@ -38,7 +38,7 @@
             notices: &mut self.notices,
             cancellations_complete_as_of: self.is_fresh.then_some(now),
             notices_required: self.notices_required,
-            no_task_left: false,
+            has_no_task: false,
             policy: &self.policy,
             now,
         })
--- a/src/users/request.rs
+++ b/src/users/request.rs
@@ -63,14 +63,14 @@
         let mut guard = self.lock();
         let state = &mut *guard;
         let cancellations_complete_as_of = self.cancellations_complete_as_of(state);
-        let no_task_left = state.has_no_task_of(id, now);
+        let has_no_task = state.has_no_task_of(id, now);
         request.next_action(&mut StateView {
             jobs: &mut state.jobs,
             cancellations: &state.cancellations,
             notices: &mut state.cancellation_notices,
             cancellations_complete_as_of,
             notices_required: state.notices_enabled_at.is_some(),
-            no_task_left,
+            has_no_task,
             policy: &self.policy,
             now,
         })
