--- a/packages/core/src/cancellation/tests.rs
+++ b/packages/core/src/cancellation/tests.rs
@@ -170,7 +170,7 @@
             controller.known.insert(id.clone());
         }
         controller.watch_revision = Some(self.stored.len() as u64);
-        controller.view.watch_answered(now);
+        controller.view.record_watch_response(now);
     }
 
     fn request_batch(&mut self, requester: usize, sender: usize, now: Instant) {
@@ -183,7 +183,7 @@
             controller.known.insert(cancellation.id.clone());
         }
         let delay = Duration::from_secs(2 * u64::from(self.omitted == Omitted::RequestTime));
-        controller.view.peer_answered(NAMES[sender], now + delay, &batch);
+        controller.view.record_peer_response(NAMES[sender], now + delay, &batch);
     }
 
     /// Reports whether a cancellation is missing from a view that is complete as of a time after
@@ -260,7 +260,7 @@
     for part in 0..3 {
         let batch = log.batch_since(10, view.next_cursor("b")).expect("the log is complete after revision 10");
         received += batch.cancellations.len();
-        view.peer_answered("b", start, &batch);
+        view.record_peer_response("b", start, &batch);
         assert_eq!(view.complete_as_of(["b"]).is_some(), part == 2);
     }
     assert_eq!(received, 1300);
--- a/packages/core/src/cancellation/view.rs
+++ b/packages/core/src/cancellation/view.rs
@@ -26,7 +26,7 @@
 
 impl CancellationView {
     /// Records a response of the watch to a request that was sent at `sent_at`.
-    pub fn watch_answered(&mut self, sent_at: Instant) {
+    pub fn record_watch_response(&mut self, sent_at: Instant) {
         self.watch_complete_as_of = self.watch_complete_as_of.max(Some(sent_at));
     }
 
@@ -37,7 +37,7 @@
 
     /// Records a peer's response to a request that was sent at `sent_at`.  The caller must have
     /// recorded the cancellations of `batch` first.
-    pub fn peer_answered(&mut self, peer: &str, sent_at: Instant, batch: &CancellationBatch) {
+    pub fn record_peer_response(&mut self, peer: &str, sent_at: Instant, batch: &CancellationBatch) {
         let progress = self.peers.entry(peer.to_owned()).or_default();
         progress.cursor = BatchCursor { incarnation: batch.incarnation, next: batch.next };
         if batch.complete {
--- a/packages/core/src/sim/snapshots.rs
+++ b/packages/core/src/sim/snapshots.rs
@@ -178,7 +178,7 @@
             self.record_outcome(i, &id, outcome, revision);
         }
         self.snapshots[i].watched_revision = Some(revision);
-        self.snapshots[i].view.watch_answered(now);
+        self.snapshots[i].view.record_watch_response(now);
     }
 
     /// Fetches from a peer the cancellations that the process has not received from it yet.
@@ -194,7 +194,7 @@
             self.record_outcome(i, &cancellation.id, JobOutcome::Cancelled, cancellation.revision);
         }
         let now = self.instant_at(self.now);
-        self.snapshots[i].view.peer_answered(PEER_NAMES[peer], now, &batch);
+        self.snapshots[i].view.record_peer_response(PEER_NAMES[peer], now, &batch);
     }
 
     /// Lets the users of unconfirmed cancellations repeat their requests, each at a random
--- a/src/peers/cancellation_notices.rs
+++ b/src/peers/cancellation_notices.rs
@@ -28,7 +28,7 @@
         for cancellation in &batch.cancellations {
             self.apply_stored_outcome(&cancellation.id, JobOutcome::Cancelled, cancellation.revision, now);
         }
-        self.lock().cancellation_view.peer_answered(peer, sent_at, &batch);
+        self.lock().cancellation_view.record_peer_response(peer, sent_at, &batch);
     }
 
     /// Returns the batch of cancellations that a peer requests, or `None` if a cancellation may be
--- a/src/peers/forwarding/tests.rs
+++ b/src/peers/forwarding/tests.rs
@@ -28,7 +28,7 @@
         let until = now + Duration::from_secs(60);
         state.lease = Some(LeaderLease { term: TERM, revision: 1, lease_id: 1, valid_until: until });
         state.cluster = Some(Cluster::new(TERM, controller.policy.clone(), controller.team_limits(), now));
-        state.cancellation_view.watch_answered(now);
+        state.cancellation_view.record_watch_response(now);
         (state.forwarding_enabled, state.forwarding_requested) = (true, true);
     }
     controller
--- a/src/state_store/initial_read.rs
+++ b/src/state_store/initial_read.rs
@@ -57,7 +57,7 @@
             false => HashSet::new(),
         };
         let revision = self.scan_jobs(InitialScan::new(started_jobs), revision).await?;
-        self.lock().cancellation_view.watch_answered(sent_at);
+        self.lock().cancellation_view.record_watch_response(sent_at);
         Ok(revision)
     }
 
--- a/src/state_store/watch.rs
+++ b/src/state_store/watch.rs
@@ -65,7 +65,7 @@
     fn record_watch_response(&self, sent_at: Instant, revision: u64) -> Duration {
         let mut state = self.lock();
         state.revision = state.revision.max(revision);
-        state.cancellation_view.watch_answered(sent_at);
+        state.cancellation_view.record_watch_response(sent_at);
         match state.lease {
             Some(_) => Duration::ZERO,
             None => self.policy.watch_gap,
