--- a/packages/core/src/cancellation/notices.rs
+++ b/packages/core/src/cancellation/notices.rs
@@ -69,7 +69,13 @@
     /// Cancellations that the peer has not acknowledged come first.  If more are pending than
     /// one message holds, acknowledged ones could otherwise fill every message, and the others
     /// would never be sent.
-    pub fn for_peer(&mut self, peer: usize, log: &CancellationLog, policy: &Policy, now: Instant) -> PeerNotice {
+    pub fn pending_for_peer(
+        &mut self,
+        peer: usize,
+        log: &CancellationLog,
+        policy: &Policy,
+        now: Instant,
+    ) -> PeerNotice {
         // after `cancel` a cancellation may be confirmed without the peers' acknowledgements
         self.pending.retain(|id, _| log.min_age(id, now).is_some_and(|age| age < policy.cancel));
         let (unacknowledged, acknowledged): (Vec<_>, Vec<_>) =
--- a/packages/core/src/cancellation/tests.rs
+++ b/packages/core/src/cancellation/tests.rs
@@ -285,10 +285,10 @@
     for name in &names {
         assert!(!notices.may_confirm(name, &log, &policy, at(100)));
     }
-    let notice = notices.for_peer(0, &log, &policy, at(100));
+    let notice = notices.pending_for_peer(0, &log, &policy, at(100));
     assert!(notice.has_unacknowledged && notice.cancellations.len() == 3 && notice.cancellations[0].revision == 9);
     notices.mark_acknowledged(0, &notice.cancellations);
-    assert!(!notices.for_peer(0, &log, &policy, at(101)).has_unacknowledged, "peer 0 has acknowledged all");
+    assert!(!notices.pending_for_peer(0, &log, &policy, at(101)).has_unacknowledged, "peer 0 has acknowledged all");
     assert!(!notices.may_confirm(&names[0], &log, &policy, at(101)), "only one of two peers has acknowledged it");
     notices.mark_acknowledged(1, &notice.cancellations[..1]);
     assert!(notices.may_confirm(&names[0], &log, &policy, at(101)));
@@ -352,10 +352,10 @@
     }
     // peer 1 is unreachable and acknowledges nothing, so all stay pending
     for call in 0..3 {
-        let notice = notices.for_peer(0, &log, &policy, now);
+        let notice = notices.pending_for_peer(0, &log, &policy, now);
         assert!(notice.has_unacknowledged && notice.cancellations.len() == MAX_BATCH_LEN, "call {call}");
         notices.mark_acknowledged(0, &notice.cancellations);
     }
-    let notice = notices.for_peer(0, &log, &policy, now);
+    let notice = notices.pending_for_peer(0, &log, &policy, now);
     assert!(!notice.has_unacknowledged, "all cancellations were sent in the minimum number of calls");
 }
--- a/packages/core/src/sim/request_history/controller.rs
+++ b/packages/core/src/sim/request_history/controller.rs
@@ -180,7 +180,8 @@
         let peer = self.rng.usize(0..2);
         let receiver = (index + 1 + peer) % 3;
         let controller = &mut self.controllers[index];
-        let sent = controller.notices.for_peer(peer, &controller.cancellations, &self.policy, now).cancellations;
+        let sent =
+            controller.notices.pending_for_peer(peer, &controller.cancellations, &self.policy, now).cancellations;
         for notice in &sent {
             self.controllers[receiver].apply_outcome(&notice.id, JobOutcome::Cancelled, notice.revision, now);
         }
--- a/packages/core/src/sim/snapshots.rs
+++ b/packages/core/src/sim/snapshots.rs
@@ -240,7 +240,8 @@
                 return;
             }
             let snapshot = &mut self.snapshots[i];
-            let sent = snapshot.notices.for_peer(peer, &snapshot.cancellations, &self.policy, now).cancellations;
+            let sent =
+                snapshot.notices.pending_for_peer(peer, &snapshot.cancellations, &self.policy, now).cancellations;
             for notice in &sent {
                 self.record_outcome(peer, &notice.id, JobOutcome::Cancelled, notice.revision);
             }
--- a/src/peers/cancellation_notices.rs
+++ b/src/peers/cancellation_notices.rs
@@ -64,7 +64,7 @@
             let PeerNotice { cancellations, has_unacknowledged: needs_acknowledgement } = {
                 let mut guard = self.lock();
                 let state = &mut *guard;
-                state.cancellation_notices.for_peer(index, &state.cancellations, &self.policy, Instant::now())
+                state.cancellation_notices.pending_for_peer(index, &state.cancellations, &self.policy, Instant::now())
             };
             if cancellations.is_empty() {
                 next_cancellation.await;
