--- a/packages/core/src/feature_gate.rs
+++ b/packages/core/src/feature_gate.rs
@@ -37,9 +37,12 @@
 
 /// Returns the features to enable: those that are enabled already and those that all controllers
 /// support.  Returns `None` if that adds no feature.
-pub fn next_enabled(is_enabled: impl Fn(&str) -> bool, all_have: impl Fn(&str) -> bool) -> Option<Vec<String>> {
-    let has_new = SUPPORTED.iter().any(|feature| !is_enabled(feature) && all_have(feature));
-    let enabled = SUPPORTED.iter().filter(|feature| is_enabled(feature) || all_have(feature));
+pub fn features_to_enable(
+    is_enabled: impl Fn(&str) -> bool,
+    all_support: impl Fn(&str) -> bool,
+) -> Option<Vec<String>> {
+    let has_new = SUPPORTED.iter().any(|feature| !is_enabled(feature) && all_support(feature));
+    let enabled = SUPPORTED.iter().filter(|feature| is_enabled(feature) || all_support(feature));
     has_new.then(|| enabled.map(|feature| (*feature).to_owned()).collect())
 }
 
@@ -85,7 +88,7 @@
     /// Reports whether each of these controllers has advertised a feature within the last
     /// `max_age`.  A controller that has advertised nothing for longer may run another version
     /// by now.
-    pub fn all_have<'a>(
+    pub fn all_support<'a>(
         &self,
         mut names: impl Iterator<Item = &'a str>,
         feature: &str,
--- a/src/leadership/feature_gate.rs
+++ b/src/leadership/feature_gate.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use coralnotch_core::feature_gate::{
-    next_enabled, AdvertisedFeatures, FeatureGates, MemberRecord, CONFIRMED_CANCELLATIONS, FORWARDED_HEARTBEATS,
+    features_to_enable, AdvertisedFeatures, FeatureGates, MemberRecord, CONFIRMED_CANCELLATIONS, FORWARDED_HEARTBEATS,
     JOB_DEPENDENCIES, SUPPORTED,
 };
 
@@ -205,7 +205,8 @@
         let is_enabled = |feature: &str| enabled.contains(&(feature, true));
         let names = self.config.peers.iter().map(|peer| peer.name.as_str());
         let (now, member_features) = (Instant::now(), lock(&self.peers.member_features));
-        let all_support = |feature: &str| member_features.all_have(names.clone(), feature, self.policy.cut_keep, now);
-        Some(FeatureGates { enabled: next_enabled(is_enabled, all_support)?, term })
+        let all_support =
+            |feature: &str| member_features.all_support(names.clone(), feature, self.policy.cut_keep, now);
+        Some(FeatureGates { enabled: features_to_enable(is_enabled, all_support)?, term })
     }
 }
