--- a/packages/core/src/cluster/rental.rs
+++ b/packages/core/src/cluster/rental.rs
@@ -195,7 +195,7 @@
 
     /// Takes over the record of a previous leader.  Its rentals are requested again with the
     /// same request ids, which rents nothing twice and returns the machines that were rented.
-    pub fn inherit(&mut self, key: String, rentals: Vec<Rental>) {
+    pub fn add_inherited_record(&mut self, key: String, rentals: Vec<Rental>) {
         self.mark_recorded(key, &rentals);
         for rental in rentals {
             if !self.open_rentals.iter().any(|open| open.request_id == rental.request_id) {
--- a/packages/core/src/cluster/rental/tests.rs
+++ b/packages/core/src/cluster/rental/tests.rs
@@ -124,7 +124,7 @@
                 term += 1;
                 store.leads(term);
                 fleet = Fleet::default();
-                store.rentals().into_iter().for_each(|(key, rentals)| fleet.inherit(key, rentals));
+                store.rentals().into_iter().for_each(|(key, rentals)| fleet.add_inherited_record(key, rentals));
                 for request in requested.keys().filter(|id| !answered.contains(*id)) {
                     prop_assert!(
                         fleet.open_rentals.iter().any(|open| open.request_id == *request),
--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -250,8 +250,8 @@
     new_leader.set_types(&[MachineType { zones: vec!["z0".into()], ..crate::sim::machine_type("t") }]);
     new_leader.fleet.last_full_list = Some(start);
     new_leader.add_job(spec("j-000001", 300), 1, None, start);
-    new_leader.fleet.inherit(key.clone(), requested.clone());
-    new_leader.fleet.inherit("again".into(), requested.clone());
+    new_leader.fleet.add_inherited_record(key.clone(), requested.clone());
+    new_leader.fleet.add_inherited_record("again".into(), requested.clone());
     let plan = new_leader.plan_fleet(&[unmet_demand(&new_leader)], start);
     assert_eq!(plan.rentals, requested, "the same rentals are requested again, and no others");
     // after the answer, the names count as machines until a machine list contains them; then
--- a/src/leader/takeover.rs
+++ b/src/leader/takeover.rs
@@ -127,7 +127,7 @@
     }
     for item in stored.rentals {
         if let Some(rentals) = read_value::<Vec<Rental>>(&item.key, item.value) {
-            cluster.fleet.inherit(item.key, rentals);
+            cluster.fleet.add_inherited_record(item.key, rentals);
         }
     }
 }
