--- a/packages/core/src/cluster/rental.rs
+++ b/packages/core/src/cluster/rental.rs
@@ -76,7 +76,7 @@
 #[derive(Debug, Default)]
 pub struct Fleet {
     /// Number of the last rental that was requested; the next one gets the number after it.
-    pub(crate) next_request_id: u64,
+    pub(crate) last_request_number: u64,
     /// Pools without capacity, each with the time until which no rental is requested from it.
     pub exhausted_pools: HashMap<MachinePool, Instant>,
     /// Rentals that the cloud has not answered.  They are requested again with the same request
--- a/packages/core/src/fleet/scale_out.rs
+++ b/packages/core/src/fleet/scale_out.rs
@@ -299,9 +299,9 @@
             let mut count = count.min(machines_left);
             machines_left -= count;
             while count > 0 && requests_left > 0 {
-                self.fleet.next_request_id += 1;
+                self.fleet.last_request_number += 1;
                 let rental = Rental {
-                    request_id: format!("c-{}-{}", self.term, self.fleet.next_request_id).into(),
+                    request_id: format!("c-{}-{}", self.term, self.fleet.last_request_number).into(),
                     kind: pool.kind.clone(),
                     zone: pool.zone.clone(),
                     spot: pool.spot,
