--- a/packages/core/src/cluster/rental.rs
+++ b/packages/core/src/cluster/rental.rs
@@ -101,7 +101,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum RecordAttempt {
     /// The transaction was committed.
-    Done,
+    Committed,
     /// The preconditions on these keys did not hold.
     Conflict(Vec<String>),
     /// There was no response: the transaction may have been committed, or may be committed
@@ -149,7 +149,7 @@
     /// Applies the result of an attempt to store the record.
     pub fn apply_attempt(&mut self, outcome: &RecordAttempt) -> RecordProgress {
         match outcome {
-            RecordAttempt::Done => RecordProgress::Stored,
+            RecordAttempt::Committed => RecordProgress::Stored,
             // no other record has this key, so an earlier attempt was committed
             RecordAttempt::Conflict(keys) if self.may_be_stored && *keys == [self.key.as_str()] => {
                 RecordProgress::Stored
--- a/packages/core/src/cluster/rental/tests.rs
+++ b/packages/core/src/cluster/rental/tests.rs
@@ -85,7 +85,7 @@
                     let txn = recording.txn(leader);
                     let attempt = match outcome {
                         WriteOutcome::Answered => match store.apply(&txn) {
-                            Ok(_) => RecordAttempt::Done,
+                            Ok(_) => RecordAttempt::Committed,
                             Err(keys) => RecordAttempt::Conflict(keys),
                         },
                         WriteOutcome::AnswerLost => {
--- a/src/leader/rental_records.rs
+++ b/src/leader/rental_records.rs
@@ -43,7 +43,7 @@
 
     async fn write_rental_record(&self, recording: &RentalRecording, lease: LeaderLease) -> RecordAttempt {
         match self.store.txn(&recording.txn(lease.revision)).await {
-            Ok(TxnOutcome::Done(_)) => RecordAttempt::Done,
+            Ok(TxnOutcome::Done(_)) => RecordAttempt::Committed,
             Ok(TxnOutcome::Conflict(keys)) => RecordAttempt::Conflict(keys),
             Err(StoreError::Indeterminate(error)) => {
                 tracing::debug!(%error, "outcome of writing a rental record unknown");
