--- a/packages/core/src/cluster/liveness.rs
+++ b/packages/core/src/cluster/liveness.rs
@@ -23,15 +23,15 @@
     /// and a new leader once gave up two hundred machines as a partition healed.
     pub fn time_since_heartbeat(&self, machine: &Machine, now: Instant) -> Duration {
         let earliest = self.term_started_at.max(machine.first_seen);
-        let has_stalled = self.resumed_at > self.term_started_at;
-        let listening_since = self.term_started_at.max(self.resumed_at);
+        let has_stalled = self.last_stall_ended_at > self.term_started_at;
+        let listening_since = self.term_started_at.max(self.last_stall_ended_at);
         let could_have_reported = now.duration_since(listening_since) > self.policy.missed;
         let since = match machine.last_heartbeat {
-            Some(heartbeat) => heartbeat.max(self.resumed_at),
+            Some(heartbeat) => heartbeat.max(self.last_stall_ended_at),
             None if could_have_reported && !has_stalled => {
                 self.heartbeat_known_to_previous_leader(machine).unwrap_or(earliest)
             }
-            None => earliest.max(self.resumed_at),
+            None => earliest.max(self.last_stall_ended_at),
         };
         now.saturating_duration_since(since)
     }
--- a/packages/core/src/cluster/mod.rs
+++ b/packages/core/src/cluster/mod.rs
@@ -61,7 +61,7 @@
     pub term_started_at: Instant,
     /// When this controller last resumed after a stall.  Earlier time does not count as time
     /// without heartbeats.
-    pub resumed_at: Instant,
+    pub last_stall_ended_at: Instant,
     /// State of the requests to the cloud, such as rentals of machines.
     pub fleet: Fleet,
     /// Moving average of the ratio of run time to estimate, by class.
@@ -102,7 +102,7 @@
             teams,
             zones_with_controller: BTreeSet::new(),
             term_started_at: now,
-            resumed_at: now,
+            last_stall_ended_at: now,
             fleet: Fleet::default(),
             runtime_bias: HashMap::new(),
             queue_changed: true,
--- a/packages/core/src/fleet/consolidation.rs
+++ b/packages/core/src/fleet/consolidation.rs
@@ -59,7 +59,7 @@
         // remove capacity without saving its cost.
         let cloud_answers = self.fleet.last_full_list.is_some_and(|at| now.duration_since(at) < self.policy.fresh);
         cloud_answers
-            && now.duration_since(self.term_started_at.max(self.resumed_at)) >= self.policy.settled
+            && now.duration_since(self.term_started_at.max(self.last_stall_ended_at)) >= self.policy.settled
             && self.fleet.partitioned_zones.is_empty()
     }
 
--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -206,7 +206,7 @@
     cluster.add_job(spec("j-000001", 1000), 1, None, start);
     record_starts(&mut cluster, 2, "z0", "j-000001", start);
     let resumed = start + cluster.policy.silent * 2;
-    cluster.resumed_at = resumed;
+    cluster.last_stall_ended_at = resumed;
     assert!(cluster.plan_fleet(&[], resumed).deletions.is_empty());
     let later = resumed + cluster.policy.silent + Duration::from_secs(1);
     assert_eq!(cluster.plan_fleet(&[], later).deletions.len(), 2);
--- a/packages/core/src/sim/controllers.rs
+++ b/packages/core/src/sim/controllers.rs
@@ -196,7 +196,7 @@
             }
         } else if self.faults.paused_until[i] > 0 {
             self.faults.paused_until[i] = 0;
-            controller.cluster.resumed_at = now;
+            controller.cluster.last_stall_ended_at = now;
         }
     }
 
--- a/src/controller/stall_detector.rs
+++ b/src/controller/stall_detector.rs
@@ -47,7 +47,7 @@
         self.store.reset_after_stall(now);
         self.peers.reset_after_stall();
         if let Some(cluster) = state.cluster.as_mut() {
-            cluster.resumed_at = now;
+            cluster.last_stall_ended_at = now;
         }
     }
 
--- a/src/leader/worker_contact.rs
+++ b/src/leader/worker_contact.rs
@@ -55,6 +55,6 @@
             return None;
         }
         let last_heartbeat = state.last_heartbeat.unwrap_or(cluster.term_started_at);
-        Some(last_heartbeat.max(cluster.term_started_at).max(cluster.resumed_at))
+        Some(last_heartbeat.max(cluster.term_started_at).max(cluster.last_stall_ended_at))
     }
 }
