--- a/packages/core/src/cluster/admission.rs
+++ b/packages/core/src/cluster/admission.rs
@@ -20,7 +20,7 @@
                 Some(job) => job.outcome.map_or(DependencyStatus::Open, DependencyStatus::Ended),
                 None => DependencyStatus::Unknown,
             };
-            if self.dependency.block(&spec, revision, now, status_of) {
+            if self.dependencies.block(&spec, revision, now, status_of) {
                 self.update_urgencies();
                 return;
             }
@@ -35,17 +35,17 @@
         if self.jobs.contains_key(&spec.id) {
             return;
         }
-        self.dependency.unblock(&spec.id);
+        self.dependencies.unblock(&spec.id);
         // The outcome of an ended job that is still stored is applied, too.  If the job were
         // only marked as known, the store would never be asked for its outcome, and its
         // dependents would stay blocked for ever.
         let released = match outcome {
-            Some(outcome) => self.dependency.apply_outcome(&spec.id, outcome),
+            Some(outcome) => self.dependencies.apply_outcome(&spec.id, outcome),
             None => Vec::new(),
         };
-        self.dependency.mark_known(&spec.id);
+        self.dependencies.mark_known(&spec.id);
         let mut job = Job::new(spec, revision, outcome, now);
-        job.urgency = self.dependency.urgency(&job.spec.id, Urgency::own(&job.spec, now));
+        job.urgency = self.dependencies.urgency(&job.spec.id, Urgency::own(&job.spec, now));
         self.jobs.insert(job.spec.id.clone(), job);
         for blocked in released {
             self.release_blocked_job(blocked);
@@ -61,9 +61,9 @@
 
     /// Updates the urgency of the jobs whose dependents have become more or less urgent.
     pub(super) fn update_urgencies(&mut self) {
-        for id in self.dependency.take_changed_urgencies() {
+        for id in self.dependencies.take_changed_urgencies() {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
-            job.urgency = self.dependency.urgency(&id, Urgency::own(&job.spec, job.first_seen));
+            job.urgency = self.dependencies.urgency(&id, Urgency::own(&job.spec, job.first_seen));
             self.queue_changed = true;
         }
     }
--- a/packages/core/src/cluster/completion.rs
+++ b/packages/core/src/cluster/completion.rs
@@ -35,7 +35,7 @@
     /// Sets the stored outcome of a job.  Its tasks are stopped, and jobs that no longer wait
     /// for a dependency enter the queue.
     pub fn set_outcome(&mut self, id: &str, outcome: JobOutcome, now: Instant) {
-        for blocked in self.dependency.apply_outcome(id, outcome) {
+        for blocked in self.dependencies.apply_outcome(id, outcome) {
             self.release_blocked_job(blocked);
         }
         self.update_urgencies();
--- a/packages/core/src/cluster/mod.rs
+++ b/packages/core/src/cluster/mod.rs
@@ -43,7 +43,7 @@
     /// dependencies are not included.
     pub jobs: NameMap<Job>,
     /// Dependencies between jobs, with the jobs that they block.
-    pub dependency: DependencyGraph,
+    pub dependencies: DependencyGraph,
     /// Machines by name, including those that were removed a short time ago.
     pub machines: BTreeMap<Name, Machine>,
     /// Machine types by name.
@@ -94,7 +94,7 @@
             term,
             last_attempt: 0,
             jobs: NameMap::default(),
-            dependency: DependencyGraph::default(),
+            dependencies: DependencyGraph::default(),
             machines: BTreeMap::new(),
             types: BTreeMap::new(),
             policy,
--- a/packages/core/src/commit/build.rs
+++ b/packages/core/src/commit/build.rs
@@ -35,7 +35,7 @@
     /// Cancels jobs that depend on a cancelled job.  At most half of the writes are used for
     /// them; the rest is left to completed jobs, whose users are waiting.
     fn cancel_dependents(&self, batch: &mut CommitBatch, limits: &TxnLimits) {
-        for id in self.dependency.dependents_of_cancelled().take(limits.writes.div_ceil(2)) {
+        for id in self.dependencies.dependents_of_cancelled().take(limits.writes.div_ceil(2)) {
             if batch.has_room(limits) {
                 batch.add_outcome(id.clone(), JobOutcome::Cancelled);
             }
--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -294,7 +294,7 @@
     for revision in 10..30 {
         cluster.add_job(job_with_needs(&format!("j-{revision}"), &["j-2"]), revision, None, now);
     }
-    assert_eq!((cluster.jobs.len(), cluster.dependency.len()), (2, 21));
+    assert_eq!((cluster.jobs.len(), cluster.dependencies.len()), (2, 21));
     cluster.mark_completed(&Task { job: "j-1".into(), index: 0 }, now);
     let batch = cluster.next_commit(5, &limits(4096)).expect("the outcome of j-1 to store");
     assert!(!cluster.jobs.contains_key("j-3"), "the outcome of j-1 is not stored yet");
@@ -317,7 +317,7 @@
     }
     assert_eq!(outcomes.len(), 20);
     assert!(outcomes.iter().all(|(_, outcome)| *outcome == JobOutcome::Cancelled));
-    assert!(cluster.dependency.is_empty() && cluster.jobs.len() == 3);
+    assert!(cluster.dependencies.is_empty() && cluster.jobs.len() == 3);
 }
 
 /// Guards against a job that never starts: during an upgrade under load, a new leader added the
@@ -329,10 +329,10 @@
         let mut cluster = cluster(2, now);
         let last = JobSpec { needs: vec!["j-1".into()], ..(*spec("j-2", 1)).clone() };
         cluster.add_job(Arc::new(last), 2, None, now);
-        assert_eq!(cluster.dependency.unknown_dependencies(), ["j-1".into()]);
+        assert_eq!(cluster.dependencies.unknown_dependencies(), ["j-1".into()]);
         cluster.add_job(spec("j-1", 1), 1, Some(outcome), now);
         assert_eq!(cluster.jobs.contains_key("j-2"), is_released);
-        assert_eq!(cluster.dependency.dependents_of_cancelled().count(), usize::from(!is_released));
+        assert_eq!(cluster.dependencies.dependents_of_cancelled().count(), usize::from(!is_released));
     }
 }
 
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -93,7 +93,7 @@
         QueuePriority { is_beyond_guarantee: true, priority: Priority::Low }
     );
     cluster.set_outcome("j-2", JobOutcome::Done, now);
-    assert!(cluster.dependency.is_empty());
+    assert!(cluster.dependencies.is_empty());
 }
 
 /// Guards against a pass that takes longer than the leader's lease, as happened with four thousand
--- a/packages/core/src/sim/controllers.rs
+++ b/packages/core/src/sim/controllers.rs
@@ -56,7 +56,7 @@
                 let completing = self.cluster.jobs.values().filter(|job| job.is_completing());
                 let completing: Vec<Name> = completing.map(|job| job.spec.id.clone()).collect();
                 for id in completing {
-                    for blocked in self.cluster.dependency.apply_outcome(&id, JobOutcome::Done) {
+                    for blocked in self.cluster.dependencies.apply_outcome(&id, JobOutcome::Done) {
                         self.cluster.release_blocked_job(blocked);
                     }
                 }
@@ -65,9 +65,9 @@
                 self.cluster.machines.values_mut().for_each(|machine| machine.last_direct_fence = None);
             }
             InjectedDefect::SkipCascadingCancellation => {
-                let dependents: Vec<Name> = self.cluster.dependency.dependents_of_cancelled().cloned().collect();
+                let dependents: Vec<Name> = self.cluster.dependencies.dependents_of_cancelled().cloned().collect();
                 for id in dependents {
-                    self.cluster.dependency.unblock(&id);
+                    self.cluster.dependencies.unblock(&id);
                 }
             }
             _ => {}
@@ -210,7 +210,7 @@
 
     /// Reads from the state service the outcomes of dependencies that the controller lacks.
     fn fetch_outcomes(&self, controller: &mut Controller, now: Instant) {
-        for id in controller.cluster.dependency.outcomes_to_fetch(3, Duration::from_secs(1), now) {
+        for id in controller.cluster.dependencies.outcomes_to_fetch(3, Duration::from_secs(1), now) {
             if let Some(outcome) = self.state_store.outcome(&id) {
                 controller.cluster.set_outcome(&id, outcome, now);
             }
--- a/packages/core/src/sim/starvation.rs
+++ b/packages/core/src/sim/starvation.rs
@@ -25,7 +25,7 @@
             is_past_grace && self.state_store.outcome(id) == Some(JobOutcome::Done)
         };
         let leaders = self.controllers.iter().flatten().filter(|controller| controller.has_lease(self.now));
-        let blocked = leaders.flat_map(|leader| leader.cluster.dependency.blocked());
+        let blocked = leaders.flat_map(|leader| leader.cluster.dependencies.blocked());
         let overdue = blocked.filter(|job| job.spec.needs.iter().all(is_done_past_grace));
         overdue.map(|job| job.spec.id.to_string()).collect()
     }
--- a/packages/core/src/sim/tests.rs
+++ b/packages/core/src/sim/tests.rs
@@ -90,7 +90,7 @@
         return false;
     }
     if let Some(leader) = world.controllers.iter().flatten().find(|controller| controller.has_lease(world.now)) {
-        let blocked = leader.cluster.dependency.blocked();
+        let blocked = leader.cluster.dependencies.blocked();
         let blocked: Vec<_> = blocked.map(|job| (&job.spec.id, &job.spec.needs, &job.missing)).collect();
         println!(
             "leader of term {}, served since {} ms, blocks jobs: {blocked:?}",
--- a/packages/core/src/workers/task_status.rs
+++ b/packages/core/src/workers/task_status.rs
@@ -33,7 +33,7 @@
         current_term: bool,
         now: Instant,
     ) {
-        if let Some(blocked) = self.dependency.unblock(&status.task.job) {
+        if let Some(blocked) = self.dependencies.unblock(&status.task.job) {
             // the command was sent after the start was stored, and the start was stored after
             // the outcomes of all dependencies of the job
             self.release_blocked_job(blocked);
--- a/src/leader/outcome_fetch.rs
+++ b/src/leader/outcome_fetch.rs
@@ -65,7 +65,7 @@
 
     fn outcomes_to_fetch(&self) -> Vec<Name> {
         let now = Instant::now();
-        let due = |c: &mut Cluster| c.dependency.outcomes_to_fetch(MAX_OUTCOMES_PER_FETCH, self.policy.renew, now);
+        let due = |c: &mut Cluster| c.dependencies.outcomes_to_fetch(MAX_OUTCOMES_PER_FETCH, self.policy.renew, now);
         self.lock().cluster.as_mut().map(due).unwrap_or_default()
     }
 
--- a/src/leader/takeover.rs
+++ b/src/leader/takeover.rs
@@ -49,7 +49,7 @@
             return Err(MissingJobs { stored, ids });
         }
         add_shards_and_rentals(&mut cluster, stored, now);
-        for id in cluster.dependency.unknown_dependencies() {
+        for id in cluster.dependencies.unknown_dependencies() {
             if let Some(outcome) = state.jobs.outcome(&id) {
                 cluster.set_outcome(&id, outcome, now);
             }
--- a/src/operators/status.rs
+++ b/src/operators/status.rs
@@ -135,7 +135,7 @@
         partitioned_zones: cluster.fleet.partitioned_zones.iter().cloned().collect(),
         unstored_starts: cluster.unstored_starts.len(),
         shards: cluster.shards.len(),
-        dependent_jobs: cluster.dependency.len(),
+        dependent_jobs: cluster.dependencies.len(),
         rentals: cluster.fleet.open_rentals.len(),
         longest_waiting: longest_waiting(unfinished_jobs, now),
         ..LeaderStatus::default()
