--- a/packages/core/src/cluster/mod.rs
+++ b/packages/core/src/cluster/mod.rs
@@ -47,7 +47,7 @@
     /// Machines by name, including those that were removed a short time ago.
     pub machines: BTreeMap<Name, Machine>,
     /// Machine types by name.
-    pub types: BTreeMap<Name, MachineType>,
+    pub machine_types: BTreeMap<Name, MachineType>,
     /// Values of the tunables.
     pub policy: Arc<Policy>,
     /// Service-level objectives for the start of tasks, in seconds, by class.
@@ -96,7 +96,7 @@
             jobs: NameMap::default(),
             dependencies: DependencyGraph::default(),
             machines: BTreeMap::new(),
-            types: BTreeMap::new(),
+            machine_types: BTreeMap::new(),
             policy,
             start_objectives: HashMap::new(),
             teams,
--- a/packages/core/src/cluster/recovery.rs
+++ b/packages/core/src/cluster/recovery.rs
@@ -51,7 +51,7 @@
             .machines
             .entry(start.machine.clone())
             .or_insert_with(|| Machine::new(start.machine.clone(), kind.clone(), zone.clone(), *spot, now));
-        if let Some(machine_type) = self.types.get(kind) {
+        if let Some(machine_type) = self.machine_types.get(kind) {
             machine.size = machine_type.size();
         }
         // Shards may still hold an earlier start of the same task on this machine, even with
--- a/packages/core/src/fleet/consolidation.rs
+++ b/packages/core/src/fleet/consolidation.rs
@@ -128,7 +128,7 @@
         let spare = self.capacity_beyond_guarantees(guarantees);
         let free = self.free_beyond_headroom(guarantees, now);
         let size = without_memory(&machine.size);
-        let boot_s = self.types.get(&machine.kind).map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
+        let boot_s = self.machine_types.get(&machine.kind).map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
         let horizon_s = self.policy.horizon_s;
         let keeps_room_for = |spec: &JobSpec| {
             let is_recent = |job: &&Job| {
--- a/packages/core/src/fleet/demand.rs
+++ b/packages/core/src/fleet/demand.rs
@@ -15,7 +15,7 @@
     /// Returns the shortest boot time of all machine types, in seconds; infinity while no type
     /// is known.
     fn shortest_boot_s(&self) -> f64 {
-        self.types.values().map(|machine_type| machine_type.boot_s).fold(f64::INFINITY, f64::min)
+        self.machine_types.values().map(|machine_type| machine_type.boot_s).fold(f64::INFINITY, f64::min)
     }
 
     /// Returns the newest unfinished job of each urgent class, as a sample of the jobs that are
--- a/packages/core/src/fleet/machine_list.rs
+++ b/packages/core/src/fleet/machine_list.rs
@@ -14,10 +14,10 @@
     /// machines of these types.
     pub fn set_types(&mut self, types: &[MachineType]) {
         for machine_type in types {
-            self.types.insert(machine_type.name.clone(), machine_type.clone());
+            self.machine_types.insert(machine_type.name.clone(), machine_type.clone());
         }
         for machine in self.machines.values_mut() {
-            if let Some(machine_type) = self.types.get(&machine.kind) {
+            if let Some(machine_type) = self.machine_types.get(&machine.kind) {
                 machine.size = machine_type.size();
             }
         }
@@ -28,12 +28,13 @@
     /// removed, because lists lag and a later response may contain an older list.
     pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Instant) {
         for listed in list {
-            let types = &self.types;
+            let machine_types = &self.machine_types;
             let is_new = !self.machines.contains_key(&listed.name);
             let machine = self.machines.entry(listed.name.clone()).or_insert_with(|| {
                 let (name, kind, zone) = (listed.name.clone(), listed.kind.clone(), listed.zone.clone());
                 let mut machine = Machine::new(name, kind, zone, listed.spot, now);
-                machine.size = types.get(&listed.kind).map(|machine_type| machine_type.size()).unwrap_or_default();
+                machine.size =
+                    machine_types.get(&listed.kind).map(|machine_type| machine_type.size()).unwrap_or_default();
                 machine
             });
             if is_new {
@@ -73,7 +74,7 @@
             self.mark_pool_exhausted(rental, now);
         }
         for name in names {
-            let size = self.types.get(&rental.kind).map(|machine_type| machine_type.size()).unwrap_or_default();
+            let size = self.machine_types.get(&rental.kind).map(|machine_type| machine_type.size()).unwrap_or_default();
             let machine = self.machines.entry(name.clone()).or_insert_with(|| {
                 Machine::new(name.clone(), rental.kind.clone(), rental.zone.clone(), rental.spot, now)
             });
--- a/packages/core/src/fleet/scale_in.rs
+++ b/packages/core/src/fleet/scale_in.rs
@@ -78,7 +78,7 @@
 /// capacity does not justify the return of two machines.
 struct MachineReview<'a> {
     policy: &'a Policy,
-    types: &'a BTreeMap<Name, MachineType>,
+    machine_types: &'a BTreeMap<Name, MachineType>,
     jobs: &'a NameMap<Job>,
     zones_with_controller: &'a BTreeSet<Name>,
     partitioned_zones: &'a HashSet<Name>,
@@ -154,7 +154,7 @@
 
     /// Reports whether a machine that has never sent a heartbeat has exceeded its boot timeout.
     fn has_boot_timed_out(&self, machine: &Machine, since_heartbeat: Duration) -> bool {
-        let boot_s = self.types.get(&machine.kind).map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
+        let boot_s = self.machine_types.get(&machine.kind).map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
         let limit = Duration::from_secs_f64(boot_s * self.policy.boot_factor);
         self.now.duration_since(machine.rented_at) > limit && since_heartbeat > self.policy.fresh
     }
@@ -189,7 +189,8 @@
     /// image starts without that delay.
     fn idle_limit(&self, machine: &Machine) -> Duration {
         let policy = self.policy;
-        let fetch_gb_per_s = self.types.get(&machine.kind).map_or(0.0, |machine_type| machine_type.fetch_gb_per_s);
+        let fetch_gb_per_s =
+            self.machine_types.get(&machine.kind).map_or(0.0, |machine_type| machine_type.fetch_gb_per_s);
         let images = &machine.images;
         let mean_image_gb = images.iter().map(|image| image.1).sum::<f64>() / images.len().max(1) as f64;
         let image_limit_s = mean_image_gb / fetch_gb_per_s.max(1e-3) * policy.idle_images;
@@ -243,7 +244,7 @@
         let needed = self.idle_machines_needed(now);
         let mut review = MachineReview {
             policy: &policy,
-            types: &self.types,
+            machine_types: &self.machine_types,
             jobs: &self.jobs,
             zones_with_controller: &self.zones_with_controller,
             partitioned_zones: &self.fleet.partitioned_zones,
--- a/packages/core/src/fleet/scale_out.rs
+++ b/packages/core/src/fleet/scale_out.rs
@@ -139,7 +139,7 @@
             .map(|machine| PendingMachine { pool: MachinePool::of_machine(machine), free: machine.size })
             .collect();
         for rental in &self.fleet.open_rentals {
-            let Some(machine_type) = self.types.get(&rental.kind) else { continue };
+            let Some(machine_type) = self.machine_types.get(&rental.kind) else { continue };
             let rented = (0..rental.count)
                 .map(|_| PendingMachine { pool: MachinePool::of_rental(rental), free: machine_type.size() });
             pending.extend(rented);
@@ -241,7 +241,7 @@
         is_allowed: impl Fn(&MachinePool) -> bool,
     ) -> Option<PoolCandidate> {
         let mut best: Option<PoolCandidate> = None;
-        for machine_type in self.types.values() {
+        for machine_type in self.machine_types.values() {
             let Some(units) = units(machine_type) else { continue };
             for (zone, spot) in machine_type.zones.iter().flat_map(|zone| [(zone, true), (zone, false)]) {
                 let pool = MachinePool { kind: machine_type.name.clone(), zone: zone.clone(), spot };
--- a/packages/core/src/workers/task_status.rs
+++ b/packages/core/src/workers/task_status.rs
@@ -190,7 +190,8 @@
     /// Records that a task has begun to run, which means that its machine has the image.
     fn record_running(&mut self, reported: ReportedTask, now: Instant) {
         let ReportedTask { heartbeat, status, .. } = reported;
-        let cache_gb = self.types.get(&heartbeat.kind).map_or(f64::INFINITY, |machine_type| machine_type.cache_gb);
+        let cache_gb =
+            self.machine_types.get(&heartbeat.kind).map_or(f64::INFINITY, |machine_type| machine_type.cache_gb);
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
         let Some(assignment) = machine.tasks.get_mut(&status.task) else { return };
         assignment.running_since = Some(now);
