--- a/packages/core/src/cluster/machine.rs
+++ b/packages/core/src/cluster/machine.rs
@@ -13,7 +13,7 @@
     /// Name under which the cloud lists the machine and the worker sends heartbeats.
     pub name: Name,
     /// Machine type.
-    pub kind: Name,
+    pub machine_type: Name,
     /// Zone in which the machine runs.
     pub zone: Name,
     /// Whether the machine is a spot instance, which the cloud may reclaim.
@@ -95,10 +95,10 @@
     }
 
     /// Returns a machine that has sent no heartbeat yet.
-    pub fn new(name: Name, kind: Name, zone: Name, spot: bool, now: Instant) -> Machine {
+    pub fn new(name: Name, machine_type: Name, zone: Name, spot: bool, now: Instant) -> Machine {
         Machine {
             name,
-            kind,
+            machine_type,
             zone,
             spot,
             size: Resources::default(),
@@ -133,7 +133,7 @@
 
     /// Returns the machine type, the zone, and whether the machine is a spot instance.
     pub fn location(&self) -> MachineLocation {
-        MachineLocation { kind: self.kind.clone(), zone: self.zone.clone(), spot: self.spot }
+        MachineLocation { machine_type: self.machine_type.clone(), zone: self.zone.clone(), spot: self.spot }
     }
 
     /// Returns the resources left when every task that may be present is counted.
--- a/packages/core/src/cluster/recovery.rs
+++ b/packages/core/src/cluster/recovery.rs
@@ -46,12 +46,12 @@
             tracing::error!(task = %start.task, "ignoring a stored start: its job is unknown");
             return;
         };
-        let MachineLocation { kind, zone, spot } = location;
+        let MachineLocation { machine_type, zone, spot } = location;
         let machine = self
             .machines
             .entry(start.machine.clone())
-            .or_insert_with(|| Machine::new(start.machine.clone(), kind.clone(), zone.clone(), *spot, now));
-        if let Some(machine_type) = self.machine_types.get(kind) {
+            .or_insert_with(|| Machine::new(start.machine.clone(), machine_type.clone(), zone.clone(), *spot, now));
+        if let Some(machine_type) = self.machine_types.get(machine_type) {
             machine.size = machine_type.size();
         }
         // Shards may still hold an earlier start of the same task on this machine, even with
--- a/packages/core/src/cluster/rental.rs
+++ b/packages/core/src/cluster/rental.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MachinePool {
     /// Type of the machines.
-    pub kind: Name,
+    pub machine_type: Name,
     /// Zone of the machines.
     pub zone: Name,
     /// Whether the machines are spot instances.
@@ -24,12 +24,12 @@
 impl MachinePool {
     /// Returns the pool from which a rental requests machines.
     pub fn of_rental(rental: &Rental) -> MachinePool {
-        MachinePool { kind: rental.kind.clone(), zone: rental.zone.clone(), spot: rental.spot }
+        MachinePool { machine_type: rental.kind.clone(), zone: rental.zone.clone(), spot: rental.spot }
     }
 
     /// Returns the pool to which a machine belongs.
     pub fn of_machine(machine: &Machine) -> MachinePool {
-        MachinePool { kind: machine.kind.clone(), zone: machine.zone.clone(), spot: machine.spot }
+        MachinePool { machine_type: machine.machine_type.clone(), zone: machine.zone.clone(), spot: machine.spot }
     }
 }
 
--- a/packages/core/src/cluster/shard.rs
+++ b/packages/core/src/cluster/shard.rs
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MachineLocation {
     /// Machine type.
-    pub kind: Name,
+    pub machine_type: Name,
     /// Zone in which the machine runs.
     pub zone: Name,
     /// Whether the machine is a spot instance.
--- a/packages/core/src/commit/shard_size.rs
+++ b/packages/core/src/commit/shard_size.rs
@@ -126,7 +126,7 @@
             bytes += JOB_PUNCTUATION_BYTES + text_bytes(&start.task.job);
         }
         if !self.locations.contains(location) {
-            bytes += LOCATION_PUNCTUATION_BYTES + text_bytes(&location.kind) + text_bytes(&location.zone);
+            bytes += LOCATION_PUNCTUATION_BYTES + text_bytes(&location.machine_type) + text_bytes(&location.zone);
         }
         bytes
     }
--- a/packages/core/src/commit/stored.rs
+++ b/packages/core/src/commit/stored.rs
@@ -54,8 +54,8 @@
     let record: ShardRecord = read_value(path, item.value.clone())?;
     let mut locations = HashMap::new();
     for (name, position) in &record.machines {
-        let (kind, zone, spot) = record.locations.get(*position)?.clone();
-        locations.insert(name.clone(), MachineLocation { kind, zone, spot });
+        let (machine_type, zone, spot) = record.locations.get(*position)?.clone();
+        locations.insert(name.clone(), MachineLocation { machine_type, zone, spot });
     }
     let mut starts = Vec::new();
     for (job, stored_starts) in record.starts {
@@ -97,7 +97,7 @@
         for start in &shard.starts {
             let Some(machine) = self.machines.get(&start.machine) else { continue };
             let machine = *machines.entry(&start.machine).or_insert_with(|| {
-                let location = (machine.kind.clone(), machine.zone.clone(), machine.spot);
+                let location = (machine.machine_type.clone(), machine.zone.clone(), machine.spot);
                 let location = index_of(&mut record.locations, location);
                 record.machines.push((start.machine.clone(), location));
                 record.machines.len() - 1
--- a/packages/core/src/fleet/consolidation.rs
+++ b/packages/core/src/fleet/consolidation.rs
@@ -113,7 +113,7 @@
                 let machine = target.machine;
                 target.free.fits(&size)
                     && machine.has_image(&spec.image)
-                    && spec.allows(&machine.kind, &machine.zone, machine.spot)
+                    && spec.allows(&machine.machine_type, &machine.zone, machine.spot)
             };
             let Some(target) = targets.iter_mut().find(fits) else { return false };
             target.free.subtract(&size);
@@ -128,7 +128,8 @@
         let spare = self.capacity_beyond_guarantees(guarantees);
         let free = self.free_beyond_headroom(guarantees, now);
         let size = without_memory(&machine.size);
-        let boot_s = self.machine_types.get(&machine.kind).map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
+        let boot_s =
+            self.machine_types.get(&machine.machine_type).map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
         let horizon_s = self.policy.horizon_s;
         let keeps_room_for = |spec: &JobSpec| {
             let is_recent = |job: &&Job| {
--- a/packages/core/src/fleet/demand.rs
+++ b/packages/core/src/fleet/demand.rs
@@ -34,7 +34,9 @@
     /// Returns how many tasks of a job could start on a machine immediately.  The resources of
     /// tasks that the job may preempt count as free.
     fn startable_tasks_on(&self, machine: &Machine, spec: &JobSpec, now: Instant) -> usize {
-        if !machine.is_schedulable(now, &self.policy) || !spec.allows(&machine.kind, &machine.zone, machine.spot) {
+        if !machine.is_schedulable(now, &self.policy)
+            || !spec.allows(&machine.machine_type, &machine.zone, machine.spot)
+        {
             return 0;
         }
         let mut room = machine.free_resources();
--- a/packages/core/src/fleet/machine_list.rs
+++ b/packages/core/src/fleet/machine_list.rs
@@ -17,7 +17,7 @@
             self.machine_types.insert(machine_type.name.clone(), machine_type.clone());
         }
         for machine in self.machines.values_mut() {
-            if let Some(machine_type) = self.machine_types.get(&machine.kind) {
+            if let Some(machine_type) = self.machine_types.get(&machine.machine_type) {
                 machine.size = machine_type.size();
             }
         }
--- a/packages/core/src/fleet/scale_in.rs
+++ b/packages/core/src/fleet/scale_in.rs
@@ -154,7 +154,8 @@
 
     /// Reports whether a machine that has never sent a heartbeat has exceeded its boot timeout.
     fn has_boot_timed_out(&self, machine: &Machine, since_heartbeat: Duration) -> bool {
-        let boot_s = self.machine_types.get(&machine.kind).map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
+        let boot_s =
+            self.machine_types.get(&machine.machine_type).map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
         let limit = Duration::from_secs_f64(boot_s * self.policy.boot_factor);
         self.now.duration_since(machine.rented_at) > limit && since_heartbeat > self.policy.fresh
     }
@@ -190,7 +191,7 @@
     fn idle_limit(&self, machine: &Machine) -> Duration {
         let policy = self.policy;
         let fetch_gb_per_s =
-            self.machine_types.get(&machine.kind).map_or(0.0, |machine_type| machine_type.fetch_gb_per_s);
+            self.machine_types.get(&machine.machine_type).map_or(0.0, |machine_type| machine_type.fetch_gb_per_s);
         let images = &machine.images;
         let mean_image_gb = images.iter().map(|image| image.1).sum::<f64>() / images.len().max(1) as f64;
         let image_limit_s = mean_image_gb / fetch_gb_per_s.max(1e-3) * policy.idle_images;
--- a/packages/core/src/fleet/scale_out.rs
+++ b/packages/core/src/fleet/scale_out.rs
@@ -71,7 +71,7 @@
 /// Returns how many of `count` additional tasks of a job may run in the zone of a pool, given the
 /// number of its tasks in each zone.
 fn allowed_task_count(spec: &JobSpec, pool: &MachinePool, zones: &BTreeMap<Name, u32>, count: u32) -> u32 {
-    if !spec.allows(&pool.kind, &pool.zone, pool.spot) || !zone_allows(spec, &pool.zone, zones) {
+    if !spec.allows(&pool.machine_type, &pool.zone, pool.spot) || !zone_allows(spec, &pool.zone, zones) {
         return 0;
     }
     let in_zone = zones.get(&pool.zone).copied().unwrap_or(0);
@@ -244,7 +244,7 @@
         for machine_type in self.machine_types.values() {
             let Some(units) = units(machine_type) else { continue };
             for (zone, spot) in machine_type.zones.iter().flat_map(|zone| [(zone, true), (zone, false)]) {
-                let pool = MachinePool { kind: machine_type.name.clone(), zone: zone.clone(), spot };
+                let pool = MachinePool { machine_type: machine_type.name.clone(), zone: zone.clone(), spot };
                 // The leader cannot reach a machine that boots in a partitioned zone.
                 if self.fleet.exhausted_pools.get(&pool).is_some_and(|until| *until > now)
                     || self.fleet.partitioned_zones.contains(zone)
@@ -302,7 +302,7 @@
                 self.fleet.last_request_number += 1;
                 let rental = Rental {
                     request_id: format!("c-{}-{}", self.term, self.fleet.last_request_number).into(),
-                    kind: pool.kind.clone(),
+                    kind: pool.machine_type.clone(),
                     zone: pool.zone.clone(),
                     spot: pool.spot,
                     count: count.min(MAX_MACHINES_PER_RENTAL),
--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -11,7 +11,7 @@
     let mut locations = HashMap::new();
     for i in 0..machines {
         let machine: Name = format!("i-{zone}{i:04}").into();
-        locations.insert(machine.clone(), MachineLocation { kind: "t".into(), zone: zone.into(), spot: false });
+        locations.insert(machine.clone(), MachineLocation { machine_type: "t".into(), zone: zone.into(), spot: false });
         shard.starts.push(StartRecord {
             machine,
             task: Task { job: job.into(), index: i as u32 },
--- a/packages/core/src/placement/image_wait.rs
+++ b/packages/core/src/placement/image_wait.rs
@@ -30,7 +30,7 @@
         let wait = if machine_slot.machine.has_image(&spec.image) {
             ImageWait { seconds: 0.0, is_fetching: false }
         } else {
-            let machine_type = self.cluster.machine_types.get(&machine_slot.machine.kind);
+            let machine_type = self.cluster.machine_types.get(&machine_slot.machine.machine_type);
             let fetch_gb_per_s = machine_type.map_or(0.0, |t| t.fetch_gb_per_s).max(MIN_FETCH_GB_PER_S);
             estimate_fetch(spec, machine_slot, fetch_gb_per_s, self.now)
         };
--- a/packages/core/src/placement/pass.rs
+++ b/packages/core/src/placement/pass.rs
@@ -32,7 +32,7 @@
 /// The pool of a machine, with names borrowed from the machine.
 #[derive(PartialEq)]
 struct PoolRef<'a> {
-    kind: &'a Name,
+    machine_type: &'a Name,
     zone: &'a Name,
     spot: bool,
 }
@@ -97,7 +97,10 @@
             if !machine.is_schedulable(now, &cluster.policy) || machine.size.cpus <= 0.0 {
                 continue;
             }
-            let pool = index_of(&mut pools, PoolRef { kind: &machine.kind, zone: &machine.zone, spot: machine.spot });
+            let pool = index_of(
+                &mut pools,
+                PoolRef { machine_type: &machine.machine_type, zone: &machine.zone, spot: machine.spot },
+            );
             slots.push(MachineSlot::new(machine, SlotLocation { pool, zone }, cluster));
         }
         let smallest_task = smallest_task(queue);
@@ -151,7 +154,8 @@
         if image_index == self.image_waits.len() {
             self.image_waits.push(vec![None; self.slots.len()]);
         }
-        let allowed_pools = self.pools.iter().map(|pool| spec.allows(pool.kind, pool.zone, pool.spot)).collect();
+        let allowed_pools =
+            self.pools.iter().map(|pool| spec.allows(pool.machine_type, pool.zone, pool.spot)).collect();
         PlacementRequest { job, size: spec.size(), allowed_pools, image_index }
     }
 
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -152,7 +152,7 @@
         let shard = PlacementShard { revision: 1, starts: (0..4).map(start).collect(), completed: vec![] };
         let locations = std::collections::HashMap::from([(
             unreachable.clone(),
-            MachineLocation { kind: "t".into(), zone: "z1".into(), spot: false },
+            MachineLocation { machine_type: "t".into(), zone: "z1".into(), spot: false },
         )]);
         cluster.add_shard(0, shard, &locations, now);
         add_machine(&mut cluster, "i-0", now);
--- a/packages/core/src/workers/tests.rs
+++ b/packages/core/src/workers/tests.rs
@@ -22,7 +22,7 @@
 
 /// Returns the location that the tests store for a machine.
 fn location() -> MachineLocation {
-    MachineLocation { kind: "t".into(), zone: "z0".into(), spot: false }
+    MachineLocation { machine_type: "t".into(), zone: "z0".into(), spot: false }
 }
 
 fn machine_name(number: usize) -> Name {
--- a/src/leader/takeover/tests.rs
+++ b/src/leader/takeover/tests.rs
@@ -28,7 +28,7 @@
 fn stored_starts(jobs: &[&str]) -> StoredCluster {
     let starts = jobs.iter().map(|job| start(job)).collect();
     let shard = PlacementShard { revision: 3, starts, completed: Vec::new() };
-    let location = MachineLocation { kind: "t".into(), zone: "z0".into(), spot: false };
+    let location = MachineLocation { machine_type: "t".into(), zone: "z0".into(), spot: false };
     let locations = HashMap::from([("i-1".into(), location)]);
     StoredCluster { shards: vec![StoredShard { id: 0, shard, locations }], ..StoredCluster::default() }
 }
