--- a/packages/core/src/cluster/rental.rs
+++ b/packages/core/src/cluster/rental.rs
@@ -23,12 +23,12 @@
 
 impl MachinePool {
     /// Returns the pool from which a rental requests machines.
-    pub fn of_rental(rental: &Rental) -> MachinePool {
+    pub fn from_rental(rental: &Rental) -> MachinePool {
         MachinePool { machine_type: rental.kind.clone(), zone: rental.zone.clone(), spot: rental.spot }
     }
 
     /// Returns the pool to which a machine belongs.
-    pub fn of_machine(machine: &Machine) -> MachinePool {
+    pub fn from_machine(machine: &Machine) -> MachinePool {
         MachinePool { machine_type: machine.machine_type.clone(), zone: machine.zone.clone(), spot: machine.spot }
     }
 }
--- a/packages/core/src/fleet/machine_list.rs
+++ b/packages/core/src/fleet/machine_list.rs
@@ -85,7 +85,7 @@
     /// Excludes the pool of a rental that the cloud cannot serve from new rentals for the
     /// policy's `capacity_rest`.
     pub fn mark_pool_exhausted(&mut self, rental: &Rental, now: Instant) {
-        self.fleet.exhausted_pools.insert(MachinePool::of_rental(rental), now + self.policy.capacity_rest);
+        self.fleet.exhausted_pools.insert(MachinePool::from_rental(rental), now + self.policy.capacity_rest);
     }
 
     /// Applies a deletion that the cloud has confirmed: marks the machines as removed and
--- a/packages/core/src/fleet/scale_out.rs
+++ b/packages/core/src/fleet/scale_out.rs
@@ -136,12 +136,12 @@
                 && machine.tasks.is_empty()
         });
         let mut pending: Vec<PendingMachine> = booting
-            .map(|machine| PendingMachine { pool: MachinePool::of_machine(machine), free: machine.size })
+            .map(|machine| PendingMachine { pool: MachinePool::from_machine(machine), free: machine.size })
             .collect();
         for rental in &self.fleet.open_rentals {
             let Some(machine_type) = self.machine_types.get(&rental.kind) else { continue };
             let rented = (0..rental.count)
-                .map(|_| PendingMachine { pool: MachinePool::of_rental(rental), free: machine_type.size() });
+                .map(|_| PendingMachine { pool: MachinePool::from_rental(rental), free: machine_type.size() });
             pending.extend(rented);
         }
         pending
