--- a/packages/core/src/cluster/job.rs
+++ b/packages/core/src/cluster/job.rs
@@ -214,7 +214,7 @@
 
     /// Returns the index after the highest task that is known to have been assigned.  Pending
     /// tasks below that index were lost or preempted, and have waited in the queue before.
-    pub fn first_never_assigned(&self) -> u32 {
+    pub fn first_never_assigned_index(&self) -> u32 {
         let assigned = self.assignments.last_key_value().map(|(index, _)| *index);
         let last = [assigned, self.completed.last(), self.completed_unstored.last()].into_iter().flatten().max();
         last.map_or(0, |index| index + 1)
--- a/packages/core/src/placement/queue.rs
+++ b/packages/core/src/placement/queue.rs
@@ -25,7 +25,7 @@
     /// that arrived since.  A job with zone constraints has a single entry, because its tasks per
     /// zone are counted for the whole job.  A quarantined job has a single entry as well.
     fn entries_of(job: &'a Job) -> impl Iterator<Item = QueueEntry<'a>> {
-        let (waiting, never_placed) = (job.waiting_tasks(), job.first_never_assigned());
+        let (waiting, never_placed) = (job.waiting_tasks(), job.first_never_assigned_index());
         let is_single_entry =
             job.spec.shape != Shape::Array || job.spec.one_zone || job.spec.spread || job.quarantine.is_some();
         let requeued = if is_single_entry { 0 } else { job.pending.below(never_placed) };
