--- a/packages/core/src/cluster/job.rs
+++ b/packages/core/src/cluster/job.rs
@@ -163,7 +163,7 @@
     /// When this leader first knew the job.
     pub first_seen: Instant,
     /// Whether the last placement pass found the job within its team's guarantee.
-    pub guaranteed: bool,
+    pub is_within_guarantee: bool,
     /// Urgency of the job, raised to that of the jobs that depend on it.
     pub urgency: Urgency,
     /// Reason why the job is pending, as shown to users; empty if none was set.
@@ -190,7 +190,7 @@
             quarantine: None,
             not_before: None,
             first_seen: now,
-            guaranteed: false,
+            is_within_guarantee: false,
             urgency,
             pending_reason: "",
         }
@@ -238,7 +238,7 @@
     /// Returns the position of the job in the queue.
     pub fn queue_priority(&self) -> QueuePriority {
         let priority = self.urgency.priority;
-        QueuePriority { is_beyond_guarantee: !self.guaranteed && priority != Priority::Production, priority }
+        QueuePriority { is_beyond_guarantee: !self.is_within_guarantee && priority != Priority::Production, priority }
     }
 
     /// Reports whether the job belongs to a chain of dependencies with a deadline: the job has
--- a/packages/core/src/fleet/scale_out.rs
+++ b/packages/core/src/fleet/scale_out.rs
@@ -168,7 +168,7 @@
     /// running array tasks release.  For any other job, it includes all tasks.
     fn shortfall(&self, demand: &UnmetDemand, slots: &mut ArraySlots) -> Shortfall {
         let (spec, policy) = (&demand.spec, &self.policy);
-        if spec.shape != Shape::Array || self.jobs.get(&spec.id).is_some_and(|job| job.guaranteed) {
+        if spec.shape != Shape::Array || self.jobs.get(&spec.id).is_some_and(|job| job.is_within_guarantee) {
             return Shortfall { count: demand.count, spot_only: 0 };
         }
         let bias = self.runtime_bias.get(&spec.class).copied().unwrap_or(1.0);
--- a/packages/core/src/placement/preemption.rs
+++ b/packages/core/src/placement/preemption.rs
@@ -186,8 +186,8 @@
     }
     let team_usage = used_by_team.get(&running.spec.team).copied().unwrap_or_default();
     let limit = teams.get(&running.spec.team).copied().unwrap_or_default();
-    waiting.guaranteed
-        && !running.guaranteed
+    waiting.is_within_guarantee
+        && !running.is_within_guarantee
         && running.spec.team != waiting.spec.team
         && !is_within_guarantee(&limit.guarantee, &team_usage)
 }
--- a/packages/core/src/placement/preemption_cost.rs
+++ b/packages/core/src/placement/preemption_cost.rs
@@ -40,7 +40,7 @@
         let covers_request = |earlier: &Unplaceable| {
             let allowed = request.allowed_pools.iter().zip(&earlier.allowed_pools);
             earlier.job.queue_priority() == request.job.queue_priority()
-                && earlier.job.guaranteed == request.job.guaranteed
+                && earlier.job.is_within_guarantee == request.job.is_within_guarantee
                 && earlier.job.spec.team == request.job.spec.team
                 && request.size.fits(&earlier.size)
                 && allowed.into_iter().all(|(allowed_now, allowed_before)| *allowed_before || !*allowed_now)
--- a/packages/core/src/placement/queue.rs
+++ b/packages/core/src/placement/queue.rs
@@ -57,7 +57,7 @@
             let team_usage = used_by_team.entry(job.spec.team.clone()).or_default();
             let unfinished = f64::from(job.spec.tasks - job.completed.len().min(job.spec.tasks));
             team_usage.add(&job.spec.size().scaled(unfinished));
-            job.guaranteed = is_within_guarantee(&limit.guarantee, team_usage);
+            job.is_within_guarantee = is_within_guarantee(&limit.guarantee, team_usage);
         }
     }
 
@@ -106,7 +106,7 @@
             self.start_objectives.get(&job.spec.class).copied(),
             // Users of a service notice every second without a replica.
             (job.spec.shape == Shape::Service).then_some(self.policy.fetch_grain_s),
-            job.guaranteed.then_some(self.policy.guarantee_wait_s),
+            job.is_within_guarantee.then_some(self.policy.guarantee_wait_s),
         ];
         objectives.into_iter().flatten().min_by(f64::total_cmp)
     }
