--- a/packages/core/src/cluster/job.rs
+++ b/packages/core/src/cluster/job.rs
@@ -304,4 +304,4 @@
 }
 
 /// Pending reason of a quarantined job.
-pub const QUARANTINED: &str = "its tasks fail everywhere";
+pub const QUARANTINED_REASON: &str = "its tasks fail everywhere";
--- a/packages/core/src/placement/mod.rs
+++ b/packages/core/src/placement/mod.rs
@@ -28,7 +28,7 @@
 
 use std::time::Instant;
 
-use crate::cluster::{Cluster, Job, UnmetDemand, QUARANTINED};
+use crate::cluster::{Cluster, Job, UnmetDemand, QUARANTINED_REASON};
 use crate::model::*;
 use pass::{Pass, PlacementRequest};
 use preemption::WaitLimits;
@@ -165,7 +165,7 @@
         let job = request.job;
         if job.quarantine.is_some() {
             // No resources are preempted, reserved or rented for the probe of a quarantined job.
-            decisions.set_pending_reason(job, QUARANTINED);
+            decisions.set_pending_reason(job, QUARANTINED_REASON);
             return;
         }
         let BlockedTasks { count, tasks_per_zone } = blocked;
--- a/packages/core/src/workers/failures.rs
+++ b/packages/core/src/workers/failures.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 use super::ExitCause;
-use crate::cluster::{Cluster, Job, Quarantine, TaskPhase, QUARANTINED};
+use crate::cluster::{Cluster, Job, Quarantine, TaskPhase, QUARANTINED_REASON};
 use crate::model::*;
 
 /// Cordon reason of a machine on which the tasks of several jobs have failed.
@@ -133,7 +133,7 @@
         let Some(job) = self.jobs.get_mut(id) else { return };
         tracing::info!(job = %id, failed_machines, "job quarantined: its tasks failed on several machines");
         job.quarantine = Some(Quarantine { next_probe_at: now, probes: 0 });
-        job.pending_reason = QUARANTINED;
+        job.pending_reason = QUARANTINED_REASON;
         let failed_on = job.failed_on.clone();
         let mut starting = job.assigned_tasks();
         starting.retain(|(name, task)| self.is_starting(name, task));
