--- a/packages/core/src/cluster/shard.rs
+++ b/packages/core/src/cluster/shard.rs
@@ -19,7 +19,7 @@
 impl StartRecord {
     /// Reports whether this start belongs to an assignment of the same task on the same
     /// machine.  The same attempt for another incarnation of the worker is another start.
-    pub fn is_of(&self, assignment: &Assignment) -> bool {
+    pub fn matches_assignment(&self, assignment: &Assignment) -> bool {
         assignment.attempt == self.attempt && assignment.incarnation == self.incarnation
     }
 }
--- a/packages/core/src/commit/apply.rs
+++ b/packages/core/src/commit/apply.rs
@@ -38,7 +38,7 @@
     fn mark_start_stored(&mut self, start: &StartRecord) {
         let Some(machine) = self.machines.get_mut(&start.machine) else { return };
         let assignment = machine.tasks.get_mut(&start.task);
-        if let Some(assignment) = assignment.filter(|assignment| start.is_of(assignment)) {
+        if let Some(assignment) = assignment.filter(|assignment| start.matches_assignment(assignment)) {
             assignment.stored = true;
             self.machines_to_command.insert(start.machine.clone());
         }
--- a/packages/core/src/commit/build.rs
+++ b/packages/core/src/commit/build.rs
@@ -143,7 +143,8 @@
         for start in &stored.starts {
             let Some(machine) = self.machines.get(&start.machine) else { continue };
             // a start for an earlier incarnation is obsolete even if the attempt is the same
-            let is_valid = machine.tasks.get(&start.task).is_some_and(|assignment| start.is_of(assignment));
+            let is_valid =
+                machine.tasks.get(&start.task).is_some_and(|assignment| start.matches_assignment(assignment));
             if is_valid {
                 valid.size.add_start(start, &machine.location());
                 valid.shard.starts.push(start.clone());
@@ -206,5 +207,5 @@
 fn machine_of_unstored_start<'a>(machines: &'a BTreeMap<Name, Machine>, start: &StartRecord) -> Option<&'a Machine> {
     let machine = machines.get(&start.machine)?;
     let assignment = machine.tasks.get(&start.task)?;
-    (start.is_of(assignment) && !assignment.stored).then_some(machine)
+    (start.matches_assignment(assignment) && !assignment.stored).then_some(machine)
 }
