--- a/packages/core/src/key.rs
+++ b/packages/core/src/key.rs
@@ -15,7 +15,7 @@
 /// Key of the last leader term.
 pub const TERM: &str = "c2/p/term";
 /// Key of the enabled features, all of which every controller supports.
-pub const GATES: &str = "c2/w/gates";
+pub const FEATURE_GATES: &str = "c2/w/gates";
 /// Prefix of the records of the features that each controller supports, each attached to the
 /// lease of its controller.  They are kept only until every feature is enabled.
 pub const MEMBER: &str = "c2/p/member/";
--- a/src/state_store/initial_read.rs
+++ b/src/state_store/initial_read.rs
@@ -76,7 +76,7 @@
         }
         leader.items.into_iter().for_each(|item| self.apply_item(item));
         self.store.get(key::TYPES).await?.into_iter().for_each(|item| self.apply_item(item));
-        self.store.get(key::GATES).await?.into_iter().for_each(|item| self.apply_item(item));
+        self.store.get(key::FEATURE_GATES).await?.into_iter().for_each(|item| self.apply_item(item));
         Ok(revision)
     }
 
--- a/src/state_store/watch.rs
+++ b/src/state_store/watch.rs
@@ -129,7 +129,7 @@
             if let Some(record) = read_value::<LeaderRecord>(path, value) {
                 self.observe_leader(record, revision);
             }
-        } else if path == key::GATES {
+        } else if path == key::FEATURE_GATES {
             if let Some(gates) = read_value::<FeatureGates>(path, value) {
                 self.apply_feature_gates(&gates, revision, now);
             }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -184,7 +184,8 @@
     assert_eq!(gates.enabled, coralnotch_core::feature_gate::SUPPORTED);
     let ranges: Ranges = assert_round_trip(&golden["ranges"]);
     assert_eq!(ranges.iter().collect::<Vec<_>>(), [0, 1, 2, 7]);
-    let keys = [key::WATCHED, key::JOB, key::OUTCOME, key::LEADER, key::TERM, key::GATES, key::MEMBER, key::TYPES];
+    let keys =
+        [key::WATCHED, key::JOB, key::OUTCOME, key::LEADER, key::TERM, key::FEATURE_GATES, key::MEMBER, key::TYPES];
     let names = ["", "job/", "fate/", "leader"].map(|suffix| format!("c2/w/{suffix}"));
     assert_eq!(keys[..4], names);
     assert_eq!(keys[4..], ["c2/p/term", "c2/w/gates", "c2/p/member/", "c2/w/types"]);
