--- a/packages/core/src/heartbeat_forwarding.rs
+++ b/packages/core/src/heartbeat_forwarding.rs
@@ -81,7 +81,7 @@
 impl HeartbeatForwarding {
     /// Returns the form in which to forward a heartbeat to the leader of `term`.  It is `Full`
     /// unless that leader has accepted the same content through this controller.
-    pub fn message(&self, heartbeat: &Heartbeat, term: u64) -> ForwardedHeartbeat {
+    pub fn forwarded_form(&self, heartbeat: &Heartbeat, term: u64) -> ForwardedHeartbeat {
         let accepted = self.accepted.get(&heartbeat.machine).filter(|accepted| accepted.term == term);
         match accepted.filter(|accepted| has_same_content(&accepted.heartbeat, heartbeat)) {
             Some(accepted) => ForwardedHeartbeat::Unchanged(UnchangedHeartbeat {
--- a/packages/core/src/heartbeat_forwarding/tests.rs
+++ b/packages/core/src/heartbeat_forwarding/tests.rs
@@ -139,17 +139,21 @@
     let now = Instant::now();
     let mut forwarding = HeartbeatForwarding::default();
     let heartbeat = |sequence| report("i-000001", "z1", 1, sequence, 7);
-    assert_eq!(forwarding.message(&heartbeat(1), 3), ForwardedHeartbeat::Full);
+    assert_eq!(forwarding.forwarded_form(&heartbeat(1), 3), ForwardedHeartbeat::Full);
     forwarding.mark_accepted(heartbeat(1), 3, now);
-    assert_eq!(forwarding.message(&heartbeat(4), 3), ForwardedHeartbeat::Unchanged(unchanged(&heartbeat(1), 4)));
-    assert_eq!(forwarding.message(&heartbeat(4), 4), ForwardedHeartbeat::Full, "the leader of another term");
-    assert_eq!(forwarding.message(&heartbeat(1), 3), ForwardedHeartbeat::Full, "the sequence number is not newer");
+    assert_eq!(forwarding.forwarded_form(&heartbeat(4), 3), ForwardedHeartbeat::Unchanged(unchanged(&heartbeat(1), 4)));
+    assert_eq!(forwarding.forwarded_form(&heartbeat(4), 4), ForwardedHeartbeat::Full, "the leader of another term");
+    assert_eq!(
+        forwarding.forwarded_form(&heartbeat(1), 3),
+        ForwardedHeartbeat::Full,
+        "the sequence number is not newer"
+    );
     let with_new_token = Heartbeat { fencing_token: 8, ..heartbeat(4) };
-    assert_eq!(forwarding.message(&with_new_token, 3), ForwardedHeartbeat::Full);
+    assert_eq!(forwarding.forwarded_form(&with_new_token, 3), ForwardedHeartbeat::Full);
     forwarding.mark_accepted(heartbeat(4), 3, now);
     forwarding.mark_accepted(heartbeat(2), 3, now);
     assert_eq!(
-        forwarding.message(&heartbeat(5), 3),
+        forwarding.forwarded_form(&heartbeat(5), 3),
         ForwardedHeartbeat::Unchanged(unchanged(&heartbeat(4), 5)),
         "the late reply to an older heartbeat is ignored"
     );
@@ -157,7 +161,7 @@
     assert!(forwarding.is_empty());
     forwarding.mark_accepted(heartbeat(4), 3, now);
     forwarding.forget("i-000001");
-    assert_eq!(forwarding.message(&heartbeat(5), 3), ForwardedHeartbeat::Full);
+    assert_eq!(forwarding.forwarded_form(&heartbeat(5), 3), ForwardedHeartbeat::Full);
 }
 
 /// Forwarding begins above the threshold and ends only at three quarters of it.
--- a/packages/core/src/sim/forwarding.rs
+++ b/packages/core/src/sim/forwarding.rs
@@ -37,7 +37,7 @@
             return;
         }
         let Some(term) = self.controllers[to].as_ref().map(|leader| leader.cluster.term) else { return };
-        let message = self.forwarding[forwarder].message(&heartbeat, term);
+        let message = self.forwarding[forwarder].forwarded_form(&heartbeat, term);
         self.send(Message::ForwardedHeartbeat(ForwardedRequest { forwarder, to, term, message, heartbeat, request }));
     }
 
--- a/src/peers/forwarding/outbound.rs
+++ b/src/peers/forwarding/outbound.rs
@@ -154,8 +154,9 @@
         let Some(link) = self.peers.links.iter().find(|l| l.name == leader) else { return BatchResult::NotLeading };
         let reports = {
             let forwarding = self.forwarding();
-            let encode =
-                |queued: &QueuedHeartbeat| encode_heartbeat(forwarding.message(&queued.heartbeat, term), &queued.body);
+            let encode = |queued: &QueuedHeartbeat| {
+                encode_heartbeat(forwarding.forwarded_form(&queued.heartbeat, term), &queued.body)
+            };
             batch.iter().map(encode).collect()
         };
         let message = wire::ReportBatch { from: self.config.name.clone(), term, reports };
