--- a/packages/core/src/lookup.rs
+++ b/packages/core/src/lookup.rs
@@ -12,7 +12,7 @@
     /// The job was never accepted.
     NotFound,
     /// The job is unfinished according to this controller; only the store can confirm this.
-    Open,
+    Unfinished,
     /// The store has confirmed that the job was unfinished when the store answered.
     Confirmed,
     /// The job has ended, with this final outcome.
@@ -36,7 +36,7 @@
 pub struct Lookup {
     entries: Vec<LookupEntry>,
     /// Whether the last transaction succeeded, so that none of the keys in it exists.
-    settled: bool,
+    complete: bool,
 }
 
 impl Lookup {
@@ -48,7 +48,7 @@
                 entries.push(LookupEntry { id: id.clone(), has_record: false, has_outcome: false });
             }
         }
-        Lookup { entries, settled: false }
+        Lookup { entries, complete: false }
     }
 
     /// Returns the next transaction to send; `None` once the lookup is complete.
@@ -60,12 +60,12 @@
             }
             txn.require(format!("{}{}", key::OUTCOME, entry.id), 0);
         }
-        (!self.settled && !txn.preconditions.is_empty()).then_some(txn)
+        (!self.complete && !txn.preconditions.is_empty()).then_some(txn)
     }
 
     /// Records that the last transaction succeeded, which completes the lookup.
-    pub fn mark_settled(&mut self) {
-        self.settled = true;
+    pub fn mark_complete(&mut self) {
+        self.complete = true;
     }
 
     /// Records that these keys exist, as named in a conflict.  Returns whether any of them was not
--- a/packages/core/src/sim/request_history/request.rs
+++ b/packages/core/src/sim/request_history/request.rs
@@ -122,7 +122,7 @@
             return RequestStage::LookedUp(defect.then_some(LookupResult::NotFound));
         }
         match self.state_store.apply(&txn) {
-            Ok(_) => lookup.mark_settled(),
+            Ok(_) => lookup.mark_complete(),
             Err(mut keys) => {
                 // a conflict may name any of the keys whose precondition failed
                 self.rng.shuffle(&mut keys);
--- a/packages/core/src/user_request.rs
+++ b/packages/core/src/user_request.rs
@@ -191,8 +191,8 @@
                 Some(Validation::Unsatisfiable(reason)) => Reply::Unsatisfiable(reason),
                 _ => Reply::NotFound,
             }),
-            (Some(LookupResult::Open | LookupResult::Confirmed), RequestKind::Cancel) => NextAction::Cancel,
-            (Some(LookupResult::Open), _) => NextAction::Confirm,
+            (Some(LookupResult::Unfinished | LookupResult::Confirmed), RequestKind::Cancel) => NextAction::Cancel,
+            (Some(LookupResult::Unfinished), _) => NextAction::Confirm,
             (Some(LookupResult::Confirmed), _) => self.reply_unfinished(view),
             (Some(LookupResult::Ended(JobOutcome::Done)), _) => NextAction::Reply(Reply::Ended(JobOutcome::Done)),
             (Some(LookupResult::Ended(JobOutcome::Cancelled)), _) => self.reply_cancelled(view),
@@ -207,7 +207,7 @@
         match jobs.status_of(&self.id) {
             // An outcome never changes, so it is valid however the controller learned it.
             JobStatus::Ended(job) => self.found = Some(LookupResult::Ended(job.outcome)),
-            JobStatus::Open(_) => self.found = self.found.take().or(Some(LookupResult::Open)),
+            JobStatus::Open(_) => self.found = self.found.take().or(Some(LookupResult::Unfinished)),
             JobStatus::Unknown => {}
         }
     }
@@ -295,9 +295,9 @@
         let stored_as_cancelled = self.validation == Some(Validation::Valid { depends_on_cancelled_job: true });
         match result {
             StoreResult::Unknown => self.failure = Some(STORE_UNAVAILABLE),
-            StoreResult::AlreadyStored | StoreResult::New { slow: true } => self.found = Some(LookupResult::Open),
+            StoreResult::AlreadyStored | StoreResult::New { slow: true } => self.found = Some(LookupResult::Unfinished),
             StoreResult::New { slow: false } if jobs.outcome(&self.id).is_some() && !stored_as_cancelled => {
-                self.found = Some(LookupResult::Open);
+                self.found = Some(LookupResult::Unfinished);
             }
             StoreResult::New { slow: false } => {
                 self.found = Some(LookupResult::Confirmed);
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -81,7 +81,7 @@
         while let Some(txn) = lookup.txn() {
             self.throttle_lookup(1.0).await;
             match self.store.txn(&txn).await {
-                Ok(TxnOutcome::Done(_)) => lookup.mark_settled(),
+                Ok(TxnOutcome::Done(_)) => lookup.mark_complete(),
                 Ok(TxnOutcome::Conflict(keys)) if lookup.apply_conflict(&keys) => {}
                 Ok(TxnOutcome::Conflict(_)) | Err(_) => return false,
             }
