--- a/packages/core/src/cluster/rental/tests.rs
+++ b/packages/core/src/cluster/rental/tests.rs
@@ -6,7 +6,7 @@
 /// machines unrented on a quieter day.
 #[test]
 fn heartbeat_capacity_grows_while_it_is_used_and_shrinks_with_lag() {
-    let mut policy = Policy::clone(&crate::sim::cluster(1, Instant::now()).policy);
+    let mut policy = Policy::clone(&crate::sim::new_cluster(1, Instant::now()).policy);
     policy.most_machines = 1000;
     let (mut fleet, mut now, high_lag) = (Fleet::default(), Instant::now(), policy.lag_most * 2);
     assert_eq!(fleet.machine_limit(&policy), 1000);
--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -7,7 +7,7 @@
 
 use super::*;
 use crate::cluster::{Cluster, Machine};
-use crate::sim::{cluster, spec};
+use crate::sim::{new_cluster, spec};
 use crate::workers::{Command, Heartbeat, HeartbeatSource, TaskState, TaskStatus};
 
 const JOB: &str = "j-000001";
@@ -73,7 +73,7 @@
 
     /// Returns the state of a new leader that has read the job and all shards.
     fn next_leader(&self, job: Arc<JobSpec>, now: Instant) -> Cluster {
-        let mut next = cluster(2, now);
+        let mut next = new_cluster(2, now);
         next.add_job(job, 1, None, now);
         for StoredShard { id, shard, locations } in self.read_shards() {
             next.add_shard(id, shard, &locations, now);
@@ -93,7 +93,7 @@
     #[test]
     fn the_next_leader_finds_every_committed_start(ops in prop::collection::vec((0u8..5, 0u32..40, 0usize..6), 1..120)) {
         let now = Instant::now();
-        let mut cluster = cluster(1, now);
+        let mut cluster = new_cluster(1, now);
         let mut store = Store { revision: 10, ..Store::default() };
         cluster.add_job(spec(JOB, 40), 1, None, now);
         let machines: Vec<Name> = (0..6).map(|number| add_machine(&mut cluster, &format!("i-{number}"), now)).collect();
@@ -153,11 +153,11 @@
 #[test]
 fn a_running_task_of_an_ended_job_does_not_block_commits() {
     let now = Instant::now();
-    let mut cluster = cluster(1, now);
+    let mut cluster = new_cluster(1, now);
     cluster.add_job(spec(JOB, 1), 1, Some(JobOutcome::Cancelled), now);
     cluster.add_job(spec("j-000002", 1), 2, None, now);
     let running = TaskStatus { task: task(0), attempt: 7, state: TaskState::Running, cause: None, saved: None };
-    let heartbeat = Heartbeat { tasks: vec![running], ..crate::sim::report("i-1", "z0", 1, 1, 0) };
+    let heartbeat = Heartbeat { tasks: vec![running], ..crate::sim::heartbeat("i-1", "z0", 1, 1, 0) };
     cluster.apply_heartbeat(&heartbeat, HeartbeatSource::Worker, now);
     cluster.run_placement_pass(now);
     let batch = cluster.next_commit(5, &limits(1000)).expect("two starts to store");
@@ -201,7 +201,7 @@
     assert!(shard.starts.iter().all(is_as_written));
     assert_eq!(shard.completed[0].1.iter().collect::<Vec<_>>(), [25, 26, 27, 31]);
     assert!(locations["i-000003"].spot && &*locations["i-000003"].zone == "z1");
-    let mut cluster = cluster(4, Instant::now());
+    let mut cluster = new_cluster(4, Instant::now());
     cluster.add_job(spec(JOB, 40), 1, None, Instant::now());
     cluster.add_shard(id, shard.clone(), &locations, Instant::now());
     assert_same("page", Write::set("x", &cluster.shard_record(&shard)));
@@ -238,7 +238,7 @@
 #[test]
 fn an_oversized_shard_is_split_without_losing_starts() {
     let now = Instant::now();
-    let mut cluster = cluster(1, now);
+    let mut cluster = new_cluster(1, now);
     cluster.add_job(spec(JOB, 1000), 1, None, now);
     for index in 0..300 {
         let machine = add_machine(&mut cluster, &format!("i-{index:06}"), now);
@@ -283,7 +283,7 @@
 #[test]
 fn outcomes_release_or_cancel_dependents() {
     let now = Instant::now();
-    let mut cluster = cluster(1, now);
+    let mut cluster = new_cluster(1, now);
     let job_with_needs = |id: &str, needs: &[&str]| {
         let needs = needs.iter().map(|needed| Name::from(*needed)).collect();
         Arc::new(JobSpec { needs, ..(*spec(id, 1)).clone() })
@@ -326,7 +326,7 @@
 fn adding_an_ended_dependency_releases_or_cancels_its_dependent() {
     let now = Instant::now();
     for (outcome, is_released) in [(JobOutcome::Done, true), (JobOutcome::Cancelled, false)] {
-        let mut cluster = cluster(2, now);
+        let mut cluster = new_cluster(2, now);
         let last = JobSpec { needs: vec!["j-1".into()], ..(*spec("j-2", 1)).clone() };
         cluster.add_job(Arc::new(last), 2, None, now);
         assert_eq!(cluster.dependencies.unknown_dependencies(), ["j-1".into()]);
@@ -340,7 +340,7 @@
 #[test]
 fn the_outcome_is_stored_with_the_last_task() {
     let now = Instant::now();
-    let mut cluster = cluster(1, now);
+    let mut cluster = new_cluster(1, now);
     cluster.add_job(spec(JOB, 2), 1, None, now);
     cluster.mark_completed(&task(0), now);
     let batch = cluster.next_commit(5, &limits(4096)).expect("a completed task");
--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::cluster::{Machine, MachineLocation, PlacementShard, StartRecord, TaskPhase};
 use crate::policy::Policy;
-use crate::sim::{cluster as new_cluster, spec};
+use crate::sim::{new_cluster, spec};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
--- a/packages/core/src/heartbeat_forwarding/tests.rs
+++ b/packages/core/src/heartbeat_forwarding/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::cluster::Cluster;
 use crate::model::Task;
-use crate::sim::{cluster as new_cluster, report, spec};
+use crate::sim::{heartbeat, new_cluster, spec};
 use crate::workers::{Command, HeartbeatOutcome, HeartbeatSource, TaskState, TaskStatus};
 
 const NAMES: [&str; 5] = ["c0", "c1", "c2", "c3", "c4"];
@@ -35,7 +35,7 @@
 /// Returns a heartbeat with one running task, and adds the job of the task to a cluster without
 /// jobs.
 fn heartbeat_with_task(cluster: &mut Cluster, sequence: u64, now: Instant) -> Heartbeat {
-    let mut heartbeat = report("i-000001", "z1", 1, sequence, cluster.base_token());
+    let mut heartbeat = heartbeat("i-000001", "z1", 1, sequence, cluster.base_token());
     heartbeat.tasks = vec![TaskStatus {
         task: Task { job: "j-000001".into(), index: 0 },
         attempt: 1,
@@ -138,7 +138,7 @@
 fn only_accepted_content_is_forwarded_as_unchanged() {
     let now = Instant::now();
     let mut forwarding = HeartbeatForwarding::default();
-    let heartbeat = |sequence| report("i-000001", "z1", 1, sequence, 7);
+    let heartbeat = |sequence| heartbeat("i-000001", "z1", 1, sequence, 7);
     assert_eq!(forwarding.forwarded_form(&heartbeat(1), 3), ForwardedHeartbeat::Full);
     forwarding.mark_accepted(heartbeat(1), 3, now);
     assert_eq!(forwarding.forwarded_form(&heartbeat(4), 3), ForwardedHeartbeat::Unchanged(unchanged(&heartbeat(1), 4)));
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::cluster::{Machine, MachineState, QueuePriority};
-use crate::sim::{cluster as new_cluster, report as heartbeat, spec};
+use crate::sim::{heartbeat, new_cluster, spec};
 use crate::workers::{Heartbeat, HeartbeatOutcome, HeartbeatSource};
 use std::sync::Arc;
 use std::time::Duration;
--- a/packages/core/src/sim/fixtures.rs
+++ b/packages/core/src/sim/fixtures.rs
@@ -5,7 +5,7 @@
 
 /// Returns the state of a new leader in the given term, with one machine type and no team
 /// limits.
-pub fn cluster(term: u64, now: Instant) -> Cluster {
+pub fn new_cluster(term: u64, now: Instant) -> Cluster {
     let config = Config::parse("sim", SETTINGS).expect("the example settings are valid");
     let policy = Arc::new(Policy::new(&config).expect("the default policy is valid"));
     let mut cluster = Cluster::new(term, policy, HashMap::new(), now);
@@ -14,7 +14,7 @@
 }
 
 /// Returns a heartbeat of a machine without tasks.
-pub fn report(machine: &str, zone: &str, incarnation: u64, sequence: u64, token: u64) -> Heartbeat {
+pub fn heartbeat(machine: &str, zone: &str, incarnation: u64, sequence: u64, token: u64) -> Heartbeat {
     Heartbeat {
         machine: machine.into(),
         address: "127.0.0.1:9".into(),
--- a/packages/core/src/workers/tests.rs
+++ b/packages/core/src/workers/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 use crate::cluster::{raise_token, Cluster, Machine, MachineLocation, PlacementShard, StartRecord};
 use crate::model::*;
-use crate::sim::{cluster, report, spec};
+use crate::sim::{heartbeat, new_cluster, spec};
 
 /// State of a task and cause of its exit, as a worker reports them.
 type ReportedState = (TaskState, Option<ExitCause>);
@@ -39,7 +39,7 @@
 impl Fixture {
     fn new(machines: usize) -> Fixture {
         let now = Instant::now();
-        let mut fixture = Fixture { cluster: cluster(1, now), sequence: 0, now };
+        let mut fixture = Fixture { cluster: new_cluster(1, now), sequence: 0, now };
         for number in 0..machines {
             fixture.send_heartbeat(number, vec![]);
         }
@@ -106,13 +106,13 @@
 #[test]
 fn a_start_delayed_by_a_partition_is_refused_after_the_token_is_raised() {
     let now = Instant::now();
-    let mut leader = cluster(3, now);
+    let mut leader = new_cluster(3, now);
     let seen = leader.base_token();
     let raised = raise_token(seen);
     assert!(raised > seen, "the worker must refuse commands under the previous token");
     let full = (4 << 24) - 1;
     assert_eq!(raise_token(full), full, "the token must not reach the next term");
-    let heartbeat = |sequence, token| report("i-1", "z0", 1, sequence, token);
+    let heartbeat = |sequence, token| heartbeat("i-1", "z0", 1, sequence, token);
     assert_eq!(leader.apply_heartbeat(&heartbeat(1, seen), HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
     let machine = leader.machines.get_mut("i-1").expect("the machine is registered");
     (machine.in_doubt_token, machine.last_direct_fence) = (Some(seen), Some(0));
@@ -215,7 +215,7 @@
 fn two_stored_starts_of_one_attempt_resolve_to_the_later_incarnation() {
     let now = Instant::now();
     for order in [[2, 3], [3, 2]] {
-        let mut leader = cluster(5, now);
+        let mut leader = new_cluster(5, now);
         leader.add_started_job(spec("j-1", 1), 1, None, now);
         let attempt = (4 << 24) + 7;
         let machine: Name = "i-1".into();
@@ -226,7 +226,7 @@
             let stored = PlacementShard { revision: 1, starts: vec![start], completed: vec![] };
             leader.add_shard(shard, stored, &locations, now);
         }
-        let old = report("i-1", "z0", 3, 9, 2 << 24);
+        let old = heartbeat("i-1", "z0", 3, 9, 2 << 24);
         assert_eq!(leader.apply_heartbeat(&old, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
         let occupied = leader.machines[&machine].tasks.values().any(|assignment| assignment.occupies_resources());
         assert!(occupied, "{order:?}: an old heartbeat released the assignment");
@@ -249,7 +249,7 @@
 
 /// Returns a new leader that has read the stored starts of two jobs, of which the second is a gang.
 fn leader_with_stored_starts(now: Instant) -> Cluster {
-    let mut leader = cluster(5, now);
+    let mut leader = new_cluster(5, now);
     let gang = JobSpec { shape: Shape::Gang, ..(*spec("j-2", 1)).clone() };
     leader.add_started_job(spec("j-1", 1), 1, None, now);
     leader.add_started_job(Arc::new(gang), 2, None, now);
@@ -270,9 +270,9 @@
 }
 
 /// Returns a heartbeat of the machine; `tasks` has the job, attempt and state of each task.
-fn heartbeat(sequence: u64, token: u64, tasks: &[(&str, u64, ReportedState)]) -> Heartbeat {
+fn heartbeat_with_tasks(sequence: u64, token: u64, tasks: &[(&str, u64, ReportedState)]) -> Heartbeat {
     let tasks = tasks.iter().map(|(job, attempt, state)| status(only_task(job), *attempt, *state)).collect();
-    Heartbeat { tasks, ..report(MACHINE, "z0", 1, sequence, token) }
+    Heartbeat { tasks, ..heartbeat(MACHINE, "z0", 1, sequence, token) }
 }
 
 /// Guards against the release of a running task on old heartbeats that reach a new leader: one that
@@ -287,15 +287,15 @@
     let cases = [
         // an earlier attempt is listed, and then none
         [
-            heartbeat(20, old, &[("j-1", (2 << 24) + 7, RUNNING), ("j-2", (2 << 24) + 8, RUNNING)]),
-            heartbeat(24, old, &[]),
+            heartbeat_with_tasks(20, old, &[("j-1", (2 << 24) + 7, RUNNING), ("j-2", (2 << 24) + 8, RUNNING)]),
+            heartbeat_with_tasks(24, old, &[]),
         ],
         // the stored attempts are listed, then not, and were started again after both heartbeats
-        [heartbeat(20, old, &both_running), heartbeat(24, old, &[])],
+        [heartbeat_with_tasks(20, old, &both_running), heartbeat_with_tasks(24, old, &[])],
         // a task that timed out waiting for its gang may have been started again
         [
-            heartbeat(20, old, &[("j-1", ATTEMPT, RUNNING), ("j-2", ATTEMPT, GANG_TIMEOUT)]),
-            heartbeat(24, old, &[("j-2", ATTEMPT, GANG_TIMEOUT)]),
+            heartbeat_with_tasks(20, old, &[("j-1", ATTEMPT, RUNNING), ("j-2", ATTEMPT, GANG_TIMEOUT)]),
+            heartbeat_with_tasks(24, old, &[("j-2", ATTEMPT, GANG_TIMEOUT)]),
         ],
     ];
     for (number, heartbeats) in cases.iter().enumerate() {
@@ -310,18 +310,18 @@
             );
         }
         // the first heartbeat under this term's token proves that an unlisted task is absent
-        let first = heartbeat(30, current, &[("j-1", ATTEMPT, RUNNING)]);
+        let first = heartbeat_with_tasks(30, current, &[("j-1", ATTEMPT, RUNNING)]);
         assert_eq!(leader.apply_heartbeat(&first, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
         assert_eq!(occupying_attempts(&leader), (Some(ATTEMPT), None), "case {number}");
         assert_eq!(
-            leader.apply_heartbeat(&heartbeat(31, current, &[]), HeartbeatSource::Worker, now),
+            leader.apply_heartbeat(&heartbeat_with_tasks(31, current, &[]), HeartbeatSource::Worker, now),
             HeartbeatOutcome::Applied
         );
         assert_eq!(occupying_attempts(&leader), (None, None), "case {number}");
     }
     // a heartbeat of a later incarnation proves that under any token
     let mut leader = leader_with_stored_starts(now);
-    let restarted = Heartbeat { incarnation: 2, ..heartbeat(1, old, &[]) };
+    let restarted = Heartbeat { incarnation: 2, ..heartbeat_with_tasks(1, old, &[]) };
     assert_eq!(leader.apply_heartbeat(&restarted, HeartbeatSource::Worker, now), HeartbeatOutcome::Applied);
     assert_eq!(occupying_attempts(&leader), (None, None));
 }
