--- a/packages/core/src/cluster/rental/tests.rs
+++ b/packages/core/src/cluster/rental/tests.rs
@@ -57,11 +57,11 @@
     fn requested_rentals_stay_recorded_until_answered(steps in proptest::collection::vec(
         (write_outcome(), write_outcome(), write_outcome(), 0u8..6), 1..40,
     )) {
-        use crate::sim::Records;
+        use crate::sim::RentalStore;
         use proptest::prelude::*;
         let now = Instant::now();
-        let (mut store, mut term, mut fleet, mut request) = (Records::default(), 1, Fleet::default(), 0);
-        store.leads(term);
+        let (mut store, mut term, mut fleet, mut request) = (RentalStore::default(), 1, Fleet::default(), 0);
+        store.set_leader_term(term);
         let mut delayed: Vec<Txn> = Vec::new();
         // rentals that were requested, and ids of those whose answer a leader knows
         let (mut requested, mut answered): (BTreeMap<Name, Rental>, HashSet<Name>) = Default::default();
@@ -75,11 +75,11 @@
                 count: request,
             }];
             if let Some(mut recording) = fleet.begin_recording(&wanted, term) {
-                prop_assert!(!store.has(&recording.key) || delayed.is_empty(), "the key of a new record is in use");
-                let (mut progress, leader) = (RecordProgress::Repeat, store.leader());
+                prop_assert!(!store.contains_key(&recording.key) || delayed.is_empty(), "the key of a new record is in use");
+                let (mut progress, leader) = (RecordProgress::Repeat, store.leader_revision());
                 if next_event == 3 {
                     // the leader key has changed, and this leader does not know yet
-                    store.leads(term);
+                    store.set_leader_term(term);
                 }
                 for outcome in [first, second, third] {
                     let txn = recording.txn(leader);
@@ -104,7 +104,7 @@
                     }
                 }
                 if progress == RecordProgress::Stored {
-                    prop_assert!(store.has(&recording.key), "the record is reported as stored and is absent");
+                    prop_assert!(store.contains_key(&recording.key), "the record is reported as stored and is absent");
                     fleet.mark_recorded(recording.key.clone(), &recording.rentals);
                     for rental in &recording.rentals {
                         let previous = requested.insert(rental.request_id.clone(), rental.clone());
@@ -122,7 +122,7 @@
             if next_event == 5 {
                 // the leader ends, and the next one reads the stored records
                 term += 1;
-                store.leads(term);
+                store.set_leader_term(term);
                 fleet = Fleet::default();
                 store.rentals().into_iter().for_each(|(key, rentals)| fleet.add_inherited_record(key, rentals));
                 for request in requested.keys().filter(|id| !answered.contains(*id)) {
--- a/packages/core/src/sim/mod.rs
+++ b/packages/core/src/sim/mod.rs
@@ -63,7 +63,7 @@
 pub use coralnotch_policy::example::SETTINGS;
 pub use coralnotch_wire::example::spec;
 pub use fixtures::{heartbeat, machine_type, new_cluster};
-pub use state_store::Records;
+pub use state_store::RentalStore;
 
 /// Simulated time in milliseconds since the start of a run, or a duration in milliseconds.
 type Ms = u64;
--- a/packages/core/src/sim/state_store.rs
+++ b/packages/core/src/sim/state_store.rs
@@ -107,23 +107,23 @@
 
 /// State service for tests of the rental records of machines.
 #[derive(Default)]
-pub struct Records(StateStore);
+pub struct RentalStore(StateStore);
 
-impl Records {
+impl RentalStore {
     /// Stores the leader key with the given term.
-    pub fn leads(&mut self, term: u64) {
+    pub fn set_leader_term(&mut self, term: u64) {
         let mut txn = Txn::default();
         txn.writes.push(Write::set(key::LEADER, &term));
         self.0.apply(&txn).expect("a transaction without preconditions has no conflict");
     }
 
     /// Returns the revision of the leader key, or 0 if the key does not exist.
-    pub fn leader(&self) -> u64 {
+    pub fn leader_revision(&self) -> u64 {
         self.0.revision(key::LEADER)
     }
 
     /// Reports whether a key is stored.
-    pub fn has(&self, path: &str) -> bool {
+    pub fn contains_key(&self, path: &str) -> bool {
         self.0.kv.contains_key(path)
     }
 
