--- a/src/heartbeats.rs
+++ b/src/heartbeats.rs
@@ -278,8 +278,8 @@
     fn is_partitioned_with_zone(&self, state: &ControllerState, heartbeat: &Heartbeat, now: Instant) -> bool {
         let age = |t: Instant| now.saturating_duration_since(t);
         let suspicion = PartitionSuspicion {
-            since_store_answer: age(self.store.last_served()),
-            any_answer: !self.store.is_unresponsive() || self.peers.any_reachable(self.policy.peer_limit * 3, now),
+            since_store_response: age(self.store.last_served()),
+            any_response: !self.store.is_unresponsive() || self.peers.any_reachable(self.policy.peer_limit * 3, now),
             since_remote_zone_heartbeat: state.last_remote_zone_heartbeat.map(age),
             since_user_request: state.last_user_request.map(age),
         };
--- a/src/leadership/isolation.rs
+++ b/src/leadership/isolation.rs
@@ -48,9 +48,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PartitionSuspicion {
     /// Time since the state store last served a request of this controller.
-    pub since_store_answer: Duration,
+    pub since_store_response: Duration,
     /// Whether the state store or a peer responds, even if only with an error status.
-    pub any_answer: bool,
+    pub any_response: bool,
     /// Time since the last heartbeat from a worker in another zone; `None` if there was none.
     pub since_remote_zone_heartbeat: Option<Duration>,
     /// Time since the last request from a user or the last probe from a load balancer; `None` if
@@ -67,8 +67,8 @@
     /// keep the zone's workers from a leader that they can reach.
     pub fn includes_own_zone(&self, after: Duration) -> bool {
         let exceeds = |since: Option<Duration>| since.is_none_or(|since| since > after);
-        self.since_store_answer >= after
-            && !self.any_answer
+        self.since_store_response >= after
+            && !self.any_response
             && exceeds(self.since_remote_zone_heartbeat)
             && exceeds(self.since_user_request)
     }
--- a/src/leadership/isolation/tests.rs
+++ b/src/leadership/isolation/tests.rs
@@ -54,8 +54,8 @@
     let seconds = |n| Some(Duration::from_secs(n));
     let after = Duration::from_secs(6);
     let partitioned = PartitionSuspicion {
-        since_store_answer: after * 2,
-        any_answer: false,
+        since_store_response: after * 2,
+        any_response: false,
         since_remote_zone_heartbeat: seconds(10),
         since_user_request: None,
     };
@@ -64,8 +64,8 @@
     for isolated_alone in [
         PartitionSuspicion { since_user_request: seconds(1), ..partitioned },
         PartitionSuspicion { since_remote_zone_heartbeat: seconds(1), ..partitioned },
-        PartitionSuspicion { any_answer: true, ..partitioned },
-        PartitionSuspicion { since_store_answer: after / 2, ..partitioned },
+        PartitionSuspicion { any_response: true, ..partitioned },
+        PartitionSuspicion { since_store_response: after / 2, ..partitioned },
     ] {
         assert!(!isolated_alone.includes_own_zone(after), "{isolated_alone:?}");
     }
