--- a/src/heartbeats.rs
+++ b/src/heartbeats.rs
@@ -191,7 +191,7 @@
         }
         let queue_changed = cluster.queue_changed;
         if queue_changed {
-            self.run_pass(state, now);
+            self.run_placement_pass(state, now);
         }
         let Some(cluster) = state.cluster.as_mut() else { return Ok(ReplyTiming::Immediate) };
         let has_pending_start = cluster.has_pending_write(heartbeat);
--- a/src/leader/placement.rs
+++ b/src/leader/placement.rs
@@ -20,7 +20,7 @@
             if let Some(wait) = next_pass_at.and_then(|at| at.checked_duration_since(Instant::now())) {
                 smol::Timer::after(wait).await;
             }
-            self.run_pass(&mut self.lock(), Instant::now());
+            self.run_placement_pass(&mut self.lock(), Instant::now());
             self.commit_wake.wake();
             self.command_wake.wake();
         }
@@ -29,7 +29,7 @@
     /// Runs one placement pass if this controller leads, the cluster's state is loaded and
     /// `next_pass_at` has been reached.  Then sets `next_pass_at` so that passes take no more than
     /// their share of processor time.
-    pub fn run_pass(&self, state: &mut ControllerState, now: Instant) {
+    pub fn run_placement_pass(&self, state: &mut ControllerState, now: Instant) {
         if state.next_pass_at.is_some_and(|at| now < at) || !state.is_leader(now) {
             return;
         }
