--- a/src/heartbeats.rs
+++ b/src/heartbeats.rs
@@ -14,7 +14,7 @@
 use crate::http::{self, Response};
 use crate::leadership::isolation::PartitionSuspicion;
 use crate::model::Name;
-use crate::operators::telemetry::count;
+use crate::operators::telemetry::increment;
 use crate::runtime::wake_up::with_timeout;
 use crate::workers::{
     lease_renewal_reply, Heartbeat, HeartbeatOrigin, HeartbeatOutcome, HeartbeatReply, HeartbeatSource,
@@ -72,7 +72,7 @@
         if let Some(reply) = self.redirect_to_forwarder(&heartbeat.machine, &heartbeat.zone, Instant::now()) {
             return reply;
         }
-        count(&self.telemetry.counters.heartbeats);
+        increment(&self.telemetry.counters.heartbeats);
         match self.accept_heartbeat(&heartbeat, HeartbeatRoute::Direct) {
             Ok(ReplyTiming::Immediate) => {}
             Ok(ReplyTiming::AfterCommit) => self.wait_for_commit(&[&heartbeat]).await,
@@ -292,7 +292,7 @@
     /// Returns a reply that renews the worker's lease and stops the tasks of ended jobs, for a
     /// controller that does not lead.
     fn renew_worker_lease(&self, state: &ControllerState, heartbeat: &Heartbeat, token: u64) -> HeartbeatReply {
-        count(&self.telemetry.counters.leases_renewed);
+        increment(&self.telemetry.counters.leases_renewed);
         let outcome_in_cluster =
             |id: &Name| state.cluster.as_ref().and_then(|c| c.jobs.get(id)).and_then(|j| j.outcome);
         lease_renewal_reply(heartbeat, token, |id| {
--- a/src/http_api.rs
+++ b/src/http_api.rs
@@ -6,7 +6,7 @@
 use crate::controller::Controller;
 use crate::http::{Request, Response};
 use crate::model::JobState;
-use crate::operators::telemetry::{count, TimedOperation};
+use crate::operators::telemetry::{increment, TimedOperation};
 use crate::users::query::QueryDetail;
 
 impl Controller {
@@ -23,13 +23,13 @@
             ("GET", "/v2/status") => Response::new(200, &self.status(Instant::now())),
             (_, "/healthz" | "/hello" | "/v2/status") => Response::refuse(405, "wrong method"),
             _ => {
-                count(&self.telemetry.counters.requests);
+                increment(&self.telemetry.counters.requests);
                 self.lock().last_user_request = Some(Instant::now());
                 // boxed, because otherwise the future of every connection would be as large as that of
                 // the largest user's request, although most connections are those of workers
                 let response = Box::pin(self.route_user_request(&request)).await;
                 if response.status == 503 {
-                    count(&self.telemetry.counters.refused);
+                    increment(&self.telemetry.counters.refused);
                 }
                 response
             }
--- a/src/leader/commit.rs
+++ b/src/leader/commit.rs
@@ -6,7 +6,7 @@
 use crate::controller::Controller;
 use crate::leadership::lease::LeaderLease;
 use crate::leadership::step_down::StepDownReason;
-use crate::operators::telemetry::{count, TimedOperation};
+use crate::operators::telemetry::{increment, TimedOperation};
 use crate::state_store::client::{key, StoreError, TxnOutcome};
 
 /// Longest wait for a wake-up before the loop checks again for changes to commit.
@@ -31,7 +31,7 @@
             let now = Instant::now();
             self.telemetry.record(TimedOperation::Commit, now - started_at);
             if !matches!(outcome, Ok(TxnOutcome::Done(_))) {
-                count(&self.telemetry.counters.commits_failed);
+                increment(&self.telemetry.counters.commits_failed);
             }
             match outcome {
                 Ok(TxnOutcome::Done(revision)) => self.apply_committed(batch, revision, now),
--- a/src/leader/direct_commands.rs
+++ b/src/leader/direct_commands.rs
@@ -8,7 +8,7 @@
 use crate::controller::Controller;
 use crate::http;
 use crate::leadership::step_down::StepDownReason;
-use crate::operators::telemetry::count;
+use crate::operators::telemetry::increment;
 use crate::workers::{DirectCommand, Heartbeat};
 
 /// Longest wait for a wake-up before the loop checks again for commands to send.
@@ -75,9 +75,9 @@
 
     fn apply_direct_result(&self, result: &DirectCommandResult) {
         if let Some(cluster) = self.lock().cluster.as_mut() {
-            count(&self.telemetry.counters.direct_calls);
+            increment(&self.telemetry.counters.direct_calls);
             if result.heartbeat.is_none() {
-                count(&self.telemetry.counters.direct_calls_lost);
+                increment(&self.telemetry.counters.direct_calls_lost);
             }
             cluster.apply_direct_result(&result.command, result.heartbeat.as_ref(), Instant::now());
             if cluster.queue_changed {
--- a/src/operators/telemetry.rs
+++ b/src/operators/telemetry.rs
@@ -63,7 +63,7 @@
 }
 
 /// Adds one to a counter.
-pub fn count(counter: &AtomicU64) {
+pub fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
--- a/src/peers/forwarding/inbound.rs
+++ b/src/peers/forwarding/inbound.rs
@@ -8,7 +8,7 @@
 use crate::controller::Controller;
 use crate::heartbeats::{HeartbeatRoute, ReplyTiming};
 use crate::http::{self, Response};
-use crate::operators::telemetry::count;
+use crate::operators::telemetry::increment;
 use crate::peers::links::wire;
 use crate::workers::Heartbeat;
 
@@ -43,8 +43,8 @@
 
     /// Accepts one heartbeat of a batch.
     fn accept_forwarded(&self, forwarded: wire::Report) -> ForwardedReply {
-        count(&self.telemetry.counters.heartbeats);
-        count(&self.telemetry.counters.heartbeats_forwarded);
+        increment(&self.telemetry.counters.heartbeats);
+        increment(&self.telemetry.counters.heartbeats_forwarded);
         if forwarded.full.is_empty() {
             return ForwardedReply::Ready(self.accept_unchanged(forwarded));
         }
--- a/src/peers/relay.rs
+++ b/src/peers/relay.rs
@@ -4,7 +4,7 @@
 
 use crate::controller::Controller;
 use crate::http::{Request, Response};
-use crate::operators::telemetry::count;
+use crate::operators::telemetry::increment;
 use crate::peers::links::{lock, wire, PeerLink};
 
 impl Controller {
@@ -20,7 +20,7 @@
             let answer =
                 self.peers.call(link, self.policy.peer_limit, |mut client| async move { client.relay(message).await });
             if let Some(relayed) = answer.await.filter(|a| a.status != 503 && (200..600).contains(&a.status)) {
-                count(&self.telemetry.counters.relayed);
+                increment(&self.telemetry.counters.relayed);
                 let retry_after = (relayed.retry_after_s > 0).then_some(relayed.retry_after_s);
                 return Some(Response {
                     status: relayed.status as u16,
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -8,7 +8,7 @@
 use crate::controller::Controller;
 use crate::job_index::{EndedJob, OpenJob};
 use crate::model::*;
-use crate::operators::telemetry::count;
+use crate::operators::telemetry::increment;
 use crate::runtime::wake_up::with_timeout;
 use crate::state_store::client::{key, read_value, StoreError, TxnOutcome};
 use crate::users::queues::LookupRequest;
@@ -64,7 +64,7 @@
         let (reply, result) = smol::channel::bounded(1);
         let request = LookupRequest { id: id.clone(), reply };
         if self.user_requests.lookups.sender.try_send(request).is_err() {
-            count(&self.telemetry.counters.lookups_refused);
+            increment(&self.telemetry.counters.lookups_refused);
             return None;
         }
         with_timeout(QUERY_TIMEOUT, result.recv()).await?.ok()?
