--- a/packages/policy/src/config.rs
+++ b/packages/policy/src/config.rs
@@ -124,7 +124,7 @@
     /// Returns the stricter of the current and the future value of each limit.
     ///
     /// A controller always stays within these limits, as the limits change without notice.
-    pub fn least(&self) -> State {
+    pub fn strictest_limits(&self) -> State {
         let next = self.next.clone().unwrap_or_default();
         State {
             rps: self.rps.min(next.rps.unwrap_or(self.rps)),
@@ -252,7 +252,7 @@
                 );
             }
         }
-        let (workers, limits) = (&deployment.workers, deployment.state.least());
+        let (workers, limits) = (&deployment.workers, deployment.state.strictest_limits());
         for (key, value) in [
             ("deployment.workers.report_s", workers.report_s),
             ("deployment.workers.lease_s", workers.lease_s),
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -82,7 +82,7 @@
         let policy = Arc::new(policy);
         // The store's limits change without an announcement, so the controller keeps within both
         // the current and the next ones.
-        let store_limits = &config.deployment.state.least();
+        let store_limits = &config.deployment.state.strictest_limits();
         let store_rps = store_limits.rps;
         let cloud_rps = config.deployment.cloud.rps;
         // The write rate allows at most this number of cancellations within `cancel`, the time in
