--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -19,7 +19,8 @@
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let file = std::env::args().nth(1).ok_or("usage: embed SETTINGS")?;
     let config = Config::load(Path::new(&file))?;
-    let text = |list: Vec<_>| list.iter().map(|f: &coralnotch::policy::check::Fault| f.to_string()).collect::<String>();
+    let text =
+        |list: Vec<_>| list.iter().map(|f: &coralnotch::policy::check::PolicyError| f.to_string()).collect::<String>();
     let policy = Policy::new(&config).map_err(text)?;
 
     let now = Instant::now();
--- a/packages/policy/src/policy/check.rs
+++ b/packages/policy/src/policy/check.rs
@@ -44,7 +44,7 @@
 
 /// An error in a policy file, with its position.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Fault {
+pub struct PolicyError {
     /// Name of the policy file.
     pub file: String,
     /// Line on which the definition starts, counted from 1.
@@ -59,7 +59,7 @@
     pub hint: Option<String>,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for PolicyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "{}:{}:{}: {}", self.file, self.line, self.column, self.message)?;
         writeln!(f, "  | {}", self.text)?;
@@ -85,8 +85,8 @@
 }
 
 impl SourcedDefinition {
-    fn fault(&self, span: &Range<usize>, message: String, hint: Option<String>) -> Fault {
-        Fault {
+    fn error(&self, span: &Range<usize>, message: String, hint: Option<String>) -> PolicyError {
+        PolicyError {
             file: self.file.clone(),
             line: self.line,
             column: span.start + 1,
@@ -97,8 +97,8 @@
     }
 }
 
-/// Parses the text of a policy file into its definitions, and adds syntax errors to `faults`.
-pub fn parse_file(file: &str, text: &str, faults: &mut Vec<Fault>) -> Vec<SourcedDefinition> {
+/// Parses the text of a policy file into its definitions, and adds syntax errors to `errors`.
+pub fn parse_file(file: &str, text: &str, errors: &mut Vec<PolicyError>) -> Vec<SourcedDefinition> {
     let mut joined_lines: Vec<(usize, String)> = Vec::new();
     for (index, line) in text.lines().enumerate() {
         let code = line.split('#').next().unwrap_or_default().trim_end();
@@ -121,7 +121,14 @@
                     "syntax error"
                 };
                 let hint = (!text.contains('=')).then(|| "a definition has the form: name = expression".to_owned());
-                faults.push(Fault { file: file.into(), line, column: at + 1, text, message: message.into(), hint });
+                errors.push(PolicyError {
+                    file: file.into(),
+                    line,
+                    column: at + 1,
+                    text,
+                    message: message.into(),
+                    hint,
+                });
             }
         }
     }
@@ -145,7 +152,7 @@
     /// Values of the definitions evaluated so far, by name; `None` for a definition with an error.
     pub values: HashMap<String, Option<Value>>,
     /// Errors found so far.
-    pub faults: Vec<Fault>,
+    pub errors: Vec<PolicyError>,
     /// Names of the definitions under evaluation, outermost first.
     in_progress: Vec<String>,
 }
@@ -163,10 +170,10 @@
 impl<'a> Evaluation<'a> {
     /// Creates an evaluation in which no definition is evaluated yet.
     pub fn new(definitions: &'a BTreeMap<String, SourcedDefinition>, settings: &'a HashMap<String, Value>) -> Self {
-        Evaluation { definitions, settings, values: HashMap::new(), faults: Vec::new(), in_progress: Vec::new() }
+        Evaluation { definitions, settings, values: HashMap::new(), errors: Vec::new(), in_progress: Vec::new() }
     }
 
-    /// Evaluates a definition, with the definitions that it uses, and adds errors to `faults`.
+    /// Evaluates a definition, with the definitions that it uses, and adds errors to `errors`.
     ///
     /// Returns `None` if the definition does not exist or has an error.
     pub fn value(&mut self, name: &str) -> Option<Value> {
@@ -179,7 +186,7 @@
         self.in_progress.pop();
         let value = match result {
             Ok(Value::Number(n) | Value::Duration(n)) if !n.is_finite() => {
-                self.faults.push(sourced.fault(
+                self.errors.push(sourced.error(
                     &sourced.definition.value.span,
                     format!("the value of {name} is not a finite number"),
                     None,
@@ -188,7 +195,7 @@
             }
             Ok(value) => Some(value),
             Err(EvaluationError::Invalid(span, message, hint)) => {
-                self.faults.push(sourced.fault(&span, message, hint));
+                self.errors.push(sourced.error(&span, message, hint));
                 None
             }
             Err(EvaluationError::InvalidReference) => None,
--- a/packages/policy/src/policy/mod.rs
+++ b/packages/policy/src/policy/mod.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use crate::config::Config;
-use check::{suggest, Evaluation, Fault, SourcedDefinition, Value};
+use check::{suggest, Evaluation, PolicyError, SourcedDefinition, Value};
 
 const DEFAULT_POLICY: &str = include_str!("default.policy");
 const DEFAULT_POLICY_NAME: &str = "(default policy)";
@@ -309,32 +309,32 @@
 /// Returns all errors of the policy: syntax errors, unknown names, type errors, values out of range and
 /// conditions between tunables that do not hold.
 #[expect(clippy::too_many_lines, reason = "one step for each kind of error, as all errors are reported together")]
-pub fn check(config: &Config, policy_file: Option<(&str, &str)>) -> Result<CheckedPolicy, Vec<Fault>> {
-    let mut faults = Vec::new();
+pub fn check(config: &Config, policy_file: Option<(&str, &str)>) -> Result<CheckedPolicy, Vec<PolicyError>> {
+    let mut errors = Vec::new();
     let mut definitions: BTreeMap<String, SourcedDefinition> = BTreeMap::new();
-    for sourced in check::parse_file(DEFAULT_POLICY_NAME, DEFAULT_POLICY, &mut faults) {
+    for sourced in check::parse_file(DEFAULT_POLICY_NAME, DEFAULT_POLICY, &mut errors) {
         definitions.insert(sourced.definition.name.clone(), sourced);
     }
     let settings = settings(config);
     let is_tunable = |name: &str| SCHEMA.iter().any(|tunable| tunable.0 == name);
     let mut first_lines: BTreeMap<String, usize> = BTreeMap::new();
-    for sourced in policy_file.map(|(file, text)| check::parse_file(file, text, &mut faults)).unwrap_or_default() {
+    for sourced in policy_file.map(|(file, text)| check::parse_file(file, text, &mut errors)).unwrap_or_default() {
         let name = sourced.definition.name.clone();
-        let mut add_fault = |message: String, hint| {
+        let mut add_error = |message: String, hint| {
             let SourcedDefinition { file, line, text, .. } = sourced.clone();
-            faults.push(Fault { file, line, column: 1, text, message, hint });
+            errors.push(PolicyError { file, line, column: 1, text, message, hint });
         };
         if settings.contains_key(&name) {
-            add_fault(format!("{name} is a setting of the platform and cannot be defined in a policy file"), None);
+            add_error(format!("{name} is a setting of the platform and cannot be defined in a policy file"), None);
         } else if sourced.definition.is_helper && is_tunable(&name) {
-            add_fault(format!("{name} is a tunable and must be defined without `let`"), None);
+            add_error(format!("{name} is a tunable and must be defined without `let`"), None);
         } else if !sourced.definition.is_helper && !is_tunable(&name) {
-            add_fault(
+            add_error(
                 format!("unknown tunable {name} (helpers are defined by `let`)"),
                 suggest(&name, SCHEMA.iter().map(|tunable| tunable.0)),
             );
         } else if let Some(line) = first_lines.insert(name.clone(), sourced.line) {
-            add_fault(format!("{name} is defined twice, first in line {line}"), None);
+            add_error(format!("{name} is defined twice, first in line {line}"), None);
         } else {
             definitions.insert(name, sourced);
         }
@@ -343,19 +343,19 @@
     for name in definitions.keys() {
         evaluation.value(name);
     }
-    let (values, evaluation_faults) = (evaluation.values, evaluation.faults);
-    faults.extend(evaluation_faults);
-    let mut add_fault = |name: &str, message: String| {
+    let (values, evaluation_errors) = (evaluation.values, evaluation.errors);
+    errors.extend(evaluation_errors);
+    let mut add_error = |name: &str, message: String| {
         if let Some(SourcedDefinition { file, line, text, definition }) = definitions.get(name).cloned() {
-            faults.push(Fault { file, line, column: definition.value.span.start + 1, text, message, hint: None });
+            errors.push(PolicyError { file, line, column: definition.value.span.start + 1, text, message, hint: None });
         }
     };
     for (name, kind, low, high) in SCHEMA {
         let Some(value) = values.get(*name).copied().flatten() else { continue };
         match value {
-            value if value.kind() != *kind => add_fault(name, format!("{name} must be {kind}, not {}", value.kind())),
+            value if value.kind() != *kind => add_error(name, format!("{name} must be {kind}, not {}", value.kind())),
             Value::Number(n) | Value::Duration(n) if !(*low..=*high).contains(&n) => {
-                add_fault(
+                add_error(
                     name,
                     format!("{name} is {value}, outside the allowed range {low} to {high} (in seconds for a duration)"),
                 );
@@ -366,18 +366,18 @@
     for (relation, reason) in RELATIONS {
         // an error is reported at the definition that the condition names first
         let mut with_relation = definitions.clone();
-        let mut ignored_faults = Vec::new();
-        for sourced in check::parse_file("relation", &format!("let relation = {relation}"), &mut ignored_faults) {
+        let mut ignored_errors = Vec::new();
+        for sourced in check::parse_file("relation", &format!("let relation = {relation}"), &mut ignored_errors) {
             with_relation.insert("relation".into(), sourced);
         }
         let mut evaluation = Evaluation::new(&with_relation, &settings);
         if evaluation.value("relation") == Some(Value::Bool(false)) {
             let subject = relation.split_whitespace().next().unwrap_or_default();
-            add_fault(subject, format!("the required condition {relation} does not hold: {reason}"));
+            add_error(subject, format!("the required condition {relation} does not hold: {reason}"));
         }
     }
     match Policy::from_values(&values) {
-        Some(policy) if faults.is_empty() => {
+        Some(policy) if errors.is_empty() => {
             let origin = |(name, sourced): (&String, &SourcedDefinition)| {
                 let value = values.get(name).copied().flatten().map_or_else(String::new, |value| value.to_string());
                 let text = sourced.text.split_once('=').map_or("", |parts| parts.1).trim();
@@ -386,7 +386,7 @@
             let origins = definitions.iter().map(origin).collect();
             Ok(CheckedPolicy { policy, origins })
         }
-        _ => Err(faults),
+        _ => Err(errors),
     }
 }
 
@@ -397,7 +397,7 @@
     ///
     /// Returns the errors of the default policy if the settings are so unusual that it is not valid for
     /// them.
-    pub fn new(config: &Config) -> Result<Policy, Vec<Fault>> {
+    pub fn new(config: &Config) -> Result<Policy, Vec<PolicyError>> {
         check(config, None).map(|checked| checked.policy)
     }
 }
--- a/packages/policy/src/policy/tests.rs
+++ b/packages/policy/src/policy/tests.rs
@@ -6,10 +6,10 @@
 }
 
 /// Returns the errors of a policy file as `LINE:COLUMN MESSAGE HINT`.
-fn faults(text: &str) -> Vec<String> {
+fn errors(text: &str) -> Vec<String> {
     match check(&config(), Some(("own", text))) {
         Ok(_) => Vec::new(),
-        Err(faults) => faults
+        Err(errors) => errors
             .iter()
             .map(|f| format!("{}:{} {} {}", f.line, f.column, f.message, f.hint.clone().unwrap_or_default()))
             .collect(),
@@ -37,7 +37,7 @@
 #[test]
 fn errors_of_every_kind_are_reported_together() {
     let text = "idel = 3s\nidle = workers.lease\nfresh = 3\ndeaf = 1s / 0\nsilent = fresh + 1\nlet a = b\nlet b = a\nttl = renew * 1.5\nkept_share = 99\nhorizon_s = (3s\nlet c = mim(1, 2)\nrenew = 1s\nrenew = 2s\n";
-    let found = faults(text).join("\n");
+    let found = errors(text).join("\n");
     for part in [
         "1:1 unknown tunable idel (helpers are defined by `let`) did you mean idle?",
         "2:8 unknown name workers.lease did you mean workers.lease_s?",
--- a/src/commands/cli.rs
+++ b/src/commands/cli.rs
@@ -13,7 +13,7 @@
 use crate::commands::submit::{submit, SubmitOptions};
 use crate::commands::text::{explained_text, job_text, status_text};
 use crate::config::Config;
-use crate::policy::check::Fault;
+use crate::policy::check::PolicyError;
 use crate::policy::CheckedPolicy;
 
 #[derive(Parser)]
@@ -169,11 +169,11 @@
     ReadPolicy { file: PathBuf, source: std::io::Error },
     /// All errors of the policy.  Each names its file and line.
     #[error("{}", join_lines(.0))]
-    Policy(Vec<Fault>),
+    Policy(Vec<PolicyError>),
 }
 
-fn join_lines(faults: &[Fault]) -> String {
-    let lines: Vec<String> = faults.iter().map(Fault::to_string).collect();
+fn join_lines(errors: &[PolicyError]) -> String {
+    let lines: Vec<String> = errors.iter().map(PolicyError::to_string).collect();
     lines.join("\n")
 }
 
