--- a/packages/policy/src/config.rs
+++ b/packages/policy/src/config.rs
@@ -7,14 +7,15 @@
 
 /// An error in a settings file, or in reading it.
 #[derive(Debug, thiserror::Error)]
-#[error("{file}: {key}: {reason}")]
+#[error("{file}: {key}:{}{reason}", if .reason.starts_with('\n') { "" } else { " " })]
 pub struct Error {
     /// Path of the settings file.
     pub file: String,
     /// The invalid key with its tables, as in `deployment.size`; the failed step if the error
     /// belongs to no single key.
     pub key: String,
-    /// Why the value of the key is rejected, and which values are allowed.
+    /// Why the value of the key is rejected, and which values are allowed.  A reason of several lines
+    /// starts with a line break, so that a caret in it points at the right column.
     pub reason: String,
 }
 
@@ -229,7 +230,7 @@
         let config: Config = toml::from_str(text).map_err(|error| Error {
             file: file.into(),
             key: "invalid settings file".into(),
-            reason: error.to_string().trim().replace('\n', " | "),
+            reason: format!("\n{}", error.to_string().trim()),
         })?;
         config.check().map_err(|(key, reason)| Error { file: file.into(), key, reason })?;
         Ok(config)
@@ -298,3 +299,6 @@
         Ok(())
     }
 }
+
+#[cfg(test)]
+mod tests;
