--- a/packages/core/src/cluster/mod.rs
+++ b/packages/core/src/cluster/mod.rs
@@ -59,8 +59,8 @@
     pub zones_with_controller: BTreeSet<Name>,
     /// When the term of this leader began.
     pub term_started_at: Instant,
-    /// When this controller last resumed after a stall.  Earlier time does not count as time
-    /// without heartbeats.
+    /// When the last stall of this controller ended.  Earlier time does not count as time without
+    /// heartbeats.
     pub last_stall_ended_at: Instant,
     /// State of the requests to the cloud, such as rentals of machines.
     pub fleet: Fleet,
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -75,7 +75,7 @@
         self.user_requests.lookup_limiter.acquire(requests).await;
     }
 
-    /// Sends the transactions of a lookup until the lookup is settled.  Returns `false` if the state
+    /// Sends the transactions of a lookup until the lookup is complete.  Returns `false` if the state
     /// service does not answer, or if a conflict names no key that the lookup did not know to exist.
     pub(super) async fn run_lookup(&self, lookup: &mut Lookup) -> bool {
         while let Some(txn) = lookup.txn() {
@@ -108,7 +108,7 @@
     /// Looks up a batch of ids, and replies to each request.
     async fn look_up_batch(&self, mut batch: Vec<LookupRequest>) {
         let mut lookup = Lookup::new(batch.iter().map(|request| &request.id));
-        let is_settled = self.run_lookup(&mut lookup).await;
+        let is_complete = self.run_lookup(&mut lookup).await;
         for id in lookup.ended() {
             self.throttle_lookup(2.0).await;
             let result = match self.read_stored_job(&id).await {
@@ -120,7 +120,7 @@
             }
         }
         for request in batch {
-            let result = if is_settled { lookup.found(&request.id) } else { None };
+            let result = if is_complete { lookup.found(&request.id) } else { None };
             let _ = request.reply.try_send(result);
         }
     }
