--- a/benches/history/main.rs
+++ b/benches/history/main.rs
@@ -101,7 +101,7 @@
         checkpoint_s: 20.0,
         save_s: 6.0,
         deadline_s: Some(250.0),
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -73,7 +73,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     };
     cluster.add_job(Arc::new(spec), 1, None, now);
     for unplaced in cluster.run_placement_pass(now) {
--- a/packages/client/examples/nightly.rs
+++ b/packages/client/examples/nightly.rs
@@ -32,7 +32,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     })
 }
 
--- a/packages/client/src/client/dispatch/tests.rs
+++ b/packages/client/src/client/dispatch/tests.rs
@@ -29,8 +29,8 @@
 }
 
 fn add_job(shared: &Shared, id: &str, needs: &[&str], now: Instant) {
-    let needs = needs.iter().map(|id| Name::from(*id)).collect();
-    let spec = JobSpec { needs, ..(*spec(id, 1)).clone() };
+    let dependencies = needs.iter().map(|id| Name::from(*id)).collect();
+    let spec = JobSpec { dependencies, ..(*spec(id, 1)).clone() };
     track_job(&mut shared.lock(), &shared.counters, JobRecord::new(&spec), now);
 }
 
--- a/packages/client/src/client/state.rs
+++ b/packages/client/src/client/state.rs
@@ -68,7 +68,7 @@
         }
         let is_unaccepted =
             |dependency: &&Name| self.jobs.get(*dependency).is_some_and(|tracked| is_awaiting_acceptance(&tracked.job));
-        job.spec().needs.iter().find(is_unaccepted).cloned()
+        job.spec().dependencies.iter().find(is_unaccepted).cloned()
     }
 
     /// Schedules the jobs that wait for the job `id`, once that job is accepted or
--- a/packages/core/src/cluster/admission.rs
+++ b/packages/core/src/cluster/admission.rs
@@ -15,7 +15,7 @@
         if self.jobs.contains_key(&spec.id) {
             return;
         }
-        if outcome.is_none() && !spec.needs.is_empty() {
+        if outcome.is_none() && !spec.dependencies.is_empty() {
             let status_of = |id: &Name| match self.jobs.get(id) {
                 Some(job) => job.outcome.map_or(DependencyStatus::Open, DependencyStatus::Ended),
                 None => DependencyStatus::Unknown,
--- a/packages/core/src/cluster/job.rs
+++ b/packages/core/src/cluster/job.rs
@@ -245,7 +245,7 @@
     /// a deadline of its own and depends on other jobs, or a dependent's deadline applies.
     pub fn has_deadline_in_chain(&self) -> bool {
         let own_deadline = Urgency::own(&self.spec, self.first_seen).deadline;
-        let is_own = self.spec.needs.is_empty() && self.urgency.deadline == own_deadline;
+        let is_own = self.spec.dependencies.is_empty() && self.urgency.deadline == own_deadline;
         self.urgency.deadline.is_some() && !is_own
     }
 
--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -206,7 +206,7 @@
     cluster.add_shard(id, shard.clone(), &locations, Instant::now());
     assert_same("page", Write::set("x", &cluster.shard_record(&shard)));
     let job: JobSpec = read_value("x", value("job").value).expect("a job");
-    assert!(job.needs.is_empty() && job.validation_error().is_none());
+    assert!(job.dependencies.is_empty() && job.validation_error().is_none());
     assert_same("job", Write::set("x", &job));
     let outcome: OutcomeRecord = read_value("x", value("fate").value).expect("an outcome");
     assert_same("fate", Write::set("x", &outcome));
@@ -216,7 +216,7 @@
     assert_same("rentals", Write::set("x", &rentals));
     // The production version ignores unknown fields.  A job with dependencies is therefore
     // stored only once no controller runs that version any more.
-    let chained = JobSpec { needs: vec!["j-1".into()], ..job };
+    let chained = JobSpec { dependencies: vec!["j-1".into()], ..job };
     assert_ne!(serde_json::to_value(&chained).expect("JSON"), golden["job"]);
 }
 
@@ -285,8 +285,8 @@
     let now = Instant::now();
     let mut cluster = new_cluster(1, now);
     let job_with_needs = |id: &str, needs: &[&str]| {
-        let needs = needs.iter().map(|needed| Name::from(*needed)).collect();
-        Arc::new(JobSpec { needs, ..(*spec(id, 1)).clone() })
+        let dependencies = needs.iter().map(|needed| Name::from(*needed)).collect();
+        Arc::new(JobSpec { dependencies, ..(*spec(id, 1)).clone() })
     };
     cluster.add_job(spec("j-1", 1), 1, None, now);
     cluster.add_job(spec("j-2", 1), 2, None, now);
@@ -327,7 +327,7 @@
     let now = Instant::now();
     for (outcome, is_released) in [(JobOutcome::Done, true), (JobOutcome::Cancelled, false)] {
         let mut cluster = new_cluster(2, now);
-        let last = JobSpec { needs: vec!["j-1".into()], ..(*spec("j-2", 1)).clone() };
+        let last = JobSpec { dependencies: vec!["j-1".into()], ..(*spec("j-2", 1)).clone() };
         cluster.add_job(Arc::new(last), 2, None, now);
         assert_eq!(cluster.dependencies.unknown_dependencies(), ["j-1".into()]);
         cluster.add_job(spec("j-1", 1), 1, Some(outcome), now);
--- a/packages/core/src/dependency.rs
+++ b/packages/core/src/dependency.rs
@@ -92,7 +92,7 @@
         }
         let mut missing = BTreeSet::new();
         let mut depends_on_cancelled_job = false;
-        for dependency in &spec.needs {
+        for dependency in &spec.dependencies {
             let is_blocked = self.blocked.contains_key(dependency);
             let status = if is_blocked { DependencyStatus::Open } else { status_of(dependency) };
             depends_on_cancelled_job |= status == DependencyStatus::Ended(JobOutcome::Cancelled)
--- a/packages/core/src/dependency/tests.rs
+++ b/packages/core/src/dependency/tests.rs
@@ -9,7 +9,7 @@
 }
 
 fn job(n: usize, needs: &[usize], priority: Priority) -> Arc<JobSpec> {
-    Arc::new(JobSpec { needs: needs.iter().map(|n| id(*n)).collect(), priority, ..(*spec(&id(n), 1)).clone() })
+    Arc::new(JobSpec { dependencies: needs.iter().map(|n| id(*n)).collect(), priority, ..(*spec(&id(n), 1)).clone() })
 }
 
 /// A reference model that computes every result from all jobs each time.
@@ -28,10 +28,10 @@
         !self.outcomes.contains_key(id)
     }
     fn is_blocked(&self, j: &JobSpec) -> bool {
-        self.is_open(&j.id) && j.needs.iter().any(|n| self.outcomes.get(n) != Some(&JobOutcome::Done))
+        self.is_open(&j.id) && j.dependencies.iter().any(|n| self.outcomes.get(n) != Some(&JobOutcome::Done))
     }
     fn depends_on_cancelled_job(&self, id: &Name) -> bool {
-        let needs = self.spec(id).map(|j| j.needs.clone()).unwrap_or_default();
+        let needs = self.spec(id).map(|j| j.dependencies.clone()).unwrap_or_default();
         self.is_open(id)
             && needs.iter().any(|n| {
                 self.outcomes.get(n) == Some(&JobOutcome::Cancelled)
@@ -40,7 +40,7 @@
     }
     fn priority(&self, id: &Name) -> Priority {
         let own = self.spec(id).map_or(Priority::Low, |j| j.priority);
-        let dependents = self.jobs.iter().filter(|j| self.is_blocked(j) && j.needs.contains(id));
+        let dependents = self.jobs.iter().filter(|j| self.is_blocked(j) && j.dependencies.contains(id));
         dependents.map(|j| self.priority(&j.id)).fold(own, Priority::min)
     }
 }
--- a/packages/core/src/job_index.rs
+++ b/packages/core/src/job_index.rs
@@ -135,13 +135,14 @@
     pub fn cancelled_dependency(&self, id: &str) -> CancelledDependency {
         let mut visited = HashSet::new();
         let mut unknown = Vec::new();
-        let mut to_visit: Vec<&Name> = self.open.get(id).map(|job| job.spec.needs.iter().collect()).unwrap_or_default();
+        let mut to_visit: Vec<&Name> =
+            self.open.get(id).map(|job| job.spec.dependencies.iter().collect()).unwrap_or_default();
         while let Some(dependency) = to_visit.pop() {
             if !visited.insert(dependency) {
                 continue;
             }
             if let Some(job) = self.open.get(dependency) {
-                to_visit.extend(&job.spec.needs);
+                to_visit.extend(&job.spec.dependencies);
                 continue;
             }
             match self.dependency_outcomes.get(dependency).copied().or_else(|| self.outcome(dependency)) {
@@ -174,7 +175,7 @@
         if self.open.contains_key(&spec.id) || self.ended.contains(&spec.id) {
             return false;
         }
-        self.edges.add(&spec.id, &spec.needs);
+        self.edges.add(&spec.id, &spec.dependencies);
         self.open.insert(spec.id.clone(), OpenJob { spec, revision });
         true
     }
@@ -197,7 +198,7 @@
             self.dependency_outcomes.insert(id.into(), outcome);
         }
         let Some(OpenJob { spec, revision }) = self.open.remove(id) else { return false };
-        self.remove_dependencies(id, &spec.needs);
+        self.remove_dependencies(id, &spec.dependencies);
         self.insert_ended(EndedJob { spec, revision, outcome });
         true
     }
@@ -220,7 +221,7 @@
     /// Inserts an ended job, and removes it from the unfinished jobs if necessary.
     pub fn insert_ended(&mut self, job: EndedJob) {
         if self.open.remove(&job.spec.id).is_some() {
-            self.remove_dependencies(&job.spec.id, &job.spec.needs);
+            self.remove_dependencies(&job.spec.id, &job.spec.dependencies);
         }
         self.ended.put(job.spec.id.clone(), job);
     }
--- a/packages/core/src/job_index/tests.rs
+++ b/packages/core/src/job_index/tests.rs
@@ -7,8 +7,8 @@
 #[test]
 fn direct_and_indirect_cancelled_dependencies_are_found() {
     let job = |id: &str, needs: &[&str]| {
-        let needs = needs.iter().map(|need| Name::from(*need)).collect();
-        Arc::new(JobSpec { needs, ..(*spec(id, 1)).clone() })
+        let dependencies = needs.iter().map(|need| Name::from(*need)).collect();
+        Arc::new(JobSpec { dependencies, ..(*spec(id, 1)).clone() })
     };
     let mut index = JobIndex::new(2);
     index.insert_seen(job("j-1", &[]), 1);
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -67,7 +67,7 @@
     cluster.add_job(Arc::new(low_priority_job("j-2")), 2, None, now);
     cluster.add_job(Arc::new(low_priority_job("j-4")), 4, None, now);
     let dependent = JobSpec {
-        needs: vec!["j-2".into()],
+        dependencies: vec!["j-2".into()],
         priority: Priority::High,
         deadline_s: Some(60.0),
         ..low_priority_job("j-3")
--- a/packages/core/src/sim/election.rs
+++ b/packages/core/src/sim/election.rs
@@ -159,7 +159,7 @@
     /// `IgnoreDependencies`.
     pub(super) fn spec_under_defect(&self, spec: &Arc<JobSpec>) -> Arc<JobSpec> {
         match self.defect {
-            InjectedDefect::IgnoreDependencies => Arc::new(JobSpec { needs: Vec::new(), ..(**spec).clone() }),
+            InjectedDefect::IgnoreDependencies => Arc::new(JobSpec { dependencies: Vec::new(), ..(**spec).clone() }),
             _ => spec.clone(),
         }
     }
--- a/packages/core/src/sim/invariants.rs
+++ b/packages/core/src/sim/invariants.rs
@@ -17,7 +17,7 @@
         if confirmed_at.is_some_and(|at| self.now - at > CANCELLATION_GRACE) {
             self.violations.push(format!("ran_cancelled: {task} starts too long after its cancellation was confirmed"));
         }
-        if let Some(id) = spec.needs.iter().find(|id| self.state_store.outcome(id) != Some(JobOutcome::Done)) {
+        if let Some(id) = spec.dependencies.iter().find(|id| self.state_store.outcome(id) != Some(JobOutcome::Done)) {
             self.violations.push(format!("too_early: {task} starts before its dependency {id} is done"));
         }
     }
@@ -128,14 +128,14 @@
                 Some(JobOutcome::Done) => None,
                 None => known_since.get(need).copied(),
             };
-            let Some(since) = spec.needs.iter().filter_map(cancelled_since).min() else { continue };
+            let Some(since) = spec.dependencies.iter().filter_map(cancelled_since).min() else { continue };
             let since = since.max(self.submitted_at[id]);
             let is_reported_unfinished =
                 self.now - since > CANCELLATION_GRACE && (0..3).any(|i| self.may_report_unfinished(i, id));
             let lacks_outcome = self.state_store.outcome(id).is_none()
                 && self.now - since.max(self.served_leader_since) > CASCADE_GRACE;
             if is_reported_unfinished || lacks_outcome {
-                violations.push(format!("orphaned: {id} is unfinished or reported as unfinished, although one of its dependencies {:?} was cancelled at {since}", spec.needs));
+                violations.push(format!("orphaned: {id} is unfinished or reported as unfinished, although one of its dependencies {:?} was cancelled at {since}", spec.dependencies));
             }
             known_since.insert(id, since);
         }
--- a/packages/core/src/sim/snapshots.rs
+++ b/packages/core/src/sim/snapshots.rs
@@ -119,7 +119,7 @@
                 return true;
             }
             if !has_ended && seen.insert(id) {
-                next.extend(&self.jobs[id].spec.needs);
+                next.extend(&self.jobs[id].spec.dependencies);
             }
         }
         false
--- a/packages/core/src/sim/starvation.rs
+++ b/packages/core/src/sim/starvation.rs
@@ -26,7 +26,7 @@
         };
         let leaders = self.controllers.iter().flatten().filter(|controller| controller.has_lease(self.now));
         let blocked = leaders.flat_map(|leader| leader.cluster.dependencies.blocked());
-        let overdue = blocked.filter(|job| job.spec.needs.iter().all(is_done_past_grace));
+        let overdue = blocked.filter(|job| job.spec.dependencies.iter().all(is_done_past_grace));
         overdue.map(|job| job.spec.id.to_string()).collect()
     }
 
@@ -112,7 +112,7 @@
         let has_finished_task = (0..spec.tasks).any(|index| self.has_finished(id, index));
         self.state_store.outcome(id).is_none()
             && !has_finished_task
-            && spec.needs.iter().all(is_done)
+            && spec.dependencies.iter().all(is_done)
             && !self.failing_jobs.contains(id)
     }
 
--- a/packages/core/src/sim/tests.rs
+++ b/packages/core/src/sim/tests.rs
@@ -25,7 +25,8 @@
         assert_eq!(world.blocked_despite_done_dependencies(), [] as [String; 0], "seed {seed}");
         let is_done = |job: &&SubmittedJob| world.state_store.outcome(&job.spec.id) == Some(JobOutcome::Done);
         done += world.jobs.values().filter(is_done).count();
-        with_dependencies += world.jobs.values().filter(is_done).filter(|job| !job.spec.needs.is_empty()).count();
+        with_dependencies +=
+            world.jobs.values().filter(is_done).filter(|job| !job.spec.dependencies.is_empty()).count();
         elections += world.statistics.elections;
         reelections += world.statistics.reelections;
         unchanged_forwarded += world.statistics.unchanged_forwarded;
@@ -91,7 +92,7 @@
     }
     if let Some(leader) = world.controllers.iter().flatten().find(|controller| controller.has_lease(world.now)) {
         let blocked = leader.cluster.dependencies.blocked();
-        let blocked: Vec<_> = blocked.map(|job| (&job.spec.id, &job.spec.needs, &job.missing)).collect();
+        let blocked: Vec<_> = blocked.map(|job| (&job.spec.id, &job.spec.dependencies, &job.missing)).collect();
         println!(
             "leader of term {}, served since {} ms, blocks jobs: {blocked:?}",
             leader.cluster.term, world.served_leader_since
--- a/packages/core/src/sim/users.rs
+++ b/packages/core/src/sim/users.rs
@@ -80,9 +80,9 @@
         // some arrays have many of the smallest tasks
         let is_tiny = is_single || shape == Shape::Array && self.rng.u32(0..6) == 0;
         let tasks = if is_single { 1 } else { self.rng.u32(if is_tiny { 20..60 } else { 1..6 }) };
-        let needs = if is_single || shape == Shape::Service { Vec::new() } else { self.random_needs() };
+        let dependencies = if is_single || shape == Shape::Service { Vec::new() } else { self.random_needs() };
         let mut job = JobSpec {
-            needs,
+            dependencies,
             team: if self.rng.bool() { "x" } else { "y" }.into(),
             shape,
             priority: [Priority::Production, Priority::High, Priority::Normal, Priority::Low][self.rng.usize(0..4)],
@@ -136,7 +136,7 @@
         let mut cancelled = vec![id.clone()];
         if self.rng.bool() {
             // the controller may not know all dependents, so at most two are cancelled here
-            let dependents = unfinished.iter().filter(|other| self.jobs[*other].spec.needs.contains(id));
+            let dependents = unfinished.iter().filter(|other| self.jobs[*other].spec.dependencies.contains(id));
             cancelled.extend(dependents.take(2).cloned());
         }
         let Ok(revision) = self.state_store.apply(&cancellations_txn(&cancelled)) else { return };
--- a/packages/core/src/user_request.rs
+++ b/packages/core/src/user_request.rs
@@ -231,7 +231,7 @@
             return NextAction::Reply(Reply::Accepted);
         }
         let may_have_dependencies = match view.jobs.status_of(&self.id) {
-            JobStatus::Open(job) => !job.spec.needs.is_empty(),
+            JobStatus::Open(job) => !job.spec.dependencies.is_empty(),
             // The job was accepted a moment ago, or the watch is behind.
             _ => true,
         };
--- a/packages/core/src/user_request/tests.rs
+++ b/packages/core/src/user_request/tests.rs
@@ -170,8 +170,8 @@
 #[test]
 fn a_job_is_unfinished_only_after_all_dependency_outcomes_were_read() {
     let mut controller = TestController::new();
-    let needs: Vec<Name> = (100..300).map(|n| format!("j-{n}").into()).collect();
-    controller.jobs.insert_seen(Arc::new(JobSpec { needs, ..(*spec("j-1", 1)).clone() }), 5);
+    let dependencies: Vec<Name> = (100..300).map(|n| format!("j-{n}").into()).collect();
+    controller.jobs.insert_seen(Arc::new(JobSpec { dependencies, ..(*spec("j-1", 1)).clone() }), 5);
     let mut request = UserRequest::new("j-1".into(), RequestKind::Query);
     assert_eq!(controller.next_action(&mut request, 1), NextAction::Confirm);
     request.apply_confirmation(Confirmation::Unfinished);
--- a/packages/emulator/src/worker_pool/rules.rs
+++ b/packages/emulator/src/worker_pool/rules.rs
@@ -19,7 +19,7 @@
         if !is_machine_allowed(machine, spec) {
             self.violations.push(format!("wrong_place: {task} starts on {name}, where its job must not run"));
         }
-        if let Some(dependency) = spec.needs.iter().find(|job| !self.completed_at.contains_key(*job)) {
+        if let Some(dependency) = spec.dependencies.iter().find(|job| !self.completed_at.contains_key(*job)) {
             self.violations.push(format!("too_early: {task} starts before its dependency {dependency} is done"));
         }
     }
--- a/packages/wire/src/example.rs
+++ b/packages/wire/src/example.rs
@@ -30,6 +30,6 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     })
 }
--- a/packages/wire/src/model/job.rs
+++ b/packages/wire/src/model/job.rs
@@ -102,7 +102,7 @@
     /// read the record.  When a job is deserialized, null and an absent field stand for an empty list,
     /// and repeated ids are dropped.
     #[serde(rename = "awaits", default, deserialize_with = "list_or_null", skip_serializing_if = "Vec::is_empty")]
-    pub needs: Vec<Name>,
+    pub dependencies: Vec<Name>,
 }
 
 /// Deserializes a list of names, in which null stands for an empty list.  Only the first occurrence
@@ -141,7 +141,7 @@
         if self.tasks == 0 || self.tasks > MAX_TASKS_PER_JOB {
             return Some("pieces");
         }
-        if !self.needs.iter().all(|id| valid_id(id)) {
+        if !self.dependencies.iter().all(|id| valid_id(id)) {
             return Some("awaits");
         }
         let amounts =
@@ -221,7 +221,7 @@
     /// Ids of the unfinished jobs on which the job depends, as far as the replying controller knows
     /// them; empty if the job is cancelled.
     #[serde(rename = "awaits", default)]
-    pub waits_for: Vec<Name>,
+    pub unfinished_dependencies: Vec<Name>,
     /// Id of a cancelled job on which this job depends.  `None` if this job is not cancelled, or if
     /// the replying controller knows of no such dependency.
     #[serde(rename = "cancelledWith", default)]
--- a/packages/wire/src/model/tests.rs
+++ b/packages/wire/src/model/tests.rs
@@ -34,12 +34,12 @@
     fn needs_are_decoded_without_duplicates_and_omitted_if_empty(ids in prop::collection::vec(0u32..30, 0..12)) {
         let names: Vec<Name> = ids.iter().map(|number| format!("j-{number}").into()).collect();
         let without_needs = crate::example::spec("j-000001", 1);
-        let with_needs = JobSpec { needs: names.clone(), ..(*without_needs).clone() };
+        let with_needs = JobSpec { dependencies: names.clone(), ..(*without_needs).clone() };
         let bytes = crate::http::encode(&with_needs);
         let decoded: JobSpec = crate::http::decode(&bytes).expect("an encoded job decodes");
         let mut seen = std::collections::HashSet::new();
         let expected: Vec<Name> = names.into_iter().filter(|name| seen.insert(name.clone())).collect();
-        prop_assert_eq!(&decoded.needs, &expected);
+        prop_assert_eq!(&decoded.dependencies, &expected);
         let mut value = rmpv::decode::read_value(&mut &bytes[..]).expect("the encoded job is MessagePack");
         let rmpv::Value::Map(fields) = &mut value else { panic!("the encoded job is not a map") };
         let needs_position = fields.iter().position(|field| field.0.as_str() == Some("awaits"));
@@ -51,7 +51,7 @@
             rmpv::encode::write_value(&mut bytes, &rmpv::Value::Map(fields.clone()))
                 .expect("writing to memory succeeds");
             let decoded = crate::http::decode::<JobSpec>(&bytes);
-            prop_assert_eq!(decoded.ok().map(|spec| spec.needs.len()), is_valid.then_some(0));
+            prop_assert_eq!(decoded.ok().map(|spec| spec.dependencies.len()), is_valid.then_some(0));
         }
     }
 
--- a/src/commands/submit/dependencies.rs
+++ b/src/commands/submit/dependencies.rs
@@ -18,7 +18,7 @@
     let by_id: HashMap<&Name, &JobSpec> = specs.iter().map(|spec| (&spec.id, spec)).collect();
     let mut faults = Vec::new();
     for spec in specs {
-        let dependencies = spec.needs.iter().filter_map(|id| by_id.get(id));
+        let dependencies = spec.dependencies.iter().filter_map(|id| by_id.get(id));
         let services = dependencies.filter(|dependency| dependency.shape == Shape::Service);
         faults.extend(
             services
@@ -33,11 +33,11 @@
 
 /// Returns the ids of the jobs that a topological sort of the input does not reach.
 fn blocked_by_cycles<'a>(specs: &'a [JobSpec], by_id: &HashMap<&Name, &JobSpec>) -> HashSet<&'a Name> {
-    let count_in_input = |spec: &JobSpec| spec.needs.iter().filter(|id| by_id.contains_key(*id)).count();
+    let count_in_input = |spec: &JobSpec| spec.dependencies.iter().filter(|id| by_id.contains_key(*id)).count();
     let mut unmet: HashMap<&Name, usize> = specs.iter().map(|spec| (&spec.id, count_in_input(spec))).collect();
     let mut dependents: HashMap<&Name, Vec<&Name>> = HashMap::new();
     for spec in specs {
-        for dependency in &spec.needs {
+        for dependency in &spec.dependencies {
             dependents.entry(dependency).or_default().push(&spec.id);
         }
     }
@@ -67,7 +67,7 @@
     let mut is_known: HashMap<&Name, bool> = HashMap::new();
     let mut faults = Vec::new();
     for spec in specs {
-        for dependency in spec.needs.iter().filter(|id| !input_ids.contains(id)) {
+        for dependency in spec.dependencies.iter().filter(|id| !input_ids.contains(id)) {
             let known = match is_known.get(dependency) {
                 Some(known) => *known,
                 None => exists(&controller, dependency).await?,
--- a/src/commands/text.rs
+++ b/src/commands/text.rs
@@ -15,8 +15,8 @@
 /// Formats the state of a job, with the jobs that it waits for or was cancelled with.
 pub fn explained_text(job: &JobExplanation) -> String {
     let mut text = job_text(&job.state);
-    if !job.waits_for.is_empty() {
-        let ids: Vec<&str> = job.waits_for.iter().map(|id| &**id).collect();
+    if !job.unfinished_dependencies.is_empty() {
+        let ids: Vec<&str> = job.unfinished_dependencies.iter().map(|id| &**id).collect();
         text += &format!("; it waits for {}", ids.join(", "));
     }
     if let Some(dependency) = &job.cancelled_with {
--- a/src/controller/jobs.rs
+++ b/src/controller/jobs.rs
@@ -35,7 +35,7 @@
     ) {
         let Some(cluster) = state.cluster.as_mut() else { return };
         cluster.add_job(spec.clone(), revision, None, now);
-        for id in &spec.needs {
+        for id in &spec.dependencies {
             if cluster.dependencies.is_unknown(id) {
                 match state.jobs.outcome(id) {
                     Some(outcome) => cluster.set_outcome(id, outcome, now),
--- a/src/users/query.rs
+++ b/src/users/query.rs
@@ -55,15 +55,15 @@
             JobStatus::Ended(ended) => Some(ended.spec),
             JobStatus::Unknown => None,
         };
-        let needs = spec.map(|spec| spec.needs.clone()).unwrap_or_default();
-        let (mut waits_for, mut cancelled_with) = (Vec::new(), None);
+        let dependencies = spec.map(|spec| spec.dependencies.clone()).unwrap_or_default();
+        let (mut unfinished_dependencies, mut cancelled_with) = (Vec::new(), None);
         if job.stage == JobOutcome::Cancelled.as_str() {
-            cancelled_with = needs.into_iter().find(|n| state.jobs.outcome(n) == Some(JobOutcome::Cancelled));
+            cancelled_with = dependencies.into_iter().find(|n| state.jobs.outcome(n) == Some(JobOutcome::Cancelled));
         } else {
-            waits_for = needs;
-            waits_for.retain(|n| matches!(state.jobs.status_of(n), JobStatus::Open(_)));
+            unfinished_dependencies = dependencies;
+            unfinished_dependencies.retain(|n| matches!(state.jobs.status_of(n), JobStatus::Open(_)));
         }
-        JobExplanation { state: job, waits_for, cancelled_with }
+        JobExplanation { state: job, unfinished_dependencies, cancelled_with }
     }
 
     /// Reads and keeps the outcomes of jobs that ended before this controller started, at most
--- a/src/users/validation.rs
+++ b/src/users/validation.rs
@@ -56,14 +56,14 @@
     /// cancelled, so that the submitted job is cancelled too.  Only the state service can tell that a
     /// needed job was never accepted, because the jobs known here may lag behind it.
     async fn validate_dependencies(&self, spec: &JobSpec) -> Validation {
-        if spec.needs.is_empty() {
+        if spec.dependencies.is_empty() {
             return Validation::Valid { depends_on_cancelled_job: false };
         }
         let Some(known) = self.known_dependencies(spec) else {
             return Validation::Undetermined("not every controller knows of jobs that wait for others yet");
         };
         let rejection_reason =
-            if spec.needs.contains(&spec.id) { Some("needs itself") } else { known.rejection_reason };
+            if spec.dependencies.contains(&spec.id) { Some("needs itself") } else { known.rejection_reason };
         if let Some(why) = rejection_reason {
             return Validation::Unsatisfiable(why);
         }
@@ -86,7 +86,7 @@
             return None;
         }
         let mut known = KnownDependencies::default();
-        for id in &spec.needs {
+        for id in &spec.dependencies {
             let needed = match state.jobs.status_of(id) {
                 JobStatus::Open(job) => job.spec,
                 JobStatus::Ended(job) => {
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -56,7 +56,7 @@
     assert_eq!((spec.checkpoint_s, spec.save_s, spec.deadline_s), (60.0, 5.0, Some(900.0)));
     assert_eq!(spec.zone.as_deref(), Some("z1"));
     assert_eq!((spec.one_zone, spec.spread, spec.spot), (true, false, true));
-    assert_eq!((spec.types.map(|t| t.len()), spec.needs.len()), (Some(1), 1));
+    assert_eq!((spec.types.map(|t| t.len()), spec.dependencies.len()), (Some(1), 1));
     assert_eq!(assert_each_round_trips::<Shape>(&golden["shapes"]), [Shape::Array, Shape::Gang, Shape::Service]);
     assert_eq!(
         assert_each_round_trips::<Priority>(&golden["ranks"]),
@@ -70,7 +70,10 @@
     assert_eq!([JobOutcome::Done.as_str(), JobOutcome::Cancelled.as_str()], ["done", "cancelled"]);
     assert_round_trip::<JobState>(&golden["job_state"]);
     let explanation: JobExplanation = assert_round_trip(&golden["explained"]);
-    assert_eq!((explanation.waits_for.len(), explanation.cancelled_with.as_deref()), (1, Some("j-000410")));
+    assert_eq!(
+        (explanation.unfinished_dependencies.len(), explanation.cancelled_with.as_deref()),
+        (1, Some("j-000410"))
+    );
 }
 
 #[test]
--- a/tests/roll.rs
+++ b/tests/roll.rs
@@ -32,7 +32,7 @@
 fn chain_specs() -> Vec<JobSpec> {
     let ids: Vec<Name> = (0..STAGES).map(|_| fresh_id().expect("the system provides random bytes")).collect();
     let stage = |index: usize, needs: &[usize], shape, tasks| JobSpec {
-        needs: needs.iter().map(|needed| ids[*needed].clone()).collect(),
+        dependencies: needs.iter().map(|needed| ids[*needed].clone()).collect(),
         shape,
         tasks,
         deadline_s: (index == STAGES - 1).then_some(60.0),
