--- a/benches/history/main.rs
+++ b/benches/history/main.rs
@@ -89,7 +89,7 @@
         tasks: 3,
         cpus: 6.0,
         gpus: 1.0,
-        memory: 24.0,
+        memory_gb: 24.0,
         image: format!("img-{:02}", n % 8).into(),
         image_gb: 6.2,
         types: None,
--- a/packages/client/examples/nightly.rs
+++ b/packages/client/examples/nightly.rs
@@ -20,7 +20,7 @@
         tasks,
         cpus: 1.0,
         gpus: 0.0,
-        memory: 1.0,
+        memory_gb: 1.0,
         image: "demo-image".into(),
         image_gb: 0.5,
         types: None,
--- a/packages/core/src/fleet/headroom.rs
+++ b/packages/core/src/fleet/headroom.rs
@@ -21,14 +21,14 @@
         Resources {
             cpus: part(guaranteed.cpus, demanded.cpus),
             gpus: part(guaranteed.gpus, demanded.gpus),
-            memory: 0.0,
+            memory_gb: 0.0,
         }
     }
 }
 
 /// Returns a size with its memory set to 0: guarantees cover only cores and GPUs.
 pub(super) fn without_memory(size: &Resources) -> Resources {
-    Resources { memory: 0.0, ..*size }
+    Resources { memory_gb: 0.0, ..*size }
 }
 
 impl Cluster {
--- a/packages/core/src/placement/candidate.rs
+++ b/packages/core/src/placement/candidate.rs
@@ -21,5 +21,5 @@
     let fraction = |free: f64, task: f64, total: f64| if total > 0.0 { (free - task) / total } else { 0.0 };
     fraction(free.cpus, task.cpus, total.cpus)
         + fraction(free.gpus, task.gpus, total.gpus)
-        + fraction(free.memory, task.memory, total.memory)
+        + fraction(free.memory_gb, task.memory_gb, total.memory_gb)
 }
--- a/packages/core/src/placement/limits.rs
+++ b/packages/core/src/placement/limits.rs
@@ -59,7 +59,7 @@
         let remaining = Resources {
             cpus: remaining(limit.limit.cpus, used.cpus),
             gpus: remaining(limit.limit.gpus, used.gpus),
-            memory: f64::INFINITY,
+            memory_gb: f64::INFINITY,
         };
         remaining.count_fitting(&request.size, count as usize) as u32
     }
--- a/packages/core/src/placement/machine_classes.rs
+++ b/packages/core/src/placement/machine_classes.rs
@@ -26,7 +26,7 @@
     /// implement `Ord`.
     fn key(machine: &Candidate) -> [u64; 6] {
         let (free, total) = (&machine.free, &machine.total);
-        [free.cpus, free.gpus, free.memory, total.cpus, total.gpus, total.memory].map(f64::to_bits)
+        [free.cpus, free.gpus, free.memory_gb, total.cpus, total.gpus, total.memory_gb].map(f64::to_bits)
     }
 
     /// Adds a machine to the class of its free and total resources.
--- a/packages/core/src/placement/pass.rs
+++ b/packages/core/src/placement/pass.rs
@@ -80,11 +80,11 @@
 
 /// Returns the minimum of each resource over all queued tasks.
 fn smallest_task(queue: &[QueueEntry]) -> Resources {
-    let infinite = Resources { cpus: f64::INFINITY, gpus: f64::INFINITY, memory: f64::INFINITY };
+    let infinite = Resources { cpus: f64::INFINITY, gpus: f64::INFINITY, memory_gb: f64::INFINITY };
     queue.iter().map(|entry| entry.job.spec.size()).fold(infinite, |a, b| Resources {
         cpus: a.cpus.min(b.cpus),
         gpus: a.gpus.min(b.gpus),
-        memory: a.memory.min(b.memory),
+        memory_gb: a.memory_gb.min(b.memory_gb),
     })
 }
 
--- a/packages/core/src/placement/tai2/tests.rs
+++ b/packages/core/src/placement/tai2/tests.rs
@@ -80,7 +80,7 @@
 }
 
 fn size(cpus: f64) -> Resources {
-    Resources { cpus, gpus: 0.0, memory: 0.0 }
+    Resources { cpus, gpus: 0.0, memory_gb: 0.0 }
 }
 fn machine(slot: usize, free: f64, speed: f64) -> Candidate {
     Candidate { slot, free: size(free), total: size(8.0), speed }
@@ -100,7 +100,7 @@
         variance in prop::sample::select(vec![0.0, 0.06]),
         load in prop::sample::select(vec![0.5, 2.0]),
     ) {
-        let sized = |c: u32, g: u32| Resources { cpus: f64::from(c), gpus: f64::from(g), memory: f64::from(c) };
+        let sized = |c: u32, g: u32| Resources { cpus: f64::from(c), gpus: f64::from(g), memory_gb: f64::from(c) };
         let all: Vec<Candidate> = machines
             .iter()
             .enumerate()
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -47,7 +47,7 @@
     // Tasks of the first job that were never assigned wait behind the second job.
     cluster.release_all_assignments(&"i-1".into(), now);
     cluster.machines.get_mut("i-1").expect("the machine was added").size =
-        Resources { cpus: 18.0, gpus: 0.0, memory: 64.0 };
+        Resources { cpus: 18.0, gpus: 0.0, memory_gb: 64.0 };
     cluster.run_placement_pass(now);
     assert_eq!((cluster.jobs["j-000001"].assignments.len(), cluster.jobs["j-000002"].assignments.len()), (40, 10));
 }
@@ -134,7 +134,7 @@
 fn starts_of_cancelled_job_count_until_absence_is_proved() {
     use crate::cluster::{MachineLocation, PlacementShard, StartRecord, TeamLimit};
     let now = Instant::now();
-    let team_limit = Resources { cpus: 4.0, gpus: 0.0, memory: 0.0 };
+    let team_limit = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 0.0 };
     let unreachable: Name = "i-9".into();
     let new_leader = || {
         let mut cluster = new_cluster(5, now);
--- a/packages/core/src/sim/fixtures.rs
+++ b/packages/core/src/sim/fixtures.rs
@@ -35,7 +35,7 @@
         name: name.into(),
         cpus: 8.0,
         gpus: 0.0,
-        memory: 64.0,
+        memory_gb: 64.0,
         cache_gb: 10.0,
         fetch_gb_per_s: 1.0,
         price: 1.0,
--- a/packages/core/src/sim/world.rs
+++ b/packages/core/src/sim/world.rs
@@ -108,7 +108,7 @@
         let config = Config::parse("sim", SETTINGS).expect("the example settings are valid");
         let quota = 20.0 * (machine_count as f64 / 9.0).round();
         let limit =
-            TeamLimit { guarantee: Resources::default(), limit: Resources { cpus: quota, gpus: 0.0, memory: 0.0 } };
+            TeamLimit { guarantee: Resources::default(), limit: Resources { cpus: quota, gpus: 0.0, memory_gb: 0.0 } };
         let mut rng = fastrand::Rng::with_seed(seed);
         let workers = (0..machine_count).map(|i| Worker::new(i, 0, rng.u64(0..3000))).collect();
         World {
--- a/packages/core/src/user_request/tests.rs
+++ b/packages/core/src/user_request/tests.rs
@@ -239,7 +239,7 @@
         (|s| s.team = "z".into(), "team"),
         (|s| s.types = Some(vec![]), "fits no"),
         (|s| s.types = Some(vec!["none".into()]), "fits no"),
-        (|s| s.memory = 65.0, "fits no"),
+        (|s| s.memory_gb = 65.0, "fits no"),
         (|s| s.cpus = 17.0, "fits no"),
         (|s| s.zone = Some("nowhere".into()), "zone"),
         // the type and the zone exist, but the zone does not have the type
--- a/packages/emulator/src/cloud/tests.rs
+++ b/packages/emulator/src/cloud/tests.rs
@@ -9,7 +9,7 @@
         name: "small".into(),
         cpus: 4.0,
         gpus: 0.0,
-        memory: 16.0,
+        memory_gb: 16.0,
         cache_gb: 50.0,
         fetch_gb_per_s: 1.0,
         price: 1.0,
--- a/packages/emulator/src/load/scenario.rs
+++ b/packages/emulator/src/load/scenario.rs
@@ -167,7 +167,7 @@
             class: "demo".into(),
             team: "demo".into(),
             cpus: 0.5,
-            memory: 0.5,
+            memory_gb: 0.5,
             image: "load-image".into(),
             image_gb: 0.1,
             estimate_s: self.expect_s,
--- a/packages/emulator/src/scale/region/setup.rs
+++ b/packages/emulator/src/scale/region/setup.rs
@@ -32,7 +32,7 @@
         name: name.into(),
         cpus,
         gpus,
-        memory: cpus * 4.0,
+        memory_gb: cpus * 4.0,
         cache_gb: 50.0,
         fetch_gb_per_s: 1.0,
         price,
--- a/packages/emulator/src/scale/users.rs
+++ b/packages/emulator/src/scale/users.rs
@@ -253,7 +253,7 @@
         let team = self.rng.borrow_mut().usize(0..self.teams);
         JobSpec {
             team: format!("team-{team:04}").into(),
-            memory: 1.0,
+            memory_gb: 1.0,
             image: "tools".into(),
             image_gb: 0.05,
             spot: false,
--- a/packages/emulator/src/up/deployment.rs
+++ b/packages/emulator/src/up/deployment.rs
@@ -54,7 +54,7 @@
         name: name.into(),
         cpus,
         gpus: 0.0,
-        memory: cpus * 4.0,
+        memory_gb: cpus * 4.0,
         cache_gb: 50.0,
         fetch_gb_per_s: 1.0,
         price,
--- a/packages/emulator/src/worker_pool/tests.rs
+++ b/packages/emulator/src/worker_pool/tests.rs
@@ -11,7 +11,7 @@
         name: "t".into(),
         cpus: 2.0,
         gpus: 0.0,
-        memory: 8.0,
+        memory_gb: 8.0,
         cache_gb: 10.0,
         fetch_gb_per_s: 1.0,
         price: 1.0,
--- a/packages/wire/src/example.rs
+++ b/packages/wire/src/example.rs
@@ -18,7 +18,7 @@
         tasks,
         cpus: 1.0,
         gpus: 0.0,
-        memory: 1.0,
+        memory_gb: 1.0,
         image: "img-0".into(),
         image_gb: 1.0,
         types: None,
--- a/packages/wire/src/model/job.rs
+++ b/packages/wire/src/model/job.rs
@@ -63,7 +63,7 @@
     pub gpus: f64,
     /// Memory per task in GB.
     #[serde(rename = "memGb")]
-    pub memory: f64,
+    pub memory_gb: f64,
     /// Name of the image that every task runs.
     #[serde(rename = "bundle")]
     pub image: Name,
@@ -127,7 +127,7 @@
 impl JobSpec {
     /// Returns the resources that one task requires.
     pub fn size(&self) -> Resources {
-        Resources { cpus: self.cpus, gpus: self.gpus, memory: self.memory }
+        Resources { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb }
     }
 
     /// Returns why the submission is malformed, or `None` if it is well-formed.
@@ -145,7 +145,7 @@
             return Some("awaits");
         }
         let amounts =
-            [self.cpus, self.gpus, self.memory, self.image_gb, self.estimate_s, self.checkpoint_s, self.save_s];
+            [self.cpus, self.gpus, self.memory_gb, self.image_gb, self.estimate_s, self.checkpoint_s, self.save_s];
         if !amounts.iter().chain(self.deadline_s.iter()).all(|amount| amount.is_finite() && *amount >= 0.0) {
             return Some("an amount is negative or not finite");
         }
--- a/packages/wire/src/model/machine_type.rs
+++ b/packages/wire/src/model/machine_type.rs
@@ -18,7 +18,7 @@
     pub gpus: f64,
     /// Memory in GB.
     #[serde(rename = "memGb")]
-    pub memory: f64,
+    pub memory_gb: f64,
     /// Local storage for cached images, in GB.
     #[serde(rename = "localGb", default)]
     pub cache_gb: f64,
@@ -42,6 +42,6 @@
 impl MachineType {
     /// Returns the resources of a machine of this type on which no task runs.
     pub fn size(&self) -> Resources {
-        Resources { cpus: self.cpus, gpus: self.gpus, memory: self.memory }
+        Resources { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb }
     }
 }
--- a/packages/wire/src/model/resources.rs
+++ b/packages/wire/src/model/resources.rs
@@ -8,7 +8,7 @@
     /// Number of accelerators; may be fractional.
     pub gpus: f64,
     /// Memory in GB.
-    pub memory: f64,
+    pub memory_gb: f64,
 }
 
 /// Tolerance for comparisons, in cores, accelerators or GB.  Without it, rounding errors in sums of
@@ -20,26 +20,26 @@
     pub fn fits(&self, size: &Resources) -> bool {
         size.cpus <= self.cpus + ROUNDING_TOLERANCE
             && size.gpus <= self.gpus + ROUNDING_TOLERANCE
-            && size.memory <= self.memory + ROUNDING_TOLERANCE
+            && size.memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
     }
 
     /// Subtracts `size` from these resources.  Amounts may become negative and are not clamped to 0.
     pub fn subtract(&mut self, size: &Resources) {
         self.cpus -= size.cpus;
         self.gpus -= size.gpus;
-        self.memory -= size.memory;
+        self.memory_gb -= size.memory_gb;
     }
 
     /// Adds `size` to these resources.
     pub fn add(&mut self, size: &Resources) {
         self.cpus += size.cpus;
         self.gpus += size.gpus;
-        self.memory += size.memory;
+        self.memory_gb += size.memory_gb;
     }
 
     /// Returns these resources with every amount multiplied by `factor`.
     pub fn scaled(&self, factor: f64) -> Resources {
-        Resources { cpus: self.cpus * factor, gpus: self.gpus * factor, memory: self.memory * factor }
+        Resources { cpus: self.cpus * factor, gpus: self.gpus * factor, memory_gb: self.memory_gb * factor }
     }
 
     /// Returns how many tasks that require `size` each fit into these resources, but at most `max`.
@@ -55,7 +55,7 @@
         };
         let count = count_by_amount(self.cpus, size.cpus)
             .min(count_by_amount(self.gpus, size.gpus))
-            .min(count_by_amount(self.memory, size.memory));
+            .min(count_by_amount(self.memory_gb, size.memory_gb));
         if count.is_finite() {
             (count as usize).min(max)
         } else {
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -133,7 +133,7 @@
 
     /// Returns the configured guarantee and limit of each team, by team name.
     pub fn team_limits(&self) -> HashMap<Name, TeamLimit> {
-        let resources = |cpus, gpus| Resources { cpus, gpus, memory: 0.0 };
+        let resources = |cpus, gpus| Resources { cpus, gpus, memory_gb: 0.0 };
         let limit = |team: &Team| TeamLimit {
             guarantee: resources(team.cpus, team.gpus),
             limit: resources(team.cpus_max, team.gpus_max),
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -51,7 +51,7 @@
     let golden = golden_messages();
     let spec: JobSpec = assert_round_trip(&golden["spec"]);
     assert_eq!((&*spec.id, &*spec.class, &*spec.team), ("j-000412", "nightly", "team-a"));
-    assert_eq!((spec.tasks, spec.cpus, spec.gpus, spec.memory), (4, 1.5, 1.0, 8.0));
+    assert_eq!((spec.tasks, spec.cpus, spec.gpus, spec.memory_gb), (4, 1.5, 1.0, 8.0));
     assert_eq!((&*spec.image, spec.image_gb, spec.estimate_s), ("img-1", 2.0, 30.0));
     assert_eq!((spec.checkpoint_s, spec.save_s, spec.deadline_s), (60.0, 5.0, Some(900.0)));
     assert_eq!(spec.zone.as_deref(), Some("z1"));
@@ -129,7 +129,13 @@
     let golden = golden_messages();
     let machine_type: MachineType = assert_round_trip(&golden["machine_type"]);
     assert_eq!(
-        (machine_type.cpus, machine_type.gpus, machine_type.memory, machine_type.cache_gb, machine_type.fetch_gb_per_s),
+        (
+            machine_type.cpus,
+            machine_type.gpus,
+            machine_type.memory_gb,
+            machine_type.cache_gb,
+            machine_type.fetch_gb_per_s
+        ),
         (8.0, 2.0, 64.0, 100.0, 0.5)
     );
     assert_eq!(
