--- a/benches/history/main.rs
+++ b/benches/history/main.rs
@@ -97,9 +97,9 @@
         one_zone: false,
         spread: false,
         spot: true,
-        estimate_s: 60.0,
-        checkpoint_s: 20.0,
-        save_s: 6.0,
+        estimated_run_time_s: 60.0,
+        checkpoint_interval_s: 20.0,
+        checkpoint_duration_s: 6.0,
         deadline_s: Some(250.0),
         dependencies: Vec::new(),
     }
--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -69,9 +69,9 @@
         one_zone: false,
         spread: false,
         spot: true,
-        estimate_s: 60.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        estimated_run_time_s: 60.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
         deadline_s: None,
         dependencies: Vec::new(),
     };
--- a/packages/client/examples/nightly.rs
+++ b/packages/client/examples/nightly.rs
@@ -28,9 +28,9 @@
         one_zone: false,
         spread: false,
         spot: true,
-        estimate_s: 2.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        estimated_run_time_s: 2.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
         deadline_s: None,
         dependencies: Vec::new(),
     })
--- a/packages/client/src/job.rs
+++ b/packages/client/src/job.rs
@@ -251,7 +251,7 @@
         let elapsed = self.accepted_at.map_or(Duration::ZERO, |accepted_at| now.saturating_duration_since(accepted_at));
         let expected_s = match self.spec.shape {
             Shape::Service => f64::INFINITY,
-            _ => self.spec.estimate_s,
+            _ => self.spec.estimated_run_time_s,
         };
         let remaining_s = (expected_s - elapsed.as_secs_f64()).abs();
         let (min_s, max_s) = (timing.min_poll_interval.as_secs_f64(), timing.max_poll_interval.as_secs_f64());
--- a/packages/client/src/job/tests.rs
+++ b/packages/client/src/job/tests.rs
@@ -123,7 +123,7 @@
 #[test]
 fn poll_delay_depends_on_the_expected_end_and_the_jitter() {
     let start = Instant::now();
-    let long_spec = Arc::new(JobSpec { estimate_s: 40.0, ..(*spec("j-1", 1)).clone() });
+    let long_spec = Arc::new(JobSpec { estimated_run_time_s: 40.0, ..(*spec("j-1", 1)).clone() });
     let poll_delay_s = |elapsed_s: u64, jitter: f64| {
         let mut job = Job::new(long_spec.clone(), true, false, start);
         let now = start + Duration::from_secs(elapsed_s);
--- a/packages/core/src/fleet/scale_in.rs
+++ b/packages/core/src/fleet/scale_in.rs
@@ -223,7 +223,7 @@
     let may_stay = |task: &Assignment| {
         // A task without checkpoints would lose all its work, and may still finish before the
         // machine is reclaimed.
-        machine.cordon_reason.is_none() && task.spec.checkpoint_s == 0.0 && task.spec.shape == Shape::Array
+        machine.cordon_reason.is_none() && task.spec.checkpoint_interval_s == 0.0 && task.spec.shape == Shape::Array
     };
     let moving = machine
         .tasks
--- a/packages/core/src/fleet/scale_out.rs
+++ b/packages/core/src/fleet/scale_out.rs
@@ -172,7 +172,7 @@
             return Shortfall { count: demand.count, spot_only: 0 };
         }
         let bias = self.runtime_bias.get(&spec.class).copied().unwrap_or(1.0);
-        let runtime_s = (spec.estimate_s * bias).max(1.0);
+        let runtime_s = (spec.estimated_run_time_s * bias).max(1.0);
         let waiting = f64::from(demand.count);
         let needed = waiting * (runtime_s / policy.horizon_s).min(1.0);
         let count = take_slots(&mut slots.on_demand, needed, demand.count);
--- a/packages/core/src/placement/preemption.rs
+++ b/packages/core/src/placement/preemption.rs
@@ -89,7 +89,7 @@
     pub fn evict_task(&mut self, machine: &Name, task: &Task, now: Instant) {
         let Some(assignment) = self.machines.get(machine).and_then(|machine| machine.tasks.get(task)) else { return };
         let spec = &assignment.spec;
-        let grace_s = if spec.checkpoint_s > 0.0 { spec.save_s + 1.0 } else { 0.0 };
+        let grace_s = if spec.checkpoint_interval_s > 0.0 { spec.checkpoint_duration_s + 1.0 } else { 0.0 };
         if spec.shape != Shape::Gang {
             self.request_stop(machine, task, grace_s, now);
             return;
@@ -200,6 +200,6 @@
 pub(super) fn preemption_loss(task: &Assignment, now: Instant) -> f64 {
     let assigned_s = now.duration_since(task.assigned_at).as_secs_f64();
     let ran_s = task.running_since.map_or(0.0, |since| now.duration_since(since).as_secs_f64());
-    let lost_s = if task.spec.checkpoint_s > 0.0 { task.spec.save_s } else { ran_s };
+    let lost_s = if task.spec.checkpoint_interval_s > 0.0 { task.spec.checkpoint_duration_s } else { ran_s };
     1.0 + (lost_s + (assigned_s - ran_s) / (1.0 + ran_s)) * task.spec.cpus
 }
--- a/packages/core/src/placement/preemption_cost.rs
+++ b/packages/core/src/placement/preemption_cost.rs
@@ -118,7 +118,8 @@
     /// from an earlier leader, and neither stopping nor planned to stop.  A task with checkpoints
     /// must also save one in less than `max_save_s` seconds.
     fn is_stoppable(&self, machine: &'a Name, task: &'a Task, assignment: &Assignment, max_save_s: f64) -> bool {
-        let saves_too_long = assignment.spec.checkpoint_s > 0.0 && assignment.spec.save_s >= max_save_s;
+        let saves_too_long =
+            assignment.spec.checkpoint_interval_s > 0.0 && assignment.spec.checkpoint_duration_s >= max_save_s;
         assignment.occupies_resources()
             && assignment.stop_grace_s.is_none()
             && !assignment.inherited
--- a/packages/core/src/placement/queue.rs
+++ b/packages/core/src/placement/queue.rs
@@ -96,7 +96,7 @@
             false => f64::from(job.spec.tasks - job.pending.len().min(job.spec.tasks)),
         };
         let bias = self.runtime_bias.get(&job.spec.class).copied().unwrap_or(1.0);
-        first_seen_s + started * self.policy.task_spacing_s - job.spec.estimate_s * bias
+        first_seen_s + started * self.policy.task_spacing_s - job.spec.estimated_run_time_s * bias
     }
 
     /// Returns the time within which a job's tasks should start, in seconds; `None` if the job has
--- a/packages/core/src/workers/replies.rs
+++ b/packages/core/src/workers/replies.rs
@@ -109,7 +109,7 @@
 
 /// Reports whether a task has been checkpointing for longer than its stop allows.
 fn is_checkpoint_overdue(assignment: &Assignment, grace: f64, now: Instant) -> bool {
-    let allowed = grace.max(assignment.spec.save_s) * CHECKPOINT_TIME_FACTOR + CHECKPOINT_MARGIN_S;
+    let allowed = grace.max(assignment.spec.checkpoint_duration_s) * CHECKPOINT_TIME_FACTOR + CHECKPOINT_MARGIN_S;
     assignment.stop_requested_at.is_some_and(|since| now.duration_since(since).as_secs_f64() > allowed)
 }
 
--- a/packages/core/src/workers/runtimes.rs
+++ b/packages/core/src/workers/runtimes.rs
@@ -40,12 +40,12 @@
     /// are measured by heartbeats, and the tasks of a gang wait for each other.
     fn is_runtime_informative(&self, spec: &JobSpec, runtime_s: f64) -> bool {
         let is_gang = spec.shape == Shape::Gang && spec.tasks > 1;
-        !(spec.estimate_s < MIN_ESTIMATE_S || runtime_s < self.policy.fresh.as_secs_f64() || is_gang)
+        !(spec.estimated_run_time_s < MIN_ESTIMATE_S || runtime_s < self.policy.fresh.as_secs_f64() || is_gang)
     }
 
     /// Updates the runtime bias of a class, a moving average of the ratio of run time to estimate.
     fn update_runtime_bias(&mut self, spec: &JobSpec, runtime_s: f64) {
-        let ratio = (runtime_s / spec.estimate_s).clamp(RATIO_BOUNDS.0, RATIO_BOUNDS.1);
+        let ratio = (runtime_s / spec.estimated_run_time_s).clamp(RATIO_BOUNDS.0, RATIO_BOUNDS.1);
         let bias = self.runtime_bias.entry(spec.class.clone()).or_insert(ratio);
         *bias += (ratio - *bias) * BIAS_WEIGHT;
     }
--- a/packages/emulator/src/load/scenario.rs
+++ b/packages/emulator/src/load/scenario.rs
@@ -170,7 +170,7 @@
             memory_gb: 0.5,
             image: "load-image".into(),
             image_gb: 0.1,
-            estimate_s: self.expect_s,
+            estimated_run_time_s: self.expect_s,
             ..(*example::spec(&id, self.tasks as u32)).clone()
         }
     }
--- a/packages/emulator/src/scale/users.rs
+++ b/packages/emulator/src/scale/users.rs
@@ -268,13 +268,17 @@
             shape: Shape::Service,
             priority: Priority::High,
             spread: true,
-            estimate_s: 0.0,
+            estimated_run_time_s: 0.0,
             ..spec
         }
     }
 
     fn array(&self) -> JobSpec {
-        JobSpec { class: "sweep".into(), estimate_s: self.arrays.get().task_duration_s, ..self.base_spec(ARRAY_TASKS) }
+        JobSpec {
+            class: "sweep".into(),
+            estimated_run_time_s: self.arrays.get().task_duration_s,
+            ..self.base_spec(ARRAY_TASKS)
+        }
     }
 
     fn gang(&self) -> JobSpec {
@@ -294,14 +298,19 @@
             shape: Shape::Gang,
             one_zone: true,
             gpus: 1.0,
-            estimate_s: GANG_TASK_DURATION_S,
+            estimated_run_time_s: GANG_TASK_DURATION_S,
             ..spec
         }
     }
 
     fn urgent(&self) -> JobSpec {
         let spec = self.base_spec(URGENT_TASKS);
-        JobSpec { class: "urgent".into(), priority: Priority::Production, estimate_s: URGENT_TASK_DURATION_S, ..spec }
+        JobSpec {
+            class: "urgent".into(),
+            priority: Priority::Production,
+            estimated_run_time_s: URGENT_TASK_DURATION_S,
+            ..spec
+        }
     }
 
     /// Returns a randomly chosen healthy controller, or `None` if there is none.
--- a/packages/emulator/src/up/demo.rs
+++ b/packages/emulator/src/up/demo.rs
@@ -26,7 +26,7 @@
         team: "demo".into(),
         image: "demo-image".into(),
         image_gb: 0.5,
-        estimate_s: 4.0,
+        estimated_run_time_s: 4.0,
         ..(*example::spec(&format!("j-{id}"), 12)).clone()
     }
 }
@@ -42,7 +42,7 @@
         elapsed(),
         spec.id,
         spec.tasks,
-        spec.estimate_s
+        spec.estimated_run_time_s
     ));
     let mut printed = None;
     loop {
--- a/packages/emulator/src/worker_pool/commands.rs
+++ b/packages/emulator/src/worker_pool/commands.rs
@@ -92,8 +92,8 @@
             return;
         };
         let (next, checkpoint) = match phase {
-            TaskPhase::Running { .. } if spec.checkpoint_s > 0.0 && grace_s >= spec.save_s => {
-                let until = now + duration_from_seconds(spec.save_s);
+            TaskPhase::Running { .. } if spec.checkpoint_interval_s > 0.0 && grace_s >= spec.checkpoint_duration_s => {
+                let until = now + duration_from_seconds(spec.checkpoint_duration_s);
                 (TaskPhase::Checkpointing { until, gang_deadline }, Checkpoint::OnStop)
             }
             TaskPhase::Checkpointing { .. } if grace_s > 0.0 => return,
@@ -118,22 +118,22 @@
 
     /// Returns the seconds of the job's estimate that remain after the saved progress.
     pub(super) fn remaining_s(&self, task: &Task, spec: &JobSpec) -> f64 {
-        spec.estimate_s - self.saved_progress_s.get(&Self::progress_key(task, spec)).copied().unwrap_or(0.0)
+        spec.estimated_run_time_s - self.saved_progress_s.get(&Self::progress_key(task, spec)).copied().unwrap_or(0.0)
     }
 
     /// Saves the progress of a task that worked for `work_done_s` seconds since its start, as far as
     /// `checkpoint` covers it.
     fn save_progress(&mut self, task: &Task, spec: &JobSpec, work_done_s: f64, checkpoint: Checkpoint) {
-        if spec.checkpoint_s <= 0.0 {
+        if spec.checkpoint_interval_s <= 0.0 {
             return;
         }
         let saved = self.saved_progress_s.entry(Self::progress_key(task, spec)).or_default();
         let total = *saved + work_done_s / self.runtime_factor.max(1e-9);
         let kept = match checkpoint {
             Checkpoint::OnStop => total,
-            Checkpoint::LastPeriodic => (total / spec.checkpoint_s).floor() * spec.checkpoint_s,
+            Checkpoint::LastPeriodic => (total / spec.checkpoint_interval_s).floor() * spec.checkpoint_interval_s,
         };
-        *saved = saved.max(kept.min(spec.estimate_s));
+        *saved = saved.max(kept.min(spec.estimated_run_time_s));
     }
 }
 
--- a/packages/wire/src/example.rs
+++ b/packages/wire/src/example.rs
@@ -26,9 +26,9 @@
         one_zone: false,
         spread: false,
         spot: true,
-        estimate_s: 10.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        estimated_run_time_s: 10.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
         deadline_s: None,
         dependencies: Vec::new(),
     })
--- a/packages/wire/src/model/job.rs
+++ b/packages/wire/src/model/job.rs
@@ -85,13 +85,13 @@
     pub spot: bool,
     /// Run time of a task in seconds, as estimated by the user.
     #[serde(rename = "expectS")]
-    pub estimate_s: f64,
+    pub estimated_run_time_s: f64,
     /// Interval between the checkpoints of a task in seconds; 0 if tasks save no checkpoints.
     #[serde(rename = "markEveryS")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// Time that a task takes to save a checkpoint, in seconds.
     #[serde(rename = "markTakesS")]
-    pub save_s: f64,
+    pub checkpoint_duration_s: f64,
     /// Time within which the job should complete, in seconds after its submission; `None` if it has
     /// no deadline.
     #[serde(rename = "dueS", default)]
@@ -144,8 +144,15 @@
         if !self.dependencies.iter().all(|id| valid_id(id)) {
             return Some("awaits");
         }
-        let amounts =
-            [self.cpus, self.gpus, self.memory_gb, self.image_gb, self.estimate_s, self.checkpoint_s, self.save_s];
+        let amounts = [
+            self.cpus,
+            self.gpus,
+            self.memory_gb,
+            self.image_gb,
+            self.estimated_run_time_s,
+            self.checkpoint_interval_s,
+            self.checkpoint_duration_s,
+        ];
         if !amounts.iter().chain(self.deadline_s.iter()).all(|amount| amount.is_finite() && *amount >= 0.0) {
             return Some("an amount is negative or not finite");
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -102,7 +102,7 @@
         team: "demo".into(),
         cpus: 0.5,
         image_gb: 0.1,
-        estimate_s: 0.5,
+        estimated_run_time_s: 0.5,
         ..(*coralnotch_wire::example::spec(&id, 1)).clone()
     }
 }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -52,8 +52,8 @@
     let spec: JobSpec = assert_round_trip(&golden["spec"]);
     assert_eq!((&*spec.id, &*spec.class, &*spec.team), ("j-000412", "nightly", "team-a"));
     assert_eq!((spec.tasks, spec.cpus, spec.gpus, spec.memory_gb), (4, 1.5, 1.0, 8.0));
-    assert_eq!((&*spec.image, spec.image_gb, spec.estimate_s), ("img-1", 2.0, 30.0));
-    assert_eq!((spec.checkpoint_s, spec.save_s, spec.deadline_s), (60.0, 5.0, Some(900.0)));
+    assert_eq!((&*spec.image, spec.image_gb, spec.estimated_run_time_s), ("img-1", 2.0, 30.0));
+    assert_eq!((spec.checkpoint_interval_s, spec.checkpoint_duration_s, spec.deadline_s), (60.0, 5.0, Some(900.0)));
     assert_eq!(spec.zone.as_deref(), Some("z1"));
     assert_eq!((spec.one_zone, spec.spread, spec.spot), (true, false, true));
     assert_eq!((spec.types.map(|t| t.len()), spec.dependencies.len()), (Some(1), 1));
--- a/tests/roll.rs
+++ b/tests/roll.rs
@@ -67,7 +67,7 @@
             let mut jobs = chain_specs();
             if n < cancelled {
                 // a short job could finish before its cancellation
-                jobs[0].estimate_s = 10_000.0;
+                jobs[0].estimated_run_time_s = 10_000.0;
             }
             // dependents first: the client must itself submit jobs in the order of their dependencies
             jobs.reverse();
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -87,7 +87,7 @@
     let cluster =
         Cluster::start(&dir, ClusterConfig { faults: FAULTS, capacity: 20, size, ..ClusterConfig::default() });
     let id: Name = "j-000077".into();
-    let spec = JobSpec { tasks: TASKS, cpus: 16.0, estimate_s: 16.0, spot: false, ..small_job(id.clone()) };
+    let spec = JobSpec { tasks: TASKS, cpus: 16.0, estimated_run_time_s: 16.0, spot: false, ..small_job(id.clone()) };
     let forwarded = smol::block_on(async {
         let client = Client::default();
         let controllers = controller_addresses(&dir);
