--- a/packages/core/src/cluster/job.rs
+++ b/packages/core/src/cluster/job.rs
@@ -300,7 +300,7 @@
     if spec.one_zone && zones.iter().any(|(other, tasks)| *tasks > 0 && other != zone) {
         return false;
     }
-    zones.get(zone).copied().unwrap_or(0) < spec.zone_cap()
+    zones.get(zone).copied().unwrap_or(0) < spec.max_tasks_per_zone()
 }
 
 /// Pending reason of a quarantined job.
--- a/packages/core/src/fleet/scale_out.rs
+++ b/packages/core/src/fleet/scale_out.rs
@@ -75,7 +75,7 @@
         return 0;
     }
     let in_zone = zones.get(&pool.zone).copied().unwrap_or(0);
-    count.min(spec.zone_cap().saturating_sub(in_zone))
+    count.min(spec.max_tasks_per_zone().saturating_sub(in_zone))
 }
 
 /// The cheapest pool found so far.
--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -137,8 +137,12 @@
         cluster.start_objectives.insert("c".into(), 5.0);
         let now = start + cluster.policy.ttl + Duration::from_secs(20);
         for n in 0..arrivals {
-            let s =
-                JobSpec { shape: Shape::Service, spread: true, spot: false, ..(*spec(&format!("j-{n}"), 4)).clone() };
+            let s = JobSpec {
+                shape: Shape::Service,
+                spread_over_zones: true,
+                spot: false,
+                ..(*spec(&format!("j-{n}"), 4)).clone()
+            };
             cluster.add_job(Arc::new(s), 1 + u64::from(n), None, now - Duration::from_secs(1));
         }
         cluster.apply_machine_list(&[], now);
--- a/packages/core/src/placement/limits.rs
+++ b/packages/core/src/placement/limits.rs
@@ -10,7 +10,7 @@
     /// if the job has no zone constraint.
     pub(super) fn tasks_per_zone(&self, request: &PlacementRequest) -> Vec<u32> {
         let mut tasks_per_zone = vec![0; self.zones.len()];
-        if !request.job.spec.one_zone && !request.job.spec.spread {
+        if !request.job.spec.one_zone && !request.job.spec.spread_over_zones {
             return tasks_per_zone;
         }
         for (name, task) in request.job.assigned_tasks() {
@@ -39,7 +39,7 @@
         if spec.one_zone && tasks_per_zone.iter().enumerate().any(is_elsewhere) {
             return false;
         }
-        tasks_per_zone[zone] < spec.zone_cap()
+        tasks_per_zone[zone] < spec.max_tasks_per_zone()
     }
 
     /// Reports whether the team's limit allows `count` more tasks of the job to run.
--- a/packages/core/src/sim/invariants.rs
+++ b/packages/core/src/sim/invariants.rs
@@ -51,7 +51,7 @@
         }
         let is_allowed = spec.allows(&"t".into(), &machine.zone, machine.spot);
         let violates_one_zone = spec.one_zone && tasks_in_zone.len() > 1;
-        if !is_allowed || violates_one_zone || tasks_in_zone[&machine.zone] > spec.zone_cap() {
+        if !is_allowed || violates_one_zone || tasks_in_zone[&machine.zone] > spec.max_tasks_per_zone() {
             violations
                 .push(format!("wrong_machine: {task} starts on {}, where its job does not allow it", machine.name));
         }
--- a/packages/core/src/sim/starvation.rs
+++ b/packages/core/src/sim/starvation.rs
@@ -124,7 +124,7 @@
                 *fitting.entry(&worker.zone).or_default() += (free / spec.cpus) as u32;
             }
         }
-        let by_zone = fitting.values().map(|tasks| *tasks.min(&spec.zone_cap()));
+        let by_zone = fitting.values().map(|tasks| *tasks.min(&spec.max_tasks_per_zone()));
         if spec.one_zone {
             by_zone.max().unwrap_or(0)
         } else {
--- a/packages/core/src/user_request/satisfiability.rs
+++ b/packages/core/src/user_request/satisfiability.rs
@@ -17,8 +17,9 @@
     let Some(team) = teams.iter().find(|team| *team.name == *spec.team) else {
         return Some("unknown team");
     };
-    let is_allowed =
-        |machine_type: &&MachineType| spec.types.as_ref().is_none_or(|names| names.contains(&machine_type.name));
+    let is_allowed = |machine_type: &&MachineType| {
+        spec.machine_types.as_ref().is_none_or(|names| names.contains(&machine_type.name))
+    };
     let is_large_enough = |machine_type: &&MachineType| machine_type.size().fits(&spec.size());
     let mut fitting = types.iter().filter(is_allowed).filter(is_large_enough).peekable();
     if fitting.peek().is_none() {
@@ -28,7 +29,7 @@
         return Some("no allowed machine type that a task fits is in its zone");
     }
     let runs_at_once = spec.shape != Shape::Array;
-    if runs_at_once && (spec.zone.is_some() || spec.one_zone) && spec.tasks > spec.zone_cap() {
+    if runs_at_once && (spec.zone.is_some() || spec.one_zone) && spec.tasks > spec.max_tasks_per_zone() {
         return Some("its tasks are to be spread and to be in one zone");
     }
     // The tasks of an array may run one after another, so each has to fit the limit alone.
--- a/packages/core/src/user_request/tests.rs
+++ b/packages/core/src/user_request/tests.rs
@@ -225,30 +225,30 @@
         |_| {},
         |s| s.zone = Some("a".into()),
         |s| (s.zone, s.gpus) = (Some("c".into()), 2.0),
-        |s| (s.types, s.zone) = (Some(vec!["g".into(), "none".into()]), Some("c".into())),
+        |s| (s.machine_types, s.zone) = (Some(vec!["g".into(), "none".into()]), Some("c".into())),
         |s| (s.tasks, s.cpus) = (5000, 12.0),
-        |s| (s.spread, s.shape) = (true, Shape::Service),
+        |s| (s.spread_over_zones, s.shape) = (true, Shape::Service),
         // the tasks of an array may run one after another
-        |s| (s.spread, s.zone) = (true, Some("a".into())),
-        |s| (s.spread, s.shape, s.tasks, s.one_zone) = (true, Shape::Gang, 1, true),
+        |s| (s.spread_over_zones, s.zone) = (true, Some("a".into())),
+        |s| (s.spread_over_zones, s.shape, s.tasks, s.one_zone) = (true, Shape::Gang, 1, true),
     ];
     for (n, change) in satisfiable.iter().enumerate() {
         assert_eq!(reason_with(change), None, "{n}");
     }
     let unsatisfiable: [(Change, &str); 12] = [
         (|s| s.team = "z".into(), "team"),
-        (|s| s.types = Some(vec![]), "fits no"),
-        (|s| s.types = Some(vec!["none".into()]), "fits no"),
+        (|s| s.machine_types = Some(vec![]), "fits no"),
+        (|s| s.machine_types = Some(vec!["none".into()]), "fits no"),
         (|s| s.memory_gb = 65.0, "fits no"),
         (|s| s.cpus = 17.0, "fits no"),
         (|s| s.zone = Some("nowhere".into()), "zone"),
         // the type and the zone exist, but the zone does not have the type
-        (|s| (s.types, s.zone) = (Some(vec!["g".into()]), Some("a".into())), "zone"),
+        (|s| (s.machine_types, s.zone) = (Some(vec!["g".into()]), Some("a".into())), "zone"),
         (|s| (s.gpus, s.zone) = (1.0, Some("b".into())), "zone"),
         (|s| s.cpus = 13.0, "limit"),
         (|s| (s.shape, s.tasks, s.cpus) = (Shape::Gang, 4, 4.0), "limit"),
         (|s| (s.shape, s.tasks, s.gpus) = (Shape::Service, 3, 2.0), "limit"),
-        (|s| (s.shape, s.spread, s.one_zone) = (Shape::Service, true, true), "spread"),
+        (|s| (s.shape, s.spread_over_zones, s.one_zone) = (Shape::Service, true, true), "spread"),
     ];
     for (n, (change, expected)) in unsatisfiable.iter().enumerate() {
         assert!(reason_with(change).is_some_and(|reason| reason.contains(expected)), "{n}: {:?}", reason_with(change));
--- a/packages/emulator/src/worker_pool/rules.rs
+++ b/packages/emulator/src/worker_pool/rules.rs
@@ -34,7 +34,7 @@
 /// Reports whether a job may run on a machine, judged by its type, its zone and whether it is a spot
 /// instance.
 fn is_machine_allowed(machine: &Machine, spec: &JobSpec) -> bool {
-    spec.types.as_ref().is_none_or(|types| types.contains(&machine.kind.name))
+    spec.machine_types.as_ref().is_none_or(|types| types.contains(&machine.kind.name))
         && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
         && (spec.spot || !machine.spot)
 }
--- a/packages/wire/src/model/job.rs
+++ b/packages/wire/src/model/job.rs
@@ -72,14 +72,15 @@
     pub image_gb: f64,
     /// Names of the machine types on which tasks may run; `None` allows all.
     #[serde(rename = "hulls", default)]
-    pub types: Option<Vec<Name>>,
+    pub machine_types: Option<Vec<Name>>,
     /// Name of the only zone in which tasks may run; `None` allows all.
     #[serde(rename = "bay", default)]
     pub zone: Option<Name>,
     /// Whether all tasks have to run in the same zone, whichever it is.
     pub one_zone: bool,
     /// Whether no zone may have more than half of the tasks, rounded up.
-    pub spread: bool,
+    #[serde(rename = "spread")]
+    pub spread_over_zones: bool,
     /// Whether tasks may run on spot machines as well as on on-demand machines.
     #[serde(rename = "driftwood")]
     pub spot: bool,
@@ -160,8 +161,8 @@
     }
 
     /// Returns the maximum number of tasks of this job that may run in one zone at the same time.
-    pub fn zone_cap(&self) -> u32 {
-        if self.spread {
+    pub fn max_tasks_per_zone(&self) -> u32 {
+        if self.spread_over_zones {
             self.tasks.div_ceil(2)
         } else {
             self.tasks
@@ -171,7 +172,7 @@
     /// Reports whether tasks of the job may run on a machine of this type in this zone.  `spot` says
     /// whether it is a spot machine.
     pub fn allows(&self, machine_type: &Name, zone: &Name, spot: bool) -> bool {
-        self.types.as_ref().is_none_or(|types| types.contains(machine_type))
+        self.machine_types.as_ref().is_none_or(|types| types.contains(machine_type))
             && self.zone.as_ref().is_none_or(|allowed| allowed == zone)
             && (self.spot || !spot)
     }
