--- a/packages/core/src/cluster/machine.rs
+++ b/packages/core/src/cluster/machine.rs
@@ -140,7 +140,7 @@
     pub fn free_resources(&self) -> Resources {
         let mut free = self.size;
         for assignment in self.tasks.values().filter(|assignment| assignment.occupies_resources()) {
-            free.subtract(&assignment.spec.size());
+            free.subtract(&assignment.spec.resources_per_task());
         }
         free
     }
--- a/packages/core/src/cluster/recovery.rs
+++ b/packages/core/src/cluster/recovery.rs
@@ -52,7 +52,7 @@
             .entry(start.machine.clone())
             .or_insert_with(|| Machine::new(start.machine.clone(), machine_type.clone(), zone.clone(), *spot, now));
         if let Some(machine_type) = self.machine_types.get(machine_type) {
-            machine.size = machine_type.size();
+            machine.size = machine_type.resources();
         }
         // Shards may still hold an earlier start of the same task on this machine, even with
         // the same attempt number: when a worker's incarnation ends, the tasks of a gang that
--- a/packages/core/src/cluster/team.rs
+++ b/packages/core/src/cluster/team.rs
@@ -35,7 +35,7 @@
         let mut usage: NameMap<Resources> = NameMap::default();
         let assignments = self.machines.values().flat_map(|machine| machine.tasks.values());
         for assignment in assignments.filter(|assignment| assignment.occupies_resources()) {
-            let size = assignment.spec.size();
+            let size = assignment.spec.resources_per_task();
             match usage.get_mut(&assignment.spec.team) {
                 Some(used) => used.add(&size),
                 None => drop(usage.insert(assignment.spec.team.clone(), size)),
--- a/packages/core/src/fleet/consolidation.rs
+++ b/packages/core/src/fleet/consolidation.rs
@@ -108,7 +108,7 @@
             .map(|machine| MoveTarget { machine, free: machine.free_resources() })
             .collect();
         for task in source.tasks.values() {
-            let (spec, size) = (&task.spec, task.spec.size());
+            let (spec, size) = (&task.spec, task.spec.resources_per_task());
             let fits = |target: &&mut MoveTarget| {
                 let machine = target.machine;
                 target.free.fits(&size)
@@ -137,7 +137,7 @@
             };
             let arrived: u32 = self.jobs.values().filter(is_recent).map(|job| job.spec.tasks).sum();
             let expected = f64::from(arrived) * 2.0 * boot_s / horizon_s;
-            let lost = machine.size.count_fitting(&spec.size(), MAX_TASKS_COUNTED);
+            let lost = machine.size.count_fitting(&spec.resources_per_task(), MAX_TASKS_COUNTED);
             let room = self.startable_tasks(spec, now).saturating_sub(lost);
             room as f64 >= expected.max(self.policy.urgent_room as f64)
         };
--- a/packages/core/src/fleet/demand.rs
+++ b/packages/core/src/fleet/demand.rs
@@ -43,9 +43,9 @@
         let preemptible =
             machine.tasks.values().filter(|task| task.occupies_resources() && task.spec.priority > spec.priority);
         for task in preemptible {
-            room.add(&task.spec.size());
+            room.add(&task.spec.resources_per_task());
         }
-        room.count_fitting(&spec.size(), MAX_TASKS_COUNTED)
+        room.count_fitting(&spec.resources_per_task(), MAX_TASKS_COUNTED)
     }
 
     /// Returns how many tasks of a job could start immediately on all machines together.
--- a/packages/core/src/fleet/headroom.rs
+++ b/packages/core/src/fleet/headroom.rs
@@ -42,7 +42,7 @@
         }
         let mut demand = self.team_usage();
         for job in self.jobs.values().filter(|job| job.outcome.is_none()) {
-            let waiting = job.spec.size().scaled(f64::from(job.waiting_tasks()));
+            let waiting = job.spec.resources_per_task().scaled(f64::from(job.waiting_tasks()));
             demand.entry(job.spec.team.clone()).or_default().add(&waiting);
         }
         for (name, team) in self.teams.iter().filter(|(_, team)| has_guarantee(team)) {
--- a/packages/core/src/fleet/machine_list.rs
+++ b/packages/core/src/fleet/machine_list.rs
@@ -18,7 +18,7 @@
         }
         for machine in self.machines.values_mut() {
             if let Some(machine_type) = self.machine_types.get(&machine.machine_type) {
-                machine.size = machine_type.size();
+                machine.size = machine_type.resources();
             }
         }
         self.queue_changed = true;
@@ -34,7 +34,7 @@
                 let (name, kind, zone) = (listed.name.clone(), listed.kind.clone(), listed.zone.clone());
                 let mut machine = Machine::new(name, kind, zone, listed.spot, now);
                 machine.size =
-                    machine_types.get(&listed.kind).map(|machine_type| machine_type.size()).unwrap_or_default();
+                    machine_types.get(&listed.kind).map(|machine_type| machine_type.resources()).unwrap_or_default();
                 machine
             });
             if is_new {
@@ -74,7 +74,8 @@
             self.mark_pool_exhausted(rental, now);
         }
         for name in names {
-            let size = self.machine_types.get(&rental.kind).map(|machine_type| machine_type.size()).unwrap_or_default();
+            let size =
+                self.machine_types.get(&rental.kind).map(|machine_type| machine_type.resources()).unwrap_or_default();
             let machine = self.machines.entry(name.clone()).or_insert_with(|| {
                 Machine::new(name.clone(), rental.kind.clone(), rental.zone.clone(), rental.spot, now)
             });
--- a/packages/core/src/fleet/scale_out.rs
+++ b/packages/core/src/fleet/scale_out.rs
@@ -141,7 +141,7 @@
         for rental in &self.fleet.open_rentals {
             let Some(machine_type) = self.machine_types.get(&rental.kind) else { continue };
             let rented = (0..rental.count)
-                .map(|_| PendingMachine { pool: MachinePool::from_rental(rental), free: machine_type.size() });
+                .map(|_| PendingMachine { pool: MachinePool::from_rental(rental), free: machine_type.resources() });
             pending.extend(rented);
         }
         pending
@@ -190,7 +190,7 @@
     /// the remaining ones.
     fn meet_demand(&self, demand: &UnmetDemand, shortfall: Shortfall, scale_out: &mut ScaleOut, now: Instant) {
         let spec = &demand.spec;
-        let size = spec.size();
+        let size = spec.resources_per_task();
         let Shortfall { mut count, spot_only } = shortfall;
         let mut zones = demand.zones.clone();
         for PendingMachine { pool, free } in &mut scale_out.pending {
@@ -209,7 +209,7 @@
         }
         // Machine types are compared by their price per task.
         let tasks_per_machine = |machine_type: &MachineType| {
-            let whole = machine_type.size();
+            let whole = machine_type.resources();
             whole.fits(&size).then(|| whole.count_fitting(&size, MAX_TASKS_COUNTED).max(1) as f64)
         };
         while count > 0 {
@@ -256,7 +256,7 @@
                 let cost = price / units;
                 let machines_in_zone = machines_per_zone.get(zone).copied().unwrap_or(0);
                 if best.as_ref().is_none_or(|best| (cost, machines_in_zone) < (best.cost, best.machines_in_zone)) {
-                    best = Some(PoolCandidate { cost, machines_in_zone, pool, size: machine_type.size() });
+                    best = Some(PoolCandidate { cost, machines_in_zone, pool, size: machine_type.resources() });
                 }
             }
         }
--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -287,7 +287,8 @@
     for (number, replicas) in [3, 2, 1, 0, 0, 0].into_iter().enumerate() {
         let name: Name = format!("i-{number}").into();
         let mut machine = Machine::new(name.clone(), "t".into(), "z0".into(), false, start);
-        (machine.incarnation, machine.last_heartbeat, machine.size) = (1, Some(now), cluster.machine_types["t"].size());
+        (machine.incarnation, machine.last_heartbeat, machine.size) =
+            (1, Some(now), cluster.machine_types["t"].resources());
         machine.images = vec![("img-0".into(), 1.0)];
         machine.idle_since = Some(now);
         cluster.machines.insert(name.clone(), machine);
--- a/packages/core/src/placement/machine_slot.rs
+++ b/packages/core/src/placement/machine_slot.rs
@@ -63,7 +63,7 @@
             is_reranked: false,
         };
         for task in machine.tasks.values().filter(|task| task.occupies_resources()) {
-            let size = task.spec.size();
+            let size = task.spec.resources_per_task();
             slot.free.subtract(&size);
             if task.spec.shape == Shape::Service {
                 slot.unused_by_replicas.subtract(&size);
--- a/packages/core/src/placement/pass.rs
+++ b/packages/core/src/placement/pass.rs
@@ -81,7 +81,7 @@
 /// Returns the minimum of each resource over all queued tasks.
 fn smallest_task(queue: &[QueueEntry]) -> Resources {
     let infinite = Resources { cpus: f64::INFINITY, gpus: f64::INFINITY, memory_gb: f64::INFINITY };
-    queue.iter().map(|entry| entry.job.spec.size()).fold(infinite, |a, b| Resources {
+    queue.iter().map(|entry| entry.job.spec.resources_per_task()).fold(infinite, |a, b| Resources {
         cpus: a.cpus.min(b.cpus),
         gpus: a.gpus.min(b.gpus),
         memory_gb: a.memory_gb.min(b.memory_gb),
@@ -156,7 +156,7 @@
         }
         let allowed_pools =
             self.pools.iter().map(|pool| spec.allows(pool.machine_type, pool.zone, pool.spot)).collect();
-        PlacementRequest { job, size: spec.size(), allowed_pools, image_index }
+        PlacementRequest { job, size: spec.resources_per_task(), allowed_pools, image_index }
     }
 
     /// Returns the inputs of the placement switch at this point of the pass.
--- a/packages/core/src/placement/preemption_cost.rs
+++ b/packages/core/src/placement/preemption_cost.rs
@@ -106,7 +106,7 @@
                 // A gang is stopped as a whole.
                 let members = if running.spec.shape == Shape::Gang { running.assignments.len() } else { 1 };
                 let loss = preemption_loss(assignment, self.now) * members.max(1) as f64;
-                let (size, priority) = (assignment.spec.size(), running.urgency.priority);
+                let (size, priority) = (assignment.spec.resources_per_task(), running.urgency.priority);
                 victims.push(Victim { loss, task, size, priority });
             }
         }
@@ -133,7 +133,7 @@
         let machine = self.slots[slot].machine;
         for task in victims {
             let Some(assignment) = machine.tasks.get(*task) else { continue };
-            let size = assignment.spec.size();
+            let size = assignment.spec.resources_per_task();
             self.slots[slot].free_after_stops.add(&size);
             self.used_by_team.entry(assignment.spec.team.clone()).or_default().subtract(&size);
             self.planned_stops.insert((&machine.name, task));
@@ -147,7 +147,7 @@
         let machine = self.slots[slot].machine;
         for task in victims {
             let Some(assignment) = machine.tasks.get(*task) else { continue };
-            let size = assignment.spec.size();
+            let size = assignment.spec.resources_per_task();
             self.slots[slot].free_after_stops.subtract(&size);
             self.used_by_team.entry(assignment.spec.team.clone()).or_default().add(&size);
             self.planned_stops.remove(&(&machine.name, *task));
@@ -169,7 +169,10 @@
             let first_machine = job.assignments.get(&task.index).and_then(|machines| machines.first());
             let machine = first_machine.and_then(|name| self.cluster.machines.get(name));
             if let Some(assignment) = machine.and_then(|machine| machine.tasks.get(*task)) {
-                self.used_by_team.entry(assignment.spec.team.clone()).or_default().add(&assignment.spec.size());
+                self.used_by_team
+                    .entry(assignment.spec.team.clone())
+                    .or_default()
+                    .add(&assignment.spec.resources_per_task());
             }
             if job.spec.shape == Shape::Gang {
                 self.mark_gang_stopped(job);
--- a/packages/core/src/placement/queue.rs
+++ b/packages/core/src/placement/queue.rs
@@ -58,7 +58,7 @@
             let limit = self.teams.get(&job.spec.team).copied().unwrap_or_default();
             let team_usage = used_by_team.entry(job.spec.team.clone()).or_default();
             let unfinished = f64::from(job.spec.tasks - job.completed.len().min(job.spec.tasks));
-            team_usage.add(&job.spec.size().scaled(unfinished));
+            team_usage.add(&job.spec.resources_per_task().scaled(unfinished));
             job.is_within_guarantee = is_within_guarantee(&limit.guarantee, team_usage);
         }
     }
@@ -123,7 +123,7 @@
         let head = usize::from(position == 0);
         let count = (entry.count as usize).saturating_sub(head).min(remaining);
         if count > 0 {
-            runs.push(TaskRun { size: entry.job.spec.size(), count });
+            runs.push(TaskRun { size: entry.job.spec.resources_per_task(), count });
         }
         remaining -= count;
         if remaining == 0 {
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -8,7 +8,7 @@
 fn add_machine(cluster: &mut Cluster, name: &str, now: Instant) {
     let mut machine = Machine::new(name.into(), "t".into(), "z0".into(), true, now);
     (machine.incarnation, machine.last_heartbeat, machine.state, machine.size) =
-        (1, Some(now), Some(MachineState::Running), cluster.machine_types["t"].size());
+        (1, Some(now), Some(MachineState::Running), cluster.machine_types["t"].resources());
     cluster.machines.insert(name.into(), machine);
 }
 
--- a/packages/core/src/user_request/satisfiability.rs
+++ b/packages/core/src/user_request/satisfiability.rs
@@ -20,7 +20,7 @@
     let is_allowed = |machine_type: &&MachineType| {
         spec.machine_types.as_ref().is_none_or(|names| names.contains(&machine_type.name))
     };
-    let is_large_enough = |machine_type: &&MachineType| machine_type.size().fits(&spec.size());
+    let is_large_enough = |machine_type: &&MachineType| machine_type.resources().fits(&spec.resources_per_task());
     let mut fitting = types.iter().filter(is_allowed).filter(is_large_enough).peekable();
     if fitting.peek().is_none() {
         return Some("a task fits no allowed machine type");
--- a/packages/core/src/workers/heartbeat.rs
+++ b/packages/core/src/workers/heartbeat.rs
@@ -56,7 +56,7 @@
     ) -> HeartbeatOutcome {
         let Some(raised_offset) = self.raised_fence_offset(heartbeat) else { return HeartbeatOutcome::Superseded };
         let current_term = heartbeat.fencing_token >= self.base_token();
-        let size = self.machine_types.get(&heartbeat.kind).map(|machine_type| machine_type.size());
+        let size = self.machine_types.get(&heartbeat.kind).map(|machine_type| machine_type.resources());
         let machine = get_or_register_machine(&mut self.machines, heartbeat, now);
         if !is_newer(heartbeat, machine) {
             // the heartbeat was delivered late, and its worker does not wait for a reply
--- a/packages/emulator/src/worker_pool/commands.rs
+++ b/packages/emulator/src/worker_pool/commands.rs
@@ -57,9 +57,9 @@
         let phase = match spec {
             None => TaskPhase::exited(ExitCause::UnknownJob),
             Some(spec) => {
-                let mut free = machine.kind.size();
+                let mut free = machine.kind.resources();
                 free.subtract(&used_resources);
-                if free.fits(&spec.size()) {
+                if free.fits(&spec.resources_per_task()) {
                     fetch_image(machine, &spec, &mut self.rng, now);
                     TaskPhase::Pulling
                 } else {
@@ -77,7 +77,7 @@
         let tasks = self.machines.get(name).into_iter().flat_map(|machine| &machine.tasks);
         for (task, _) in tasks.filter(|(_, record)| !record.phase.has_exited()) {
             if let Some(spec) = self.specs.get(&task.job) {
-                used_resources.add(&spec.size());
+                used_resources.add(&spec.resources_per_task());
             }
         }
         used_resources
--- a/packages/wire/src/model/job.rs
+++ b/packages/wire/src/model/job.rs
@@ -127,7 +127,7 @@
 
 impl JobSpec {
     /// Returns the resources that one task requires.
-    pub fn size(&self) -> Resources {
+    pub fn resources_per_task(&self) -> Resources {
         Resources { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb }
     }
 
--- a/packages/wire/src/model/machine_type.rs
+++ b/packages/wire/src/model/machine_type.rs
@@ -41,7 +41,7 @@
 
 impl MachineType {
     /// Returns the resources of a machine of this type on which no task runs.
-    pub fn size(&self) -> Resources {
+    pub fn resources(&self) -> Resources {
         Resources { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb }
     }
 }
--- a/src/leader/machine_list.rs
+++ b/src/leader/machine_list.rs
@@ -34,7 +34,7 @@
 
 /// Returns the name and size of each machine type, without its prices.
 fn machine_sizes(types: &[MachineType]) -> Vec<(Name, Resources)> {
-    types.iter().map(|machine_type| (machine_type.name.clone(), machine_type.size())).collect()
+    types.iter().map(|machine_type| (machine_type.name.clone(), machine_type.resources())).collect()
 }
 
 impl Controller {
