--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -32,8 +32,8 @@
         memory_gb: 32.0,
         cache_gb: 50.0,
         fetch_gb_per_s: 1.0,
-        price: 1.0,
-        spot_price: 0.4,
+        price_per_hour: 1.0,
+        spot_price_per_hour: 0.4,
         boot_s: 30.0,
         zones: vec!["a".into()],
     }]);
--- a/packages/core/src/fleet/scale_out.rs
+++ b/packages/core/src/fleet/scale_out.rs
@@ -252,7 +252,7 @@
                 {
                     continue;
                 }
-                let price = if spot { machine_type.spot_price } else { machine_type.price };
+                let price = if spot { machine_type.spot_price_per_hour } else { machine_type.price_per_hour };
                 let cost = price / units;
                 let machines_in_zone = machines_per_zone.get(zone).copied().unwrap_or(0);
                 if best.as_ref().is_none_or(|best| (cost, machines_in_zone) < (best.cost, best.machines_in_zone)) {
--- a/packages/core/src/sim/fixtures.rs
+++ b/packages/core/src/sim/fixtures.rs
@@ -38,8 +38,8 @@
         memory_gb: 64.0,
         cache_gb: 10.0,
         fetch_gb_per_s: 1.0,
-        price: 1.0,
-        spot_price: 0.5,
+        price_per_hour: 1.0,
+        spot_price_per_hour: 0.5,
         boot_s: 10.0,
         zones: vec![],
     }
--- a/packages/emulator/src/cloud.rs
+++ b/packages/emulator/src/cloud.rs
@@ -167,8 +167,8 @@
 
     fn machine_cost(&self, machine: &Rented, now: Instant) -> f64 {
         let price_per_hour = self.machine_type(&machine.kind).map_or(0.0, |kind| match machine.spot {
-            true => kind.spot_price,
-            false => kind.price,
+            true => kind.spot_price_per_hour,
+            false => kind.price_per_hour,
         });
         let until = machine.died_at.unwrap_or(now);
         let billed_s = until.saturating_duration_since(machine.rented_at).as_secs_f64().max(MIN_BILLED_S);
--- a/packages/emulator/src/scale/region/setup.rs
+++ b/packages/emulator/src/scale/region/setup.rs
@@ -28,15 +28,15 @@
     let target = &scenario.target;
     let cpus = target.tasks_per_worker as f64;
     let gpus = 2.0 * target.accelerators as f64 / target.workers as f64 - 1.0;
-    let machine_type = |name: &str, gpus: f64, price: f64| MachineType {
+    let machine_type = |name: &str, gpus: f64, price_per_hour: f64| MachineType {
         name: name.into(),
         cpus,
         gpus,
         memory_gb: cpus * 4.0,
         cache_gb: 50.0,
         fetch_gb_per_s: 1.0,
-        price,
-        spot_price: price,
+        price_per_hour,
+        spot_price_per_hour: price_per_hour,
         boot_s: 2.0,
         zones: zones.to_vec(),
     };
--- a/packages/emulator/src/up/deployment.rs
+++ b/packages/emulator/src/up/deployment.rs
@@ -50,15 +50,15 @@
 /// Returns the machine types that the emulated cloud offers in `up` and in load runs.
 pub fn machine_types() -> Vec<MachineType> {
     let zones = ZONES.map(|zone| zone.into());
-    let machine_type = |name: &str, cpus: f64, price: f64| MachineType {
+    let machine_type = |name: &str, cpus: f64, price_per_hour: f64| MachineType {
         name: name.into(),
         cpus,
         gpus: 0.0,
         memory_gb: cpus * 4.0,
         cache_gb: 50.0,
         fetch_gb_per_s: 1.0,
-        price,
-        spot_price: price * 0.4,
+        price_per_hour,
+        spot_price_per_hour: price_per_hour * 0.4,
         boot_s: 2.0,
         zones: zones.to_vec(),
     };
--- a/packages/emulator/src/worker_pool/tests.rs
+++ b/packages/emulator/src/worker_pool/tests.rs
@@ -14,8 +14,8 @@
         memory_gb: 8.0,
         cache_gb: 10.0,
         fetch_gb_per_s: 1.0,
-        price: 1.0,
-        spot_price: 0.5,
+        price_per_hour: 1.0,
+        spot_price_per_hour: 0.5,
         boot_s: 1.0,
         zones: vec!["z".into()],
     };
--- a/packages/wire/src/model/machine_type.rs
+++ b/packages/wire/src/model/machine_type.rs
@@ -27,10 +27,10 @@
     pub fetch_gb_per_s: f64,
     /// Price of an on-demand machine per hour, in the unit that the cloud uses for all prices.
     #[serde(rename = "hourly", default)]
-    pub price: f64,
-    /// Price of a spot machine per hour, in the same unit as `price`.
+    pub price_per_hour: f64,
+    /// Price of a spot machine per hour, in the same unit as `price_per_hour`.
     #[serde(rename = "lowPrice", default)]
-    pub spot_price: f64,
+    pub spot_price_per_hour: f64,
     /// Typical time from the rental of a machine until it is up, in seconds.
     #[serde(rename = "bootS", default)]
     pub boot_s: f64,
--- a/src/leader/machine_list.rs
+++ b/src/leader/machine_list.rs
@@ -96,8 +96,8 @@
         let mut types = self.lock().machine_types.clone();
         for machine_type in &mut types {
             // Prices change frequently, and a controller that starts needs only the sizes.
-            machine_type.price = machine_type.price.ceil();
-            machine_type.spot_price = machine_type.spot_price.ceil();
+            machine_type.price_per_hour = machine_type.price_per_hour.ceil();
+            machine_type.spot_price_per_hour = machine_type.spot_price_per_hour.ceil();
         }
         // A list that does not fit into one value is not stored: with only a part of the types,
         // jobs would be refused permanently.
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -141,8 +141,8 @@
     assert_eq!(
         (
             &*machine_type.name,
-            machine_type.price,
-            machine_type.spot_price,
+            machine_type.price_per_hour,
+            machine_type.spot_price_per_hour,
             machine_type.boot_s,
             machine_type.zones.len()
         ),
