--- a/packages/core/src/cluster/completion.rs
+++ b/packages/core/src/cluster/completion.rs
@@ -44,8 +44,8 @@
             return;
         }
         job.outcome = Some(outcome);
-        job.pending = Ranges::default();
-        job.completed_unstored = Ranges::default();
+        job.pending = TaskIndexSet::default();
+        job.completed_unstored = TaskIndexSet::default();
         self.queue_changed = true;
         for (machine, task) in job.assigned_tasks() {
             let assignment = self.machines.get(&machine).and_then(|machine| machine.tasks.get(&task));
--- a/packages/core/src/cluster/job.rs
+++ b/packages/core/src/cluster/job.rs
@@ -143,11 +143,11 @@
     /// Outcome of the job; `None` until it has ended.
     pub outcome: Option<JobOutcome>,
     /// Tasks that have completed and are stored as completed.
-    pub completed: Ranges,
+    pub completed: TaskIndexSet,
     /// Tasks that have completed and are not stored as completed yet.
-    pub completed_unstored: Ranges,
+    pub completed_unstored: TaskIndexSet,
     /// Tasks that are neither completed nor assigned.
-    pub pending: Ranges,
+    pub pending: TaskIndexSet,
     /// Machines on which each task is or may be, by task index; usually one machine.
     pub assignments: BTreeMap<u32, Vec<Name>>,
     /// Attempt number that the tasks of a gang share; unused for other jobs.
@@ -175,13 +175,13 @@
     /// an outcome.
     pub fn new(spec: Arc<JobSpec>, revision: u64, outcome: Option<JobOutcome>, now: Instant) -> Job {
         let urgency = Urgency::own(&spec, now);
-        let pending = if outcome.is_some() { Ranges::default() } else { Ranges::span(0, spec.tasks) };
+        let pending = if outcome.is_some() { TaskIndexSet::default() } else { TaskIndexSet::from_range(0, spec.tasks) };
         Job {
             spec,
             revision,
             outcome,
-            completed: Ranges::default(),
-            completed_unstored: Ranges::default(),
+            completed: TaskIndexSet::default(),
+            completed_unstored: TaskIndexSet::default(),
             pending,
             assignments: BTreeMap::new(),
             attempt: 0,
--- a/packages/core/src/cluster/recovery.rs
+++ b/packages/core/src/cluster/recovery.rs
@@ -29,7 +29,7 @@
     }
 
     /// Adds the stored completed tasks of a job.
-    fn add_stored_completion(&mut self, id: &Name, ranges: &Ranges) {
+    fn add_stored_completion(&mut self, id: &Name, ranges: &TaskIndexSet) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         for index in ranges.iter().take_while(|index| *index < job.spec.tasks) {
             job.completed.insert(index);
--- a/packages/core/src/cluster/shard.rs
+++ b/packages/core/src/cluster/shard.rs
@@ -32,7 +32,7 @@
     /// Records of starts.
     pub starts: Vec<StartRecord>,
     /// Completed tasks, by job.
-    pub completed: Vec<(Name, Ranges)>,
+    pub completed: Vec<(Name, TaskIndexSet)>,
 }
 
 /// The properties of a machine that are stored and listed apart from its heartbeats.
--- a/packages/core/src/commit/apply.rs
+++ b/packages/core/src/commit/apply.rs
@@ -45,7 +45,7 @@
     }
 
     /// Marks completed tasks of a job as stored, and releases their assignments.
-    fn mark_completed_stored(&mut self, id: &Name, ranges: &Ranges, now: Instant) {
+    fn mark_completed_stored(&mut self, id: &Name, ranges: &TaskIndexSet, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let mut assigned = Vec::new();
         for index in ranges.iter() {
--- a/packages/core/src/commit/build.rs
+++ b/packages/core/src/commit/build.rs
@@ -100,7 +100,7 @@
             let Some(job) = self.jobs.get(&id) else { continue };
             let unstored = &job.completed_unstored;
             let fitting = open.size.fitting_ranges(&id, unstored, limits.shard_bytes);
-            if fitting.parts() < unstored.parts() {
+            if fitting.range_count() < unstored.range_count() {
                 self.jobs_to_store.insert(id.clone());
             }
             if !fitting.is_empty() {
--- a/packages/core/src/commit/mod.rs
+++ b/packages/core/src/commit/mod.rs
@@ -62,7 +62,7 @@
     /// New starts in the shards, with their positions in the queue.
     starts: Vec<(QueueKey, StartRecord)>,
     /// New completed tasks in the shards, by job.
-    completed: Vec<(Name, Ranges)>,
+    completed: Vec<(Name, TaskIndexSet)>,
     /// Outcomes that the transaction stores, by job.
     outcomes: Vec<(Name, JobOutcome)>,
 }
--- a/packages/core/src/commit/shard_size.rs
+++ b/packages/core/src/commit/shard_size.rs
@@ -94,13 +94,13 @@
     }
 
     /// Adds the size of completed tasks of a job.
-    pub(super) fn add_completed(&mut self, job: &Name, ranges: &Ranges) {
-        self.bytes += completed_job_bytes(job) + ranges.spans().map(range_bytes).sum::<usize>();
+    pub(super) fn add_completed(&mut self, job: &Name, ranges: &TaskIndexSet) {
+        self.bytes += completed_job_bytes(job) + ranges.ranges().map(range_bytes).sum::<usize>();
     }
 
     /// Returns the first ranges of a job's completed tasks, as many as fit into a shard of
     /// `max_bytes`.
-    pub(super) fn fitting_ranges(&self, job: &Name, ranges: &Ranges, max_bytes: usize) -> Ranges {
+    pub(super) fn fitting_ranges(&self, job: &Name, ranges: &TaskIndexSet, max_bytes: usize) -> TaskIndexSet {
         let mut left = max_bytes.saturating_sub(self.bytes + completed_job_bytes(job));
         let fits = |range: &(u32, u32)| {
             let bytes = range_bytes(*range);
@@ -108,7 +108,7 @@
             left = left.saturating_sub(bytes);
             fits
         };
-        ranges.first_parts(ranges.spans().take_while(fits).count())
+        ranges.first_ranges(ranges.ranges().take_while(fits).count())
     }
 
     /// Returns the maximum number of bytes that one more start adds.  A machine, a job and a
--- a/packages/core/src/commit/split.rs
+++ b/packages/core/src/commit/split.rs
@@ -115,12 +115,12 @@
         self.current.starts.push(start);
     }
 
-    fn add_completed(&mut self, job: &Name, mut ranges: Ranges) {
+    fn add_completed(&mut self, job: &Name, mut ranges: TaskIndexSet) {
         while !ranges.is_empty() {
             let fitting = self.size.fitting_ranges(job, &ranges, self.max_bytes);
             if !fitting.is_empty() {
                 self.size.add_completed(job, &fitting);
-                ranges = ranges.without_first_parts(fitting.parts());
+                ranges = ranges.without_first_ranges(fitting.range_count());
                 self.current.completed.push((job.clone(), fitting));
             } else if self.may_begin_part() && !self.size.is_empty() {
                 self.begin_part();
--- a/packages/core/src/commit/stored.rs
+++ b/packages/core/src/commit/stored.rs
@@ -28,7 +28,7 @@
     starts: Vec<(Name, Vec<StoredStart>)>,
     /// Completed tasks by job.
     #[serde(rename = "done")]
-    completed: Vec<(Name, Ranges)>,
+    completed: Vec<(Name, TaskIndexSet)>,
 }
 
 /// A shard as read from the store.
--- a/packages/core/src/placement/queue.rs
+++ b/packages/core/src/placement/queue.rs
@@ -30,7 +30,7 @@
             || job.spec.one_zone
             || job.spec.spread_over_zones
             || job.quarantine.is_some();
-        let requeued = if is_single_entry { 0 } else { job.pending.below(never_placed) };
+        let requeued = if is_single_entry { 0 } else { job.pending.count_below(never_placed) };
         let lost = QueueEntry { job, first_task: 0, count: requeued, is_requeued: true };
         let first_new = if requeued > 0 { never_placed } else { 0 };
         let new = QueueEntry { job, first_task: first_new, count: waiting - requeued, is_requeued: false };
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -39,7 +39,7 @@
     cluster.release_all_assignments(&"i-1".into(), now);
     let first = *cluster.jobs["j-000001"].pending.iter().collect::<Vec<_>>().first().expect("a lost task is pending");
     assert_eq!(first, 0);
-    let lost = cluster.jobs["j-000001"].pending.below(cluster.jobs["j-000001"].first_never_assigned_index());
+    let lost = cluster.jobs["j-000001"].pending.count_below(cluster.jobs["j-000001"].first_never_assigned_index());
     cluster.run_placement_pass(now);
     assert_eq!(cluster.jobs["j-000001"].assignments.len(), 40, "the lost tasks are assigned again");
     assert_eq!(lost, 9);
--- a/packages/wire/src/model.rs
+++ b/packages/wire/src/model.rs
@@ -15,7 +15,7 @@
 pub use machine_type::MachineType;
 pub use resources::Resources;
 pub use task::Task;
-pub use task_ranges::Ranges;
+pub use task_ranges::TaskIndexSet;
 
 use std::sync::Arc;
 
--- a/packages/wire/src/model/task_ranges.rs
+++ b/packages/wire/src/model/task_ranges.rs
@@ -9,19 +9,19 @@
 /// properties are not checked when a set is deserialized.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Ranges(pub(super) Vec<(u32, u32)>);
+pub struct TaskIndexSet(pub(super) Vec<(u32, u32)>);
 
-impl Ranges {
+impl TaskIndexSet {
     /// Creates the set of all indexes from `from` up to but not including `to`; it is empty if
     /// `from >= to`.
-    pub fn span(from: u32, to: u32) -> Ranges {
-        Ranges(if from < to { vec![(from, to)] } else { vec![] })
+    pub fn from_range(from: u32, to: u32) -> TaskIndexSet {
+        TaskIndexSet(if from < to { vec![(from, to)] } else { vec![] })
     }
     /// Reports whether the set contains no index.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
-    /// Returns the number of indexes in the set, not the number of ranges (see [`Ranges::parts`]).
+    /// Returns the number of indexes in the set, not the number of ranges (see [`TaskIndexSet::range_count`]).
     pub fn len(&self) -> u32 {
         self.0.iter().map(|(begin, end)| end.saturating_sub(*begin)).sum()
     }
@@ -60,7 +60,7 @@
         self.0.iter().flat_map(|&(begin, end)| begin..end)
     }
     /// Returns the number of indexes that are less than `limit`.
-    pub fn below(&self, limit: u32) -> u32 {
+    pub fn count_below(&self, limit: u32) -> u32 {
         self.0.iter().take_while(|range| range.0 < limit).map(|(begin, end)| (*end).min(limit) - begin).sum()
     }
     /// Returns the largest index; `None` if the set is empty.
@@ -68,20 +68,20 @@
         self.0.last().map(|range| range.1 - 1)
     }
     /// Returns the number of ranges by which the set is stored.
-    pub fn parts(&self) -> usize {
+    pub fn range_count(&self) -> usize {
         self.0.len()
     }
     /// Returns an iterator over the ranges in ascending order.  Each range is a pair of its first
     /// index and the index after its last.
-    pub fn spans(&self) -> impl Iterator<Item = (u32, u32)> + '_ {
+    pub fn ranges(&self) -> impl Iterator<Item = (u32, u32)> + '_ {
         self.0.iter().copied()
     }
     /// Returns the set of the indexes in all ranges but the first `count`.
-    pub fn without_first_parts(&self, count: usize) -> Ranges {
-        Ranges(self.0.iter().skip(count).copied().collect())
+    pub fn without_first_ranges(&self, count: usize) -> TaskIndexSet {
+        TaskIndexSet(self.0.iter().skip(count).copied().collect())
     }
     /// Returns the set of the indexes in the first `count` ranges, or the whole set if it has fewer.
-    pub fn first_parts(&self, count: usize) -> Ranges {
-        Ranges(self.0.iter().take(count).copied().collect())
+    pub fn first_ranges(&self, count: usize) -> TaskIndexSet {
+        TaskIndexSet(self.0.iter().take(count).copied().collect())
     }
 }
--- a/packages/wire/src/model/tests.rs
+++ b/packages/wire/src/model/tests.rs
@@ -9,7 +9,7 @@
     fn ranges_match_a_btree_set_after_any_inserts_and_removes(
         operations in prop::collection::vec((any::<bool>(), 0u32..60), 0..120)
     ) {
-        let (mut ranges, mut expected) = (Ranges::default(), std::collections::BTreeSet::new());
+        let (mut ranges, mut expected) = (TaskIndexSet::default(), std::collections::BTreeSet::new());
         for (add, index) in operations {
             if add {
                 prop_assert_eq!(ranges.insert(index), expected.insert(index));
@@ -21,10 +21,10 @@
             prop_assert!(ranges.0.windows(2).all(|pair| pair[0].1 < pair[1].0), "ranges overlap or are adjacent");
         }
         prop_assert!((0..60).all(|index| ranges.contains(index) == expected.contains(&index)));
-        prop_assert!((0..61).all(|limit| ranges.below(limit) as usize == expected.range(..limit).count()));
+        prop_assert!((0..61).all(|limit| ranges.count_below(limit) as usize == expected.range(..limit).count()));
         prop_assert_eq!(ranges.last(), expected.last().copied());
-        let first = ranges.first_parts(2);
-        prop_assert_eq!(first.parts(), ranges.parts().min(2));
+        let first = ranges.first_ranges(2);
+        prop_assert_eq!(first.range_count(), ranges.range_count().min(2));
         prop_assert!(first.iter().eq(ranges.iter().take(first.len() as usize)));
     }
 
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -14,7 +14,7 @@
 use coralnotch::controller::Controller;
 use coralnotch::leadership::lease::LeaderRecord;
 use coralnotch::model::{
-    JobExplanation, JobOutcome, JobSpec, JobState, MachineType, OutcomeRecord, Priority, Ranges, Shape,
+    JobExplanation, JobOutcome, JobSpec, JobState, MachineType, OutcomeRecord, Priority, Shape, TaskIndexSet,
 };
 use coralnotch::operators::status::Status;
 use coralnotch::operators::telemetry::TimedOperation;
@@ -191,7 +191,7 @@
     let member: MemberRecord = assert_round_trip(&golden["member"]);
     assert_eq!((member.features.len(), member.version.as_str()), (3, "0.1.0"));
     assert_eq!(gates.enabled, coralnotch_core::feature_gate::SUPPORTED);
-    let ranges: Ranges = assert_round_trip(&golden["ranges"]);
+    let ranges: TaskIndexSet = assert_round_trip(&golden["ranges"]);
     assert_eq!(ranges.iter().collect::<Vec<_>>(), [0, 1, 2, 7]);
     let keys =
         [key::WATCHED, key::JOB, key::OUTCOME, key::LEADER, key::TERM, key::FEATURE_GATES, key::MEMBER, key::TYPES];
