--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -41,7 +41,7 @@
         let heartbeat = Heartbeat {
             machine: name.into(),
             address: "127.0.0.1:9000".into(),
-            kind: "m8".into(),
+            machine_type: "m8".into(),
             zone: "a".into(),
             spot,
             incarnation: 1,
--- a/packages/core/src/cluster/rental.rs
+++ b/packages/core/src/cluster/rental.rs
@@ -24,7 +24,7 @@
 impl MachinePool {
     /// Returns the pool from which a rental requests machines.
     pub fn from_rental(rental: &Rental) -> MachinePool {
-        MachinePool { machine_type: rental.kind.clone(), zone: rental.zone.clone(), spot: rental.spot }
+        MachinePool { machine_type: rental.machine_type.clone(), zone: rental.zone.clone(), spot: rental.spot }
     }
 
     /// Returns the pool to which a machine belongs.
--- a/packages/core/src/cluster/rental/tests.rs
+++ b/packages/core/src/cluster/rental/tests.rs
@@ -69,7 +69,7 @@
             request += 1;
             let wanted = [Rental {
                 request_id: format!("{term}-{request}").into(),
-                kind: "t".into(),
+                machine_type: "t".into(),
                 zone: "a".into(),
                 spot: false,
                 count: request,
--- a/packages/core/src/fleet/machine_list.rs
+++ b/packages/core/src/fleet/machine_list.rs
@@ -31,16 +31,19 @@
             let machine_types = &self.machine_types;
             let is_new = !self.machines.contains_key(&listed.name);
             let machine = self.machines.entry(listed.name.clone()).or_insert_with(|| {
-                let (name, kind, zone) = (listed.name.clone(), listed.kind.clone(), listed.zone.clone());
-                let mut machine = Machine::new(name, kind, zone, listed.spot, now);
-                machine.size =
-                    machine_types.get(&listed.kind).map(|machine_type| machine_type.resources()).unwrap_or_default();
+                let (name, machine_type, zone) =
+                    (listed.name.clone(), listed.machine_type.clone(), listed.zone.clone());
+                let mut machine = Machine::new(name, machine_type, zone, listed.spot, now);
+                machine.size = machine_types
+                    .get(&listed.machine_type)
+                    .map(|machine_type| machine_type.resources())
+                    .unwrap_or_default();
                 machine
             });
             if is_new {
                 tracing::info!(
                     machine = %listed.name,
-                    kind = %listed.kind,
+                    kind = %listed.machine_type,
                     zone = %listed.zone,
                     spot = listed.spot,
                     state = ?listed.state,
@@ -64,7 +67,7 @@
         tracing::info!(
             rented = names.len(),
             requested = rental.count,
-            kind = %rental.kind,
+            kind = %rental.machine_type,
             zone = %rental.zone,
             spot = rental.spot,
             machines = ?names,
@@ -74,10 +77,13 @@
             self.mark_pool_exhausted(rental, now);
         }
         for name in names {
-            let size =
-                self.machine_types.get(&rental.kind).map(|machine_type| machine_type.resources()).unwrap_or_default();
+            let size = self
+                .machine_types
+                .get(&rental.machine_type)
+                .map(|machine_type| machine_type.resources())
+                .unwrap_or_default();
             let machine = self.machines.entry(name.clone()).or_insert_with(|| {
-                Machine::new(name.clone(), rental.kind.clone(), rental.zone.clone(), rental.spot, now)
+                Machine::new(name.clone(), rental.machine_type.clone(), rental.zone.clone(), rental.spot, now)
             });
             machine.size = size;
         }
--- a/packages/core/src/fleet/scale_out.rs
+++ b/packages/core/src/fleet/scale_out.rs
@@ -139,7 +139,7 @@
             .map(|machine| PendingMachine { pool: MachinePool::from_machine(machine), free: machine.size })
             .collect();
         for rental in &self.fleet.open_rentals {
-            let Some(machine_type) = self.machine_types.get(&rental.kind) else { continue };
+            let Some(machine_type) = self.machine_types.get(&rental.machine_type) else { continue };
             let rented = (0..rental.count)
                 .map(|_| PendingMachine { pool: MachinePool::from_rental(rental), free: machine_type.resources() });
             pending.extend(rented);
@@ -302,7 +302,7 @@
                 self.fleet.last_request_number += 1;
                 let rental = Rental {
                     request_id: format!("c-{}-{}", self.term, self.fleet.last_request_number).into(),
-                    kind: pool.machine_type.clone(),
+                    machine_type: pool.machine_type.clone(),
                     zone: pool.zone.clone(),
                     spot: pool.spot,
                     count: count.min(MAX_MACHINES_PER_RENTAL),
--- a/packages/core/src/sim/cloud.rs
+++ b/packages/core/src/sim/cloud.rs
@@ -52,7 +52,7 @@
 fn list_entry(worker: &Worker) -> ListedMachine {
     ListedMachine {
         name: worker.name.clone(),
-        kind: "t".into(),
+        machine_type: "t".into(),
         zone: worker.zone.clone(),
         spot: worker.spot,
         state: MachineState::Running,
--- a/packages/core/src/sim/fixtures.rs
+++ b/packages/core/src/sim/fixtures.rs
@@ -18,7 +18,7 @@
     Heartbeat {
         machine: machine.into(),
         address: "127.0.0.1:9".into(),
-        kind: "t".into(),
+        machine_type: "t".into(),
         zone: zone.into(),
         spot: false,
         incarnation,
--- a/packages/core/src/sim/workers.rs
+++ b/packages/core/src/sim/workers.rs
@@ -122,7 +122,7 @@
         Heartbeat {
             machine: self.name.clone(),
             address: "127.0.0.1:9".into(),
-            kind: "t".into(),
+            machine_type: "t".into(),
             zone: self.zone.clone(),
             spot: self.spot,
             incarnation: self.incarnation,
--- a/packages/core/src/workers/heartbeat.rs
+++ b/packages/core/src/workers/heartbeat.rs
@@ -56,7 +56,7 @@
     ) -> HeartbeatOutcome {
         let Some(raised_offset) = self.raised_fence_offset(heartbeat) else { return HeartbeatOutcome::Superseded };
         let current_term = heartbeat.fencing_token >= self.base_token();
-        let size = self.machine_types.get(&heartbeat.kind).map(|machine_type| machine_type.resources());
+        let size = self.machine_types.get(&heartbeat.machine_type).map(|machine_type| machine_type.resources());
         let machine = get_or_register_machine(&mut self.machines, heartbeat, now);
         if !is_newer(heartbeat, machine) {
             // the heartbeat was delivered late, and its worker does not wait for a reply
@@ -135,12 +135,12 @@
     heartbeat: &Heartbeat,
     now: Instant,
 ) -> &'a mut Machine {
-    let Heartbeat { machine: name, kind, zone, spot, .. } = heartbeat;
+    let Heartbeat { machine: name, machine_type, zone, spot, .. } = heartbeat;
     match machines.entry(name.clone()) {
         Entry::Occupied(known) => known.into_mut(),
         Entry::Vacant(unknown) => {
-            tracing::info!(machine = %name, machine_type = %kind, %zone, spot, "machine registered");
-            unknown.insert(Machine::new(name.clone(), kind.clone(), zone.clone(), *spot, now))
+            tracing::info!(machine = %name, machine_type = %machine_type, %zone, spot, "machine registered");
+            unknown.insert(Machine::new(name.clone(), machine_type.clone(), zone.clone(), *spot, now))
         }
     }
 }
--- a/packages/core/src/workers/task_status.rs
+++ b/packages/core/src/workers/task_status.rs
@@ -191,7 +191,7 @@
     fn record_running(&mut self, reported: ReportedTask, now: Instant) {
         let ReportedTask { heartbeat, status, .. } = reported;
         let cache_gb =
-            self.machine_types.get(&heartbeat.kind).map_or(f64::INFINITY, |machine_type| machine_type.cache_gb);
+            self.machine_types.get(&heartbeat.machine_type).map_or(f64::INFINITY, |machine_type| machine_type.cache_gb);
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
         let Some(assignment) = machine.tasks.get_mut(&status.task) else { return };
         assignment.running_since = Some(now);
--- a/packages/core/src/workers/tests.rs
+++ b/packages/core/src/workers/tests.rs
@@ -51,7 +51,7 @@
         let heartbeat = Heartbeat {
             machine: machine_name(number),
             address: "127.0.0.1:9".into(),
-            kind: "t".into(),
+            machine_type: "t".into(),
             zone: format!("z{}", number % 3).into(),
             spot: false,
             incarnation: 1,
--- a/packages/emulator/src/cloud.rs
+++ b/packages/emulator/src/cloud.rs
@@ -236,7 +236,7 @@
         }
         let listed = |(name, machine): (&Name, &Rented)| ListedMachine {
             name: name.clone(),
-            kind: machine.kind.clone(),
+            machine_type: machine.kind.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
             state: if machine.is_up(now) { MachineState::Running } else { MachineState::Booting },
--- a/packages/emulator/src/cloud/requests.rs
+++ b/packages/emulator/src/cloud/requests.rs
@@ -65,7 +65,7 @@
         if let Some(names) = self.rentals.get(&rental.request_id) {
             return Response::new(200, &Machines { machines: names.clone(), truncated: false });
         }
-        let is_requested = |kind: &&MachineType| kind.name == rental.kind && kind.zones.contains(&rental.zone);
+        let is_requested = |kind: &&MachineType| kind.name == rental.machine_type && kind.zones.contains(&rental.zone);
         let Some(boot_s) = self.settings.types.iter().find(is_requested).map(|kind| kind.boot_s) else {
             return Response::refuse(400, "no such type there");
         };
@@ -86,7 +86,7 @@
     /// kind (spot or on-demand).
     fn free_capacity(&self, rental: &Rental) -> usize {
         let uses_same_capacity = |machine: &&Rented| {
-            machine.kind == rental.kind
+            machine.kind == rental.machine_type
                 && machine.zone == rental.zone
                 && machine.spot == rental.spot
                 && machine.died_at.is_none()
@@ -99,7 +99,7 @@
         let name: Name = format!("i-{:06}", self.last_machine_number).into();
         let boot = Duration::from_secs_f64(boot_s * (0.6 + 0.9 * rng.f64()));
         let machine = Rented {
-            kind: rental.kind.clone(),
+            kind: rental.machine_type.clone(),
             zone: rental.zone.clone(),
             spot: rental.spot,
             rented_at: now,
--- a/packages/emulator/src/cloud/tests.rs
+++ b/packages/emulator/src/cloud/tests.rs
@@ -21,7 +21,8 @@
 }
 
 fn rent(cloud: &mut Cloud, request_id: &str, now: Instant) -> (u16, Vec<Name>) {
-    let rental = Rental { request_id: request_id.into(), kind: "small".into(), zone: "z".into(), spot: true, count: 2 };
+    let rental =
+        Rental { request_id: request_id.into(), machine_type: "small".into(), zone: "z".into(), spot: true, count: 2 };
     let request =
         Request { method: "POST".into(), path: "/rentals".into(), query: String::new(), body: http::encode(&rental) };
     let (response, _) = cloud.ask(&request, &mut Rng::with_seed(1), now);
--- a/packages/emulator/src/worker_pool/heartbeat.rs
+++ b/packages/emulator/src/worker_pool/heartbeat.rs
@@ -23,7 +23,7 @@
         let heartbeat = Heartbeat {
             machine: name.into(),
             address: machine.address.clone(),
-            kind: machine.kind.name.clone(),
+            machine_type: machine.kind.name.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
             incarnation: machine.incarnation,
--- a/packages/wire/src/cloud.rs
+++ b/packages/wire/src/cloud.rs
@@ -28,7 +28,7 @@
     pub request_id: Name,
     /// Name of the machine type.
     #[serde(rename = "hull")]
-    pub kind: Name,
+    pub machine_type: Name,
     /// Name of the zone.
     #[serde(rename = "bay")]
     pub zone: Name,
@@ -47,7 +47,7 @@
     pub name: Name,
     /// Name of the machine type.
     #[serde(rename = "hull")]
-    pub kind: Name,
+    pub machine_type: Name,
     /// Name of the zone.
     #[serde(rename = "bay")]
     pub zone: Name,
--- a/packages/wire/src/workers.rs
+++ b/packages/wire/src/workers.rs
@@ -102,7 +102,7 @@
     pub address: Name,
     /// Name of the machine type.
     #[serde(rename = "hull")]
-    pub kind: Name,
+    pub machine_type: Name,
     /// Name of the zone of the machine, in which the worker runs.
     #[serde(rename = "bay")]
     pub zone: Name,
--- a/src/leader/fleet.rs
+++ b/src/leader/fleet.rs
@@ -109,7 +109,7 @@
             },
             Ok((503, body)) if String::from_utf8_lossy(&body).contains("capacity") => {
                 tracing::info!(
-                    machine_type = %rental.kind, zone = %rental.zone, spot = rental.spot,
+                    machine_type = %rental.machine_type, zone = %rental.zone, spot = rental.spot,
                     "cloud has no capacity for a rental"
                 );
                 apply_refused_rental(cluster, rental, now);
--- a/src/peers/forwarding/tests.rs
+++ b/src/peers/forwarding/tests.rs
@@ -38,7 +38,7 @@
     Heartbeat {
         machine: "i-000001".into(),
         address: "127.0.0.1:9".into(),
-        kind: "t".into(),
+        machine_type: "t".into(),
         zone: "a".into(),
         spot: false,
         incarnation: 1,
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -81,7 +81,7 @@
     let golden = golden_messages();
     let heartbeat: Heartbeat = assert_round_trip(&golden["report"]);
     assert_eq!(
-        (&*heartbeat.machine, &*heartbeat.kind, &*heartbeat.zone, heartbeat.spot),
+        (&*heartbeat.machine, &*heartbeat.machine_type, &*heartbeat.zone, heartbeat.spot),
         ("i-1", "large", "z1", false)
     );
     assert_eq!(
@@ -149,7 +149,7 @@
         ("large", 1.0, 0.3, 40.0, 2)
     );
     let rental: Rental = assert_round_trip(&golden["rental"]);
-    assert_eq!((&*rental.request_id, &*rental.kind, &*rental.zone), ("c-3-1", "large", "z1"));
+    assert_eq!((&*rental.request_id, &*rental.machine_type, &*rental.zone), ("c-3-1", "large", "z1"));
     assert_eq!((rental.spot, rental.count), (true, 12));
     let listed: ListedMachine = assert_round_trip(&golden["listed"]);
     assert_eq!((listed.state, listed.age_s, listed.spot), (MachineState::Booting, 12.5, true));
