--- a/packages/core/src/cluster/assignments.rs
+++ b/packages/core/src/cluster/assignments.rs
@@ -42,17 +42,17 @@
         self.jobs.get(id).is_none_or(|job| job.outcome.is_some() && job.assignments.is_empty())
     }
 
-    /// Requests the stop of an assigned task, with `grace` seconds to save its progress.
+    /// Requests the stop of an assigned task, with `grace_s` seconds to save its progress.
     /// The stop is repeated until the task is gone; a later request can only shorten the
     /// grace.
-    pub fn request_stop(&mut self, machine: &Name, task: &Task, grace: f64, now: Instant) {
+    pub fn request_stop(&mut self, machine: &Name, task: &Task, grace_s: f64, now: Instant) {
         let assignment = self.machines.get_mut(machine).and_then(|machine| machine.tasks.get_mut(task));
         let Some(assignment) = assignment else { return };
         if assignment.phase == TaskPhase::Completed {
             return;
         }
-        if assignment.stop_grace_s.is_none_or(|requested| grace < requested) {
-            assignment.stop_grace_s = Some(grace);
+        if assignment.stop_grace_s.is_none_or(|requested| grace_s < requested) {
+            assignment.stop_grace_s = Some(grace_s);
             assignment.stop_sent = false;
         }
         assignment.stop_requested_at.get_or_insert(now);
--- a/packages/core/src/workers/direct_commands.rs
+++ b/packages/core/src/workers/direct_commands.rs
@@ -96,9 +96,9 @@
         if assignment.stop_sent || assignment.phase == TaskPhase::Assigned {
             continue;
         }
-        if let Some(grace) = assignment.stop_grace_s {
+        if let Some(grace_s) = assignment.stop_grace_s {
             assignment.stop_sent = true;
-            commands.push(Command::Stop { task: task.clone(), attempt: assignment.attempt, grace });
+            commands.push(Command::Stop { task: task.clone(), attempt: assignment.attempt, grace_s });
         }
     }
 }
--- a/packages/core/src/workers/replies.rs
+++ b/packages/core/src/workers/replies.rs
@@ -20,7 +20,7 @@
 /// controller sends it.
 pub fn lease_renewal_reply(heartbeat: &Heartbeat, token: u64, has_ended: impl Fn(&Name) -> bool) -> HeartbeatReply {
     let must_stop = |status: &&TaskStatus| status.state != TaskState::Exited && has_ended(&status.task.job);
-    let stop = |status: &TaskStatus| Command::Stop { task: status.task.clone(), attempt: status.attempt, grace: 0.0 };
+    let stop = |status: &TaskStatus| Command::Stop { task: status.task.clone(), attempt: status.attempt, grace_s: 0.0 };
     HeartbeatReply {
         fencing_token: token,
         commands: heartbeat.tasks.iter().filter(must_stop).take(MAX_COMMANDS).map(stop).collect(),
@@ -91,25 +91,25 @@
 /// Adds the stops of all tasks that are on the machine and are to stop.
 fn repeat_stops(machine: &Machine, commands: &mut Vec<Command>, now: Instant) {
     for (task, assignment) in &machine.tasks {
-        if let Some(grace) = stop_grace(assignment, now) {
-            commands.push(Command::Stop { task: task.clone(), attempt: assignment.attempt, grace });
+        if let Some(grace_s) = stop_grace(assignment, now) {
+            commands.push(Command::Stop { task: task.clone(), attempt: assignment.attempt, grace_s });
         }
     }
 }
 
 /// Returns the grace in seconds of the stop that a reply has for a task; `None` if no stop is due.
 fn stop_grace(assignment: &Assignment, now: Instant) -> Option<f64> {
-    let grace = assignment.stop_grace_s?;
+    let grace_s = assignment.stop_grace_s?;
     match assignment.phase {
         TaskPhase::Assigned => None,
-        TaskPhase::Checkpointing => (grace == 0.0 || is_checkpoint_overdue(assignment, grace, now)).then_some(0.0),
-        _ => Some(grace),
+        TaskPhase::Checkpointing => (grace_s == 0.0 || is_checkpoint_overdue(assignment, grace_s, now)).then_some(0.0),
+        _ => Some(grace_s),
     }
 }
 
 /// Reports whether a task has been checkpointing for longer than its stop allows.
-fn is_checkpoint_overdue(assignment: &Assignment, grace: f64, now: Instant) -> bool {
-    let allowed = grace.max(assignment.spec.checkpoint_duration_s) * CHECKPOINT_TIME_FACTOR + CHECKPOINT_MARGIN_S;
+fn is_checkpoint_overdue(assignment: &Assignment, grace_s: f64, now: Instant) -> bool {
+    let allowed = grace_s.max(assignment.spec.checkpoint_duration_s) * CHECKPOINT_TIME_FACTOR + CHECKPOINT_MARGIN_S;
     assignment.stop_requested_at.is_some_and(|since| now.duration_since(since).as_secs_f64() > allowed)
 }
 
--- a/packages/emulator/src/worker_pool/commands.rs
+++ b/packages/emulator/src/worker_pool/commands.rs
@@ -24,7 +24,7 @@
         for command in commands {
             match command {
                 Command::Start { task, attempt } => self.start_task(name, task, attempt, now),
-                Command::Stop { task, attempt, grace } => self.stop_task(name, &task, attempt, grace, now),
+                Command::Stop { task, attempt, grace_s } => self.stop_task(name, &task, attempt, grace_s, now),
                 Command::Acknowledge { task, attempt } => self.remove_exited_task(name, &task, attempt),
             }
         }
--- a/packages/wire/src/workers.rs
+++ b/packages/wire/src/workers.rs
@@ -154,7 +154,7 @@
         attempt: u64,
         /// Time in seconds that the task has to save a checkpoint; 0 stops the task without one.
         #[serde(rename = "windDownS")]
-        grace: f64,
+        grace_s: f64,
     },
     /// Acknowledges that a task has exited: the worker removes it from later heartbeats.
     #[serde(rename = "reap")]
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -118,7 +118,7 @@
     let reply: HeartbeatReply = assert_round_trip(&golden["answer"]);
     assert_eq!((reply.fencing_token, reply.commands.len()), (50_331_648, 3));
     assert!(matches!(reply.commands[0], Command::Start { attempt: 50_331_649, .. }));
-    assert!(matches!(reply.commands[1], Command::Stop { attempt: 50_331_650, grace: 5.0, .. }));
+    assert!(matches!(reply.commands[1], Command::Stop { attempt: 50_331_650, grace_s: 5.0, .. }));
     assert!(matches!(reply.commands[2], Command::Acknowledge { attempt: 50_331_651, .. }));
     let direct: DirectCommandBody = assert_round_trip(&golden["direct"]);
     assert_eq!((direct.fencing_token, direct.incarnation, direct.commands.len()), (50_331_649, 2, 1));
