--- a/packages/core/src/cluster/rental.rs
+++ b/packages/core/src/cluster/rental.rs
@@ -141,8 +141,8 @@
     /// finds the key present, or another leader, and changes nothing.
     pub fn txn(&self, leader: u64) -> Txn {
         let mut txn = Txn { preconditions: vec![], writes: vec![Write::set(self.key.clone(), &self.rentals)] };
-        txn.require(crate::key::LEADER, leader);
-        txn.require(self.key.clone(), 0);
+        txn.add_precondition(crate::key::LEADER, leader);
+        txn.add_precondition(self.key.clone(), 0);
         txn
     }
 
--- a/packages/core/src/commit/build.rs
+++ b/packages/core/src/commit/build.rs
@@ -78,7 +78,7 @@
     fn fill_shard(&mut self, batch: &mut CommitBatch, partly_completed: Vec<Name>, limits: &TxnLimits) {
         let new_entries = partly_completed.len() + self.unstored_starts.len();
         let mut open = self.shard_with_room(batch, new_entries, limits);
-        batch.txn.require(shard_key(open.id), open.shard.revision);
+        batch.txn.add_precondition(shard_key(open.id), open.shard.revision);
         self.add_completed_tasks(batch, &mut open, partly_completed, limits);
         self.add_unstored_starts(batch, &mut open, limits);
         let OpenShard { id, mut shard, .. } = open;
@@ -122,7 +122,7 @@
             let location = machine.location();
             let outcome_key = format!("{}{}", key::OUTCOME, start.task.job);
             let is_over = self.jobs.get(&start.task.job).is_none_or(|job| job.outcome.is_some());
-            let needs_precondition = !is_over && !batch.txn.requires(&outcome_key);
+            let needs_precondition = !is_over && !batch.txn.has_precondition(&outcome_key);
             let preconditions = batch.txn.preconditions.len() + usize::from(needs_precondition);
             let fits = open.size.has_room_for(&start, &location, limits.shard_bytes);
             if !fits || preconditions > limits.preconditions {
@@ -130,7 +130,7 @@
                 break;
             }
             if !is_over {
-                batch.txn.require(outcome_key, 0);
+                batch.txn.add_precondition(outcome_key, 0);
             }
             open.size.add_start(&start, &location);
             batch.starts.push((queue_key, start));
--- a/packages/core/src/commit/split.rs
+++ b/packages/core/src/commit/split.rs
@@ -50,7 +50,7 @@
         for (number, mut part) in closed.into_iter().chain([current]).enumerate() {
             let target = if number == 0 && is_complete { id } else { self.create_shard() };
             part.revision = self.shards.get(&target).map_or(0, |shard| shard.revision);
-            batch.txn.require(shard_key(target), part.revision);
+            batch.txn.add_precondition(shard_key(target), part.revision);
             batch.txn.writes.push(Write::set(shard_key(target), &self.shard_record(&part)));
             batch.shards.push((target, part));
         }
--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -161,7 +161,7 @@
     cluster.apply_heartbeat(&heartbeat, HeartbeatSource::Worker, now);
     cluster.run_placement_pass(now);
     let batch = cluster.next_commit(5, &limits(1000)).expect("two starts to store");
-    let requires_outcome = |id: &str| batch.txn.requires(&format!("{}{id}", key::OUTCOME));
+    let requires_outcome = |id: &str| batch.txn.has_precondition(&format!("{}{id}", key::OUTCOME));
     assert_eq!((requires_outcome(JOB), requires_outcome("j-000002")), (false, true));
     assert_eq!(batch.starts.len(), 2);
     cluster.apply_commit(batch, 6, now);
@@ -348,7 +348,7 @@
     assert!(cluster.apply_commit(batch, 6, now).is_empty());
     cluster.mark_completed(&task(1), now);
     let batch = cluster.next_commit(5, &limits(4096)).expect("the outcome");
-    assert!(batch.txn.requires("c2/w/fate/j-000001"));
+    assert!(batch.txn.has_precondition("c2/w/fate/j-000001"));
     // with an unknown result the outcome is written again, and applied only on success
     cluster.restore_uncommitted(batch);
     let batch = cluster.next_commit(5, &limits(4096)).expect("the outcome again");
--- a/packages/core/src/key.rs
+++ b/packages/core/src/key.rs
@@ -32,6 +32,6 @@
 /// for the job.  The first outcome that is stored is final.
 pub fn put_outcome(txn: &mut Txn, id: &str, outcome: JobOutcome) {
     let path = format!("{OUTCOME}{id}");
-    txn.require(path.clone(), 0);
+    txn.add_precondition(path.clone(), 0);
     txn.writes.push(Write::set(path, &OutcomeRecord { outcome }));
 }
--- a/packages/core/src/lookup.rs
+++ b/packages/core/src/lookup.rs
@@ -56,9 +56,9 @@
         let mut txn = Txn::default();
         for entry in self.entries.iter().filter(|entry| !entry.has_outcome) {
             if !entry.has_record {
-                txn.require(format!("{}{}", key::JOB, entry.id), 0);
+                txn.add_precondition(format!("{}{}", key::JOB, entry.id), 0);
             }
-            txn.require(format!("{}{}", key::OUTCOME, entry.id), 0);
+            txn.add_precondition(format!("{}{}", key::OUTCOME, entry.id), 0);
         }
         (!self.complete && !txn.preconditions.is_empty()).then_some(txn)
     }
--- a/packages/core/src/sim/election.rs
+++ b/packages/core/src/sim/election.rs
@@ -55,7 +55,7 @@
         let term = self.state_store.read::<u64>(key::TERM).unwrap_or(0) + 1;
         let mut txn = Txn::default();
         for path in [key::LEADER, key::TERM] {
-            txn.require(path, self.state_store.revision(path));
+            txn.add_precondition(path, self.state_store.revision(path));
             txn.writes.push(Write::set(path, &term));
         }
         if self.defect == InjectedDefect::ElectWithoutPreconditions {
--- a/packages/core/src/user_request/transactions.rs
+++ b/packages/core/src/user_request/transactions.rs
@@ -24,7 +24,7 @@
         if txn.preconditions.iter().any(|precondition| precondition.key == path) {
             continue;
         }
-        txn.require(path.clone(), 0);
+        txn.add_precondition(path.clone(), 0);
         txn.writes.push(Write::set(path, spec));
         if depends_on_cancelled_job {
             key::put_outcome(&mut txn, &spec.id, JobOutcome::Cancelled);
--- a/packages/wire/src/state.rs
+++ b/packages/wire/src/state.rs
@@ -70,7 +70,7 @@
 /// (compare-and-swap).
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Txn {
-    /// Preconditions, at most one per key if they are added by [`Txn::require`].
+    /// Preconditions, at most one per key if they are added by [`Txn::add_precondition`].
     #[serde(rename = "guards")]
     pub preconditions: Vec<Precondition>,
     /// Writes; a transaction without any only checks its preconditions.
@@ -81,14 +81,14 @@
 impl Txn {
     /// Adds the precondition that a key has the given revision (0 if it must not exist).  Does nothing
     /// if the transaction already has a precondition on this key.
-    pub fn require(&mut self, required_key: impl Into<String>, revision: u64) {
+    pub fn add_precondition(&mut self, required_key: impl Into<String>, revision: u64) {
         let required_key = required_key.into();
-        if !self.requires(&required_key) {
+        if !self.has_precondition(&required_key) {
             self.preconditions.push(Precondition { key: required_key, revision });
         }
     }
     /// Reports whether the transaction has a precondition on this key.
-    pub fn requires(&self, key: &str) -> bool {
+    pub fn has_precondition(&self, key: &str) -> bool {
         // Searches from the end: task starts are added job by job, so the key is usually the last one.
         self.preconditions.iter().rev().any(|precondition| precondition.key == key)
     }
--- a/src/leader/machine_list.rs
+++ b/src/leader/machine_list.rs
@@ -106,7 +106,7 @@
             return;
         }
         let mut txn = Txn { preconditions: vec![], writes: vec![Write::set(key::TYPES, &types)] };
-        txn.require(key::LEADER, lease.revision);
+        txn.add_precondition(key::LEADER, lease.revision);
         if self.store.txn(&txn).await.is_ok() {
             *stored = Some(types);
         }
--- a/src/leader/rental_records.rs
+++ b/src/leader/rental_records.rs
@@ -66,7 +66,7 @@
             return;
         }
         let mut txn = Txn { preconditions: vec![], writes: expired.iter().map(Write::delete).collect() };
-        txn.require(key::LEADER, lease.revision);
+        txn.add_precondition(key::LEADER, lease.revision);
         if let Ok(TxnOutcome::Done(_)) = self.store.txn(&txn).await {
             if let Some(cluster) = self.lock().cluster.as_mut() {
                 cluster.fleet.records.retain(|key, _| !expired.contains(key));
--- a/src/leadership/feature_gate.rs
+++ b/src/leadership/feature_gate.rs
@@ -189,8 +189,8 @@
         };
         let Some(gates) = self.next_feature_gates(&enabled, lease.term) else { return };
         let mut txn = Txn { preconditions: vec![], writes: vec![Write::set(key::FEATURE_GATES, &gates)] };
-        txn.require(key::LEADER, lease.revision);
-        txn.require(key::FEATURE_GATES, revision);
+        txn.add_precondition(key::LEADER, lease.revision);
+        txn.add_precondition(key::FEATURE_GATES, revision);
         match self.store.txn(&txn).await {
             Ok(TxnOutcome::Done(revision)) => self.apply_feature_gates(&gates, revision, Instant::now()),
             Ok(TxnOutcome::Conflict(keys)) => tracing::info!(?keys, "feature gate transaction conflict, retrying"),
--- a/src/users/confirmation.rs
+++ b/src/users/confirmation.rs
@@ -48,7 +48,7 @@
         while !batch.is_empty() {
             let mut txn = Txn::default();
             for request in &batch {
-                txn.require(outcome_key(&request.id), 0);
+                txn.add_precondition(outcome_key(&request.id), 0);
             }
             match self.store.txn(&txn).await {
                 Ok(TxnOutcome::Done(_)) => reply_to_all(&mut batch, Confirmation::Unfinished),
