--- a/packages/client/src/ids/tests.rs
+++ b/packages/client/src/ids/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use coralnotch_wire::model::valid_id;
+use coralnotch_wire::model::is_valid_job_id;
 use std::collections::HashSet;
 
 #[test]
 fn generated_ids_are_valid_and_distinct() {
     let ids: HashSet<Name> = (0..10_000).map(|_| fresh_id().expect("random bytes")).collect();
     assert_eq!(ids.len(), 10_000);
-    assert!(ids.iter().all(|id| valid_id(id)));
+    assert!(ids.iter().all(|id| is_valid_job_id(id)));
 }
--- a/packages/core/src/commit/apply.rs
+++ b/packages/core/src/commit/apply.rs
@@ -6,7 +6,7 @@
 use crate::cluster::{Cluster, PlacementShard, StartRecord, TaskPhase};
 use crate::key;
 use crate::model::*;
-use coralnotch_wire::state::{read_value, KeyValue};
+use coralnotch_wire::state::{decode_value, KeyValue};
 
 impl Cluster {
     /// Applies a transaction that succeeded at `revision`.  Returns the jobs that it ended,
@@ -89,7 +89,7 @@
         if let Some(id) = path.strip_prefix(key::SHARD).and_then(|number| number.parse().ok()) {
             self.reconcile_shard(id, path, item);
         } else if let Some(id) = path.strip_prefix(key::OUTCOME) {
-            let record = item.and_then(|item| read_value::<OutcomeRecord>(path, item.value.clone()));
+            let record = item.and_then(|item| decode_value::<OutcomeRecord>(path, item.value.clone()));
             if let Some(record) = record {
                 self.set_outcome(id, record.outcome, now);
             }
--- a/packages/core/src/commit/stored.rs
+++ b/packages/core/src/commit/stored.rs
@@ -7,7 +7,7 @@
 use crate::cluster::{Cluster, MachineLocation, PlacementShard, StartRecord};
 use crate::key;
 use crate::model::*;
-use coralnotch_wire::state::{read_value, KeyValue};
+use coralnotch_wire::state::{decode_value, KeyValue};
 
 /// A start: index of the task, attempt, position of the machine in
 /// [`ShardRecord::machines`], incarnation of the worker.
@@ -51,7 +51,7 @@
 /// or the value is malformed.
 pub fn read_shard(path: &str, item: &KeyValue) -> Option<StoredShard> {
     let id = path.strip_prefix(key::SHARD)?.parse().ok()?;
-    let record: ShardRecord = read_value(path, item.value.clone())?;
+    let record: ShardRecord = decode_value(path, item.value.clone())?;
     let mut locations = HashMap::new();
     for (name, position) in &record.machines {
         let (machine_type, zone, spot) = record.locations.get(*position)?.clone();
@@ -71,7 +71,7 @@
 
 /// Returns the jobs that have starts in a stored shard; none if the value is malformed.
 pub fn started_jobs_of_shard(item: &KeyValue) -> Vec<Name> {
-    let record: Option<ShardRecord> = read_value(&item.key, item.value.clone());
+    let record: Option<ShardRecord> = decode_value(&item.key, item.value.clone());
     record.map(|record| record.starts.into_iter().map(|(job, _)| job).collect()).unwrap_or_default()
 }
 
--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use coralnotch_wire::state::{read_value, KeyValue, Write};
+use coralnotch_wire::state::{decode_value, KeyValue, Write};
 use proptest::prelude::*;
 
 use super::*;
@@ -205,14 +205,14 @@
     cluster.add_job(spec(JOB, 40), 1, None, Instant::now());
     cluster.add_shard(id, shard.clone(), &locations, Instant::now());
     assert_same("page", Write::set("x", &cluster.shard_record(&shard)));
-    let job: JobSpec = read_value("x", value("job").value).expect("a job");
+    let job: JobSpec = decode_value("x", value("job").value).expect("a job");
     assert!(job.dependencies.is_empty() && job.validation_error().is_none());
     assert_same("job", Write::set("x", &job));
-    let outcome: OutcomeRecord = read_value("x", value("fate").value).expect("an outcome");
+    let outcome: OutcomeRecord = decode_value("x", value("fate").value).expect("an outcome");
     assert_same("fate", Write::set("x", &outcome));
-    let types: Vec<MachineType> = read_value("x", value("types").value).expect("types");
+    let types: Vec<MachineType> = decode_value("x", value("types").value).expect("types");
     assert_same("types", Write::set("x", &types));
-    let rentals: Vec<crate::cluster::Rental> = read_value("x", value("rentals").value).expect("rentals");
+    let rentals: Vec<crate::cluster::Rental> = decode_value("x", value("rentals").value).expect("rentals");
     assert_same("rentals", Write::set("x", &rentals));
     // The production version ignores unknown fields.  A job with dependencies is therefore
     // stored only once no controller runs that version any more.
--- a/packages/core/src/job_index/initial_scan.rs
+++ b/packages/core/src/job_index/initial_scan.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashSet, VecDeque};
 use std::sync::Arc;
 
-use coralnotch_wire::state::{read_value, KeyValue};
+use coralnotch_wire::state::{decode_value, KeyValue};
 
 use super::{EndedJob, JobIndex, OpenJob};
 use crate::key;
@@ -147,7 +147,7 @@
         while let Some(ScannedJob { record, outcome }) = self.take_next_job() {
             let event = match outcome {
                 None => self.apply_open(index, record),
-                Some(row) => match read_value::<OutcomeRecord>(&row.key, row.value) {
+                Some(row) => match decode_value::<OutcomeRecord>(&row.key, row.value) {
                     Some(stored) => self.apply_ended(index, record, stored.outcome),
                     // A job with an outcome that cannot be decoded has ended, so it must not be
                     // inserted as unfinished.
@@ -165,7 +165,7 @@
         if index.open.contains_key(id) || self.ended.contains(id) {
             return None;
         }
-        let spec = Arc::new(read_value::<JobSpec>(&record.key, record.value)?);
+        let spec = Arc::new(decode_value::<JobSpec>(&record.key, record.value)?);
         let is_new = index.insert_seen(spec.clone(), record.revision);
         is_new.then_some(ScanEvent::Open(OpenJob { spec, revision: record.revision }))
     }
@@ -176,7 +176,7 @@
             return Some(ScanEvent::Ended(id.into(), outcome));
         }
         if self.ended_to_keep.contains(id) && index.outcome(id).is_none() {
-            let spec = Arc::new(read_value::<JobSpec>(&record.key, record.value)?);
+            let spec = Arc::new(decode_value::<JobSpec>(&record.key, record.value)?);
             index.insert_ended(EndedJob { spec, revision: record.revision, outcome });
         }
         None
--- a/packages/core/src/sim/mod.rs
+++ b/packages/core/src/sim/mod.rs
@@ -47,7 +47,7 @@
 use crate::user_request::{cancellations_txn, submissions_txn, Submission};
 use crate::workers::*;
 use controllers::{CommitInFlight, Controller};
-use coralnotch_wire::state::{read_value, KeyValue, Txn, Write};
+use coralnotch_wire::state::{decode_value, KeyValue, Txn, Write};
 use defect::InjectedDefect;
 use election::Candidate;
 use faults::FaultSchedule;
--- a/packages/core/src/sim/request_history/controller.rs
+++ b/packages/core/src/sim/request_history/controller.rs
@@ -113,10 +113,10 @@
             if let (Some(scan), true) = (self.scan.as_mut(), defect != InjectedDefect::ScanIgnoresWatchedOutcomes) {
                 scan.mark_ended([job.into()].into_iter());
             }
-            let record = read_value::<OutcomeRecord>(path, value).expect("a stored record is readable");
+            let record = decode_value::<OutcomeRecord>(path, value).expect("a stored record is readable");
             self.apply_outcome(job, record.outcome, event.revision, now);
         } else if path.starts_with(key::JOB) {
-            let spec = read_value::<JobSpec>(path, value).expect("a stored record is readable");
+            let spec = decode_value::<JobSpec>(path, value).expect("a stored record is readable");
             self.jobs.insert_seen(Arc::new(spec), event.revision);
         }
     }
--- a/packages/core/src/sim/request_history/mod.rs
+++ b/packages/core/src/sim/request_history/mod.rs
@@ -19,7 +19,7 @@
 use std::collections::{HashSet, VecDeque};
 
 use super::{
-    cancellations_txn, key, read_value, spec, submissions_txn, Arc, BTreeMap, Config, Duration, HashMap, Instant,
+    cancellations_txn, decode_value, key, spec, submissions_txn, Arc, BTreeMap, Config, Duration, HashMap, Instant,
     JobOutcome, JobSpec, KeyValue, Name, OutcomeRecord, Policy, StateStore, Txn, Write, SETTINGS,
 };
 use crate::cancellation::{CancellationLog, CancellationNotices};
--- a/packages/core/src/sim/request_history/request.rs
+++ b/packages/core/src/sim/request_history/request.rs
@@ -151,7 +151,7 @@
     fn read_ended_job(&mut self, pending: &PendingRequest) -> JobOutcome {
         let record = self.state_store.job(&pending.job).expect("a job with an outcome has a stored record");
         let outcome = self.state_store.store.outcome(&pending.job).expect("an ended job has a stored outcome");
-        let spec = Arc::new(read_value::<JobSpec>(&record.key, record.value).expect("a stored record is readable"));
+        let spec = Arc::new(decode_value::<JobSpec>(&record.key, record.value).expect("a stored record is readable"));
         let now = self.now_instant();
         let controller = &mut self.controllers[pending.controller];
         controller.jobs.insert_ended(EndedJob { spec, revision: record.revision, outcome });
--- a/packages/core/src/sim/state_store.rs
+++ b/packages/core/src/sim/state_store.rs
@@ -83,7 +83,7 @@
     /// outcome.
     fn record_outcome(&mut self, path: &str, value: &rmpv::Value) {
         let Some(id) = path.strip_prefix(key::OUTCOME) else { return };
-        let outcome = read_value::<OutcomeRecord>(path, value.clone()).expect("a stored outcome is readable").outcome;
+        let outcome = decode_value::<OutcomeRecord>(path, value.clone()).expect("a stored outcome is readable").outcome;
         self.outcomes.push(StoredOutcome { revision: self.last_revision, id: id.into(), outcome });
     }
 
@@ -96,7 +96,7 @@
     /// Reads the value of a key as a record, or `None` if the key does not exist or its value
     /// cannot be read as a `T`.
     pub(super) fn read<T: serde::de::DeserializeOwned>(&self, path: &str) -> Option<T> {
-        read_value(path, self.kv.get(path)?.value.clone())
+        decode_value(path, self.kv.get(path)?.value.clone())
     }
 
     /// Returns the stored outcome of a job, or `None` if there is none.
--- a/packages/wire/src/model.rs
+++ b/packages/wire/src/model.rs
@@ -10,7 +10,7 @@
 mod task_ranges;
 
 pub use job::{
-    valid_id, JobExplanation, JobOutcome, JobSpec, JobState, OutcomeRecord, Priority, Shape, MAX_TASKS_PER_JOB,
+    is_valid_job_id, JobExplanation, JobOutcome, JobSpec, JobState, OutcomeRecord, Priority, Shape, MAX_TASKS_PER_JOB,
 };
 pub use machine_type::MachineType;
 pub use resources::Resources;
--- a/packages/wire/src/model/job.rs
+++ b/packages/wire/src/model/job.rs
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct JobSpec {
-    /// Id of the job, chosen by the user; see [`valid_id`] for the format.
+    /// Id of the job, chosen by the user; see [`is_valid_job_id`] for the format.
     #[serde(rename = "nameId")]
     pub id: Name,
     /// Name of the job's class, which selects the service-level objectives that apply to the job.
@@ -120,7 +120,7 @@
 /// Reports whether a job id is valid, that is, `j-` followed by 1 to 32 decimal digits.
 ///
 /// Only valid ids may be used in keys of the state service.
-pub fn valid_id(id: &str) -> bool {
+pub fn is_valid_job_id(id: &str) -> bool {
     id.strip_prefix("j-")
         .is_some_and(|digits| (1..=32).contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit()))
 }
@@ -136,13 +136,13 @@
     /// The text is either the name of the invalid field on the wire or a short reason, and is part of
     /// the error response to the user.  Whether the job can ever run is not checked here.
     pub fn validation_error(&self) -> Option<&'static str> {
-        if !valid_id(&self.id) {
+        if !is_valid_job_id(&self.id) {
             return Some("nameId");
         }
         if self.tasks == 0 || self.tasks > MAX_TASKS_PER_JOB {
             return Some("pieces");
         }
-        if !self.dependencies.iter().all(|id| valid_id(id)) {
+        if !self.dependencies.iter().all(|id| is_valid_job_id(id)) {
             return Some("awaits");
         }
         let amounts = [
--- a/packages/wire/src/model/task.rs
+++ b/packages/wire/src/model/task.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{valid_id, Name};
+use super::{is_valid_job_id, Name};
 
 /// Identifies one task of a job.
 ///
@@ -26,11 +26,11 @@
 impl Task {
     /// Parses the text form, such as `j-000412/3`.
     ///
-    /// Returns `None` if the job id is not valid (see [`valid_id`]), or if the index is not a decimal
+    /// Returns `None` if the job id is not valid (see [`is_valid_job_id`]), or if the index is not a decimal
     /// number that fits into 32 bits.
     pub fn parse(text: &str) -> Option<Task> {
         let (job, index) = text.split_once('/')?;
-        if !valid_id(job) || index.is_empty() || !index.bytes().all(|b| b.is_ascii_digit()) {
+        if !is_valid_job_id(job) || index.is_empty() || !index.bytes().all(|b| b.is_ascii_digit()) {
             return None;
         }
         Some(Task { job: job.into(), index: index.parse().ok()? })
--- a/packages/wire/src/state.rs
+++ b/packages/wire/src/state.rs
@@ -100,7 +100,7 @@
     /// Key of the pair.
     #[serde(rename = "path")]
     pub key: String,
-    /// Current value of the key; [`read_value`] decodes it.
+    /// Current value of the key; [`decode_value`] decodes it.
     #[serde(rename = "data")]
     pub value: Value,
     /// Revision of the last change of the key.
@@ -145,7 +145,7 @@
 /// Decodes a value that the state service has returned.
 ///
 /// A value that cannot be decoded is logged together with its key, and the result is `None`.
-pub fn read_value<T: serde::de::DeserializeOwned>(key: &str, value: Value) -> Option<T> {
+pub fn decode_value<T: serde::de::DeserializeOwned>(key: &str, value: Value) -> Option<T> {
     // The value is encoded to bytes and decoded again, because the deserializer of rmpv does not support
     // names of enum variants.
     let mut bytes = Vec::new();
--- a/src/commands/client.rs
+++ b/src/commands/client.rs
@@ -7,7 +7,7 @@
 
 use crate::commands::output::{EXIT_BAD_INPUT, EXIT_FAILURE};
 use crate::http::{self, Client};
-use crate::model::{valid_id, JobExplanation, JobState};
+use crate::model::{is_valid_job_id, JobExplanation, JobState};
 use crate::operators::status::Status;
 
 /// An error of a request to a controller.
@@ -135,7 +135,7 @@
 }
 
 fn validate_id(id: &str) -> Result<&str, Error> {
-    match valid_id(id) {
+    match is_valid_job_id(id) {
         true => Ok(id),
         false => Err(Error::InvalidId { id: id.to_owned() }),
     }
--- a/src/leader/outcome_fetch.rs
+++ b/src/leader/outcome_fetch.rs
@@ -7,7 +7,7 @@
 use crate::controller::Controller;
 use crate::leadership::step_down::StepDownReason;
 use crate::model::*;
-use crate::state_store::client::{key, read_value, KeyValue, StoreError};
+use crate::state_store::client::{decode_value, key, KeyValue, StoreError};
 
 /// Most outcomes per fetch.
 const MAX_OUTCOMES_PER_FETCH: usize = 10_000;
@@ -26,7 +26,7 @@
 impl StoredOutcome {
     /// Decodes the outcome stored under an outcome key; `None` if it cannot be decoded.
     fn read(item: KeyValue) -> Option<StoredOutcome> {
-        let outcome = read_value::<OutcomeRecord>(&item.key, item.value)?.outcome;
+        let outcome = decode_value::<OutcomeRecord>(&item.key, item.value)?.outcome;
         let id = Name::from(item.key.strip_prefix(key::OUTCOME)?);
         Some(StoredOutcome { id, outcome, revision: item.revision })
     }
--- a/src/leader/takeover.rs
+++ b/src/leader/takeover.rs
@@ -10,7 +10,7 @@
 use crate::job_index::{JobIndex, JobStatus};
 use crate::leadership::lease::LeaderLease;
 use crate::model::*;
-use crate::state_store::client::read_value;
+use crate::state_store::client::decode_value;
 
 use super::load::{StoredCluster, StoredJob};
 
@@ -126,7 +126,7 @@
         cluster.add_shard(shard.id, shard.shard, &shard.locations, now);
     }
     for item in stored.rentals {
-        if let Some(rentals) = read_value::<Vec<Rental>>(&item.key, item.value) {
+        if let Some(rentals) = decode_value::<Vec<Rental>>(&item.key, item.value) {
             cluster.fleet.add_inherited_record(item.key, rentals);
         }
     }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -9,7 +9,7 @@
 use crate::leadership::lease::{lease_valid_until, LeaderLease, LeaderRecord};
 use crate::leadership::step_down::{StepDownBackoff, StepDownReason};
 use crate::runtime::race::{race, race_future};
-use crate::state_store::client::{key, read_value, Precondition, StoreError, Txn, TxnOutcome, Write};
+use crate::state_store::client::{decode_value, key, Precondition, StoreError, Txn, TxnOutcome, Write};
 
 /// The value of the term key: the latest term of any leader.
 #[derive(Serialize, Deserialize)]
@@ -140,7 +140,7 @@
     async fn read_election_view(&self) -> Result<Option<ElectionView>, StoreError> {
         let leader_revision = match self.store.get(key::LEADER).await? {
             None => 0,
-            Some(item) => match read_value::<LeaderRecord>(key::LEADER, item.value) {
+            Some(item) => match decode_value::<LeaderRecord>(key::LEADER, item.value) {
                 Some(record) if record.name == self.config.name => item.revision,
                 Some(record) => {
                     self.lock().leader = Some(ObservedLeader { record, revision: item.revision });
@@ -151,7 +151,7 @@
         };
         let stored_term = self.store.get(key::TERM).await?;
         let term_revision = stored_term.as_ref().map_or(0, |item| item.revision);
-        let record = stored_term.and_then(|item| read_value::<TermRecord>(key::TERM, item.value));
+        let record = stored_term.and_then(|item| decode_value::<TermRecord>(key::TERM, item.value));
         let term = record.map_or(0, |record| record.term);
         Ok(Some(ElectionView { leader_revision, term, term_revision }))
     }
--- a/src/leadership/feature_gate.rs
+++ b/src/leadership/feature_gate.rs
@@ -17,7 +17,7 @@
 use crate::leadership::lease::LeaderLease;
 use crate::leadership::step_down::StepDownReason;
 use crate::peers::links::lock;
-use crate::state_store::client::{key, read_value, StoreError, Txn, TxnOutcome, Write};
+use crate::state_store::client::{decode_value, key, StoreError, Txn, TxnOutcome, Write};
 
 /// The longest time to live that the state store grants a lease.
 const MAX_LEASE_TTL: Duration = Duration::from_secs(600);
@@ -157,7 +157,7 @@
         let now = Instant::now();
         for item in members {
             let name = item.key.strip_prefix(key::MEMBER).unwrap_or_default().to_owned();
-            if let Some(record) = read_value::<MemberRecord>(&item.key, item.value) {
+            if let Some(record) = decode_value::<MemberRecord>(&item.key, item.value) {
                 self.record_member(&name, record, now);
             }
         }
--- a/src/state_store/client.rs
+++ b/src/state_store/client.rs
@@ -12,7 +12,7 @@
 
 pub use coralnotch_core::commit::TxnLimits;
 pub use coralnotch_core::key;
-pub use coralnotch_wire::state::{read_value, KeyPage, KeyValue, Precondition, Txn, WatchEvent, Write};
+pub use coralnotch_wire::state::{decode_value, KeyPage, KeyValue, Precondition, Txn, WatchEvent, Write};
 
 use crate::config::State as Limits;
 use crate::http;
--- a/src/state_store/watch.rs
+++ b/src/state_store/watch.rs
@@ -10,7 +10,7 @@
 use crate::leadership::lease::LeaderRecord;
 use crate::model::*;
 use crate::runtime::wake_up::pause;
-use crate::state_store::client::{key, read_value, StoreError, WatchEvent};
+use crate::state_store::client::{decode_value, key, StoreError, WatchEvent};
 use crate::state_store::initial_read::UnsupportedLayout;
 
 impl Controller {
@@ -118,23 +118,23 @@
     fn apply_write(&self, path: &str, value: rmpv::Value, revision: u64) {
         let now = Instant::now();
         if path.starts_with(key::JOB) {
-            if let Some(spec) = read_value::<JobSpec>(path, value) {
+            if let Some(spec) = decode_value::<JobSpec>(path, value) {
                 self.apply_watched_job(Arc::new(spec), revision, now);
             }
         } else if let Some(id) = path.strip_prefix(key::OUTCOME) {
-            if let Some(record) = read_value::<OutcomeRecord>(path, value) {
+            if let Some(record) = decode_value::<OutcomeRecord>(path, value) {
                 self.apply_stored_outcome(id, record.outcome, revision, now);
             }
         } else if path == key::LEADER {
-            if let Some(record) = read_value::<LeaderRecord>(path, value) {
+            if let Some(record) = decode_value::<LeaderRecord>(path, value) {
                 self.observe_leader(record, revision);
             }
         } else if path == key::FEATURE_GATES {
-            if let Some(gates) = read_value::<FeatureGates>(path, value) {
+            if let Some(gates) = decode_value::<FeatureGates>(path, value) {
                 self.apply_feature_gates(&gates, revision, now);
             }
         } else if path == key::TYPES {
-            if let Some(types) = read_value::<Vec<MachineType>>(path, value) {
+            if let Some(types) = decode_value::<Vec<MachineType>>(path, value) {
                 self.apply_stored_types(types);
             }
         }
--- a/src/users/cancel.rs
+++ b/src/users/cancel.rs
@@ -15,7 +15,7 @@
 impl Controller {
     /// Replies to a user's cancellation of a job.
     pub(crate) async fn cancel_job(&self, id: &str) -> Response {
-        if !valid_id(id) {
+        if !is_valid_job_id(id) {
             return Response::refuse(404, "no such job");
         }
         let id: Name = id.into();
--- a/src/users/lookup.rs
+++ b/src/users/lookup.rs
@@ -10,7 +10,7 @@
 use crate::model::*;
 use crate::operators::telemetry::increment;
 use crate::runtime::wake_up::with_timeout;
-use crate::state_store::client::{key, read_value, StoreError, TxnOutcome};
+use crate::state_store::client::{decode_value, key, StoreError, TxnOutcome};
 use crate::users::queues::LookupRequest;
 use crate::users::request::QUERY_TIMEOUT;
 
@@ -44,10 +44,10 @@
         // read the outcome after the job: it may be stored between the two reads
         let Some(job_item) = self.store.get(&path).await? else { return Ok(None) };
         let outcome_item = self.store.get(&outcome_key(id)).await?;
-        let spec = read_value::<JobSpec>(&path, job_item.value).ok_or(StoreError::Unreadable)?;
+        let spec = decode_value::<JobSpec>(&path, job_item.value).ok_or(StoreError::Unreadable)?;
         let job = OpenJob { spec: Arc::new(spec), revision: job_item.revision };
         let Some(item) = outcome_item else { return Ok(Some(JobRecord { job, outcome: None })) };
-        let record = read_value::<OutcomeRecord>(&item.key, item.value).ok_or(StoreError::Unreadable)?;
+        let record = decode_value::<OutcomeRecord>(&item.key, item.value).ok_or(StoreError::Unreadable)?;
         let outcome = record.outcome;
         let mut state = self.lock();
         if outcome == JobOutcome::Cancelled {
@@ -129,7 +129,7 @@
     /// read.
     pub(super) async fn read_outcome(&self, path: &str) -> Option<JobOutcome> {
         let item = self.store.get(path).await.ok()??;
-        let outcome = read_value::<OutcomeRecord>(path, item.value)?.outcome;
+        let outcome = decode_value::<OutcomeRecord>(path, item.value)?.outcome;
         if let Some(id) = path.strip_prefix(key::OUTCOME) {
             self.apply_stored_outcome(id, outcome, item.revision, Instant::now());
         }
--- a/src/users/query.rs
+++ b/src/users/query.rs
@@ -30,7 +30,7 @@
 impl Controller {
     /// Replies to a user's query about a job.
     pub(crate) async fn query_job(&self, id: &str, detail: QueryDetail) -> Response {
-        if !valid_id(id) {
+        if !is_valid_job_id(id) {
             return Response::refuse(404, "no such job");
         }
         let id: Name = id.into();
--- a/src/users/validation.rs
+++ b/src/users/validation.rs
@@ -8,7 +8,7 @@
 use crate::job_index::JobStatus;
 use crate::model::*;
 use crate::runtime::wake_up::with_timeout;
-use crate::state_store::client::read_value;
+use crate::state_store::client::decode_value;
 use crate::users::lookup::job_key;
 use crate::users::request::QUERY_TIMEOUT;
 
@@ -136,6 +136,6 @@
         self.throttle_lookup(1.0).await;
         let path = job_key(id);
         let item = self.store.get(&path).await.ok()??;
-        Some(read_value::<JobSpec>(&path, item.value)?.shape)
+        Some(decode_value::<JobSpec>(&path, item.value)?.shape)
     }
 }
