--- a/packages/core/src/sim/request_history/controller.rs
+++ b/packages/core/src/sim/request_history/controller.rs
@@ -108,7 +108,7 @@
 
     /// Applies one watch event.
     fn apply_watch_event(&mut self, event: &WatchEvent, defect: InjectedDefect, now: Instant) {
-        let (Some(path), Some(value)) = (event.set.as_deref(), event.value.clone()) else { return };
+        let (Some(path), Some(value)) = (event.set_key.as_deref(), event.value.clone()) else { return };
         if let Some(job) = path.strip_prefix(key::OUTCOME) {
             if let (Some(scan), true) = (self.scan.as_mut(), defect != InjectedDefect::ScanIgnoresWatchedOutcomes) {
                 scan.mark_ended([job.into()].into_iter());
--- a/packages/core/src/sim/request_history/watched_store.rs
+++ b/packages/core/src/sim/request_history/watched_store.rs
@@ -32,8 +32,8 @@
         let revision = self.store.apply(txn)?;
         for write in &txn.writes {
             if let Write::Set { set, data, .. } = write {
-                let (set, value) = (Some(set.clone()), Some(data.clone()));
-                self.changes.push_back(WatchEvent { set, delete: None, value, revision });
+                let (set_key, value) = (Some(set.clone()), Some(data.clone()));
+                self.changes.push_back(WatchEvent { set_key, deleted_key: None, value, revision });
             }
         }
         while self.changes.len() > WATCH_HISTORY {
@@ -46,7 +46,7 @@
     pub(super) fn changes_since(&self, revision: u64) -> Vec<&WatchEvent> {
         let mut events: Vec<&WatchEvent> = self.changes.iter().filter(|e| e.revision > revision).collect();
         // one transaction may write both a job and its outcome; the job comes first
-        events.sort_by_key(|e| (e.revision, e.set.as_ref().is_some_and(|path| path.starts_with(key::OUTCOME))));
+        events.sort_by_key(|e| (e.revision, e.set_key.as_ref().is_some_and(|path| path.starts_with(key::OUTCOME))));
         events
     }
 
--- a/packages/wire/src/state.rs
+++ b/packages/wire/src/state.rs
@@ -108,15 +108,15 @@
     pub revision: u64,
 }
 
-/// A change that a watch reports.  Either `set` or `delete` names the key.
+/// A change that a watch reports.  Either `set_key` or `deleted_key` names the key.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WatchEvent {
     /// Key that was set; `None` if the change is a deletion.
-    #[serde(default)]
-    pub set: Option<String>,
+    #[serde(rename = "set", default)]
+    pub set_key: Option<String>,
     /// Key that was deleted; `None` if the change is not a deletion.
-    #[serde(default)]
-    pub delete: Option<String>,
+    #[serde(rename = "delete", default)]
+    pub deleted_key: Option<String>,
     /// New value of the key that was set; `None` if the change is a deletion.
     #[serde(default)]
     #[serde(rename = "data")]
--- a/src/state_store/initial_read.rs
+++ b/src/state_store/initial_read.rs
@@ -82,8 +82,8 @@
 
     /// Applies a key and its value like an event of the watch.
     fn apply_item(&self, item: KeyValue) {
-        let (set, value) = (Some(item.key), Some(item.value));
-        self.apply_event(WatchEvent { set, delete: None, value, revision: item.revision });
+        let (set_key, value) = (Some(item.key), Some(item.value));
+        self.apply_event(WatchEvent { set_key, deleted_key: None, value, revision: item.revision });
     }
 
     /// Returns the jobs that shards refer to as started.  Some of them have ended while their tasks
@@ -133,7 +133,7 @@
     async fn watch_during_scan(&self, scan: &mut InitialScan, since: u64) -> Result<u64, StoreError> {
         match self.store.watch(key::WATCHED, since, Duration::ZERO).await {
             Ok(response) => {
-                let ended_job = |e: &WatchEvent| Some(Name::from(e.set.as_ref()?.strip_prefix(key::OUTCOME)?));
+                let ended_job = |e: &WatchEvent| Some(Name::from(e.set_key.as_ref()?.strip_prefix(key::OUTCOME)?));
                 scan.mark_ended(response.events.iter().filter_map(ended_job));
                 Ok(self.apply_changes(response.events, response.revision.max(since)))
             }
--- a/src/state_store/watch.rs
+++ b/src/state_store/watch.rs
@@ -91,7 +91,7 @@
     pub(super) fn apply_changes(&self, mut events: Vec<WatchEvent>, revision: u64) -> u64 {
         // One transaction may write a job and its outcome.  An outcome that is applied first would
         // find no job, and the job would never end in this view.
-        let is_outcome = |event: &WatchEvent| event.set.as_ref().is_some_and(|path| path.starts_with(key::OUTCOME));
+        let is_outcome = |event: &WatchEvent| event.set_key.as_ref().is_some_and(|path| path.starts_with(key::OUTCOME));
         events.sort_by_key(|event| (event.revision, is_outcome(event)));
         for event in events {
             self.apply_event(event);
@@ -102,7 +102,7 @@
 
     /// Applies one change.  Among deletions, only that of the leader key has an effect.
     pub(super) fn apply_event(&self, event: WatchEvent) {
-        match (event.set, event.delete, event.value) {
+        match (event.set_key, event.deleted_key, event.value) {
             (Some(path), _, Some(value)) => self.apply_write(&path, value, event.revision),
             (_, Some(path), _) if path == key::LEADER => {
                 tracing::info!("leader key deleted from the state store");
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -175,10 +175,13 @@
     assert_eq!((key_page.items.len(), key_page.truncated, key_page.revision), (1, true, 10));
     let put = serde_json::json!({"set": "c2/p/term", "data": {"term": 3}, "stamp": 9});
     let put_event: WatchEvent = http::decode(&http::encode(&put)).expect("a watch event decodes");
-    assert_eq!((put_event.set.as_deref(), put_event.delete, put_event.revision), (Some("c2/p/term"), None, 9));
+    assert_eq!((put_event.set_key.as_deref(), put_event.deleted_key, put_event.revision), (Some("c2/p/term"), None, 9));
     let delete_event: WatchEvent =
         http::decode(&http::encode(&serde_json::json!({"delete": "x", "stamp": 9}))).expect("a watch event decodes");
-    assert_eq!((delete_event.set, delete_event.delete.as_deref(), delete_event.revision), (None, Some("x"), 9));
+    assert_eq!(
+        (delete_event.set_key, delete_event.deleted_key.as_deref(), delete_event.revision),
+        (None, Some("x"), 9)
+    );
 }
 
 #[test]
