--- a/benches/history/state.rs
+++ b/benches/history/state.rs
@@ -51,7 +51,7 @@
                 "/rentals" if request.method == "GET" => {
                     Response::new(200, &Value::Map(vec![("polyps".into(), Value::Array(vec![]))]))
                 }
-                _ => Response::refuse(503, "no capacity"),
+                _ => Response::error(503, "no capacity"),
             };
             async move { response }
         });
--- a/packages/emulator/src/cloud/requests.rs
+++ b/packages/emulator/src/cloud/requests.rs
@@ -43,17 +43,17 @@
     /// Handles a request; returns the response and the resulting changes of machines.
     pub fn ask(&mut self, request: &Request, rng: &mut Rng, now: Instant) -> (Response, Vec<Event>) {
         if self.is_in_outage {
-            return (Response::refuse(503, "trouble"), Vec::new());
+            return (Response::error(503, "trouble"), Vec::new());
         }
         if !self.request_rate.try_take(1.0, now) {
-            return (Response::refuse(429, "too many requests"), Vec::new());
+            return (Response::error(429, "too many requests"), Vec::new());
         }
         let response = match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/flavors") => Response::new(200, &MachineTypes { types: &self.settings.types }),
             ("GET", "/rentals") => self.list(&request.query, rng, now),
             ("POST", "/rentals") => self.rent(&request.body, rng, now),
             ("POST", "/rentals/delete") => return self.delete(&request.body, now),
-            _ => Response::refuse(404, "no such path"),
+            _ => Response::error(404, "no such path"),
         };
         (response, Vec::new())
     }
@@ -61,20 +61,20 @@
     /// Rents machines, or as many of them as there is capacity for.  A repeated request rents nothing
     /// and gets the same response.
     fn rent(&mut self, body: &[u8], rng: &mut Rng, now: Instant) -> Response {
-        let Ok(rental) = http::decode::<Rental>(body) else { return Response::refuse(400, "malformed") };
+        let Ok(rental) = http::decode::<Rental>(body) else { return Response::error(400, "malformed") };
         if let Some(names) = self.rentals.get(&rental.request_id) {
             return Response::new(200, &Machines { machines: names.clone(), truncated: false });
         }
         let is_requested = |kind: &&MachineType| kind.name == rental.machine_type && kind.zones.contains(&rental.zone);
         let Some(boot_s) = self.settings.types.iter().find(is_requested).map(|kind| kind.boot_s) else {
-            return Response::refuse(400, "no such type there");
+            return Response::error(400, "no such type there");
         };
         if !(1..=MAX_MACHINES_PER_RENTAL).contains(&rental.count) {
-            return Response::refuse(400, "count");
+            return Response::error(400, "count");
         }
         let free = self.free_capacity(&rental);
         if free == 0 || self.closed_zones.contains(&rental.zone) {
-            return Response::refuse(503, "no capacity");
+            return Response::error(503, "no capacity");
         }
         let count = rental.count.min(free as u32);
         let names: Vec<Name> = (0..count).map(|_| self.add_machine(&rental, boot_s, rng, now)).collect();
@@ -142,7 +142,7 @@
                 let gone = names.machines.iter().filter_map(|name| self.remove(name, now)).collect();
                 (Response::new(200, &BTreeMap::<&str, u8>::new()), gone)
             }
-            _ => (Response::refuse(400, "malformed"), Vec::new()),
+            _ => (Response::error(400, "malformed"), Vec::new()),
         }
     }
 }
--- a/packages/emulator/src/environment/services.rs
+++ b/packages/emulator/src/environment/services.rs
@@ -32,7 +32,7 @@
             smol::Timer::after(delay).await;
         }
         if self.refused.borrow().contains(&controller) {
-            return Response::refuse(503, "trouble");
+            return Response::error(503, "trouble");
         }
         let step = self.state.borrow_mut().ask(request, Instant::now());
         match step {
@@ -45,7 +45,7 @@
         loop {
             smol::Timer::after(TICK_INTERVAL).await;
             if self.refused.borrow().contains(&controller) {
-                return Response::refuse(503, "trouble");
+                return Response::error(503, "trouble");
             }
             if let Some(response) = self.state.borrow_mut().news(watch, Instant::now()) {
                 return response;
--- a/packages/emulator/src/environment/worker.rs
+++ b/packages/emulator/src/environment/worker.rs
@@ -91,9 +91,9 @@
                     true => 200,
                     false => 409,
                 },
-                Err(_) => return Some(Response::refuse(400, "malformed")),
+                Err(_) => return Some(Response::error(400, "malformed")),
             },
-            _ => return Some(Response::refuse(404, "no such path")),
+            _ => return Some(Response::error(404, "no such path")),
         };
         Some(Response::new(status, &worker_pool.heartbeat(machine, now)?.0))
     }
@@ -179,7 +179,8 @@
                 _ => traffic.failed += 1,
             }
             if let Ok((status, body)) = answer {
-                let response = Response { status: *status, body: body.clone(), retry_after: None, seldom: false };
+                let response =
+                    Response { status: *status, body: body.clone(), retry_after: None, closes_when_scarce: false };
                 traffic.answer_bytes += (http::response_head(&response, false).len() + body.len()) as u64;
             }
         });
--- a/packages/emulator/src/scale/role/cloud.rs
+++ b/packages/emulator/src/scale/role/cloud.rs
@@ -113,13 +113,13 @@
             }
             ("POST", path::KILL) => match http::decode::<Kill>(&request.body) {
                 Ok(kill) => Response::new(200, &AffectedMachines { machines: self.kill_machines(kill.count, None) }),
-                Err(_) => Response::refuse(400, "malformed"),
+                Err(_) => Response::error(400, "malformed"),
             },
             ("POST", path::ZONE) => match http::decode::<ZoneChange>(&request.body) {
                 Ok(change) => Response::new(200, &AffectedMachines { machines: self.change_zone(&change) }),
-                Err(_) => Response::refuse(400, "malformed"),
+                Err(_) => Response::error(400, "malformed"),
             },
-            _ => Response::refuse(404, "no such path"),
+            _ => Response::error(404, "no such path"),
         };
         self.send_events().await;
         answer
--- a/packages/emulator/src/scale/role/state.rs
+++ b/packages/emulator/src/scale/role/state.rs
@@ -35,7 +35,7 @@
     let handler = move |request: Request| {
         let answer = match (request.method.as_str(), request.path.as_str()) {
             ("GET", path::STATS) => Response::new(200, &stats(&environment.state.borrow())),
-            _ => Response::refuse(404, "no such path"),
+            _ => Response::error(404, "no such path"),
         };
         async move { answer }
     };
--- a/packages/emulator/src/scale/role/workers.rs
+++ b/packages/emulator/src/scale/role/workers.rs
@@ -66,13 +66,13 @@
                     self.upload(upload);
                     Response::new(200, &AffectedMachines { machines: 0 })
                 }
-                Err(_) => Response::refuse(400, "malformed"),
+                Err(_) => Response::error(400, "malformed"),
             },
             ("POST", path::MACHINES) => match http::decode::<MachineEvents>(&request.body) {
                 Ok(events) => Response::new(200, &AffectedMachines { machines: self.apply_machine_events(events) }),
-                Err(_) => Response::refuse(400, "malformed"),
+                Err(_) => Response::error(400, "malformed"),
             },
-            _ => Response::refuse(404, "no such path"),
+            _ => Response::error(404, "no such path"),
         }
     }
 
--- a/packages/emulator/src/state/requests.rs
+++ b/packages/emulator/src/state/requests.rs
@@ -43,11 +43,11 @@
     pub fn ask(&mut self, request: &Request, now: Instant) -> Step {
         self.requests += 1;
         if self.is_in_outage {
-            return Step::Answer(Response::refuse(503, "trouble"));
+            return Step::Answer(Response::error(503, "trouble"));
         }
         if !self.request_rate.try_take(1.0, now) {
             self.refused += 1;
-            return Step::Answer(Response::refuse(429, "too many requests"));
+            return Step::Answer(Response::error(429, "too many requests"));
         }
         self.expire_leases(now);
         let query = Query::parse(&request.query);
@@ -59,7 +59,7 @@
             ("GET", path) if path.starts_with("/kv/") => self.get(&path["/kv/".len()..]),
             (method, path) => match path.strip_prefix("/leases/") {
                 Some(lease) => self.renew_or_revoke_lease(method, lease, now),
-                None => Response::refuse(404, "no such path"),
+                None => Response::error(404, "no such path"),
             },
         })
     }
@@ -105,12 +105,12 @@
     /// refusal during an outage, or if the changes that the watch asks for are no longer retained.
     pub fn news(&mut self, watch: &Watch, now: Instant) -> Option<Response> {
         if self.is_in_outage {
-            return Some(Response::refuse(503, "trouble"));
+            return Some(Response::error(503, "trouble"));
         }
         self.expire_leases(now);
         let is_full = self.changes.len() >= MAX_RETAINED_CHANGES;
         if is_full && self.changes.front().is_some_and(|oldest| oldest.revision > watch.since_revision + 1) {
-            return Some(Response::refuse(410, "too old"));
+            return Some(Response::error(410, "too old"));
         }
         let newer = self.changes.iter().rev().take_while(|change| change.revision > watch.since_revision).count();
         let newer = self.changes.iter().skip(self.changes.len() - newer);
@@ -128,7 +128,7 @@
                 self.leases.insert(self.last_lease_id, lease);
                 Response::new(200, &LeaseId { id: self.last_lease_id })
             }
-            _ => Response::refuse(400, "malformed"),
+            _ => Response::error(400, "malformed"),
         }
     }
 
@@ -139,11 +139,11 @@
         let exists = match (method, is_renewal) {
             ("DELETE", false) => self.revoke_lease(id),
             ("POST", true) => self.leases.get_mut(&id).map(|lease| lease.renewed_at = now).is_some(),
-            _ => return Response::refuse(400, "malformed"),
+            _ => return Response::error(400, "malformed"),
         };
         match exists {
             true => Response::new(200, &LeaseId { id }),
-            false => Response::refuse(404, "no such lease"),
+            false => Response::error(404, "no such lease"),
         }
     }
 }
--- a/packages/emulator/src/state/transaction.rs
+++ b/packages/emulator/src/state/transaction.rs
@@ -23,22 +23,22 @@
     /// Carries out all writes of a transaction if all of its preconditions hold, and none otherwise.
     /// Sizes and leases are checked first, then the rate of writes, then the preconditions.
     pub(super) fn execute_transaction(&mut self, body: &[u8], now: Instant) -> Response {
-        let Ok(transaction) = http::decode::<Transaction>(body) else { return Response::refuse(400, "malformed") };
+        let Ok(transaction) = http::decode::<Transaction>(body) else { return Response::error(400, "malformed") };
         let max_writes = self.limits.txn_ops;
         if counted_size(body.len()) > MAX_TRANSACTION_BYTES
             || transaction.writes.len() > max_writes
             || transaction.preconditions.len() > max_writes * PRECONDITIONS_PER_WRITE
         {
-            return Response::refuse(400, "transaction too large");
+            return Response::error(400, "transaction too large");
         }
         let writes: Vec<CheckedWrite> =
             match transaction.writes.into_iter().map(|write| self.check_write(write)).collect() {
                 Ok(writes) => writes,
-                Err(reason) => return Response::refuse(400, reason),
+                Err(reason) => return Response::error(400, reason),
             };
         if !self.write_rate.try_take(writes.len() as f64, now) {
             self.refused += 1;
-            return Response::refuse(429, "too many changes");
+            return Response::error(429, "too many changes");
         }
         let failed = self.failed_preconditions(&transaction.preconditions);
         if !failed.is_empty() {
--- a/packages/wire/src/http/mod.rs
+++ b/packages/wire/src/http/mod.rs
@@ -96,7 +96,7 @@
     pub retry_after: Option<u32>,
     /// Whether the client is one that sends requests at long intervals.  If so, and if connections are
     /// scarce (see [`ServerLimits::scarce`]), the connection is closed after this response.
-    pub seldom: bool,
+    pub closes_when_scarce: bool,
 }
 
 /// Body of an error response.
@@ -108,11 +108,11 @@
 impl Response {
     /// Returns a response with the encoded `body` and without `Retry-After`.
     pub fn new<T: Serialize>(status: u16, body: &T) -> Self {
-        Response { status, body: encode(body), retry_after: None, seldom: false }
+        Response { status, body: encode(body), retry_after: None, closes_when_scarce: false }
     }
     /// Returns an error response with a short reason.  With status 429 or 503 the response asks the client
     /// to try again after 1 s.
-    pub fn refuse(status: u16, reason: &str) -> Self {
+    pub fn error(status: u16, reason: &str) -> Self {
         let retry_after = matches!(status, 429 | 503).then_some(1);
         Response { retry_after, ..Self::new(status, &ErrorBody { error: reason }) }
     }
--- a/packages/wire/src/http/server.rs
+++ b/packages/wire/src/http/server.rs
@@ -44,7 +44,7 @@
     /// Maximum number of open connections.  Further connections are closed as soon as they are accepted.
     pub connections: usize,
     /// Number of open connections from which on connections are scarce.  A connection whose client sends
-    /// requests at long intervals ([`Response::seldom`]) is then closed after its response, because there
+    /// requests at long intervals ([`Response::closes_when_scarce`]) is then closed after its response, because there
     /// may be more such clients than connections and each of them has to be served.
     pub scarce: usize,
     /// Maximum time for which a connection may be idle before or between requests.
@@ -115,13 +115,13 @@
         match parse_request(buf) {
             Ok(Some(head)) => break head,
             Ok(None) => fill_once(connection, buf, READ_SIZE).await?,
-            Err(Error::Malformed(reason)) => return Ok(Received::Invalid(Response::refuse(400, reason))),
+            Err(Error::Malformed(reason)) => return Ok(Received::Invalid(Response::error(400, reason))),
             Err(e) => return Err(e),
         }
     };
     if head.chunked || head.body > BODY_LIMIT {
         let status = if head.chunked { 400 } else { 413 };
-        return Ok(Received::Invalid(Response::refuse(status, "body too large or in chunks")));
+        return Ok(Received::Invalid(Response::error(status, "body too large or in chunks")));
     }
     fill_to_len(connection, buf, head.len + head.body).await?;
     let body = buf[head.len..head.len + head.body].to_vec();
@@ -171,7 +171,7 @@
             return Ok(());
         }
         connection.set_timeout(limits.arrive);
-        let close = client_closes || response.seldom && connection.open_connections() >= limits.scarce;
+        let close = client_closes || response.closes_when_scarce && connection.open_connections() >= limits.scarce;
         send_response(&mut connection, &response, close).await?;
         if close {
             return Ok(());
--- a/packages/wire/src/http/server/tests.rs
+++ b/packages/wire/src/http/server/tests.rs
@@ -16,8 +16,8 @@
         let timeout = Duration::from_secs(60);
         let limits = ServerLimits { connections: 8, scarce: 4, idle: timeout, arrive: timeout, answer: timeout };
         let handler = |request: Request| {
-            let seldom = request.path == "/seldom";
-            std::future::ready(Response { seldom, ..Response::new(200, &()) })
+            let closes_when_scarce = request.path == "/seldom";
+            std::future::ready(Response { closes_when_scarce, ..Response::new(200, &()) })
         };
         executor.spawn(serve(executor.clone(), listener, limits, Rc::new(handler))).detach();
         let send = |mut stream: TcpStream, path: &'static str| async move {
--- a/src/heartbeats.rs
+++ b/src/heartbeats.rs
@@ -67,7 +67,7 @@
         }
         let heartbeat: Heartbeat = match http::decode(body) {
             Ok(heartbeat) => heartbeat,
-            Err(e) => return Response::refuse(400, &e.to_string()),
+            Err(e) => return Response::error(400, &e.to_string()),
         };
         if let Some(reply) = self.redirect_to_forwarder(&heartbeat.machine, &heartbeat.zone, Instant::now()) {
             return reply;
@@ -140,7 +140,7 @@
                 return Response::new(200, &cluster.reply_to_heartbeat(heartbeat, now));
             }
         }
-        Response::refuse(503, "leads no more")
+        Response::error(503, "leads no more")
     }
 
     /// Applies a heartbeat to the leader's state, and returns when to reply.
@@ -167,7 +167,7 @@
             return Err(self.reply_without_lease(&mut state, heartbeat, now));
         }
         if !self.may_lead(&state, now) {
-            return Err(Response::refuse(503, "does not see the store's changes"));
+            return Err(Response::error(503, "does not see the store's changes"));
         }
         self.accept_as_leader(&mut state, heartbeat, now)
     }
@@ -180,13 +180,13 @@
         heartbeat: &Heartbeat,
         now: Instant,
     ) -> Result<ReplyTiming, Response> {
-        let Some(cluster) = state.cluster.as_mut() else { return Err(Response::refuse(503, "not ready")) };
+        let Some(cluster) = state.cluster.as_mut() else { return Err(Response::error(503, "not ready")) };
         match cluster.apply_heartbeat(heartbeat, HeartbeatSource::Worker, now) {
             HeartbeatOutcome::Applied => {}
             HeartbeatOutcome::Stale => return Ok(ReplyTiming::Immediate),
             HeartbeatOutcome::Superseded => {
                 tracing::error!(machine = %heartbeat.machine, "rejected a heartbeat with a newer fencing token");
-                return Err(Response::refuse(503, "outdated"));
+                return Err(Response::error(503, "outdated"));
             }
         }
         let queue_changed = cluster.queue_changed;
@@ -221,7 +221,7 @@
         };
         renewal.unwrap_or_else(|| match &state.leader {
             Some(leader) if leader.record.name != self.config.name => redirect(&leader.record.name),
-            _ => Response::refuse(503, "no leader is known"),
+            _ => Response::error(503, "no leader is known"),
         })
     }
 
--- a/src/http_api.rs
+++ b/src/http_api.rs
@@ -19,9 +19,9 @@
             }
             // a worker sends only one heartbeat per interval, and there may be more workers than
             // sockets, so its connection may be closed after the response
-            ("POST", "/hello") => Response { seldom: true, ..self.handle_heartbeat(&request.body).await },
+            ("POST", "/hello") => Response { closes_when_scarce: true, ..self.handle_heartbeat(&request.body).await },
             ("GET", "/v2/status") => Response::new(200, &self.status(Instant::now())),
-            (_, "/healthz" | "/hello" | "/v2/status") => Response::refuse(405, "wrong method"),
+            (_, "/healthz" | "/hello" | "/v2/status") => Response::error(405, "wrong method"),
             _ => {
                 increment(&self.telemetry.counters.requests);
                 self.lock().last_user_request = Some(Instant::now());
@@ -62,18 +62,18 @@
                 self.telemetry.record(TimedOperation::Submission, started_at.elapsed());
                 return response;
             }
-            (_, Some("")) => return Response::refuse(405, "wrong method"),
+            (_, Some("")) => return Response::error(405, "wrong method"),
             _ => {}
         }
         let Some(job_path) = jobs_path.and_then(|p| p.strip_prefix('/')) else {
-            return Response::refuse(404, "no such path");
+            return Response::error(404, "no such path");
         };
         let (id, is_cancellation) = match job_path.strip_suffix("/withdraw") {
             Some(id) => (id, true),
             None => (job_path, false),
         };
         if id.is_empty() || id.contains('/') {
-            return Response::refuse(404, "no such path");
+            return Response::error(404, "no such path");
         }
         let (response, operation) = match (request.method.as_str(), is_cancellation) {
             ("POST", true) => (self.cancel_job(id).await, TimedOperation::Cancellation),
@@ -81,7 +81,7 @@
                 let detail = if request.query == "why" { QueryDetail::Explanation } else { QueryDetail::State };
                 (self.query_job(id, detail).await, TimedOperation::Query)
             }
-            _ => return Response::refuse(405, "wrong method"),
+            _ => return Response::error(405, "wrong method"),
         };
         self.telemetry.record(operation, started_at.elapsed());
         response
@@ -102,7 +102,7 @@
         if is_ready && (!lost_state_service || self.peers.any_reachable(self.policy.peer_limit * 3, now)) {
             Response::new(200, &JobState { id: "ok".into(), stage: "ok".into(), done: 0, running: 0 })
         } else {
-            Response::refuse(503, "not ready")
+            Response::error(503, "not ready")
         }
     }
 }
--- a/src/peers/forwarding/inbound.rs
+++ b/src/peers/forwarding/inbound.rs
@@ -50,7 +50,7 @@
         }
         let heartbeat: Heartbeat = match http::decode(&forwarded.full) {
             Ok(heartbeat) => heartbeat,
-            Err(e) => return ForwardedReply::Ready(encode_reply(&Response::refuse(400, &e.to_string()))),
+            Err(e) => return ForwardedReply::Ready(encode_reply(&Response::error(400, &e.to_string()))),
         };
         match self.accept_heartbeat(&heartbeat, HeartbeatRoute::Forwarded) {
             Ok(timing) => ForwardedReply::Accepted { heartbeat, timing },
--- a/src/peers/forwarding/outbound.rs
+++ b/src/peers/forwarding/outbound.rs
@@ -53,13 +53,13 @@
         let deadline = Instant::now() + REPLY_TIMEOUT;
         let queued = QueuedHeartbeat { heartbeat, body: body.to_vec(), deadline, reply };
         if self.heartbeat_queue.queued.sender.try_send(queued).is_err() {
-            return Some(Response::refuse(503, "too many reports wait"));
+            return Some(Response::error(503, "too many reports wait"));
         }
         match with_timeout(REPLY_TIMEOUT, leader_reply.recv()).await {
             Some(Ok(response)) => Some(response),
             // the batch was dropped because the call to the leader failed
             Some(Err(_)) => None,
-            None => Some(Response::refuse(503, "no leader has answered")),
+            None => Some(Response::error(503, "no leader has answered")),
         }
     }
 
@@ -220,9 +220,9 @@
     let reply = if answer.body.is_empty() {
         Response::new(status, &HeartbeatReply { fencing_token: answer.token, commands: Vec::new() })
     } else {
-        Response { status, body: answer.body, retry_after: None, seldom: false }
+        Response { status, body: answer.body, retry_after: None, closes_when_scarce: false }
     };
-    Response { seldom: true, ..reply }
+    Response { closes_when_scarce: true, ..reply }
 }
 
 fn encode_heartbeat(message: ForwardedHeartbeat, body: &[u8]) -> wire::Report {
--- a/src/peers/relay.rs
+++ b/src/peers/relay.rs
@@ -26,7 +26,7 @@
                     status: relayed.status as u16,
                     body: relayed.body,
                     retry_after,
-                    seldom: false,
+                    closes_when_scarce: false,
                 });
             }
         }
--- a/src/users/cancel.rs
+++ b/src/users/cancel.rs
@@ -16,7 +16,7 @@
     /// Replies to a user's cancellation of a job.
     pub(crate) async fn cancel_job(&self, id: &str) -> Response {
         if !is_valid_job_id(id) {
-            return Response::refuse(404, "no such job");
+            return Response::error(404, "no such job");
         }
         let id: Name = id.into();
         let reply = with_timeout(SUBMIT_TIMEOUT, self.resolve_request(&id, RequestKind::Cancel, None)).await;
--- a/src/users/query.rs
+++ b/src/users/query.rs
@@ -31,7 +31,7 @@
     /// Replies to a user's query about a job.
     pub(crate) async fn query_job(&self, id: &str, detail: QueryDetail) -> Response {
         if !is_valid_job_id(id) {
-            return Response::refuse(404, "no such job");
+            return Response::error(404, "no such job");
         }
         let id: Name = id.into();
         let reply = self.resolve_request(&id, RequestKind::Query, None).await;
--- a/src/users/request.rs
+++ b/src/users/request.rs
@@ -84,9 +84,9 @@
             }
             Reply::Unfinished => Response::new(200, &self.job_state(id, None)),
             Reply::Ended(outcome) => Response::new(200, &self.job_state(id, Some(outcome))),
-            Reply::NotFound => Response::refuse(404, "no such job"),
-            Reply::Unsatisfiable(why) => Response::refuse(422, why),
-            Reply::RetryLater(why) => Response::refuse(503, why),
+            Reply::NotFound => Response::error(404, "no such job"),
+            Reply::Unsatisfiable(why) => Response::error(422, why),
+            Reply::RetryLater(why) => Response::error(503, why),
         }
     }
 }
--- a/src/users/submit.rs
+++ b/src/users/submit.rs
@@ -27,10 +27,10 @@
     pub(crate) async fn submit_job(&self, body: &[u8]) -> Response {
         let spec: JobSpec = match http::decode(body) {
             Ok(spec) => spec,
-            Err(e) => return Response::refuse(400, &e.to_string()),
+            Err(e) => return Response::error(400, &e.to_string()),
         };
         if let Some(why) = spec.validation_error() {
-            return Response::refuse(400, why);
+            return Response::error(400, why);
         }
         let id = spec.id.clone();
         let reply = self.resolve_request(&id, RequestKind::Submit, Some(Arc::new(spec))).await;
