--- a/benches/history/state.rs
+++ b/benches/history/state.rs
@@ -30,11 +30,11 @@
 pub fn serve(state: State, types: Value, ready: impl FnOnce(SocketAddr, SocketAddr)) {
     let executor = Rc::new(smol::LocalExecutor::new());
     let limits = ServerLimits {
-        connections: 1000,
-        scarce: 1000,
-        idle: Duration::from_secs(600),
-        arrive: Duration::from_secs(60),
-        answer: Duration::from_secs(600),
+        max_connections: 1000,
+        scarce_connections: 1000,
+        idle_timeout: Duration::from_secs(600),
+        transfer_timeout: Duration::from_secs(60),
+        response_timeout: Duration::from_secs(600),
     };
     smol::block_on(executor.run(async {
         let any_port = "127.0.0.1:0";
--- a/packages/emulator/src/environment.rs
+++ b/packages/emulator/src/environment.rs
@@ -149,10 +149,10 @@
 /// injected by other means.
 fn server_limits() -> ServerLimits {
     ServerLimits {
-        connections: MAX_CONNECTIONS,
-        scarce: MAX_CONNECTIONS,
-        idle: Duration::from_secs(600),
-        arrive: Duration::from_secs(60),
-        answer: Duration::from_secs(600),
+        max_connections: MAX_CONNECTIONS,
+        scarce_connections: MAX_CONNECTIONS,
+        idle_timeout: Duration::from_secs(600),
+        transfer_timeout: Duration::from_secs(60),
+        response_timeout: Duration::from_secs(600),
     }
 }
--- a/packages/emulator/src/scale/role.rs
+++ b/packages/emulator/src/scale/role.rs
@@ -202,11 +202,11 @@
 /// Returns the server limits of a control interface, which only processes of the run use.
 fn control_limits() -> ServerLimits {
     ServerLimits {
-        connections: 64,
-        scarce: 64,
-        idle: Duration::from_secs(600),
-        arrive: Duration::from_secs(60),
-        answer: Duration::from_secs(60),
+        max_connections: 64,
+        scarce_connections: 64,
+        idle_timeout: Duration::from_secs(600),
+        transfer_timeout: Duration::from_secs(60),
+        response_timeout: Duration::from_secs(60),
     }
 }
 
--- a/packages/wire/src/http/mod.rs
+++ b/packages/wire/src/http/mod.rs
@@ -94,8 +94,8 @@
     pub body: Vec<u8>,
     /// Value of the `Retry-After` header in seconds; `None` omits the header.
     pub retry_after: Option<u32>,
-    /// Whether the client is one that sends requests at long intervals.  If so, and if connections are
-    /// scarce (see [`ServerLimits::scarce`]), the connection is closed after this response.
+    /// Whether the connection is closed after this response if connections are scarce (see
+    /// [`ServerLimits::scarce_connections`]).  It is true for clients that send requests at long intervals.
     pub closes_when_scarce: bool,
 }
 
--- a/packages/wire/src/http/server.rs
+++ b/packages/wire/src/http/server.rs
@@ -42,18 +42,18 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
     /// Maximum number of open connections.  Further connections are closed as soon as they are accepted.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Number of open connections from which on connections are scarce.  A connection whose client sends
     /// requests at long intervals ([`Response::closes_when_scarce`]) is then closed after its response, because there
     /// may be more such clients than connections and each of them has to be served.
-    pub scarce: usize,
+    pub scarce_connections: usize,
     /// Maximum time for which a connection may be idle before or between requests.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Maximum time that a request may take to arrive completely, and a response to be sent.
-    pub arrive: Duration,
+    pub transfer_timeout: Duration,
     /// Maximum time from the arrival of a request until its response is ready.  A later response is
     /// dropped and the connection closed.
-    pub answer: Duration,
+    pub response_timeout: Duration,
 }
 
 /// Accepts connections on `listener` and serves each in a task of its own on `executor`; never returns.
@@ -69,7 +69,7 @@
     H: Fn(Request) -> F + 'static,
     F: Future<Output = Response> + 'static,
 {
-    let deadlines = Deadlines::new(limits.arrive / 8);
+    let deadlines = Deadlines::new(limits.transfer_timeout / 8);
     executor.spawn(deadlines.clone().run()).detach();
     let listener: Arc<smol::Async<std::net::TcpListener>> = listener.into();
     loop {
@@ -83,7 +83,7 @@
                 continue;
             }
         };
-        if deadlines.open_connections() >= limits.connections {
+        if deadlines.open_connections() >= limits.max_connections {
             continue;
         }
         // TCP_NODELAY is not set: every response is written at once and nothing follows it, so the option
@@ -148,7 +148,7 @@
     let mut is_new = true;
     loop {
         if buf.is_empty() {
-            connection.set_timeout(limits.idle);
+            connection.set_timeout(limits.idle_timeout);
             // Waits before the read, which would usually fail because the next request has not arrived.
             // On a new connection the first request has usually arrived by now, so it is read at once.
             if !is_new {
@@ -157,7 +157,7 @@
             fill_once(&mut connection, &mut buf, READ_SIZE).await?;
             is_new = false;
         }
-        connection.set_timeout(limits.arrive);
+        connection.set_timeout(limits.transfer_timeout);
         let (request, client_closes) = match receive_request(&mut connection, &mut buf).await? {
             Received::Request { request, close } => (request, close),
             Received::Invalid(response) => return send_response(&mut connection, &response, true).await,
@@ -167,11 +167,12 @@
         let response = handler(request).await;
         // A response that is late because this process has stalled must not be sent: it may report an
         // older state than another controller has reported in the meantime.  No client waits this long.
-        if received_at.elapsed() > limits.answer {
+        if received_at.elapsed() > limits.response_timeout {
             return Ok(());
         }
-        connection.set_timeout(limits.arrive);
-        let close = client_closes || response.closes_when_scarce && connection.open_connections() >= limits.scarce;
+        connection.set_timeout(limits.transfer_timeout);
+        let close =
+            client_closes || response.closes_when_scarce && connection.open_connections() >= limits.scarce_connections;
         send_response(&mut connection, &response, close).await?;
         if close {
             return Ok(());
--- a/packages/wire/src/http/server/tests.rs
+++ b/packages/wire/src/http/server/tests.rs
@@ -14,7 +14,13 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
         let addr = listener.local_addr().expect("the listener is bound");
         let timeout = Duration::from_secs(60);
-        let limits = ServerLimits { connections: 8, scarce: 4, idle: timeout, arrive: timeout, answer: timeout };
+        let limits = ServerLimits {
+            max_connections: 8,
+            scarce_connections: 4,
+            idle_timeout: timeout,
+            transfer_timeout: timeout,
+            response_timeout: timeout,
+        };
         let handler = |request: Request| {
             let closes_when_scarce = request.path == "/seldom";
             std::future::ready(Response { closes_when_scarce, ..Response::new(200, &()) })
--- a/src/run.rs
+++ b/src/run.rs
@@ -51,14 +51,14 @@
 /// Returns the limits of the HTTP server for users and workers.
 fn server_limits(config: &Config, policy: &Policy) -> ServerLimits {
     let reserved = RESERVED_FILE_DESCRIPTORS + policy.direct_calls;
-    let connections = config.deployment.quota.fd_limit.saturating_sub(reserved).max(MIN_CONNECTIONS);
+    let max_connections = config.deployment.quota.fd_limit.saturating_sub(reserved).max(MIN_CONNECTIONS);
     ServerLimits {
-        connections,
-        scarce: (connections as f64 * policy.scarce_share) as usize,
-        idle: policy.connection_idle,
-        arrive: Duration::from_secs(10),
+        max_connections,
+        scarce_connections: (max_connections as f64 * policy.scarce_share) as usize,
+        idle_timeout: policy.connection_idle,
+        transfer_timeout: Duration::from_secs(10),
         // users wait longest for the reply to a submission
-        answer: Duration::from_secs(5),
+        response_timeout: Duration::from_secs(5),
     }
 }
 
