--- a/packages/client/src/outcome.rs
+++ b/packages/client/src/outcome.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, SystemTime};
 
-use coralnotch_wire::http::{self, Answer, Error};
+use coralnotch_wire::http::{self, ClientResponse, Error};
 use coralnotch_wire::model::JobState;
 use serde::Deserialize;
 
@@ -56,7 +56,12 @@
 ///
 /// `wall_clock` is the current time of day, relative to which a date in a
 /// `Retry-After` header is interpreted.
-pub fn classify_response(action: Action, response: Result<Answer, Error>, id: &str, wall_clock: SystemTime) -> Outcome {
+pub fn classify_response(
+    action: Action,
+    response: Result<ClientResponse, Error>,
+    id: &str,
+    wall_clock: SystemTime,
+) -> Outcome {
     // The connection failed, or the response was truncated, late or not HTTP.
     let Ok(response) = response else { return Outcome::Indeterminate };
     match (action, response.status) {
--- a/packages/client/src/outcome/tests.rs
+++ b/packages/client/src/outcome/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use std::time::UNIX_EPOCH;
 
-fn response(status: u16, body: &str, retry_after: Option<&str>) -> Result<Answer, Error> {
+fn response(status: u16, body: &str, retry_after: Option<&str>) -> Result<ClientResponse, Error> {
     let value: serde_json::Value = serde_json::from_str(body).expect("a body");
-    Ok(Answer { status, body: http::encode(&value), retry_after: retry_after.map(str::to_owned) })
+    Ok(ClientResponse { status, body: http::encode(&value), retry_after: retry_after.map(str::to_owned) })
 }
 
 /// Guards against a difference between the classification and the table in
@@ -16,7 +16,7 @@
     let state = |stage: &str| Outcome::State(JobState { id: "j-1".into(), stage: stage.into(), done: 0, running: 0 });
     let retry_in_s = |seconds| Outcome::RetryLater(Some(Duration::from_secs(seconds)));
     let pending = r#"{"nameId":"j-1","stage":"pending"}"#;
-    let truncated = || Ok(Answer { status: 200, body: vec![0x81, 0xa6], retry_after: None });
+    let truncated = || Ok(ClientResponse { status: 200, body: vec![0x81, 0xa6], retry_after: None });
     let connection_reset = || Err(Error::Io(std::io::ErrorKind::ConnectionReset.into()));
     for (row, outcome, expected) in [
         ("accepted submission", classify(Submit, response(201, pending, None)), state("pending")),
--- a/packages/emulator/src/balancer/submission_reader.rs
+++ b/packages/emulator/src/balancer/submission_reader.rs
@@ -45,13 +45,13 @@
                 return false;
             }
         };
-        let end = head.len + head.body;
+        let end = head.head_len + head.body_len;
         if self.buffer.len() < end {
             return false;
         }
         self.requests += 1;
         if head.method == "POST" && head.target == "/v2/runs" {
-            submissions.extend(http::decode::<JobSpec>(&self.buffer[head.len..end]).ok());
+            submissions.extend(http::decode::<JobSpec>(&self.buffer[head.head_len..end]).ok());
         }
         self.buffer.drain(..end);
         true
--- a/packages/wire/src/http/client.rs
+++ b/packages/wire/src/http/client.rs
@@ -8,7 +8,7 @@
 use smol::io::AsyncWriteExt;
 use smol::net::TcpStream;
 
-use super::{fill_once, fill_to_len, parse_response, within, Answer, Error, CLIENT_BODY_LIMIT, READ_SIZE};
+use super::{fill_once, fill_to_len, parse_response, within, ClientResponse, Error, CLIENT_BODY_LIMIT, READ_SIZE};
 
 /// An open connection without a request in progress, which can be reused.
 struct IdleConnection {
@@ -114,7 +114,7 @@
         target: &str,
         body: Option<&[u8]>,
         timeout: Duration,
-    ) -> Result<Answer, Error> {
+    ) -> Result<ClientResponse, Error> {
         let body = body.unwrap_or_default();
         let mut message = Vec::with_capacity(160 + body.len());
         message.extend_from_slice(request_head(addr, method, target, body.len()).as_bytes());
@@ -136,16 +136,16 @@
                     break head;
                 }
             };
-            if head.chunked || head.body > CLIENT_BODY_LIMIT {
+            if head.chunked || head.body_len > CLIENT_BODY_LIMIT {
                 return Err(Error::Malformed("answer too large or in chunks"));
             }
-            fill_to_len(&mut stream, &mut buf, head.len + head.body).await?;
-            if !head.close && buf.len() == head.len + head.body {
+            fill_to_len(&mut stream, &mut buf, head.head_len + head.body_len).await?;
+            if !head.close && buf.len() == head.head_len + head.body_len {
                 self.put_idle(addr, stream);
             }
-            buf.drain(..head.len);
-            buf.truncate(head.body);
-            Ok(Answer { status: head.status, body: buf, retry_after: head.retry_after })
+            buf.drain(..head.head_len);
+            buf.truncate(head.body_len);
+            Ok(ClientResponse { status: head.status, body: buf, retry_after: head.retry_after })
         })
         .await;
         if result.is_err() {
--- a/packages/wire/src/http/mod.rs
+++ b/packages/wire/src/http/mod.rs
@@ -156,9 +156,9 @@
     /// HTTP status of a response; 0 for a request.
     pub status: u16,
     /// Size of the head in bytes, including the empty line at its end.
-    pub len: usize,
+    pub head_len: usize,
     /// Size of the body in bytes; 0 without `Content-Length`.
-    pub body: usize,
+    pub body_len: usize,
     /// Whether the sender closes the connection after this message.
     pub close: bool,
     /// Whether the message has a `Transfer-Encoding`, such as chunked, none of which is supported.
@@ -169,7 +169,7 @@
 
 /// A response that the client has received.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Answer {
+pub struct ClientResponse {
     /// The HTTP status.
     pub status: u16,
     /// The MessagePack body.
@@ -181,7 +181,7 @@
 /// Header fields that determine how a message is read and what becomes of its connection.
 struct HeaderFields {
     /// Size of the body in bytes.
-    body: usize,
+    body_len: usize,
     close: bool,
     chunked: bool,
     retry_after: Option<String>,
@@ -191,7 +191,7 @@
 /// the message unless a header says otherwise.
 fn parse_headers(headers: &[httparse::Header<'_>], is_http_1_0: bool) -> Result<HeaderFields, Error> {
     let mut body = None;
-    let mut fields = HeaderFields { body: 0, close: is_http_1_0, chunked: false, retry_after: None };
+    let mut fields = HeaderFields { body_len: 0, close: is_http_1_0, chunked: false, retry_after: None };
     for header in headers {
         if header.name.eq_ignore_ascii_case("content-length") {
             let length = parse_content_length(header.value).ok_or(Error::Malformed("content-length"))?;
@@ -212,7 +212,7 @@
             fields.retry_after = std::str::from_utf8(header.value).ok().map(|value| value.trim().to_owned());
         }
     }
-    fields.body = body.unwrap_or(0);
+    fields.body_len = body.unwrap_or(0);
     Ok(fields)
 }
 
@@ -236,12 +236,12 @@
     match request.parse(buf).map_err(|_| Error::Malformed("request head"))? {
         httparse::Status::Partial if buf.len() > HEAD_LIMIT => Err(Error::Malformed("head too long")),
         httparse::Status::Partial => Ok(None),
-        httparse::Status::Complete(len) => {
-            let HeaderFields { body, close, chunked, retry_after } =
+        httparse::Status::Complete(head_len) => {
+            let HeaderFields { body_len, close, chunked, retry_after } =
                 parse_headers(request.headers, request.version == Some(0))?;
             let method = request.method.unwrap_or_default().to_owned();
             let target = request.path.unwrap_or_default().to_owned();
-            Ok(Some(Head { method, target, status: 0, len, body, close, chunked, retry_after }))
+            Ok(Some(Head { method, target, status: 0, head_len, body_len, close, chunked, retry_after }))
         }
     }
 }
@@ -256,16 +256,16 @@
     match response.parse(buf).map_err(|_| Error::Malformed("response head"))? {
         httparse::Status::Partial if buf.len() > HEAD_LIMIT => Err(Error::Malformed("head too long")),
         httparse::Status::Partial => Ok(None),
-        httparse::Status::Complete(len) => {
-            let HeaderFields { body, close, chunked, retry_after } =
+        httparse::Status::Complete(head_len) => {
+            let HeaderFields { body_len, close, chunked, retry_after } =
                 parse_headers(response.headers, response.version == Some(0))?;
             let status = response.code.unwrap_or(0);
             Ok(Some(Head {
                 method: String::new(),
                 target: String::new(),
                 status,
-                len,
-                body,
+                head_len,
+                body_len,
                 close,
                 chunked,
                 retry_after,
--- a/packages/wire/src/http/server.rs
+++ b/packages/wire/src/http/server.rs
@@ -119,13 +119,13 @@
             Err(e) => return Err(e),
         }
     };
-    if head.chunked || head.body > BODY_LIMIT {
+    if head.chunked || head.body_len > BODY_LIMIT {
         let status = if head.chunked { 400 } else { 413 };
         return Ok(Received::Invalid(Response::error(status, "body too large or in chunks")));
     }
-    fill_to_len(connection, buf, head.len + head.body).await?;
-    let body = buf[head.len..head.len + head.body].to_vec();
-    buf.drain(..head.len + head.body);
+    fill_to_len(connection, buf, head.head_len + head.body_len).await?;
+    let body = buf[head.head_len..head.head_len + head.body_len].to_vec();
+    buf.drain(..head.head_len + head.body_len);
     // Frees the memory that a large request has taken, because the connection may stay open for long.
     if buf.capacity() > BODY_LIMIT / 4 {
         buf.shrink_to(READ_SIZE);
--- a/packages/wire/src/http/tests.rs
+++ b/packages/wire/src/http/tests.rs
@@ -31,7 +31,7 @@
         }
         let head = parse_request(text.as_bytes()).expect("the head is well-formed").expect("the head is complete");
         prop_assert_eq!(
-            (head.method, head.target, head.body, head.close, head.len),
+            (head.method, head.target, head.body_len, head.close, head.head_len),
             (method, path, len, close, text.len())
         );
     }
