--- a/packages/client/src/client/dispatch/tests.rs
+++ b/packages/client/src/client/dispatch/tests.rs
@@ -1,6 +1,6 @@
 use std::sync::Mutex;
 
-use coralnotch_wire::example::spec;
+use coralnotch_wire::example::job_array;
 use coralnotch_wire::http;
 use coralnotch_wire::model::{JobSpec, JobState};
 use event_listener::Event;
@@ -30,7 +30,7 @@
 
 fn add_job(shared: &Shared, id: &str, needs: &[&str], now: Instant) {
     let dependencies = needs.iter().map(|id| Name::from(*id)).collect();
-    let spec = JobSpec { dependencies, ..(*spec(id, 1)).clone() };
+    let spec = JobSpec { dependencies, ..(*job_array(id, 1)).clone() };
     track_job(&mut shared.lock(), &shared.counters, JobRecord::new(&spec), now);
 }
 
--- a/packages/client/src/job/tests.rs
+++ b/packages/client/src/job/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use coralnotch_wire::example::spec;
+use coralnotch_wire::example::job_array;
 use coralnotch_wire::model::JobState;
 use proptest::prelude::*;
 
@@ -58,9 +58,9 @@
     fn job_has_at_most_one_final_answer_for_any_sequence_of_responses(steps in prop::collection::vec(steps(), 1..200), jitter in 0.0f64..1.0) {
         let timing = timing();
         let mut now = Instant::now();
-        let mut job = Job::new(spec("j-1", 5), false, false, now);
+        let mut job = Job::new(job_array("j-1", 5), false, false, now);
         // The content of the journal.
-        let mut recorded = JobRecord::new(&spec("j-1", 5));
+        let mut recorded = JobRecord::new(&job_array("j-1", 5));
         let mut shown_answer: Option<FinalAnswer> = None;
         for step in steps {
             let (old_progress, was_accepted) = (job.progress(), job.is_accepted());
@@ -99,7 +99,7 @@
                 Step::Wait(ms) => now += Duration::from_millis(ms),
                 Step::Restart => {
                     if recorded.answer.is_none() {
-                        job = Job::new(spec("j-1", 5), recorded.accepted, recorded.cancel_requested, now);
+                        job = Job::new(job_array("j-1", 5), recorded.accepted, recorded.cancel_requested, now);
                         restarted = true;
                     }
                 }
@@ -123,7 +123,7 @@
 #[test]
 fn poll_delay_depends_on_the_expected_end_and_the_jitter() {
     let start = Instant::now();
-    let long_spec = Arc::new(JobSpec { estimated_run_time_s: 40.0, ..(*spec("j-1", 1)).clone() });
+    let long_spec = Arc::new(JobSpec { estimated_run_time_s: 40.0, ..(*job_array("j-1", 1)).clone() });
     let poll_delay_s = |elapsed_s: u64, jitter: f64| {
         let mut job = Job::new(long_spec.clone(), true, false, start);
         let now = start + Duration::from_secs(elapsed_s);
@@ -144,7 +144,7 @@
 #[test]
 fn cancellation_is_sent_once_the_job_is_accepted_and_repeated_until_it_ends() {
     let now = Instant::now();
-    let mut job = Job::new(spec("j-1", 1), false, false, now);
+    let mut job = Job::new(job_array("j-1", 1), false, false, now);
     job.apply_outcome(Action::Submit, Outcome::Indeterminate, &timing(), 0.5, now);
     assert!(job.request_cancellation(now) && !job.request_cancellation(now));
     assert_eq!(job.action(), Action::Submit);
--- a/packages/client/src/journal/tests.rs
+++ b/packages/client/src/journal/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::model::FinalAnswer;
-use coralnotch_wire::example::spec;
+use coralnotch_wire::example::job_array;
 use std::{fs, io};
 
 /// A file in the temporary directory that is removed on drop.
@@ -25,9 +25,9 @@
     let file = TempFile::new("again");
     let journal = Journal::open(&file.0).expect("a new journal");
     assert!(matches!(Journal::open(&file.0), Err(JournalError::AlreadyOpen { .. })));
-    journal.add(&[spec("j-1", 1), spec("j-2", 2)], Some("a")).expect("a successful write");
+    journal.add(&[job_array("j-1", 1), job_array("j-2", 2)], Some("a")).expect("a successful write");
     assert_eq!(
-        journal.add(&[spec("j-9", 1)], Some("a")).expect("a successful write"),
+        journal.add(&[job_array("j-9", 1)], Some("a")).expect("a successful write"),
         None,
         "the journal already has a batch of that name"
     );
@@ -40,11 +40,11 @@
     // Adding the same job again changes nothing.  A batch with a different job
     // under an existing id is rejected as a whole.
     assert_eq!(
-        journal.add(&[spec("j-2", 2)], None).expect("the same specification").expect("no batch")[0].answer,
+        journal.add(&[job_array("j-2", 2)], None).expect("the same specification").expect("no batch")[0].answer,
         Some(FinalAnswer::Done)
     );
     assert!(
-        matches!(journal.add(&[spec("j-4", 1), spec("j-2", 9)], None), Err(JournalError::IdTaken { id }) if id == "j-2")
+        matches!(journal.add(&[job_array("j-4", 1), job_array("j-2", 9)], None), Err(JournalError::IdTaken { id }) if id == "j-2")
     );
     assert_eq!(journal.read_all().expect("readable").len(), 2);
     journal.remove("j-2").expect("a successful write");
@@ -74,7 +74,7 @@
     txn.commit().expect("a successful write");
     assert!(matches!(journal.read_all(), Err(JournalError::Corrupt { .. })));
     assert!(
-        matches!(journal.add(&[spec("j-1", 1)], None), Err(JournalError::Corrupt { .. })),
+        matches!(journal.add(&[job_array("j-1", 1)], None), Err(JournalError::Corrupt { .. })),
         "the damaged record was overwritten"
     );
 }
@@ -95,7 +95,7 @@
     let file = TempFile::new("golden");
     let journal = Journal::open(&file.0).expect("a new journal");
     journal
-        .add(&["j-1", "j-2", "j-3", "j-4", "j-5"].map(|id| spec(id, 2)), Some("a batch"))
+        .add(&["j-1", "j-2", "j-3", "j-4", "j-5"].map(|id| job_array(id, 2)), Some("a batch"))
         .expect("a successful write");
     journal.update(&["j-2".into()], |r| r.accepted = true).expect("a successful write");
     journal
@@ -132,7 +132,7 @@
     let read: JobRecord = serde_json::from_str(&row).expect("a record");
     assert_eq!(
         read,
-        JobRecord { spec: (*spec("j-6", 2)).clone(), accepted: true, cancel_requested: true, answer: None }
+        JobRecord { spec: (*job_array("j-6", 2)).clone(), accepted: true, cancel_requested: true, answer: None }
     );
 }
 
--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -7,7 +7,7 @@
 
 use super::*;
 use crate::cluster::{Cluster, Machine};
-use crate::sim::{new_cluster, spec};
+use crate::sim::{job_array, new_cluster};
 use crate::workers::{Command, Heartbeat, HeartbeatSource, TaskState, TaskStatus};
 
 const JOB: &str = "j-000001";
@@ -95,7 +95,7 @@
         let now = Instant::now();
         let mut cluster = new_cluster(1, now);
         let mut store = Store { revision: 10, ..Store::default() };
-        cluster.add_job(spec(JOB, 40), 1, None, now);
+        cluster.add_job(job_array(JOB, 40), 1, None, now);
         let machines: Vec<Name> = (0..6).map(|number| add_machine(&mut cluster, &format!("i-{number}"), now)).collect();
         // shards written by a transaction whose response was lost
         let mut in_doubt = BTreeSet::new();
@@ -136,7 +136,7 @@
         for StoredShard { id, shard, .. } in store.read_shards() {
             prop_assert!(in_doubt.contains(&shard_key(id)) || cluster.shards[&id].revision == shard.revision);
         }
-        let next = store.next_leader(spec(JOB, 40), now);
+        let next = store.next_leader(job_array(JOB, 40), now);
         for (name, machine) in &cluster.machines {
             for (task, assignment) in machine.tasks.iter().filter(|(_, assignment)| assignment.stored) {
                 let found = next.machines.get(name).and_then(|machine| machine.tasks.get(task));
@@ -154,8 +154,8 @@
 fn a_running_task_of_an_ended_job_does_not_block_commits() {
     let now = Instant::now();
     let mut cluster = new_cluster(1, now);
-    cluster.add_job(spec(JOB, 1), 1, Some(JobOutcome::Cancelled), now);
-    cluster.add_job(spec("j-000002", 1), 2, None, now);
+    cluster.add_job(job_array(JOB, 1), 1, Some(JobOutcome::Cancelled), now);
+    cluster.add_job(job_array("j-000002", 1), 2, None, now);
     let running = TaskStatus { task: task(0), attempt: 7, state: TaskState::Running, cause: None, saved: None };
     let heartbeat = Heartbeat { tasks: vec![running], ..crate::sim::heartbeat("i-1", "z0", 1, 1, 0) };
     cluster.apply_heartbeat(&heartbeat, HeartbeatSource::Worker, now);
@@ -202,7 +202,7 @@
     assert_eq!(shard.completed[0].1.iter().collect::<Vec<_>>(), [25, 26, 27, 31]);
     assert!(locations["i-000003"].spot && &*locations["i-000003"].zone == "z1");
     let mut cluster = new_cluster(4, Instant::now());
-    cluster.add_job(spec(JOB, 40), 1, None, Instant::now());
+    cluster.add_job(job_array(JOB, 40), 1, None, Instant::now());
     cluster.add_shard(id, shard.clone(), &locations, Instant::now());
     assert_same("page", Write::set("x", &cluster.shard_record(&shard)));
     let job: JobSpec = decode_value("x", value("job").value).expect("a job");
@@ -239,7 +239,7 @@
 fn an_oversized_shard_is_split_without_losing_starts() {
     let now = Instant::now();
     let mut cluster = new_cluster(1, now);
-    cluster.add_job(spec(JOB, 1000), 1, None, now);
+    cluster.add_job(job_array(JOB, 1000), 1, None, now);
     for index in 0..300 {
         let machine = add_machine(&mut cluster, &format!("i-{index:06}"), now);
         assign(&mut cluster, index, &machine, now);
@@ -268,7 +268,7 @@
         let largest = store.carry_out(&batch);
         assert!(largest <= limits.shard_bytes, "a value has {largest} bytes");
         cluster.apply_commit(batch, store.revision, now);
-        let next = store.next_leader(spec(JOB, 1000), now);
+        let next = store.next_leader(job_array(JOB, 1000), now);
         assert_eq!(count_stored(&next), count_stored(&cluster), "round {round}");
         assert_eq!(next.jobs[JOB].completed.len(), 300, "round {round}");
     }
@@ -286,10 +286,10 @@
     let mut cluster = new_cluster(1, now);
     let job_with_needs = |id: &str, needs: &[&str]| {
         let dependencies = needs.iter().map(|needed| Name::from(*needed)).collect();
-        Arc::new(JobSpec { dependencies, ..(*spec(id, 1)).clone() })
+        Arc::new(JobSpec { dependencies, ..(*job_array(id, 1)).clone() })
     };
-    cluster.add_job(spec("j-1", 1), 1, None, now);
-    cluster.add_job(spec("j-2", 1), 2, None, now);
+    cluster.add_job(job_array("j-1", 1), 1, None, now);
+    cluster.add_job(job_array("j-2", 1), 2, None, now);
     cluster.add_job(job_with_needs("j-3", &["j-1"]), 3, None, now);
     for revision in 10..30 {
         cluster.add_job(job_with_needs(&format!("j-{revision}"), &["j-2"]), revision, None, now);
@@ -327,10 +327,10 @@
     let now = Instant::now();
     for (outcome, is_released) in [(JobOutcome::Done, true), (JobOutcome::Cancelled, false)] {
         let mut cluster = new_cluster(2, now);
-        let last = JobSpec { dependencies: vec!["j-1".into()], ..(*spec("j-2", 1)).clone() };
+        let last = JobSpec { dependencies: vec!["j-1".into()], ..(*job_array("j-2", 1)).clone() };
         cluster.add_job(Arc::new(last), 2, None, now);
         assert_eq!(cluster.dependencies.unknown_dependencies(), ["j-1".into()]);
-        cluster.add_job(spec("j-1", 1), 1, Some(outcome), now);
+        cluster.add_job(job_array("j-1", 1), 1, Some(outcome), now);
         assert_eq!(cluster.jobs.contains_key("j-2"), is_released);
         assert_eq!(cluster.dependencies.dependents_of_cancelled().count(), usize::from(!is_released));
     }
@@ -341,7 +341,7 @@
 fn the_outcome_is_stored_with_the_last_task() {
     let now = Instant::now();
     let mut cluster = new_cluster(1, now);
-    cluster.add_job(spec(JOB, 2), 1, None, now);
+    cluster.add_job(job_array(JOB, 2), 1, None, now);
     cluster.mark_completed(&task(0), now);
     let batch = cluster.next_commit(5, &limits(4096)).expect("a completed task");
     assert!(batch.outcomes.is_empty() && batch.completed.len() == 1);
--- a/packages/core/src/dependency/tests.rs
+++ b/packages/core/src/dependency/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::model::Priority;
-use crate::sim::spec;
+use crate::sim::job_array;
 use proptest::prelude::*;
 use std::collections::HashMap;
 
@@ -9,7 +9,11 @@
 }
 
 fn job(n: usize, needs: &[usize], priority: Priority) -> Arc<JobSpec> {
-    Arc::new(JobSpec { dependencies: needs.iter().map(|n| id(*n)).collect(), priority, ..(*spec(&id(n), 1)).clone() })
+    Arc::new(JobSpec {
+        dependencies: needs.iter().map(|n| id(*n)).collect(),
+        priority,
+        ..(*job_array(&id(n), 1)).clone()
+    })
 }
 
 /// A reference model that computes every result from all jobs each time.
--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::cluster::{Machine, MachineLocation, PlacementShard, StartRecord, TaskPhase};
 use crate::policy::Policy;
-use crate::sim::{new_cluster, spec};
+use crate::sim::{job_array, new_cluster};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,8 +30,8 @@
 fn machines_of_a_partitioned_zone_are_not_deleted() {
     let start = Instant::now();
     let mut cluster = new_cluster(2, start);
-    cluster.add_job(spec("j-000001", 1000), 1, None, start);
-    cluster.add_job(spec("j-000002", 1000), 2, None, start);
+    cluster.add_job(job_array("j-000001", 1000), 1, None, start);
+    cluster.add_job(job_array("j-000002", 1000), 2, None, start);
     record_starts(&mut cluster, 30, "z0", "j-000001", start);
     record_starts(&mut cluster, 70, "z1", "j-000002", start);
     let later = start + cluster.policy.silent * 2;
@@ -57,7 +57,7 @@
 #[test]
 fn replicas_in_a_partitioned_zone_are_deleted_when_their_leases_expire() {
     let start = Instant::now();
-    let service = |id| Arc::new(JobSpec { shape: Shape::Service, ..(*spec(id, 1000)).clone() });
+    let service = |id| Arc::new(JobSpec { shape: Shape::Service, ..(*job_array(id, 1000)).clone() });
     for has_controller in [false, true] {
         let mut cluster = new_cluster(2, start);
         let policy: Arc<Policy> = cluster.policy.clone();
@@ -66,7 +66,7 @@
             cluster.zones_with_controller.insert("z0".into());
         }
         cluster.add_job(service("j-000001"), 1, None, start);
-        cluster.add_job(spec("j-000002", 1000), 2, None, start);
+        cluster.add_job(job_array("j-000002", 1000), 2, None, start);
         record_starts(&mut cluster, 10, "z0", "j-000001", start);
         record_starts(&mut cluster, 10, "z0x", "j-000002", start);
         record_starts(&mut cluster, 70, "z1", "j-000002", start);
@@ -105,10 +105,10 @@
     policy.most_machines = 12;
     cluster.policy = Arc::new(policy);
     cluster.set_types(&[MachineType { zones: vec!["z0".into(), "z1".into()], ..crate::sim::machine_type("t") }]);
-    cluster.add_job(spec("j-000001", 1000), 1, None, now);
+    cluster.add_job(job_array("j-000001", 1000), 1, None, now);
     record_starts(&mut cluster, 5, "z0", "j-000001", now);
     cluster.apply_machine_list(&[], now);
-    let unmet_demand = UnmetDemand { spec: spec("j-000001", 1000), count: 1000, zones: BTreeMap::new() };
+    let unmet_demand = UnmetDemand { spec: job_array("j-000001", 1000), count: 1000, zones: BTreeMap::new() };
     let rented = |p: FleetPlan| p.rentals.iter().map(|r| r.count).sum::<u32>();
     assert_eq!(rented(cluster.plan_fleet(std::slice::from_ref(&unmet_demand), now)), 7);
     // requested machines count until the cloud has answered the rental
@@ -141,7 +141,7 @@
                 shape: Shape::Service,
                 spread_over_zones: true,
                 spot: false,
-                ..(*spec(&format!("j-{n}"), 4)).clone()
+                ..(*job_array(&format!("j-{n}"), 4)).clone()
             };
             cluster.add_job(Arc::new(s), 1 + u64::from(n), None, now - Duration::from_secs(1));
         }
@@ -157,10 +157,10 @@
     let mut cluster = new_cluster(2, start);
     allow_ten_rentals(&mut cluster);
     cluster.set_types(&[MachineType { zones, ..crate::sim::machine_type("t") }]);
-    cluster.add_job(spec("j-000001", 1000), 1, None, start);
+    cluster.add_job(job_array("j-000001", 1000), 1, None, start);
     record_starts(&mut cluster, 100, "z0", "j-000001", start);
     cluster.apply_machine_list(&[], start);
-    let unmet_demand = |count| UnmetDemand { spec: spec("j-000001", 1000), count, zones: BTreeMap::new() };
+    let unmet_demand = |count| UnmetDemand { spec: job_array("j-000001", 1000), count, zones: BTreeMap::new() };
     let slots_per_task = 10.0 / cluster.policy.spot_horizon_s;
     let mut rented = |count| {
         cluster.fleet.open_rentals.clear();
@@ -182,7 +182,7 @@
 fn time_since_the_last_heartbeat_includes_the_previous_term() {
     let start = Instant::now() + Duration::from_secs(100);
     let mut cluster = new_cluster(2, start);
-    cluster.add_job(spec("j-000001", 1000), 1, None, start);
+    cluster.add_job(job_array("j-000001", 1000), 1, None, start);
     record_starts(&mut cluster, 2, "z0", "j-000001", start);
     let last_heartbeat = Some(start - Duration::from_secs(20));
     cluster
@@ -207,7 +207,7 @@
 fn heartbeats_missed_during_a_controller_stall_delete_no_machine() {
     let start = Instant::now();
     let mut cluster = new_cluster(2, start);
-    cluster.add_job(spec("j-000001", 1000), 1, None, start);
+    cluster.add_job(job_array("j-000001", 1000), 1, None, start);
     record_starts(&mut cluster, 2, "z0", "j-000001", start);
     let resumed = start + cluster.policy.silent * 2;
     cluster.last_stall_ended_at = resumed;
@@ -223,7 +223,7 @@
 fn machines_that_no_stop_command_reaches_are_deleted_after_a_cancellation() {
     let start = Instant::now();
     let mut cluster = new_cluster(2, start);
-    cluster.add_job(spec("j-000001", 1000), 1, Some(JobOutcome::Cancelled), start);
+    cluster.add_job(job_array("j-000001", 1000), 1, Some(JobOutcome::Cancelled), start);
     record_starts(&mut cluster, 30, "z0", "j-000001", start);
     let later = start + cluster.policy.fresh + Duration::from_secs(1);
     assert_eq!(cluster.plan_fleet(&[], later).deletions.len(), 30);
@@ -242,7 +242,7 @@
         count: 300,
         zones: BTreeMap::new(),
     };
-    previous_leader.add_job(spec("j-000001", 300), 1, None, start);
+    previous_leader.add_job(job_array("j-000001", 300), 1, None, start);
     let requested = previous_leader.plan_fleet(&[unmet_demand(&previous_leader)], start).rentals;
     assert!(!requested.is_empty());
     let key = previous_leader.fleet.new_record_key(1);
@@ -253,7 +253,7 @@
     let mut new_leader = new_cluster(2, start);
     new_leader.set_types(&[MachineType { zones: vec!["z0".into()], ..crate::sim::machine_type("t") }]);
     new_leader.fleet.last_full_list = Some(start);
-    new_leader.add_job(spec("j-000001", 300), 1, None, start);
+    new_leader.add_job(job_array("j-000001", 300), 1, None, start);
     new_leader.fleet.add_inherited_record(key.clone(), requested.clone());
     new_leader.fleet.add_inherited_record("again".into(), requested.clone());
     let plan = new_leader.plan_fleet(&[unmet_demand(&new_leader)], start);
@@ -278,7 +278,7 @@
     let start = Instant::now();
     let mut cluster = new_cluster(2, start);
     let replica = |id: &str| {
-        let mut s = (*spec(id, 1)).clone();
+        let mut s = (*job_array(id, 1)).clone();
         (s.shape, s.spot, s.cpus) = (Shape::Service, false, 2.0);
         std::sync::Arc::new(s)
     };
@@ -309,7 +309,7 @@
     assert!(cordoned(&cluster).is_empty());
     cluster.fleet.last_full_list = Some(now);
     // a task of another job waits
-    cluster.add_job(spec("j-000009", 1), 9, None, start);
+    cluster.add_job(job_array("j-000009", 1), 9, None, start);
     cluster.plan_fleet(&[], now);
     assert!(cordoned(&cluster).is_empty());
     cluster.set_outcome("j-000009", JobOutcome::Cancelled, now);
--- a/packages/core/src/heartbeat_forwarding/tests.rs
+++ b/packages/core/src/heartbeat_forwarding/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::cluster::Cluster;
 use crate::model::Task;
-use crate::sim::{heartbeat, new_cluster, spec};
+use crate::sim::{heartbeat, job_array, new_cluster};
 use crate::workers::{Command, HeartbeatOutcome, HeartbeatSource, TaskState, TaskStatus};
 
 const NAMES: [&str; 5] = ["c0", "c1", "c2", "c3", "c4"];
@@ -44,7 +44,7 @@
         saved: None,
     }];
     if cluster.jobs.is_empty() {
-        cluster.add_job(spec("j-000001", 1), 1, None, now);
+        cluster.add_job(job_array("j-000001", 1), 1, None, now);
     }
     heartbeat
 }
@@ -122,7 +122,7 @@
     // a start that is decided but not sent
     let mut cluster = new_cluster(3, now);
     let accepted = accepted_heartbeat(&mut cluster, now);
-    cluster.add_job(spec("j-000002", 1), 2, None, now);
+    cluster.add_job(job_array("j-000002", 1), 2, None, now);
     assert!(cluster.assign(&Task { job: "j-000002".into(), index: 0 }, &accepted.machine, 2, now));
     assert!(cluster.apply_unchanged(&unchanged(&accepted, 3), now).is_none());
     // a new leader has received no heartbeat of the machine
--- a/packages/core/src/job_index/tests.rs
+++ b/packages/core/src/job_index/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use coralnotch_wire::example::spec;
+use coralnotch_wire::example::job_array;
 
 /// A job that depends on a cancelled one must not be reported as unfinished for long.  All its
 /// dependencies count, including indirect ones, and unknown dependencies have to be read from the
@@ -8,7 +8,7 @@
 fn direct_and_indirect_cancelled_dependencies_are_found() {
     let job = |id: &str, needs: &[&str]| {
         let dependencies = needs.iter().map(|need| Name::from(*need)).collect();
-        Arc::new(JobSpec { dependencies, ..(*spec(id, 1)).clone() })
+        Arc::new(JobSpec { dependencies, ..(*job_array(id, 1)).clone() })
     };
     let mut index = JobIndex::new(2);
     index.insert_seen(job("j-1", &[]), 1);
--- a/packages/core/src/placement/tests.rs
+++ b/packages/core/src/placement/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::cluster::{Machine, MachineState, QueuePriority};
-use crate::sim::{heartbeat, new_cluster, spec};
+use crate::sim::{heartbeat, job_array, new_cluster};
 use crate::workers::{Heartbeat, HeartbeatOutcome, HeartbeatSource};
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,11 +25,11 @@
     for n in 0..5 {
         add_machine(&mut cluster, &format!("i-{n}"), start);
     }
-    cluster.add_job(spec("j-000001", 400), 1, None, start);
+    cluster.add_job(job_array("j-000001", 400), 1, None, start);
     cluster.run_placement_pass(start);
     assert_eq!(cluster.jobs["j-000001"].assignments.len(), 40);
     let now = start + Duration::from_secs(5);
-    cluster.add_job(spec("j-000002", 40), 2, None, now);
+    cluster.add_job(job_array("j-000002", 40), 2, None, now);
     for machine in cluster.machines.values_mut() {
         machine.last_heartbeat = Some(now);
     }
@@ -62,7 +62,7 @@
     add_machine(&mut cluster, "i-0", now);
     add_machine(&mut cluster, "i-1", now);
     cluster.machines.get_mut("i-1").expect("the machine was added").spot = false;
-    let low_priority_job = |id: &str| JobSpec { priority: Priority::Low, ..(*spec(id, 1)).clone() };
+    let low_priority_job = |id: &str| JobSpec { priority: Priority::Low, ..(*job_array(id, 1)).clone() };
     cluster.add_job(Arc::new(low_priority_job("j-1")), 1, None, now);
     cluster.add_job(Arc::new(low_priority_job("j-2")), 2, None, now);
     cluster.add_job(Arc::new(low_priority_job("j-4")), 4, None, now);
@@ -110,7 +110,7 @@
     policy.pass_looks = 200;
     cluster.policy = Arc::new(policy);
     for n in 0..40 {
-        cluster.add_job(spec(&format!("j-{n:06}"), 3), n + 1, None, now);
+        cluster.add_job(job_array(&format!("j-{n:06}"), 3), n + 1, None, now);
     }
     let placed = |cluster: &Cluster| cluster.jobs.values().filter(|j| j.pending.is_empty()).count();
     cluster.run_placement_pass(now);
@@ -142,7 +142,7 @@
             "x".into(),
             TeamLimit { guarantee: Resources::default(), limit: team_limit },
         )]);
-        cluster.add_job(spec("j-1", 4), 1, Some(JobOutcome::Cancelled), now);
+        cluster.add_job(job_array("j-1", 4), 1, Some(JobOutcome::Cancelled), now);
         let start = |index| StartRecord {
             machine: unreachable.clone(),
             task: Task { job: "j-1".into(), index },
@@ -156,7 +156,7 @@
         )]);
         cluster.add_shard(0, shard, &locations, now);
         add_machine(&mut cluster, "i-0", now);
-        cluster.add_job(spec("j-2", 4), 2, None, now);
+        cluster.add_job(job_array("j-2", 4), 2, None, now);
         cluster
     };
     let heartbeat = |token, incarnation| heartbeat("i-9", "z1", incarnation, 50, token);
@@ -205,7 +205,7 @@
     let mut cluster = new_cluster(4, now);
     let first = Heartbeat { spot: true, ..heartbeat("i-7", "z2", 1, 1, 0) };
     assert_applied(&mut cluster, &first, now);
-    cluster.add_job(spec("j-1", 1), 1, None, now);
+    cluster.add_job(job_array("j-1", 1), 1, None, now);
     cluster.run_placement_pass(now);
     assert_eq!(cluster.jobs["j-1"].assignments.len(), 1, "the unlisted machine gets the task at once");
     assert!(
@@ -221,7 +221,7 @@
         .expect("the stored shard is readable");
     // For the next leader, no list has the machine and the machine has sent no heartbeat.
     let mut next_leader = new_cluster(5, now);
-    next_leader.add_job(spec("j-1", 1), 1, None, now);
+    next_leader.add_job(job_array("j-1", 1), 1, None, now);
     next_leader.add_shard(stored.id, stored.shard, &stored.locations, now);
     next_leader.apply_machine_list(&[], now);
     next_leader.run_placement_pass(now);
@@ -247,8 +247,9 @@
     add_machine_in(&mut cluster, "i-0", "z1", start);
     add_machine_in(&mut cluster, "i-1", "z1", start);
     add_machine_in(&mut cluster, "i-2", "z2", start);
-    let job_in_z1 =
-        |id: &str, tasks, shape| Arc::new(JobSpec { zone: Some("z1".into()), shape, ..(*spec(id, tasks)).clone() });
+    let job_in_z1 = |id: &str, tasks, shape| {
+        Arc::new(JobSpec { zone: Some("z1".into()), shape, ..(*job_array(id, tasks)).clone() })
+    };
     cluster.add_job(job_in_z1("j-1", 8, Shape::Array), 1, None, start);
     cluster.add_job(job_in_z1("j-2", 6, Shape::Gang), 2, None, start);
     cluster.run_placement_pass(start);
@@ -259,7 +260,7 @@
     // z1 may not use them.
     cluster.apply_deletion(&["i-0".into(), "i-1".into()], start);
     let now = start + Duration::from_secs(1);
-    cluster.add_job(spec("j-3", 8), 3, None, now);
+    cluster.add_job(job_array("j-3", 8), 3, None, now);
     cluster.run_placement_pass(now);
     assert_eq!(assigned_tasks(&cluster), [0, 0, 8], "the job without a zone constraint is placed");
     assert!(cluster.machines.values().all(|m| &*m.zone != "z1" || m.tasks.is_empty()));
--- a/packages/core/src/sim/mod.rs
+++ b/packages/core/src/sim/mod.rs
@@ -61,7 +61,7 @@
 use world::{CapacitySample, World};
 
 pub use coralnotch_policy::example::SETTINGS;
-pub use coralnotch_wire::example::spec;
+pub use coralnotch_wire::example::job_array;
 pub use fixtures::{heartbeat, machine_type, new_cluster};
 pub use state_store::RentalStore;
 
--- a/packages/core/src/sim/request_history/evaluation.rs
+++ b/packages/core/src/sim/request_history/evaluation.rs
@@ -22,7 +22,7 @@
                 RequestStage::AtController
             }
             NextAction::Store { depends_on_cancelled_job } => {
-                let submission = Submission { request: id, spec: spec(&pending.job, 1), depends_on_cancelled_job };
+                let submission = Submission { request: id, spec: job_array(&pending.job, 1), depends_on_cancelled_job };
                 controller.submissions.push(submission);
                 RequestStage::Queued
             }
--- a/packages/core/src/sim/request_history/mod.rs
+++ b/packages/core/src/sim/request_history/mod.rs
@@ -19,8 +19,8 @@
 use std::collections::{HashSet, VecDeque};
 
 use super::{
-    cancellations_txn, decode_value, key, spec, submissions_txn, Arc, BTreeMap, Config, Duration, HashMap, Instant,
-    JobOutcome, JobSpec, KeyValue, Name, OutcomeRecord, Policy, StateStore, Txn, Write, SETTINGS,
+    cancellations_txn, decode_value, job_array, key, submissions_txn, Arc, BTreeMap, Config, Duration, HashMap,
+    Instant, JobOutcome, JobSpec, KeyValue, Name, OutcomeRecord, Policy, StateStore, Txn, Write, SETTINGS,
 };
 use crate::cancellation::{CancellationLog, CancellationNotices};
 use crate::job_index::{EndedJob, InitialScan, JobIndex, JobStatus};
@@ -29,7 +29,7 @@
     Confirmation, NextAction, Reply, RequestKind, StateView, StoreResult, UserRequest, Validation,
 };
 use controller::{ModelController, StoredJob, Submission, MAX_ENDED_JOBS};
-use coralnotch_wire::history::{find_stale_answers, Answer, ObservedState};
+use coralnotch_wire::history::{find_inconsistencies, Answer, ObservedState};
 use coralnotch_wire::state::WatchEvent;
 use coverage::Coverage;
 use defect::InjectedDefect;
@@ -117,7 +117,7 @@
                 self.write_burst(index);
             }
         }
-        self.violations.extend(find_stale_answers(&self.answers, &self.submitted_at));
+        self.violations.extend(find_inconsistencies(&self.answers, &self.submitted_at));
         self.outage = false;
         (0..3).for_each(|index| self.check_unfinished_jobs(index));
         self
@@ -171,7 +171,7 @@
                 self.submitted_at.entry(job.clone()).or_insert(self.now);
                 // the transaction conflicts if the job was submitted before
                 let _ = self.state_store.apply(&submissions_txn(std::iter::once(crate::user_request::Submission {
-                    spec: &spec(&job, 1),
+                    spec: &job_array(&job, 1),
                     depends_on_cancelled_job: false,
                 })));
             }
--- a/packages/core/src/sim/users.rs
+++ b/packages/core/src/sim/users.rs
@@ -92,7 +92,7 @@
             one_zone,
             spread_over_zones: !one_zone && self.rng.u32(0..3) == 0,
             spot: self.rng.bool(),
-            ..(*spec(&format!("j-{index:06}"), tasks)).clone()
+            ..(*job_array(&format!("j-{index:06}"), tasks)).clone()
         };
         if job.spread_over_zones {
             job.zone = None;
--- a/packages/core/src/user_request/tests.rs
+++ b/packages/core/src/user_request/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::key;
 use crate::model::{JobSpec, MachineType, Shape};
-use crate::sim::{machine_type, spec, SETTINGS};
+use crate::sim::{job_array, machine_type, SETTINGS};
 use coralnotch_policy::config::{Config, Team};
 use coralnotch_wire::state::Write;
 use proptest::prelude::*;
@@ -60,7 +60,7 @@
         assert_eq!(controller.next_action(&mut request, 1), NextAction::Validate);
         request.apply_validation(valid);
         assert_eq!(controller.next_action(&mut request, 1), NextAction::Store { depends_on_cancelled_job: false });
-        controller.jobs.insert_stored(spec("j-1", 1), 5);
+        controller.jobs.insert_stored(job_array("j-1", 1), 5);
         if let Some(outcome) = ended {
             controller.jobs.apply_outcome("j-1", outcome);
         }
@@ -82,7 +82,7 @@
 /// and its cancellation is stored only if the first submission requires it.
 #[test]
 fn an_id_that_is_submitted_twice_is_stored_once() {
-    let (first, second) = (spec("j-1", 1), spec("j-2", 1));
+    let (first, second) = (job_array("j-1", 1), job_array("j-2", 1));
     let submission = |spec, depends_on_cancelled_job| Submission { spec, depends_on_cancelled_job };
     let written_keys = |submissions: &[Submission]| {
         let txn = submissions_txn(submissions.iter().copied());
@@ -112,7 +112,7 @@
     assert_eq!(controller.next_action(&mut request, 1), NextAction::Validate);
     request.apply_validation(Validation::Valid { depends_on_cancelled_job: true });
     assert_eq!(controller.next_action(&mut request, 1), NextAction::Store { depends_on_cancelled_job: true });
-    controller.jobs.insert_stored(spec("j-1", 1), 5);
+    controller.jobs.insert_stored(job_array("j-1", 1), 5);
     controller.jobs.apply_outcome("j-1", JobOutcome::Cancelled);
     request.apply_store_result(StoreResult::New { slow: false }, &mut controller.jobs);
     assert_eq!(controller.next_action(&mut request, 1), NextAction::Reply(Reply::Accepted));
@@ -135,7 +135,7 @@
     }
     // a controller that knows the job as unfinished also asks the store
     let (mut controller, mut request) = (TestController::new(), UserRequest::new("j-1".into(), RequestKind::Query));
-    controller.jobs.insert_seen(spec("j-1", 1), 5);
+    controller.jobs.insert_seen(job_array("j-1", 1), 5);
     assert_eq!(controller.next_action(&mut request, 1), NextAction::Confirm);
     let mut unanswered = request.clone();
     unanswered.apply_confirmation(Confirmation::Unavailable);
@@ -171,7 +171,7 @@
 fn a_job_is_unfinished_only_after_all_dependency_outcomes_were_read() {
     let mut controller = TestController::new();
     let dependencies: Vec<Name> = (100..300).map(|n| format!("j-{n}").into()).collect();
-    controller.jobs.insert_seen(Arc::new(JobSpec { dependencies, ..(*spec("j-1", 1)).clone() }), 5);
+    controller.jobs.insert_seen(Arc::new(JobSpec { dependencies, ..(*job_array("j-1", 1)).clone() }), 5);
     let mut request = UserRequest::new("j-1".into(), RequestKind::Query);
     assert_eq!(controller.next_action(&mut request, 1), NextAction::Confirm);
     request.apply_confirmation(Confirmation::Unfinished);
@@ -214,7 +214,7 @@
         MachineType { zones: vec!["a".into(), "b".into()], ..machine_type("s") },
         MachineType { zones: vec!["c".into()], cpus: 16.0, gpus: 2.0, ..machine_type("g") },
     ];
-    let base = spec("j-1", 2);
+    let base = job_array("j-1", 2);
     let reason_with = |change: &dyn Fn(&mut JobSpec)| {
         let mut s = (*base).clone();
         change(&mut s);
@@ -264,7 +264,7 @@
         mutation in 0usize..3
     ) {
         let optional = ["hulls", "bay", "dueS", "awaits"];
-        let encoded = rmpv::decode::read_value(&mut &coralnotch_wire::http::encode(&*spec("j-1", 1))[..])
+        let encoded = rmpv::decode::read_value(&mut &coralnotch_wire::http::encode(&*job_array("j-1", 1))[..])
             .expect("an encoded job spec");
         let rmpv::Value::Map(mut fields) = encoded else { panic!("the encoded job spec is not a map") };
         let field_index = field_index % fields.len();
--- a/packages/core/src/workers/tests.rs
+++ b/packages/core/src/workers/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 use crate::cluster::{raise_token, Cluster, Machine, MachineLocation, PlacementShard, StartRecord};
 use crate::model::*;
-use crate::sim::{heartbeat, new_cluster, spec};
+use crate::sim::{heartbeat, job_array, new_cluster};
 
 /// State of a task and cause of its exit, as a worker reports them.
 type ReportedState = (TaskState, Option<ExitCause>);
@@ -134,7 +134,7 @@
 #[test]
 fn a_job_that_fails_everywhere_runs_only_single_probes() {
     let mut fixture = Fixture::new(6);
-    fixture.cluster.add_job(spec("j-000001", 100), 1, None, fixture.now);
+    fixture.cluster.add_job(job_array("j-000001", 100), 1, None, fixture.now);
     fixture.cluster.run_placement_pass(fixture.now);
     assert_eq!(fixture.assigned_tasks("j-000001"), 48);
     fixture.report_all(|_, _| FAILED);
@@ -167,7 +167,7 @@
 fn faulty_machines_do_not_quarantine_a_job() {
     let mut fixture = Fixture::new(12);
     for (revision, id) in (1..).zip(["j-000001", "j-000002"]) {
-        fixture.cluster.add_job(spec(id, 48), revision, None, fixture.now);
+        fixture.cluster.add_job(job_array(id, 48), revision, None, fixture.now);
         for index in 0..48 {
             fixture.assign(id, index, index as usize % 12);
         }
@@ -189,7 +189,7 @@
     let ids = ["j-000001", "j-000002", "j-000003"];
     let mut fixture = Fixture::new(6);
     for (revision, id) in (1..).zip(ids) {
-        let small = JobSpec { cpus: 1.0, ..(*spec(id, 12)).clone() };
+        let small = JobSpec { cpus: 1.0, ..(*job_array(id, 12)).clone() };
         fixture.cluster.add_job(Arc::new(small), revision, None, fixture.now);
     }
     // each machine gets tasks of all three jobs
@@ -216,7 +216,7 @@
     let now = Instant::now();
     for order in [[2, 3], [3, 2]] {
         let mut leader = new_cluster(5, now);
-        leader.add_started_job(spec("j-1", 1), 1, None, now);
+        leader.add_started_job(job_array("j-1", 1), 1, None, now);
         let attempt = (4 << 24) + 7;
         let machine: Name = "i-1".into();
         let locations = HashMap::from([(machine.clone(), location())]);
@@ -250,8 +250,8 @@
 /// Returns a new leader that has read the stored starts of two jobs, of which the second is a gang.
 fn leader_with_stored_starts(now: Instant) -> Cluster {
     let mut leader = new_cluster(5, now);
-    let gang = JobSpec { shape: Shape::Gang, ..(*spec("j-2", 1)).clone() };
-    leader.add_started_job(spec("j-1", 1), 1, None, now);
+    let gang = JobSpec { shape: Shape::Gang, ..(*job_array("j-2", 1)).clone() };
+    leader.add_started_job(job_array("j-1", 1), 1, None, now);
     leader.add_started_job(Arc::new(gang), 2, None, now);
     let start = |job| StartRecord { machine: MACHINE.into(), task: only_task(job), attempt: ATTEMPT, incarnation: 1 };
     let shard = PlacementShard { revision: 1, starts: vec![start("j-1"), start("j-2")], completed: vec![] };
--- a/packages/emulator/src/balancer/tests.rs
+++ b/packages/emulator/src/balancer/tests.rs
@@ -51,7 +51,7 @@
 
 #[test]
 fn submissions_are_extracted_from_chunks_of_any_size() {
-    let spec = coralnotch_wire::example::spec("j-000001", 2);
+    let spec = coralnotch_wire::example::job_array("j-000001", 2);
     let body = http::encode(&*spec);
     let mut bytes = format!("POST /v2/runs HTTP/1.1\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes();
     bytes.extend(&body);
--- a/packages/emulator/src/load/scenario.rs
+++ b/packages/emulator/src/load/scenario.rs
@@ -171,7 +171,7 @@
             image: "load-image".into(),
             image_gb: 0.1,
             estimated_run_time_s: self.expect_s,
-            ..(*example::spec(&id, self.tasks as u32)).clone()
+            ..(*example::job_array(&id, self.tasks as u32)).clone()
         }
     }
 }
--- a/packages/emulator/src/scale/users.rs
+++ b/packages/emulator/src/scale/users.rs
@@ -257,7 +257,7 @@
             image: "tools".into(),
             image_gb: 0.05,
             spot: false,
-            ..(*example::spec(&id, tasks)).clone()
+            ..(*example::job_array(&id, tasks)).clone()
         }
     }
 
--- a/packages/emulator/src/up/demo.rs
+++ b/packages/emulator/src/up/demo.rs
@@ -27,7 +27,7 @@
         image: "demo-image".into(),
         image_gb: 0.5,
         estimated_run_time_s: 4.0,
-        ..(*example::spec(&format!("j-{id}"), 12)).clone()
+        ..(*example::job_array(&format!("j-{id}"), 12)).clone()
     }
 }
 
--- a/packages/emulator/src/worker_pool/tests.rs
+++ b/packages/emulator/src/worker_pool/tests.rs
@@ -1,4 +1,4 @@
-use coralnotch_wire::example::spec;
+use coralnotch_wire::example::job_array;
 use coralnotch_wire::model::MachineType;
 use coralnotch_wire::workers::{Command, DirectCommandBody, ExitCause, HeartbeatReply, TaskState};
 
@@ -53,7 +53,7 @@
 fn lower_fencing_token_is_rejected_and_lease_expiry_kills_tasks() {
     let t0 = Instant::now();
     let mut pool = worker_pool(1, t0);
-    pool.upload((*spec("j-000001", 3)).clone());
+    pool.upload((*job_array("j-000001", 3)).clone());
     assert!(start(&mut pool, "i-0", 5, 0, t0));
     assert!(!start(&mut pool, "i-0", 4, 1, t0), "a command of a former leader must be rejected");
     assert!(start(&mut pool, "i-0", 5, 1, t0) && start(&mut pool, "i-0", 5, 2, t0));
@@ -80,7 +80,7 @@
     let t0 = Instant::now();
     let at = |s| t0 + Duration::from_secs(s);
     let mut pool = worker_pool(2, t0);
-    pool.upload((*spec("j-000001", 1)).clone());
+    pool.upload((*job_array("j-000001", 1)).clone());
     start(&mut pool, "i-0", 1, 0, t0);
     pool.step(at(2));
     assert_eq!(states(&mut pool, "i-0", at(2)), [(TaskState::Running, None)]);
@@ -103,7 +103,7 @@
     let t0 = Instant::now();
     let at = |s| t0 + Duration::from_secs(s);
     let mut pool = worker_pool(2, t0);
-    pool.upload(JobSpec { shape: Shape::Gang, ..(*spec("j-000001", 2)).clone() });
+    pool.upload(JobSpec { shape: Shape::Gang, ..(*job_array("j-000001", 2)).clone() });
     start(&mut pool, "i-0", 1, 0, t0);
     pool.step(at(2));
     assert_eq!(states(&mut pool, "i-0", at(2)), [(TaskState::WaitingForGang, None)]);
--- a/packages/wire/src/example.rs
+++ b/packages/wire/src/example.rs
@@ -8,7 +8,7 @@
 ///
 /// The job has class `c`, team `x`, normal priority and an estimated run time of 10 s per task.  Its
 /// tasks may run on every machine type, in every zone and on spot machines.
-pub fn spec(id: &str, tasks: u32) -> Arc<JobSpec> {
+pub fn job_array(id: &str, tasks: u32) -> Arc<JobSpec> {
     Arc::new(JobSpec {
         id: id.into(),
         class: "c".into(),
--- a/packages/wire/src/history.rs
+++ b/packages/wire/src/history.rs
@@ -49,7 +49,7 @@
 ///   sent.  An accepted job is never unknown again, and a job that is done or cancelled stays so.
 /// - No job is reported both as done and as cancelled, in either order.
 /// - No job is reported as accepted before the first submission was sent.
-pub fn find_stale_answers<T: PartialOrd + Copy + Debug>(
+pub fn find_inconsistencies<T: PartialOrd + Copy + Debug>(
     answers: &[Answer<T>],
     submitted_at: &HashMap<Name, T>,
 ) -> Vec<String> {
--- a/packages/wire/src/history/tests.rs
+++ b/packages/wire/src/history/tests.rs
@@ -21,7 +21,7 @@
         answer("j-1", 8, 9, Done),
         answer("j-3", 8, 9, NotAccepted),
     ];
-    assert_eq!(find_stale_answers(&correct, &submitted_at), [] as [String; 0]);
+    assert_eq!(find_inconsistencies(&correct, &submitted_at), [] as [String; 0]);
     for (inconsistent, expected) in [
         (answer("j-1", 10, 11, Unfinished), "reported as Unfinished to a request sent at 10, after Done"),
         (answer("j-1", 5, 6, NotAccepted), "reported as NotAccepted to a request sent at 5, after Unfinished"),
@@ -29,7 +29,7 @@
         (answer("j-2", 10, 29, Unfinished), "it had not been submitted by then"),
         (answer("j-9", 10, 29, Unfinished), "it had not been submitted by then"),
     ] {
-        let found = find_stale_answers(&[&correct[..], &[inconsistent]].concat(), &submitted_at).join("; ");
+        let found = find_inconsistencies(&[&correct[..], &[inconsistent]].concat(), &submitted_at).join("; ");
         assert!(found.contains(expected), "expected {expected} in {found}");
     }
 }
@@ -56,9 +56,9 @@
             ))
             .collect();
         let submitted_at = HashMap::from([("j-1".into(), 0u64)]);
-        prop_assert!(find_stale_answers(&answers, &submitted_at).is_empty());
+        prop_assert!(find_inconsistencies(&answers, &submitted_at).is_empty());
         answers.push(answer("j-1", 200, 201, state_at(200)));
         answers.push(answer("j-1", 202, 203, Unfinished));
-        prop_assert!(!find_stale_answers(&answers, &submitted_at).is_empty());
+        prop_assert!(!find_inconsistencies(&answers, &submitted_at).is_empty());
     }
 }
--- a/packages/wire/src/model/tests.rs
+++ b/packages/wire/src/model/tests.rs
@@ -33,7 +33,7 @@
     #[test]
     fn needs_are_decoded_without_duplicates_and_omitted_if_empty(ids in prop::collection::vec(0u32..30, 0..12)) {
         let names: Vec<Name> = ids.iter().map(|number| format!("j-{number}").into()).collect();
-        let without_needs = crate::example::spec("j-000001", 1);
+        let without_needs = crate::example::job_array("j-000001", 1);
         let with_needs = JobSpec { dependencies: names.clone(), ..(*without_needs).clone() };
         let bytes = crate::http::encode(&with_needs);
         let decoded: JobSpec = crate::http::decode(&bytes).expect("an encoded job decodes");
--- a/src/leader/takeover/tests.rs
+++ b/src/leader/takeover/tests.rs
@@ -7,7 +7,7 @@
 use crate::state_store::client::StoreError;
 use crate::users::lookup::JobRecord;
 use coralnotch_policy::example::SETTINGS;
-use coralnotch_wire::example::spec;
+use coralnotch_wire::example::job_array;
 use std::collections::HashMap;
 
 fn controller(now: Instant) -> Controller {
@@ -40,12 +40,12 @@
     let now = Instant::now();
     let controller = controller(now);
     for id in ["j-000001", "j-000002", "j-000003"] {
-        controller.apply_watched_job(spec(id, 1), 1, now);
+        controller.apply_watched_job(job_array(id, 1), 1, now);
     }
     controller.apply_stored_outcome("j-000001", JobOutcome::Cancelled, 2, now);
     assert!(controller.try_take_over(lease(now), StoredCluster::default(), now).is_ok());
     controller.apply_stored_outcome("j-000002", JobOutcome::Cancelled, 3, now);
-    controller.apply_watched_job(spec("j-000004", 1), 2, now);
+    controller.apply_watched_job(job_array("j-000004", 1), 2, now);
     let state = controller.lock();
     let cluster = state.cluster.as_ref().expect("state after the takeover");
     let open: BTreeSet<&str> =
@@ -59,7 +59,7 @@
 fn ended_jobs_with_stored_starts_are_read_and_their_tasks_stopped() {
     let now = Instant::now();
     let controller = controller(now);
-    controller.apply_watched_job(spec("j-000001", 1), 1, now);
+    controller.apply_watched_job(job_array("j-000001", 1), 1, now);
     let stored = stored_starts(&["j-000001", "j-000002"]);
     let Err(missing) = controller.try_take_over(lease(now), stored, now) else {
         panic!("takeover without the record of an ended job")
@@ -67,7 +67,7 @@
     let MissingJobs { mut stored, ids } = missing;
     assert_eq!(ids, ["j-000002".into()]);
     assert!(controller.lock().cluster.is_none(), "incomplete state installed");
-    let job = OpenJob { spec: spec("j-000002", 1), revision: 2 };
+    let job = OpenJob { spec: job_array("j-000002", 1), revision: 2 };
     assert!(stored
         .add_job("j-000002".into(), Ok(Some(JobRecord { job, outcome: Some(JobOutcome::Cancelled) })))
         .is_ok());
@@ -84,7 +84,7 @@
 fn missing_or_unreadable_job_records_do_not_prevent_a_takeover() {
     let now = Instant::now();
     let controller = controller(now);
-    controller.apply_watched_job(spec("j-000001", 1), 1, now);
+    controller.apply_watched_job(job_array("j-000001", 1), 1, now);
     let stored = stored_starts(&["j-000001", "j-000002", "j-000003"]);
     let Err(missing) = controller.try_take_over(lease(now), stored, now) else {
         panic!("takeover without reading the missing jobs")
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -16,7 +16,7 @@
 use common::{small_job, test_dir, Cluster, ClusterConfig};
 use coralnotch::http::{self, Client};
 use coralnotch::model::{JobSpec, JobState, Name, Shape};
-use coralnotch_wire::history::{find_stale_answers, Answer, ObservedState};
+use coralnotch_wire::history::{find_inconsistencies, Answer, ObservedState};
 
 /// Timeout of one request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
@@ -227,7 +227,7 @@
         0,
         "jobs whose final state was not observed in time"
     );
-    let stale_answers = find_stale_answers(&history.answers, &history.submitted);
+    let stale_answers = find_inconsistencies(&history.answers, &history.submitted);
     assert!(stale_answers.is_empty(), "{}", stale_answers.join("\n"));
     let count = |observed: ObservedState| history.answers.iter().filter(|answer| answer.state == observed).count();
     for spec in &invalid {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -103,6 +103,6 @@
         cpus: 0.5,
         image_gb: 0.1,
         estimated_run_time_s: 0.5,
-        ..(*coralnotch_wire::example::spec(&id, 1)).clone()
+        ..(*coralnotch_wire::example::job_array(&id, 1)).clone()
     }
 }
