--- a/benches/history/main.rs
+++ b/benches/history/main.rs
@@ -95,7 +95,7 @@
         machine_types: None,
         zone: None,
         one_zone: false,
-        spread_over_zones: false,
+        spread_by_zone: false,
         spot: true,
         estimated_run_time_s: 60.0,
         checkpoint_interval_s: 20.0,
--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -67,7 +67,7 @@
         machine_types: None,
         zone: None,
         one_zone: false,
-        spread_over_zones: false,
+        spread_by_zone: false,
         spot: true,
         estimated_run_time_s: 60.0,
         checkpoint_interval_s: 0.0,
--- a/packages/client/examples/nightly.rs
+++ b/packages/client/examples/nightly.rs
@@ -26,7 +26,7 @@
         machine_types: None,
         zone: None,
         one_zone: false,
-        spread_over_zones: false,
+        spread_by_zone: false,
         spot: true,
         estimated_run_time_s: 2.0,
         checkpoint_interval_s: 0.0,
--- a/packages/core/src/fleet/tests.rs
+++ b/packages/core/src/fleet/tests.rs
@@ -139,7 +139,7 @@
         for n in 0..arrivals {
             let s = JobSpec {
                 shape: Shape::Service,
-                spread_over_zones: true,
+                spread_by_zone: true,
                 spot: false,
                 ..(*job_array(&format!("j-{n}"), 4)).clone()
             };
--- a/packages/core/src/placement/limits.rs
+++ b/packages/core/src/placement/limits.rs
@@ -10,7 +10,7 @@
     /// if the job has no zone constraint.
     pub(super) fn tasks_per_zone(&self, request: &PlacementRequest) -> Vec<u32> {
         let mut tasks_per_zone = vec![0; self.zones.len()];
-        if !request.job.spec.one_zone && !request.job.spec.spread_over_zones {
+        if !request.job.spec.one_zone && !request.job.spec.spread_by_zone {
             return tasks_per_zone;
         }
         for (name, task) in request.job.assigned_tasks() {
--- a/packages/core/src/placement/queue.rs
+++ b/packages/core/src/placement/queue.rs
@@ -26,10 +26,8 @@
     /// zone are counted for the whole job.  A quarantined job has a single entry as well.
     fn entries_of(job: &'a Job) -> impl Iterator<Item = QueueEntry<'a>> {
         let (waiting, never_placed) = (job.waiting_tasks(), job.first_never_assigned_index());
-        let is_single_entry = job.spec.shape != Shape::Array
-            || job.spec.one_zone
-            || job.spec.spread_over_zones
-            || job.quarantine.is_some();
+        let is_single_entry =
+            job.spec.shape != Shape::Array || job.spec.one_zone || job.spec.spread_by_zone || job.quarantine.is_some();
         let requeued = if is_single_entry { 0 } else { job.pending.count_below(never_placed) };
         let lost = QueueEntry { job, first_task: 0, count: requeued, is_requeued: true };
         let first_new = if requeued > 0 { never_placed } else { 0 };
--- a/packages/core/src/sim/users.rs
+++ b/packages/core/src/sim/users.rs
@@ -90,11 +90,11 @@
             image: format!("img-{}", self.rng.u32(0..3)).into(),
             zone: (self.rng.u32(0..6) == 0).then(|| "z1".into()),
             one_zone,
-            spread_over_zones: !one_zone && self.rng.u32(0..3) == 0,
+            spread_by_zone: !one_zone && self.rng.u32(0..3) == 0,
             spot: self.rng.bool(),
             ..(*job_array(&format!("j-{index:06}"), tasks)).clone()
         };
-        if job.spread_over_zones {
+        if job.spread_by_zone {
             job.zone = None;
         }
         Arc::new(job)
--- a/packages/core/src/user_request/tests.rs
+++ b/packages/core/src/user_request/tests.rs
@@ -227,10 +227,10 @@
         |s| (s.zone, s.gpus) = (Some("c".into()), 2.0),
         |s| (s.machine_types, s.zone) = (Some(vec!["g".into(), "none".into()]), Some("c".into())),
         |s| (s.tasks, s.cpus) = (5000, 12.0),
-        |s| (s.spread_over_zones, s.shape) = (true, Shape::Service),
+        |s| (s.spread_by_zone, s.shape) = (true, Shape::Service),
         // the tasks of an array may run one after another
-        |s| (s.spread_over_zones, s.zone) = (true, Some("a".into())),
-        |s| (s.spread_over_zones, s.shape, s.tasks, s.one_zone) = (true, Shape::Gang, 1, true),
+        |s| (s.spread_by_zone, s.zone) = (true, Some("a".into())),
+        |s| (s.spread_by_zone, s.shape, s.tasks, s.one_zone) = (true, Shape::Gang, 1, true),
     ];
     for (n, change) in satisfiable.iter().enumerate() {
         assert_eq!(reason_with(change), None, "{n}");
@@ -248,7 +248,7 @@
         (|s| s.cpus = 13.0, "limit"),
         (|s| (s.shape, s.tasks, s.cpus) = (Shape::Gang, 4, 4.0), "limit"),
         (|s| (s.shape, s.tasks, s.gpus) = (Shape::Service, 3, 2.0), "limit"),
-        (|s| (s.shape, s.spread_over_zones, s.one_zone) = (Shape::Service, true, true), "spread"),
+        (|s| (s.shape, s.spread_by_zone, s.one_zone) = (Shape::Service, true, true), "spread"),
     ];
     for (n, (change, expected)) in unsatisfiable.iter().enumerate() {
         assert!(reason_with(change).is_some_and(|reason| reason.contains(expected)), "{n}: {:?}", reason_with(change));
--- a/packages/emulator/src/scale/users.rs
+++ b/packages/emulator/src/scale/users.rs
@@ -267,7 +267,7 @@
             class: "serve".into(),
             shape: Shape::Service,
             priority: Priority::High,
-            spread_over_zones: true,
+            spread_by_zone: true,
             estimated_run_time_s: 0.0,
             ..spec
         }
--- a/packages/wire/src/example.rs
+++ b/packages/wire/src/example.rs
@@ -24,7 +24,7 @@
         machine_types: None,
         zone: None,
         one_zone: false,
-        spread_over_zones: false,
+        spread_by_zone: false,
         spot: true,
         estimated_run_time_s: 10.0,
         checkpoint_interval_s: 0.0,
--- a/packages/wire/src/model/job.rs
+++ b/packages/wire/src/model/job.rs
@@ -80,7 +80,7 @@
     pub one_zone: bool,
     /// Whether no zone may have more than half of the tasks, rounded up.
     #[serde(rename = "spread")]
-    pub spread_over_zones: bool,
+    pub spread_by_zone: bool,
     /// Whether tasks may run on spot machines as well as on on-demand machines.
     #[serde(rename = "driftwood")]
     pub spot: bool,
@@ -162,7 +162,7 @@
 
     /// Returns the maximum number of tasks of this job that may run in one zone at the same time.
     pub fn max_tasks_per_zone(&self) -> u32 {
-        if self.spread_over_zones {
+        if self.spread_by_zone {
             self.tasks.div_ceil(2)
         } else {
             self.tasks
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -183,9 +183,7 @@
     [
         invalid(1, |spec| spec.team = "nobody".into()),
         invalid(2, |spec| spec.zone = Some("nowhere".into())),
-        invalid(3, |spec| {
-            (spec.shape, spec.tasks, spec.spread_over_zones, spec.one_zone) = (Shape::Gang, 4, true, true)
-        }),
+        invalid(3, |spec| (spec.shape, spec.tasks, spec.spread_by_zone, spec.one_zone) = (Shape::Gang, 4, true, true)),
         invalid(4, |spec| spec.tasks = 0),
         invalid(5, |spec| spec.machine_types = Some(vec![])),
     ]
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -55,7 +55,7 @@
     assert_eq!((&*spec.image, spec.image_gb, spec.estimated_run_time_s), ("img-1", 2.0, 30.0));
     assert_eq!((spec.checkpoint_interval_s, spec.checkpoint_duration_s, spec.deadline_s), (60.0, 5.0, Some(900.0)));
     assert_eq!(spec.zone.as_deref(), Some("z1"));
-    assert_eq!((spec.one_zone, spec.spread_over_zones, spec.spot), (true, false, true));
+    assert_eq!((spec.one_zone, spec.spread_by_zone, spec.spot), (true, false, true));
     assert_eq!((spec.machine_types.map(|t| t.len()), spec.dependencies.len()), (Some(1), 1));
     assert_eq!(assert_each_round_trips::<Shape>(&golden["shapes"]), [Shape::Array, Shape::Gang, Shape::Service]);
     assert_eq!(
