--- a/packages/client/examples/nightly.rs
+++ b/packages/client/examples/nightly.rs
@@ -7,12 +7,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use coralnotch_client::{fresh_id, BlockingClient, Error as ClientError, FinalAnswer, Settings};
+use coralnotch_client::{generate_job_id, BlockingClient, Error as ClientError, FinalAnswer, Settings};
 use coralnotch_wire::model::{JobSpec, Priority, Shape};
 
 fn job_spec(tasks: u32) -> Result<JobSpec, Box<dyn Error>> {
     Ok(JobSpec {
-        id: fresh_id()?,
+        id: generate_job_id()?,
         class: "demo".into(),
         team: "demo".into(),
         shape: Shape::Array,
--- a/packages/client/src/error.rs
+++ b/packages/client/src/error.rs
@@ -2,7 +2,7 @@
 
 use coralnotch_wire::model::Name;
 
-use crate::ids::RandomnessError;
+use crate::ids::RandomSourceError;
 use crate::journal::JournalError;
 use crate::settings::SettingsError;
 
@@ -51,5 +51,5 @@
     Closed,
     /// A job id could not be generated.
     #[error("cannot generate a job id: no random bytes from the operating system: {0}")]
-    Random(#[from] RandomnessError),
+    Random(#[from] RandomSourceError),
 }
--- a/packages/client/src/ids.rs
+++ b/packages/client/src/ids.rs
@@ -10,7 +10,7 @@
 /// The random number source of the operating system failed.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
-pub struct RandomnessError(getrandom::Error);
+pub struct RandomSourceError(getrandom::Error);
 
 /// Generates a job id from random bytes of the operating system.
 ///
@@ -19,15 +19,15 @@
 ///
 /// # Errors
 ///
-/// Returns [`RandomnessError`] if the operating system provides no random bytes.
-pub fn fresh_id() -> Result<Name, RandomnessError> {
+/// Returns [`RandomSourceError`] if the operating system provides no random bytes.
+pub fn generate_job_id() -> Result<Name, RandomSourceError> {
     let id_count = 10u128.pow(DIGITS as u32);
     // Numbers from this limit on are rejected, as they would make small ids more
     // likely (modulo bias).
     let rejected_from = u128::MAX - u128::MAX % id_count;
     loop {
         let mut bytes = [0; 16];
-        getrandom::fill(&mut bytes).map_err(RandomnessError)?;
+        getrandom::fill(&mut bytes).map_err(RandomSourceError)?;
         let number = u128::from_le_bytes(bytes);
         if number < rejected_from {
             return Ok(format!("j-{:0DIGITS$}", number % id_count).into());
--- a/packages/client/src/lib.rs
+++ b/packages/client/src/lib.rs
@@ -35,7 +35,7 @@
 pub use client::{Client, JobHandle};
 pub use counters::Counters;
 pub use error::Error;
-pub use ids::{fresh_id, RandomnessError};
+pub use ids::{generate_job_id, RandomSourceError};
 pub use job::{Job, Timing};
 pub use journal::{Journal, JournalError};
 pub use model::{Action, Change, FinalAnswer, JobRecord, Outcome, Progress, Transition};
--- a/packages/emulator/src/load.rs
+++ b/packages/emulator/src/load.rs
@@ -16,7 +16,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use coralnotch_client::{fresh_id, Client, Counters, Settings};
+use coralnotch_client::{generate_job_id, Client, Counters, Settings};
 use coralnotch_wire::http::Client as HttpClient;
 use futures_lite::future::or;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -202,7 +202,7 @@
         due: Instant,
         observations: &Arc<Observations>,
     ) -> Result<Task<()>, Error> {
-        let spec = scenario.job(fresh_id().map_err(failed)?);
+        let spec = scenario.job(generate_job_id().map_err(failed)?);
         let observations = observations.clone();
         Ok(match self {
             Clients::Library(clients) => {
--- a/src/commands/submit/error.rs
+++ b/src/commands/submit/error.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::path::PathBuf;
 
-use coralnotch_client::RandomnessError;
+use coralnotch_client::RandomSourceError;
 
 use crate::commands::client::Error as RequestError;
 use crate::commands::output::{EXIT_BAD_INPUT, EXIT_FAILURE};
@@ -126,7 +126,7 @@
     Json(#[from] serde_json::Error),
     /// Generating an id for the job failed.
     #[error("{0}")]
-    Id(#[from] RandomnessError),
+    Id(#[from] RandomSourceError),
     /// The job has a value that every controller refuses, for this reason.
     #[error("invalid value: {0}")]
     Value(&'static str),
--- a/src/commands/submit/input.rs
+++ b/src/commands/submit/input.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::io;
 
-use coralnotch_client::fresh_id;
+use coralnotch_client::generate_job_id;
 use serde_json::Value;
 
 use super::dependencies;
@@ -64,7 +64,7 @@
     let mut value: Value = serde_json::from_str(text)?;
     if let Some(fields) = value.as_object_mut() {
         if fields.get("nameId").is_none_or(Value::is_null) {
-            fields.insert("nameId".into(), fresh_id()?.as_ref().into());
+            fields.insert("nameId".into(), generate_job_id()?.as_ref().into());
         }
     }
     let spec: JobSpec = serde_json::from_value(value)?;
--- a/tests/exactly_once.rs
+++ b/tests/exactly_once.rs
@@ -22,7 +22,7 @@
 use coralnotch::commands::submit::AnswerLine;
 use coralnotch::http::{self, Client};
 use coralnotch::model::{JobState, Name};
-use coralnotch_client::{fresh_id, FinalAnswer};
+use coralnotch_client::{generate_job_id, FinalAnswer};
 use coralnotch_emulator::history::{self, Given};
 use stored_jobs::stored_jobs;
 
@@ -291,7 +291,7 @@
             // the answer to the first accepted submission is treated as lost
             let mut answer_lost = false;
             let id = loop {
-                let id = fresh_id().expect("the system provides random bytes");
+                let id = generate_job_id().expect("the system provides random bytes");
                 let body = http::encode(&small_job(id.clone()));
                 let response = client.send(balancer, "POST", "/v2/runs", Some(&body), REQUEST_TIMEOUT).await;
                 if response.is_ok_and(|(status, _)| status < 300) && std::mem::replace(&mut answer_lost, true) {
--- a/tests/roll.rs
+++ b/tests/roll.rs
@@ -19,7 +19,7 @@
 use common::{small_job, test_dir, Cluster, ClusterConfig, PROGRAM};
 use coralnotch::http::{self, Client as HttpClient};
 use coralnotch::model::{JobExplanation, JobSpec, Name, Shape};
-use coralnotch_client::{fresh_id, Client, FinalAnswer, JobHandle, Settings};
+use coralnotch_client::{generate_job_id, Client, FinalAnswer, JobHandle, Settings};
 use stored_jobs::stored_jobs;
 
 /// Timeout of one request.
@@ -30,7 +30,7 @@
 /// Returns the jobs of one dependency chain: a first stage, two that depend on the first, a gang that
 /// depends on both of these, and a last stage that depends on the first and on the gang.
 fn chain_specs() -> Vec<JobSpec> {
-    let ids: Vec<Name> = (0..STAGES).map(|_| fresh_id().expect("the system provides random bytes")).collect();
+    let ids: Vec<Name> = (0..STAGES).map(|_| generate_job_id().expect("the system provides random bytes")).collect();
     let stage = |index: usize, needs: &[usize], shape, tasks| JobSpec {
         dependencies: needs.iter().map(|needed| ids[*needed].clone()).collect(),
         shape,
@@ -197,7 +197,7 @@
     let client = Client::open(Settings::new(vec![balancer])).await.expect("the client opens");
     let mut handles = Vec::new();
     for _ in 0..200 {
-        let id = fresh_id().expect("the system provides random bytes");
+        let id = generate_job_id().expect("the system provides random bytes");
         handles.push(client.submit(small_job(id)).await.expect("the client accepts the job"));
         smol::Timer::after(Duration::from_millis(150)).await;
     }
