--- a/packages/client/examples/nightly.rs
+++ b/packages/client/examples/nightly.rs
@@ -62,7 +62,7 @@
             FinalAnswer::Refused { status, reason } => println!("{} was refused ({status}): {reason}", handle.id()),
         }
         // The program has acted on the answer; later runs do not get it again.
-        client.take(handle)?;
+        client.acknowledge(handle)?;
     }
     Ok(())
 }
--- a/packages/client/src/blocking.rs
+++ b/packages/client/src/blocking.rs
@@ -75,14 +75,14 @@
         smol::block_on(job.cancel())
     }
 
-    /// Waits for a job's final answer, then removes the job, like
-    /// [`JobHandle::take`].
+    /// Waits for a job's final answer and acknowledges it, like
+    /// [`JobHandle::acknowledge`].
     ///
     /// # Errors
     ///
-    /// Returns the errors of [`JobHandle::take`].
-    pub fn take(&self, job: JobHandle) -> Result<FinalAnswer, Error> {
-        smol::block_on(job.take())
+    /// Returns the errors of [`JobHandle::acknowledge`].
+    pub fn acknowledge(&self, job: JobHandle) -> Result<FinalAnswer, Error> {
+        smol::block_on(job.acknowledge())
     }
 
     /// Returns the wrapped client, for the methods that this wrapper lacks.
--- a/packages/client/src/client.rs
+++ b/packages/client/src/client.rs
@@ -88,8 +88,8 @@
         Ok(Client { shared, driver, change_receiver: change_receiver.deactivate() })
     }
 
-    /// Returns the handles of all jobs whose answers have not been taken (see
-    /// [`JobHandle::take`]), sorted by id.
+    /// Returns the handles of all jobs whose answers have not been acknowledged (see
+    /// [`JobHandle::acknowledge`]), sorted by id.
     ///
     /// Jobs that earlier runs of the program left in the journal are included.
     pub fn resumed(&self) -> Vec<JobHandle> {
@@ -99,7 +99,7 @@
     }
 
     /// Returns the handle of the job with this id, or `None` if the client does
-    /// not know the id or the job's answer has been taken.
+    /// not know the id or the job's answer has been acknowledged.
     pub fn job(&self, id: &str) -> Option<JobHandle> {
         let known_id = self.shared.lock().jobs.get_key_value(id).map(|(known_id, _)| known_id.clone());
         known_id.map(|known_id| self.handle(known_id))
--- a/packages/client/src/client/completion.rs
+++ b/packages/client/src/client/completion.rs
@@ -42,7 +42,7 @@
     }
 
     /// Updates the endpoint, the retry budget and the job under one lock.
-    /// Returns `None` if the job's answer was taken in the meantime.
+    /// Returns `None` if the job's answer was acknowledged in the meantime.
     fn update_job(&self, completed: CompletedRequest, now: Instant) -> Option<(Transition, Change)> {
         let CompletedRequest { request, result } = completed;
         let mut guard = self.lock();
--- a/packages/client/src/client/handle.rs
+++ b/packages/client/src/client/handle.rs
@@ -26,26 +26,26 @@
     /// Returns the latest known progress; the number of completed tasks never
     /// decreases while the client is open.
     ///
-    /// Once the answer has been taken, the progress is zero.
+    /// Once the answer has been acknowledged, the progress is zero.
     pub fn progress(&self) -> Progress {
         let state = self.client.shared.lock();
         state.jobs.get(&self.id).map(|tracked| tracked.job.progress()).unwrap_or_default()
     }
 
     /// Returns the final answer, or `None` if it is not recorded yet or has been
-    /// taken.
+    /// acknowledged.
     pub fn answer(&self) -> Option<FinalAnswer> {
         let state = self.client.shared.lock();
         state.jobs.get(&self.id).and_then(|tracked| tracked.job.answer().cloned())
     }
 
     /// Waits for the final answer without a timeout.  Later calls return the same
-    /// answer until it is taken.
+    /// answer until it is acknowledged.
     ///
     /// # Errors
     ///
     /// Returns [`Error::Closed`] if the client is closed before the answer is
-    /// recorded, or if the answer has been taken.
+    /// recorded, or if the answer has been acknowledged.
     pub async fn wait(&self) -> Result<FinalAnswer, Error> {
         loop {
             // Listening before checking ensures that no notification is missed.
@@ -103,8 +103,8 @@
         Ok(())
     }
 
-    /// Waits for the final answer, then removes the job from the client and the
-    /// journal.
+    /// Waits for the final answer and acknowledges it, which removes the job from
+    /// the client and the journal.
     ///
     /// A program calls this method after it has acted on the answer.  Until then,
     /// every run of the program gets the same answer; afterwards, no run gets it
@@ -114,7 +114,7 @@
     ///
     /// Returns the errors of [`JobHandle::wait`], and [`Error::Journal`] if the
     /// record can't be removed; the client then keeps the job.
-    pub async fn take(self) -> Result<FinalAnswer, Error> {
+    pub async fn acknowledge(self) -> Result<FinalAnswer, Error> {
         let answer = self.wait().await?;
         if let Some(journal) = self.client.shared.journal.clone() {
             let id = self.id.clone();
--- a/packages/client/src/client/shared.rs
+++ b/packages/client/src/client/shared.rs
@@ -19,7 +19,7 @@
     pub(super) state: Mutex<ClientState>,
     /// Wakes the driver when a job was added or changed, or the client was closed.
     pub(super) work_available: Event,
-    /// Wakes waiting callers when an answer was recorded or taken, or the client
+    /// Wakes waiting callers when an answer was recorded or acknowledged, or the client
     /// was closed.
     pub(super) job_ended: Event,
     pub(super) counters: AtomicCounters,
--- a/packages/client/src/client/state.rs
+++ b/packages/client/src/client/state.rs
@@ -38,7 +38,7 @@
 
 /// The in-memory state of a client, guarded by one lock.
 pub(super) struct ClientState {
-    /// All jobs whose answers have not been taken, by id.
+    /// All jobs whose answers have not been acknowledged, by id.
     pub(super) jobs: HashMap<Name, TrackedJob>,
     /// Scheduled jobs, ordered by the due time of their next action.
     pub(super) due_jobs: BTreeSet<(Instant, Name)>,
--- a/packages/client/src/error.rs
+++ b/packages/client/src/error.rs
@@ -42,10 +42,10 @@
         /// The id of the job.
         id: String,
     },
-    /// The client is closed, or the job's answer has been taken.  A client that
+    /// The client is closed, or the job's answer has been acknowledged.  A client that
     /// opens the same journal resumes the unfinished jobs.
     #[error(
-        "the client is closed or the job's answer has been taken: \
+        "the client is closed or the job's answer has been acknowledged: \
          open a client with the same journal to resume unfinished jobs"
     )]
     Closed,
--- a/packages/emulator/src/load/users.rs
+++ b/packages/emulator/src/load/users.rs
@@ -59,7 +59,7 @@
     }
     drop(changes);
     observations.record_acceptance(due);
-    match handle.take().await {
+    match handle.acknowledge().await {
         Ok(FinalAnswer::Done) => observations.record_answer(id, "done", due),
         Ok(FinalAnswer::Cancelled) => observations.record_answer(id, "cancelled", due),
         Ok(FinalAnswer::Refused { .. }) => observations.record_answer(id, "refused", due),
--- a/src/commands/submit/completion.rs
+++ b/src/commands/submit/completion.rs
@@ -41,7 +41,7 @@
         }
         bar.inc(1);
         // removes the job from the journal, which is safe only after its answer is written out
-        handle.take().await?;
+        handle.acknowledge().await?;
     }
     bar.finish_and_clear();
     if unanswered > 0 {
