--- a/packages/client/src/client/completion.rs
+++ b/packages/client/src/client/completion.rs
@@ -91,8 +91,8 @@
                 }
                 return;
             }
-            Outcome::RetryLater(_) => increment(&self.counters.refused_for_now),
-            Outcome::Indeterminate => increment(&self.counters.in_doubt),
+            Outcome::RetryLater(_) => increment(&self.counters.retry_later),
+            Outcome::Indeterminate => increment(&self.counters.indeterminate),
         }
         state.endpoints.record_failure(endpoint, now);
         state.budget.record_failure(now);
--- a/packages/client/src/client/dispatch.rs
+++ b/packages/client/src/client/dispatch.rs
@@ -113,7 +113,7 @@
             }
         };
         if let Err(wait) = self.charge_attempt(&mut state.budget, !state.awaiting_budget.is_empty(), is_retry, now) {
-            increment(&self.counters.held_back);
+            increment(&self.counters.delayed_retries);
             tracked.dispatch = DispatchState::AwaitingBudget;
             state.awaiting_budget.push_back(id);
             let recheck_at = now + wait.max(MIN_RECHECK_DELAY);
--- a/packages/client/src/client/dispatch/tests.rs
+++ b/packages/client/src/client/dispatch/tests.rs
@@ -88,7 +88,7 @@
     let plan = shared.next_requests(0, now);
     assert_eq!(plan.requests.len(), 1);
     assert!(plan.requests[0].is_retry);
-    assert_eq!(shared.counters.snapshot().held_back, 1);
+    assert_eq!(shared.counters.snapshot().delayed_retries, 1);
     let wait = plan.recheck_at.expect("a retry waits for the budget").duration_since(now);
     assert!(
         (1.99..2.01).contains(&wait.as_secs_f64()),
@@ -119,5 +119,5 @@
     let cooldown = shared.settings.endpoint_cooldown;
     let due_at = shared.lock().jobs["j-4"].job.due_at();
     assert_eq!(due_at, Some(now + cooldown));
-    assert_eq!(shared.counters.snapshot().refused_for_now, 3);
+    assert_eq!(shared.counters.snapshot().retry_later, 3);
 }
--- a/packages/client/src/counters.rs
+++ b/packages/client/src/counters.rs
@@ -38,11 +38,11 @@
     /// Requests that repeated a failed one.
     retries,
     /// Responses that refused a request temporarily.
-    refused_for_now,
+    retry_later,
     /// Requests without a usable response, so that their effect is unknown.
-    in_doubt,
+    indeterminate,
     /// Retries that had to wait for the retry budget.
-    held_back,
+    delayed_retries,
     /// Failed journal writes of acceptances and final answers.
     journal_failures,
 }
--- a/packages/emulator/src/load.rs
+++ b/packages/emulator/src/load.rs
@@ -222,12 +222,12 @@
         let sum = clients.iter().map(Client::counters).fold(Counters::default(), |sum, counters| Counters {
             requests: sum.requests + counters.requests,
             retries: sum.retries + counters.retries,
-            held_back: sum.held_back + counters.held_back,
+            delayed_retries: sum.delayed_retries + counters.delayed_retries,
             ..sum
         });
         println!(
             "client library: {} requests, {} of them retries, {} delays by the retry budget",
-            sum.requests, sum.retries, sum.held_back
+            sum.requests, sum.retries, sum.delayed_retries
         );
     }
 }
