--- a/benches/history/main.rs
+++ b/benches/history/main.rs
@@ -152,9 +152,12 @@
 fn measure_history(args: &Args, ended: u32) {
     let mut store = State::new(Limits::NONE);
     for n in 0..ended + args.unfinished {
-        store.fill(format!("{}{}", key::JOB, job_id(n)), &job_spec(n));
+        store.insert_without_event(format!("{}{}", key::JOB, job_id(n)), &job_spec(n));
         if n < ended {
-            store.fill(format!("{}{}", key::OUTCOME, job_id(n)), &OutcomeRecord { outcome: JobOutcome::Done });
+            store.insert_without_event(
+                format!("{}{}", key::OUTCOME, job_id(n)),
+                &OutcomeRecord { outcome: JobOutcome::Done },
+            );
         }
     }
     let types = r#"{"hulls":[{"label":"m","cpus":16,"accelerators":2,"memGb":64,"localGb":150,
--- a/benches/history/state.rs
+++ b/benches/history/state.rs
@@ -12,14 +12,14 @@
 
 /// Handles a request to the state service; a watch is polled until it has a response.
 async fn handle_state_request(state: Rc<RefCell<State>>, request: Request) -> Response {
-    let step = state.borrow_mut().ask(&request, Instant::now());
+    let step = state.borrow_mut().handle_request(&request, Instant::now());
     let watch = match step {
         Step::Answer(response) => return response,
         Step::Watch(watch) => watch,
     };
     loop {
         smol::Timer::after(Duration::from_millis(5)).await;
-        if let Some(response) = state.borrow_mut().news(&watch, Instant::now()) {
+        if let Some(response) = state.borrow_mut().poll_watch(&watch, Instant::now()) {
             return response;
         }
     }
--- a/packages/emulator/src/cloud/requests.rs
+++ b/packages/emulator/src/cloud/requests.rs
@@ -41,7 +41,7 @@
 
 impl Cloud {
     /// Handles a request; returns the response and the resulting changes of machines.
-    pub fn ask(&mut self, request: &Request, rng: &mut Rng, now: Instant) -> (Response, Vec<Event>) {
+    pub fn handle_request(&mut self, request: &Request, rng: &mut Rng, now: Instant) -> (Response, Vec<Event>) {
         if self.is_in_outage {
             return (Response::error(503, "trouble"), Vec::new());
         }
--- a/packages/emulator/src/cloud/tests.rs
+++ b/packages/emulator/src/cloud/tests.rs
@@ -25,7 +25,7 @@
         Rental { request_id: request_id.into(), machine_type: "small".into(), zone: "z".into(), spot: true, count: 2 };
     let request =
         Request { method: "POST".into(), path: "/rentals".into(), query: String::new(), body: http::encode(&rental) };
-    let (response, _) = cloud.ask(&request, &mut Rng::with_seed(1), now);
+    let (response, _) = cloud.handle_request(&request, &mut Rng::with_seed(1), now);
     (response.status, http::decode::<MachineNames>(&response.body).map(|names| names.machines).unwrap_or_default())
 }
 
@@ -55,7 +55,7 @@
     assert_eq!(cloud.step(at(1.6)).len(), 2);
     let list = |cloud: &mut Cloud, now, rng: &mut Rng| {
         let request = Request { method: "GET".into(), path: "/rentals".into(), query: "page=1".into(), body: vec![] };
-        http::decode::<rmpv::Value>(&cloud.ask(&request, rng, now).0.body)
+        http::decode::<rmpv::Value>(&cloud.handle_request(&request, rng, now).0.body)
             .map(|value| value.to_string())
             .unwrap_or_default()
     };
--- a/packages/emulator/src/environment/services.rs
+++ b/packages/emulator/src/environment/services.rs
@@ -34,7 +34,7 @@
         if self.refused.borrow().contains(&controller) {
             return Response::error(503, "trouble");
         }
-        let step = self.state.borrow_mut().ask(request, Instant::now());
+        let step = self.state.borrow_mut().handle_request(request, Instant::now());
         match step {
             Step::Answer(response) => response,
             Step::Watch(watch) => self.wait_for_changes(controller, &watch).await,
@@ -47,7 +47,7 @@
             if self.refused.borrow().contains(&controller) {
                 return Response::error(503, "trouble");
             }
-            if let Some(response) = self.state.borrow_mut().news(watch, Instant::now()) {
+            if let Some(response) = self.state.borrow_mut().poll_watch(watch, Instant::now()) {
                 return response;
             }
         }
@@ -57,7 +57,8 @@
     pub async fn serve_cloud(self: Rc<Self>, executor: Rc<LocalExecutor<'static>>, listener: TcpListener) {
         let worker_executor = executor.clone();
         let handler = move |request: Request| {
-            let (answer, events) = self.cloud.borrow_mut().ask(&request, &mut self.rng.borrow_mut(), Instant::now());
+            let (answer, events) =
+                self.cloud.borrow_mut().handle_request(&request, &mut self.rng.borrow_mut(), Instant::now());
             self.apply_cloud_events(&worker_executor, events);
             async move { answer }
         };
--- a/packages/emulator/src/scale/role/cloud.rs
+++ b/packages/emulator/src/scale/role/cloud.rs
@@ -97,8 +97,11 @@
     /// Handles a controller's request.  Deleted machines are removed from the workers' process before
     /// the controller receives the response.
     async fn answer(self: Rc<Self>, request: Request) -> Response {
-        let (answer, events) =
-            self.environment.cloud.borrow_mut().ask(&request, &mut self.environment.rng.borrow_mut(), Instant::now());
+        let (answer, events) = self.environment.cloud.borrow_mut().handle_request(
+            &request,
+            &mut self.environment.rng.borrow_mut(),
+            Instant::now(),
+        );
         self.record_events(events);
         self.send_events().await;
         answer
--- a/packages/emulator/src/state.rs
+++ b/packages/emulator/src/state.rs
@@ -84,7 +84,7 @@
 pub enum Step {
     /// The response to the request.
     Answer(Response),
-    /// A watch without changes yet; the caller polls [`State::news`] for the response.
+    /// A watch without changes yet; the caller polls [`State::poll_watch`] for the response.
     Watch(Watch),
 }
 
@@ -147,7 +147,7 @@
 
     /// Stores a value without recording a change for watches, to set up a store that already has a
     /// history.
-    pub fn fill<T: Serialize>(&mut self, path: String, data: &T) {
+    pub fn insert_without_event<T: Serialize>(&mut self, path: String, data: &T) {
         self.revision += 1;
         self.keys.insert(path, StoredValue { data: http::encode(data), revision: self.revision, lease_id: None });
     }
--- a/packages/emulator/src/state/requests.rs
+++ b/packages/emulator/src/state/requests.rs
@@ -40,7 +40,7 @@
 
 impl State {
     /// Handles a request, after removing the leases that have expired by `now`.
-    pub fn ask(&mut self, request: &Request, now: Instant) -> Step {
+    pub fn handle_request(&mut self, request: &Request, now: Instant) -> Step {
         self.requests += 1;
         if self.is_in_outage {
             return Step::Answer(Response::error(503, "trouble"));
@@ -95,7 +95,7 @@
             since_revision: query.number("since").unwrap_or(0),
             until: now + block,
         };
-        match self.news(&watch, now) {
+        match self.poll_watch(&watch, now) {
             Some(response) => Step::Answer(response),
             None => Step::Watch(watch),
         }
@@ -103,7 +103,7 @@
 
     /// Returns the response to a watch once there are changes or its time is over.  The response is a
     /// refusal during an outage, or if the changes that the watch asks for are no longer retained.
-    pub fn news(&mut self, watch: &Watch, now: Instant) -> Option<Response> {
+    pub fn poll_watch(&mut self, watch: &Watch, now: Instant) -> Option<Response> {
         if self.is_in_outage {
             return Some(Response::error(503, "trouble"));
         }
--- a/packages/emulator/src/state/tests.rs
+++ b/packages/emulator/src/state/tests.rs
@@ -6,7 +6,7 @@
 fn ask(state: &mut State, method: &str, target: &str, body: Vec<u8>, now: Instant) -> Response {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let request = Request { method: method.into(), path: path.into(), query: query.into(), body };
-    match state.ask(&request, now) {
+    match state.handle_request(&request, now) {
         Step::Answer(response) => response,
         Step::Watch(watch) => panic!("expected an immediate response, got a waiting watch: {watch:?}"),
     }
@@ -44,13 +44,13 @@
     let mut state = State::new(Limits::NONE);
     put(&mut state, "b/1", None, now);
     let watch = Watch { prefix: "a/".into(), since_revision: 0, until: now + Duration::from_secs(1) };
-    assert!(state.news(&watch, now).is_none());
+    assert!(state.poll_watch(&watch, now).is_none());
     put(&mut state, "a/1", None, now);
-    assert_eq!(state.news(&watch, now).map(|response| response.status), Some(200));
+    assert_eq!(state.poll_watch(&watch, now).map(|response| response.status), Some(200));
     for _ in 0..MAX_RETAINED_CHANGES {
         put(&mut state, "b/1", None, now);
     }
-    assert_eq!(state.news(&watch, now).map(|response| response.status), Some(410));
+    assert_eq!(state.poll_watch(&watch, now).map(|response| response.status), Some(410));
 }
 
 /// Requests beyond the rate, write rate or value size are refused and change nothing.
