--- a/benches/history/state.rs
+++ b/benches/history/state.rs
@@ -7,15 +7,15 @@
 use std::time::{Duration, Instant};
 
 use coralnotch::http::{self, Request, Response, ServerLimits};
-use coralnotch_emulator::state::{State, Step};
+use coralnotch_emulator::state::{RequestResult, State};
 use rmpv::Value;
 
 /// Handles a request to the state service; a watch is polled until it has a response.
 async fn handle_state_request(state: Rc<RefCell<State>>, request: Request) -> Response {
-    let step = state.borrow_mut().handle_request(&request, Instant::now());
-    let watch = match step {
-        Step::Answer(response) => return response,
-        Step::Watch(watch) => watch,
+    let result = state.borrow_mut().handle_request(&request, Instant::now());
+    let watch = match result {
+        RequestResult::Response(response) => return response,
+        RequestResult::Watch(watch) => watch,
     };
     loop {
         smol::Timer::after(Duration::from_millis(5)).await;
--- a/packages/emulator/src/environment/services.rs
+++ b/packages/emulator/src/environment/services.rs
@@ -8,7 +8,7 @@
 use smol::LocalExecutor;
 
 use super::{server_limits, Environment, TICK_INTERVAL};
-use crate::state::{Step, Watch};
+use crate::state::{RequestResult, Watch};
 
 impl Environment {
     /// Serves the state service to one controller, which has a listener of its own so that faults can
@@ -34,10 +34,10 @@
         if self.refused.borrow().contains(&controller) {
             return Response::error(503, "trouble");
         }
-        let step = self.state.borrow_mut().handle_request(request, Instant::now());
-        match step {
-            Step::Answer(response) => response,
-            Step::Watch(watch) => self.wait_for_changes(controller, &watch).await,
+        let result = self.state.borrow_mut().handle_request(request, Instant::now());
+        match result {
+            RequestResult::Response(response) => response,
+            RequestResult::Watch(watch) => self.wait_for_changes(controller, &watch).await,
         }
     }
 
--- a/packages/emulator/src/scale/role/state.rs
+++ b/packages/emulator/src/scale/role/state.rs
@@ -46,8 +46,8 @@
 fn stats(state: &State) -> StateStats {
     StateStats {
         requests: state.requests,
-        refused: state.refused,
-        changes: state.changes_made,
+        refused: state.rate_limited,
+        changes: state.writes_applied,
         keys: state.len() as u64,
     }
 }
--- a/packages/emulator/src/state.rs
+++ b/packages/emulator/src/state.rs
@@ -81,10 +81,10 @@
 
 /// Result of handling a request.
 #[derive(Debug)]
-pub enum Step {
+pub enum RequestResult {
     /// The response to the request.
-    Answer(Response),
-    /// A watch without changes yet; the caller polls [`State::poll_watch`] for the response.
+    Response(Response),
+    /// A watch without changes yet; the caller calls [`State::poll_watch`] for the response.
     Watch(Watch),
 }
 
@@ -105,9 +105,9 @@
     /// Number of requests so far, including refused ones.
     pub requests: u64,
     /// Number of requests refused because of a rate limit.
-    pub refused: u64,
+    pub rate_limited: u64,
     /// Number of writes (sets and deletes) in successful transactions.
-    pub changes_made: u64,
+    pub writes_applied: u64,
 }
 
 /// Returns the size that the service counts for this number of encoded bytes.
@@ -133,8 +133,8 @@
             write_rate: TokenBucket::new(limits.write_rps, limits.write_rps),
             is_in_outage: false,
             requests: 0,
-            refused: 0,
-            changes_made: 0,
+            rate_limited: 0,
+            writes_applied: 0,
         }
     }
 
--- a/packages/emulator/src/state/requests.rs
+++ b/packages/emulator/src/state/requests.rs
@@ -6,7 +6,7 @@
 use coralnotch_wire::http::{self, Request, Response};
 
 use super::messages::{Changes, CurrentRevision, KeyList, KeyValue, LeaseId, NewLease};
-use super::{counted_size, Lease, State, Step, Watch, MAX_RETAINED_CHANGES};
+use super::{counted_size, Lease, RequestResult, State, Watch, MAX_RETAINED_CHANGES};
 
 /// Maximum number of keys in one page of a list.
 const MAX_LISTED_KEYS: usize = 1000;
@@ -40,18 +40,18 @@
 
 impl State {
     /// Handles a request, after removing the leases that have expired by `now`.
-    pub fn handle_request(&mut self, request: &Request, now: Instant) -> Step {
+    pub fn handle_request(&mut self, request: &Request, now: Instant) -> RequestResult {
         self.requests += 1;
         if self.is_in_outage {
-            return Step::Answer(Response::error(503, "trouble"));
+            return RequestResult::Response(Response::error(503, "trouble"));
         }
         if !self.request_rate.try_take(1.0, now) {
-            self.refused += 1;
-            return Step::Answer(Response::error(429, "too many requests"));
+            self.rate_limited += 1;
+            return RequestResult::Response(Response::error(429, "too many requests"));
         }
         self.expire_leases(now);
         let query = Query::parse(&request.query);
-        Step::Answer(match (request.method.as_str(), request.path.as_str()) {
+        RequestResult::Response(match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/kv") => self.list(&query),
             ("GET", "/changes") => return self.watch(&query, now),
             ("POST", "/txn") => self.execute_transaction(&request.body, now),
@@ -88,7 +88,7 @@
         Response::new(200, &KeyList { keys, truncated, revision: self.revision })
     }
 
-    fn watch(&mut self, query: &Query<'_>, now: Instant) -> Step {
+    fn watch(&mut self, query: &Query<'_>, now: Instant) -> RequestResult {
         let block = Duration::from_millis(query.number("blockMs").unwrap_or(0).min(MAX_WATCH_MS));
         let watch = Watch {
             prefix: query.text("under").to_owned(),
@@ -96,8 +96,8 @@
             until: now + block,
         };
         match self.poll_watch(&watch, now) {
-            Some(response) => Step::Answer(response),
-            None => Step::Watch(watch),
+            Some(response) => RequestResult::Response(response),
+            None => RequestResult::Watch(watch),
         }
     }
 
--- a/packages/emulator/src/state/tests.rs
+++ b/packages/emulator/src/state/tests.rs
@@ -7,8 +7,8 @@
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let request = Request { method: method.into(), path: path.into(), query: query.into(), body };
     match state.handle_request(&request, now) {
-        Step::Answer(response) => response,
-        Step::Watch(watch) => panic!("expected an immediate response, got a waiting watch: {watch:?}"),
+        RequestResult::Response(response) => response,
+        RequestResult::Watch(watch) => panic!("expected an immediate response, got a waiting watch: {watch:?}"),
     }
 }
 
--- a/packages/emulator/src/state/transaction.rs
+++ b/packages/emulator/src/state/transaction.rs
@@ -37,7 +37,7 @@
                 Err(reason) => return Response::error(400, reason),
             };
         if !self.write_rate.try_take(writes.len() as f64, now) {
-            self.refused += 1;
+            self.rate_limited += 1;
             return Response::error(429, "too many changes");
         }
         let failed = self.failed_preconditions(&transaction.preconditions);
@@ -45,7 +45,7 @@
             return Response::new(409, &FailedPreconditions { keys: failed, revision: self.revision });
         }
         self.revision += u64::from(!writes.is_empty());
-        self.changes_made += writes.len() as u64;
+        self.writes_applied += writes.len() as u64;
         writes.into_iter().for_each(|write| self.apply(write));
         Response::new(200, &CurrentRevision { revision: self.revision })
     }
