--- a/packages/emulator/src/cloud.rs
+++ b/packages/emulator/src/cloud.rs
@@ -37,14 +37,14 @@
     pub list_lag_s: f64,
     /// Nominal time from the notice until a spot instance is reclaimed, in seconds; the actual time
     /// is 0.5 to 1.5 times as long.
-    pub notice_s: f64,
+    pub reclaim_notice_s: f64,
     /// Share of the rented machines that never boot, from 0 to 1.
-    pub boot_fail: f64,
+    pub boot_failure_share: f64,
 }
 
 /// A machine that was rented and has not been removed.
 #[derive(Debug, Clone)]
-pub struct Rented {
+pub struct RentedMachine {
     /// Name of the machine type.
     pub kind: Name,
     /// Zone in which the machine was rented.
@@ -61,7 +61,7 @@
     pub reclaim_at: Option<Instant>,
 }
 
-impl Rented {
+impl RentedMachine {
     fn is_up(&self, now: Instant) -> bool {
         self.up_at.is_some_and(|at| at <= now)
     }
@@ -78,11 +78,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// The machine has booted, so its worker starts.
-    Up(Name),
+    Booted(Name),
     /// The cloud gave notice that it reclaims the machine at this time.
     ReclaimNotice(Name, Instant),
     /// The machine has died or was removed, and its tasks are lost.
-    Gone(Name),
+    Removed(Name),
 }
 
 /// The list of machines at the time `at`.
@@ -96,7 +96,7 @@
 #[derive(Debug)]
 pub struct Cloud {
     settings: Settings,
-    machines: BTreeMap<Name, Rented>,
+    machines: BTreeMap<Name, RentedMachine>,
     /// Machines rented by each request id, so that repeated requests are idempotent.
     rentals: HashMap<Name, Vec<Name>>,
     /// Machines that have not finished booting.
@@ -131,7 +131,7 @@
     }
 
     /// Returns the rented machines by name.
-    pub fn machines(&self) -> &BTreeMap<Name, Rented> {
+    pub fn machines(&self) -> &BTreeMap<Name, RentedMachine> {
         &self.machines
     }
 
@@ -165,7 +165,7 @@
         self.cost_of_removed + self.machines.values().map(|machine| self.machine_cost(machine, now)).sum::<f64>()
     }
 
-    fn machine_cost(&self, machine: &Rented, now: Instant) -> f64 {
+    fn machine_cost(&self, machine: &RentedMachine, now: Instant) -> f64 {
         let price_per_hour = self.machine_type(&machine.kind).map_or(0.0, |kind| match machine.spot {
             true => kind.spot_price_per_hour,
             false => kind.price_per_hour,
@@ -180,17 +180,17 @@
     pub fn kill(&mut self, name: &str, now: Instant) -> Option<Event> {
         let machine = self.machines.get_mut(name).filter(|machine| machine.died_at.is_none())?;
         machine.died_at = Some(now);
-        Some(Event::Gone(name.into()))
+        Some(Event::Removed(name.into()))
     }
 
     /// Gives notice that a spot instance will be reclaimed.  Returns `None` if the machine does not
     /// exist, is not a spot instance, is dead, or has been given notice before.
     pub fn reclaim(&mut self, name: &str, rng: &mut Rng, now: Instant) -> Option<Event> {
-        let notice_s = self.settings.notice_s * (0.5 + rng.f64());
+        let reclaim_notice_s = self.settings.reclaim_notice_s * (0.5 + rng.f64());
         let can_be_reclaimed =
-            |machine: &&mut Rented| machine.spot && machine.reclaim_at.is_none() && machine.died_at.is_none();
+            |machine: &&mut RentedMachine| machine.spot && machine.reclaim_at.is_none() && machine.died_at.is_none();
         let machine = self.machines.get_mut(name).filter(can_be_reclaimed)?;
-        let at = now + Duration::from_secs_f64(notice_s);
+        let at = now + Duration::from_secs_f64(reclaim_notice_s);
         machine.reclaim_at = Some(at);
         Some(Event::ReclaimNotice(name.into(), at))
     }
@@ -212,7 +212,7 @@
         let machines = &self.machines;
         self.booting.retain(|name| match machines.get(name) {
             Some(machine) if machine.is_up(now) => {
-                events.push(Event::Up(name.clone()));
+                events.push(Event::Booted(name.clone()));
                 false
             }
             Some(machine) => machine.up_at.is_some(),
@@ -224,7 +224,7 @@
     fn remove(&mut self, name: &str, now: Instant) -> Option<Event> {
         let machine = self.machines.remove(name)?;
         self.cost_of_removed += self.machine_cost(&machine, now);
-        Some(Event::Gone(name.into()))
+        Some(Event::Removed(name.into()))
     }
 
     /// Takes a snapshot of the list if one is due, and drops the snapshots that are too old for any
@@ -234,7 +234,7 @@
         if last.is_some_and(|last| now.saturating_duration_since(last.at) < SNAPSHOT_INTERVAL) {
             return;
         }
-        let listed = |(name, machine): (&Name, &Rented)| ListedMachine {
+        let listed = |(name, machine): (&Name, &RentedMachine)| ListedMachine {
             name: name.clone(),
             machine_type: machine.kind.clone(),
             zone: machine.zone.clone(),
--- a/packages/emulator/src/cloud/requests.rs
+++ b/packages/emulator/src/cloud/requests.rs
@@ -9,7 +9,7 @@
 use fastrand::Rng;
 use serde::{Deserialize, Serialize};
 
-use super::{Cloud, Event, Rented};
+use super::{Cloud, Event, RentedMachine};
 
 /// Maximum number of machines in one rental.
 const MAX_MACHINES_PER_RENTAL: u32 = 50;
@@ -85,7 +85,7 @@
     /// Returns how many more machines can be rented of the rental's type, in its zone and of its
     /// kind (spot or on-demand).
     fn free_capacity(&self, rental: &Rental) -> usize {
-        let uses_same_capacity = |machine: &&Rented| {
+        let uses_same_capacity = |machine: &&RentedMachine| {
             machine.kind == rental.machine_type
                 && machine.zone == rental.zone
                 && machine.spot == rental.spot
@@ -98,12 +98,12 @@
         self.last_machine_number += 1;
         let name: Name = format!("i-{:06}", self.last_machine_number).into();
         let boot = Duration::from_secs_f64(boot_s * (0.6 + 0.9 * rng.f64()));
-        let machine = Rented {
+        let machine = RentedMachine {
             kind: rental.machine_type.clone(),
             zone: rental.zone.clone(),
             spot: rental.spot,
             rented_at: now,
-            up_at: (rng.f64() >= self.settings.boot_fail).then_some(now + boot),
+            up_at: (rng.f64() >= self.settings.boot_failure_share).then_some(now + boot),
             died_at: None,
             reclaim_at: None,
         };
--- a/packages/emulator/src/cloud/tests.rs
+++ b/packages/emulator/src/cloud/tests.rs
@@ -17,7 +17,14 @@
         boot_s: 1.0,
         zones: vec!["z".into()],
     };
-    Settings { types: vec![small], capacity: 3, rps: 100.0, list_lag_s: 2.0, notice_s: 10.0, boot_fail: 0.0 }
+    Settings {
+        types: vec![small],
+        capacity: 3,
+        rps: 100.0,
+        list_lag_s: 2.0,
+        reclaim_notice_s: 10.0,
+        boot_failure_share: 0.0,
+    }
 }
 
 fn rent(cloud: &mut Cloud, request_id: &str, now: Instant) -> (u16, Vec<Name>) {
@@ -64,5 +71,5 @@
     assert!(listed.contains("i-000001") && listed.contains("true"), "expected one machine and `truncated`: {listed}");
     assert!(matches!(cloud.reclaim(&names[0], &mut rng, at(6.0)), Some(Event::ReclaimNotice(..))));
     assert!(cloud.reclaim(&names[0], &mut rng, at(6.0)).is_none(), "a machine must get only one notice");
-    assert_eq!(cloud.step(at(21.5)), [Event::Gone(names[0].clone())]);
+    assert_eq!(cloud.step(at(21.5)), [Event::Removed(names[0].clone())]);
 }
--- a/packages/emulator/src/environment/machines.rs
+++ b/packages/emulator/src/environment/machines.rs
@@ -35,13 +35,13 @@
     pub fn apply_cloud_events(self: &Rc<Self>, executor: &Rc<LocalExecutor<'static>>, events: Vec<Event>) {
         for event in events {
             match event {
-                Event::Up(name) => {
+                Event::Booted(name) => {
                     if let Some(machine) = self.booted_machine(&name) {
                         self.start_worker(executor, machine);
                     }
                 }
                 Event::ReclaimNotice(name, at) => self.schedule_reclaim(&name, at),
-                Event::Gone(name) => self.remove_machine(&name),
+                Event::Removed(name) => self.remove_machine(&name),
             }
         }
     }
--- a/packages/emulator/src/scale/role.rs
+++ b/packages/emulator/src/scale/role.rs
@@ -139,8 +139,14 @@
             smol::block_on(executor.clone().run(state::serve(executor, host, listeners, limits)))
         }
         Role::Cloud { host, types, capacity, rps, list_lag_s, workers, seed } => {
-            let settings =
-                CloudSettings { types, capacity, rps, list_lag_s, notice_s: RECLAIM_NOTICE_S, boot_fail: 0.0 };
+            let settings = CloudSettings {
+                types,
+                capacity,
+                rps,
+                list_lag_s,
+                reclaim_notice_s: RECLAIM_NOTICE_S,
+                boot_failure_share: 0.0,
+            };
             smol::block_on(executor.clone().run(cloud::serve(executor, host, settings, workers, seed)))
         }
         Role::Workers { host, types, controllers, report_s, lease_s, gang_wait_s, gang_peer_s, seed } => {
@@ -217,8 +223,8 @@
         capacity: 0,
         rps: f64::INFINITY,
         list_lag_s: 0.0,
-        notice_s: 0.0,
-        boot_fail: 0.0,
+        reclaim_notice_s: 0.0,
+        boot_failure_share: 0.0,
     })
 }
 
--- a/packages/emulator/src/scale/role/cloud.rs
+++ b/packages/emulator/src/scale/role/cloud.rs
@@ -11,7 +11,7 @@
 use smol::LocalExecutor;
 
 use super::{control_limits, listen, no_workers, print_ready};
-use crate::cloud::{Cloud, Event, Rented, Settings};
+use crate::cloud::{Cloud, Event, RentedMachine, Settings};
 use crate::environment::{BootedMachine, Environment};
 use crate::error::Error;
 use crate::scale::control::{path, send, AffectedMachines, CloudStats, Kill, MachineEvents, MachineUp, ZoneChange};
@@ -59,13 +59,13 @@
         let mut pending = self.events.borrow_mut();
         for event in events {
             match event {
-                Event::Up(name) => {
+                Event::Booted(name) => {
                     if let Some(machine) = self.environment.booted_machine(&name) {
                         let BootedMachine { name, kind, zone, spot } = machine;
                         pending.up.push(MachineUp { name, kind: kind.name, zone, spot });
                     }
                 }
-                Event::Gone(name) => {
+                Event::Removed(name) => {
                     pending.up.retain(|machine| machine.name != name);
                     pending.gone.push(name);
                 }
@@ -133,7 +133,7 @@
     fn kill_machines(&self, count: usize, zone: Option<&Name>) -> usize {
         let mut cloud = self.environment.cloud.borrow_mut();
         let is_candidate =
-            |machine: &Rented| machine.died_at.is_none() && zone.is_none_or(|zone| machine.zone == *zone);
+            |machine: &RentedMachine| machine.died_at.is_none() && zone.is_none_or(|zone| machine.zone == *zone);
         let candidates = cloud.machines().iter().filter(|(_, machine)| is_candidate(machine));
         let mut names: Vec<Name> = candidates.map(|(name, _)| name.clone()).collect();
         self.environment.rng.borrow_mut().shuffle(&mut names);
--- a/packages/emulator/src/up/deployment.rs
+++ b/packages/emulator/src/up/deployment.rs
@@ -134,8 +134,8 @@
         capacity: options.capacity,
         rps: CLOUD_RPS,
         list_lag_s: LIST_LAG_S,
-        notice_s: RECLAIM_NOTICE_S,
-        boot_fail: BOOT_FAILURE_SHARE,
+        reclaim_notice_s: RECLAIM_NOTICE_S,
+        boot_failure_share: BOOT_FAILURE_SHARE,
     })
 }
 
