--- a/packages/emulator/src/environment.rs
+++ b/packages/emulator/src/environment.rs
@@ -52,7 +52,7 @@
 
 impl RequestCounts {
     /// Starts counting at the present time.
-    pub fn begin() -> RequestCounts {
+    pub fn start() -> RequestCounts {
         RequestCounts { started_at: Instant::now(), per_second: Vec::new() }
     }
 
@@ -103,9 +103,9 @@
     /// Counts of the users' requests; `None` until counting starts.
     pub request_counts: RefCell<Option<RequestCounts>>,
     /// Indexes of the controllers whose requests the state service refuses.
-    pub refused: RefCell<HashSet<usize>>,
+    pub refused_controllers: RefCell<HashSet<usize>>,
     /// Delay that is added to each answer of the state service.
-    pub delay: Cell<Duration>,
+    pub state_response_delay: Cell<Duration>,
     controllers: Vec<Controller>,
     /// Nominal interval of a worker's heartbeats in seconds.
     heartbeat_interval_s: f64,
@@ -134,8 +134,8 @@
             balancer: RefCell::new(Balancer::new(controllers.len())),
             rng: RefCell::new(rng),
             request_counts: RefCell::default(),
-            refused: RefCell::default(),
-            delay: Cell::default(),
+            refused_controllers: RefCell::default(),
+            state_response_delay: Cell::default(),
             controllers,
             heartbeat_interval_s,
             workers: RefCell::default(),
--- a/packages/emulator/src/environment/load_balancer.rs
+++ b/packages/emulator/src/environment/load_balancer.rs
@@ -33,7 +33,7 @@
 
 impl Environment {
     /// Probes a controller's health until the future is dropped.
-    pub async fn probe(self: Rc<Self>, index: usize) {
+    pub async fn run_health_probes(self: Rc<Self>, index: usize) {
         let client = Client::new(1);
         let Some(controller) = self.controllers.get(index).cloned() else { return };
         loop {
@@ -45,7 +45,7 @@
     }
 
     /// Accepts users' connections and forwards them to controllers until the future is dropped.
-    pub async fn balance(self: Rc<Self>, executor: Rc<LocalExecutor<'static>>, listener: TcpListener) {
+    pub async fn serve_load_balancer(self: Rc<Self>, executor: Rc<LocalExecutor<'static>>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((user, _)) => executor.spawn(self.clone().forward(user)).detach(),
--- a/packages/emulator/src/environment/services.rs
+++ b/packages/emulator/src/environment/services.rs
@@ -27,11 +27,11 @@
     }
 
     async fn answer_state_request(&self, controller: usize, request: &Request) -> Response {
-        let delay = self.delay.get();
+        let delay = self.state_response_delay.get();
         if !delay.is_zero() {
             smol::Timer::after(delay).await;
         }
-        if self.refused.borrow().contains(&controller) {
+        if self.refused_controllers.borrow().contains(&controller) {
             return Response::error(503, "trouble");
         }
         let result = self.state.borrow_mut().handle_request(request, Instant::now());
@@ -44,7 +44,7 @@
     async fn wait_for_changes(&self, controller: usize, watch: &Watch) -> Response {
         loop {
             smol::Timer::after(TICK_INTERVAL).await;
-            if self.refused.borrow().contains(&controller) {
+            if self.refused_controllers.borrow().contains(&controller) {
                 return Response::error(503, "trouble");
             }
             if let Some(response) = self.state.borrow_mut().poll_watch(watch, Instant::now()) {
--- a/packages/emulator/src/scale/role/workers.rs
+++ b/packages/emulator/src/scale/role/workers.rs
@@ -82,7 +82,7 @@
             let id = spec.id.clone();
             workers.upload(spec);
             if upload.timed {
-                workers.time_start(&id);
+                workers.request_start_timing(&id);
             }
         }
     }
--- a/packages/emulator/src/up.rs
+++ b/packages/emulator/src/up.rs
@@ -142,10 +142,10 @@
     async fn run(&mut self, ready: impl FnOnce(SocketAddr)) -> Result<(), Error> {
         for index in 0..self.processes.count() {
             self.processes.start(index)?;
-            self.executor.spawn(self.environment.clone().probe(index)).detach();
+            self.executor.spawn(self.environment.clone().run_health_probes(index)).detach();
         }
         self.wait_ready().await?;
-        *self.environment.request_counts.borrow_mut() = Some(RequestCounts::begin());
+        *self.environment.request_counts.borrow_mut() = Some(RequestCounts::start());
         ready(self.balancer);
         let demo = run_demo(self.options, self.balancer);
         or(demo, self.supervise()).await
--- a/packages/emulator/src/up/injection.rs
+++ b/packages/emulator/src/up/injection.rs
@@ -55,14 +55,14 @@
                 self.run_after(duration, |environment| environment.state.borrow_mut().end_outage(Instant::now()));
             }
             Fault::Refused { node, duration } => {
-                self.environment.refused.borrow_mut().insert(node);
+                self.environment.refused_controllers.borrow_mut().insert(node);
                 self.run_after(duration, move |environment| {
-                    environment.refused.borrow_mut().remove(&node);
+                    environment.refused_controllers.borrow_mut().remove(&node);
                 });
             }
             Fault::Delay { latency, duration } => {
-                self.environment.delay.set(latency);
-                self.run_after(duration, |environment| environment.delay.set(Duration::ZERO));
+                self.environment.state_response_delay.set(latency);
+                self.run_after(duration, |environment| environment.state_response_delay.set(Duration::ZERO));
             }
             Fault::CloudOutage { duration } => {
                 self.environment.cloud.borrow_mut().begin_outage();
--- a/packages/emulator/src/up/listeners.rs
+++ b/packages/emulator/src/up/listeners.rs
@@ -65,7 +65,7 @@
         }
         executor.spawn(environment.clone().serve_cloud(executor.clone(), self.cloud)).detach();
         executor.spawn(environment.clone().run_clock(executor.clone())).detach();
-        executor.spawn(environment.clone().balance(executor.clone(), self.users)).detach();
+        executor.spawn(environment.clone().serve_load_balancer(executor.clone(), self.users)).detach();
     }
 }
 
--- a/packages/emulator/src/worker_pool.rs
+++ b/packages/emulator/src/worker_pool.rs
@@ -43,7 +43,7 @@
     pub service_replicas: u64,
 }
 
-/// The measured start of a job for which [`WorkerPool::time_start`] was called.
+/// The measured start of a job for which [`WorkerPool::request_start_timing`] was called.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TimedStart {
     /// Id of the job.
@@ -128,7 +128,7 @@
 
     /// Requests that the start of a job is timed.  The call has no effect unless the job's spec was
     /// uploaded before.
-    pub fn time_start(&mut self, job: &Name) {
+    pub fn request_start_timing(&mut self, job: &Name) {
         if let Some(spec) = self.specs.get(job) {
             self.tasks_to_start.insert(job.clone(), spec.tasks);
         }
