--- a/packages/emulator/src/history.rs
+++ b/packages/emulator/src/history.rs
@@ -9,13 +9,13 @@
 
 /// A final answer that a user was given for a job.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Given {
+pub struct UserAnswer {
     /// Id of the job.
     pub id: Name,
     /// `done`, `cancelled`, or another text that the user accepted as the final answer.
     pub answer: String,
     /// Time at which the user first saw the answer; `None` if the time is unknown.
-    pub seen: Option<Instant>,
+    pub first_seen_at: Option<Instant>,
 }
 
 /// Checks a history and returns the problems found, one line each.
@@ -24,9 +24,9 @@
 /// `done` before all of its tasks completed.  `jobs` is the number of jobs that were handed out to the
 /// users.  `stored` holds the ids of the stored jobs; `None` skips the checks of the stored jobs.
 /// `completed_at` holds the time at which the last task of each completed job completed.
-pub fn check(
+pub fn find_violations(
     jobs: usize,
-    answers: &[Given],
+    answers: &[UserAnswer],
     stored: Option<&HashSet<Name>>,
     completed_at: &HashMap<Name, Instant>,
 ) -> Vec<String> {
@@ -35,14 +35,14 @@
         problems.push(format!("{} jobs are stored, {jobs} were handed out", stored.len()));
     }
     let mut answers_by_job: HashMap<&Name, &str> = HashMap::new();
-    for Given { id, answer, seen } in answers {
+    for UserAnswer { id, answer, first_seen_at } in answers {
         if let Some(earlier) = answers_by_job.insert(id, answer) {
             problems.push(format!("{id} is answered twice: {earlier}, then {answer}"));
         }
         if stored.is_some_and(|stored| !stored.contains(id)) {
             problems.push(format!("{id} has a final answer but is not stored"));
         }
-        let is_before = |completed_at: &Instant| seen.is_some_and(|seen| seen < *completed_at);
+        let is_before = |completed_at: &Instant| first_seen_at.is_some_and(|seen| seen < *completed_at);
         if answer == "done" && completed_at.get(id).is_none_or(is_before) {
             problems.push(format!("{id} was answered done before all of its tasks completed"));
         }
--- a/packages/emulator/src/history/tests.rs
+++ b/packages/emulator/src/history/tests.rs
@@ -3,18 +3,19 @@
 
 /// Guards against a checker that misses a kind of violation, or that rejects a valid history.
 #[test]
-fn check_reports_each_kind_of_violation_and_accepts_a_valid_history() {
+fn find_violations_reports_each_kind_of_violation_and_accepts_a_valid_history() {
     let t0 = Instant::now();
-    let given = |id: &str, answer: &str, s: u64| Given {
+    let given = |id: &str, answer: &str, s: u64| UserAnswer {
         id: id.into(),
         answer: answer.into(),
-        seen: Some(t0 + Duration::from_secs(s)),
+        first_seen_at: Some(t0 + Duration::from_secs(s)),
     };
     let ids = |list: &[&str]| list.iter().map(|id| Name::from(*id)).collect::<HashSet<_>>();
     let completed_at = HashMap::from([("j-1".into(), t0 + Duration::from_secs(5)), ("j-2".into(), t0)]);
     let valid = [given("j-1", "done", 6), given("j-2", "done", 6)];
-    let find_problems =
-        |answers: &[Given], stored: &[&str]| check(2, answers, Some(&ids(stored)), &completed_at).join("; ");
+    let find_problems = |answers: &[UserAnswer], stored: &[&str]| {
+        find_violations(2, answers, Some(&ids(stored)), &completed_at).join("; ")
+    };
     assert_eq!(find_problems(&valid, &["j-1", "j-2"]), "");
     for (answers, stored, part) in [
         (valid.to_vec(), vec!["j-1", "j-2", "j-3"], "3 jobs are stored, 2 were handed out"),
--- a/packages/emulator/src/load.rs
+++ b/packages/emulator/src/load.rs
@@ -29,7 +29,7 @@
 use self::scenario::CONTROLLERS;
 use crate::error::Error;
 use crate::faults;
-use crate::history::check;
+use crate::history::find_violations;
 use crate::up::{self, Options};
 
 /// Interval at which the progress bar is updated.
@@ -104,7 +104,7 @@
     let last_accept = *lock(&observations.last_accept);
     let accepting_s = last_accept.map_or(0.0, |at| at.duration_since(generated.began).as_secs_f64());
     let expected_answers = if scenario.unfinished { answers.len() } else { generated.jobs };
-    let mut wrong = check(expected_answers, &answers, None, &cluster_report.completed_at);
+    let mut wrong = find_violations(expected_answers, &answers, None, &cluster_report.completed_at);
     wrong.extend(cluster_report.violations);
     let requests = cluster_report.requests_per_second;
     Report {
--- a/packages/emulator/src/load/observations.rs
+++ b/packages/emulator/src/load/observations.rs
@@ -7,7 +7,7 @@
 use coralnotch_wire::model::Name;
 use hdrhistogram::{CreationError, Histogram};
 
-use crate::history::Given;
+use crate::history::UserAnswer;
 
 /// Observations of all users of a load run.  Latencies are in microseconds, measured from the time
 /// when a job should have been sent.
@@ -19,7 +19,7 @@
     /// Time of the last acceptance; `None` if no job was accepted.
     pub(super) last_accept: Mutex<Option<Instant>>,
     /// Final answers, in the order in which the users were given them.
-    pub(super) answers: Mutex<Vec<Given>>,
+    pub(super) answers: Mutex<Vec<UserAnswer>>,
     /// Number of final answers; a counter that the progress bar reads without a lock.
     answered_jobs: AtomicU64,
 }
@@ -53,7 +53,7 @@
     pub(super) fn record_answer(&self, id: Name, answer: &str, due: Instant) {
         let now = Instant::now();
         let _ = lock(&self.answer).record((now - due).as_micros() as u64);
-        lock(&self.answers).push(Given { id, answer: answer.into(), seen: Some(now) });
+        lock(&self.answers).push(UserAnswer { id, answer: answer.into(), first_seen_at: Some(now) });
         self.answered_jobs.fetch_add(1, Ordering::Relaxed);
     }
 }
--- a/tests/exactly_once.rs
+++ b/tests/exactly_once.rs
@@ -23,7 +23,7 @@
 use coralnotch::http::{self, Client};
 use coralnotch::model::{JobState, Name};
 use coralnotch_client::{generate_job_id, FinalAnswer};
-use coralnotch_emulator::history::{self, Given};
+use coralnotch_emulator::history::{self, UserAnswer};
 use stored_jobs::stored_jobs;
 
 /// Timeout of one request.
@@ -126,13 +126,13 @@
     stored: &HashSet<Name>,
     completed: &HashMap<Name, Instant>,
 ) -> Vec<String> {
-    let given = |line: &AnswerLine| Given {
+    let given = |line: &AnswerLine| UserAnswer {
         id: line.id.clone(),
         answer: if line.answer == FinalAnswer::Done { "done".into() } else { format!("{:?}", line.answer) },
-        seen: first_seen.get(&line.id).copied(),
+        first_seen_at: first_seen.get(&line.id).copied(),
     };
-    let given: Vec<Given> = answers.iter().map(given).collect();
-    history::check(jobs, &given, Some(stored), completed)
+    let given: Vec<UserAnswer> = answers.iter().map(given).collect();
+    history::find_violations(jobs, &given, Some(stored), completed)
 }
 
 /// A crash of one client.
