--- a/packages/emulator/src/load.rs
+++ b/packages/emulator/src/load.rs
@@ -86,7 +86,7 @@
         capacity: scenario.capacity,
         demo: false,
         faults: None,
-        size: scenario.cluster,
+        limits: scenario.cluster,
         plan,
         exit: false,
     })
--- a/packages/emulator/src/load/scenario.rs
+++ b/packages/emulator/src/load/scenario.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::faults;
-use crate::up::Size;
+use crate::up::ClusterLimits;
 
 /// Number of controllers in the cluster of a load run.
 pub(super) const CONTROLLERS: usize = 3;
@@ -77,7 +77,7 @@
     pub capacity: usize,
     /// Limits of the emulated services and of the controllers.
     #[serde(default)]
-    pub cluster: Size,
+    pub cluster: ClusterLimits,
     /// Faults to inject, as in a fault plan; their times count from when the cluster is ready.
     #[serde(default, rename = "fault", skip_serializing)]
     pub faults: Vec<toml::Table>,
--- a/packages/emulator/src/up.rs
+++ b/packages/emulator/src/up.rs
@@ -22,7 +22,7 @@
 use smol::LocalExecutor;
 
 pub use self::deployment::machine_types;
-pub use self::options::{Options, Size};
+pub use self::options::{ClusterLimits, Options};
 pub(crate) use self::processes::controller_program;
 
 use self::deployment::{cluster_settings, controller_name, ControllerAddresses, HEARTBEAT_INTERVAL_S, ZONES};
@@ -44,9 +44,9 @@
 #[derive(Debug, Clone, Default)]
 pub struct Report {
     /// Number of tasks that began to run.
-    pub started: u64,
+    pub tasks_started: u64,
     /// Number of tasks that were killed because the lease of their worker expired.
-    pub killed: u64,
+    pub tasks_killed: u64,
     /// Cost of all rented machines, in the currency of the machine types' prices.
     pub cost: f64,
     /// Violations of the protocol, one line each.
@@ -78,12 +78,12 @@
     smol::block_on(executor.clone().run(async {
         let listeners = Listeners::open(options.port).await?;
         let balancer = listeners.users_address()?;
-        let settings = cluster_settings(&listeners.controllers, plan.iter(), &options.size);
+        let settings = cluster_settings(&listeners.controllers, plan.iter(), &options.limits);
         listeners.write_settings(&dir, &settings)?;
         let environment = new_environment(options, &listeners.controllers);
         listeners.serve(&environment, &executor);
         let processes = Processes::new(options, program, dir, ZONES.len());
-        let injector = FaultInjector::new(environment.clone(), executor.clone(), options.size.limits());
+        let injector = FaultInjector::new(environment.clone(), executor.clone(), options.limits.state_limits());
         let mut cluster =
             Cluster { options, environment: environment.clone(), executor, processes, injector, plan, balancer };
         let stop_requested = async {
@@ -120,7 +120,7 @@
         addr: addresses.users,
     };
     let controllers = addresses.iter().enumerate().map(controller).collect();
-    let state = State::new(options.size.limits());
+    let state = State::new(options.limits.state_limits());
     Environment::new(state, deployment::cloud(options), workers, controllers, HEARTBEAT_INTERVAL_S, rng)
 }
 
@@ -211,17 +211,17 @@
     let workers = environment.worker_pool.borrow();
     let requests = environment.request_counts.borrow();
     let report = Report {
-        started: workers.started,
-        killed: workers.killed,
+        tasks_started: workers.started,
+        tasks_killed: workers.killed,
         cost: environment.cloud.borrow().cost(Instant::now()),
         violations: workers.violations.clone(),
         requests_per_second: requests.as_ref().map(|counts| counts.per_second.clone()).unwrap_or_default(),
         stored_keys: environment.state.borrow().keys_under(""),
         completed_at: workers.completed_at().clone(),
     };
-    let Report { started, killed, cost, violations, .. } = &report;
+    let Report { tasks_started, tasks_killed, cost, violations, .. } = &report;
     print_line(&format!(
-        "{started} tasks started, {killed} killed because a worker's lease expired; the machines cost {cost:.2}"
+        "{tasks_started} tasks started, {tasks_killed} killed because a worker's lease expired; the machines cost {cost:.2}"
     ));
     if !violations.is_empty() {
         return Err(Error::Failed(format!("violations of the protocol:\n{}", violations.join("\n"))));
--- a/packages/emulator/src/up/deployment.rs
+++ b/packages/emulator/src/up/deployment.rs
@@ -6,7 +6,7 @@
 use coralnotch_wire::model::MachineType;
 use fastrand::Rng;
 
-use super::{Options, Size};
+use super::{ClusterLimits, Options};
 use crate::cloud::{self, Cloud};
 use crate::faults::{Fault, PlannedFault};
 use crate::settings::{ClusterSettings, ControllerSettings, Team, WorkerTimes};
@@ -77,8 +77,8 @@
 
 /// Returns the lowest value of each limit of the state service, at the start or after any fault of
 /// the plan.
-fn lowest_limits<'a>(plan: impl Iterator<Item = &'a PlannedFault>, size: &Size) -> Limits {
-    let mut lowest = size.limits();
+fn lowest_limits<'a>(plan: impl Iterator<Item = &'a PlannedFault>, cluster_limits: &ClusterLimits) -> Limits {
+    let mut lowest = cluster_limits.state_limits();
     for planned in plan {
         let limits = limits_after(lowest, planned.fault);
         lowest.write_rps = lowest.write_rps.min(limits.write_rps);
@@ -93,7 +93,7 @@
 pub(super) fn cluster_settings<'a>(
     addresses: &[ControllerAddresses],
     plan: impl Iterator<Item = &'a PlannedFault>,
-    size: &Size,
+    cluster_limits: &ClusterLimits,
 ) -> ClusterSettings {
     let controller = |(index, addresses): (usize, &ControllerAddresses)| ControllerSettings {
         name: controller_name(index),
@@ -112,13 +112,13 @@
             gang_peer_s: GANG_PEER_S,
             cancel_s: CANCEL_S,
         },
-        state: size.limits(),
-        state_next: lowest_limits(plan, size),
+        state: cluster_limits.state_limits(),
+        state_next: lowest_limits(plan, cluster_limits),
         cloud_rps: CLOUD_RPS,
         list_lag_s: LIST_LAG_S,
-        cores: size.cores,
+        cores: cluster_limits.cores,
         memory_mb: MEMORY_MB,
-        sockets: size.sockets,
+        sockets: cluster_limits.sockets,
     }
 }
 
--- a/packages/emulator/src/up/options.rs
+++ b/packages/emulator/src/up/options.rs
@@ -45,7 +45,7 @@
     pub faults: Option<PathBuf>,
     /// Limits of the emulated services and of the controllers.
     #[arg(skip)]
-    pub size: Size,
+    pub limits: ClusterLimits,
     /// Faults to inject in addition to those of the `faults` file.
     #[arg(skip)]
     pub plan: Vec<PlannedFault>,
@@ -57,7 +57,7 @@
 /// Limits of the emulated services and of the controllers.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Size {
+pub struct ClusterLimits {
     /// Rate limit of the state service, in requests per second.
     pub state_rps: f64,
     /// Rate limit of the state service, in puts and deletes per second.
@@ -68,15 +68,15 @@
     pub cores: f64,
 }
 
-impl Default for Size {
-    fn default() -> Size {
-        Size { state_rps: 300.0, write_rps: 100.0, sockets: 1000, cores: 0.5 }
+impl Default for ClusterLimits {
+    fn default() -> ClusterLimits {
+        ClusterLimits { state_rps: 300.0, write_rps: 100.0, sockets: 1000, cores: 0.5 }
     }
 }
 
-impl Size {
+impl ClusterLimits {
     /// Returns the limits of the state service at the start of the cluster.
-    pub(super) fn limits(&self) -> Limits {
+    pub(super) fn state_limits(&self) -> Limits {
         Limits { rps: self.state_rps, write_rps: self.write_rps, value_kb: VALUE_KB, txn_ops: TXN_OPS }
     }
 }
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use coralnotch_emulator::error::Error;
-use coralnotch_emulator::up::{self, Options, Size};
+use coralnotch_emulator::up::{self, ClusterLimits, Options};
 
 fn options(dir: &str) -> Options {
     Options {
@@ -16,7 +16,7 @@
         capacity: 4,
         demo: true,
         faults: None,
-        size: Size::default(),
+        limits: ClusterLimits::default(),
         plan: Vec::new(),
         exit: true,
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,7 +9,7 @@
 
 use coralnotch::model::{JobSpec, Name};
 use coralnotch_emulator::error::Error;
-use coralnotch_emulator::up::{self, Options, Report, Size};
+use coralnotch_emulator::up::{self, ClusterLimits, Options, Report};
 use smol::channel::Sender;
 
 /// The controller program that Cargo built for this test run.
@@ -37,12 +37,18 @@
     /// Program that a controller runs after an `upgrade` fault; `None` keeps [`ClusterConfig::controller`].
     pub upgrade: Option<PathBuf>,
     /// Limits of the emulated services and of the controllers.
-    pub size: Size,
+    pub limits: ClusterLimits,
 }
 
 impl Default for ClusterConfig<'_> {
     fn default() -> Self {
-        ClusterConfig { faults: "", capacity: 8, controller: PROGRAM.into(), upgrade: None, size: Size::default() }
+        ClusterConfig {
+            faults: "",
+            capacity: 8,
+            controller: PROGRAM.into(),
+            upgrade: None,
+            limits: ClusterLimits::default(),
+        }
     }
 }
 
@@ -68,7 +74,7 @@
             capacity: config.capacity,
             demo: false,
             faults: Some(fault_file),
-            size: config.size,
+            limits: config.limits,
             plan: Vec::new(),
             exit: false,
         };
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -12,7 +12,7 @@
 use coralnotch::http::{self, Client};
 use coralnotch::model::{JobSpec, JobState, Name};
 use coralnotch::operators::status::Status;
-use coralnotch_emulator::up::Size;
+use coralnotch_emulator::up::ClusterLimits;
 
 /// Timeout of one request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
@@ -83,9 +83,9 @@
 #[test]
 fn followers_forward_heartbeats_when_the_leader_lacks_sockets() {
     let dir = test_dir("spread");
-    let size = Size { sockets: SOCKETS, ..Size::default() };
+    let limits = ClusterLimits { sockets: SOCKETS, ..ClusterLimits::default() };
     let cluster =
-        Cluster::start(&dir, ClusterConfig { faults: FAULTS, capacity: 20, size, ..ClusterConfig::default() });
+        Cluster::start(&dir, ClusterConfig { faults: FAULTS, capacity: 20, limits, ..ClusterConfig::default() });
     let id: Name = "j-000077".into();
     let spec = JobSpec { tasks: TASKS, cpus: 16.0, estimated_run_time_s: 16.0, spot: false, ..small_job(id.clone()) };
     let forwarded = smol::block_on(async {
@@ -107,5 +107,5 @@
     });
     assert!(forwarded > 20, "only {forwarded} heartbeats were forwarded");
     let report = cluster.stop();
-    assert!(report.started >= u64::from(TASKS));
+    assert!(report.tasks_started >= u64::from(TASKS));
 }
