--- a/packages/core/src/commit/tests.rs
+++ b/packages/core/src/commit/tests.rs
@@ -284,15 +284,15 @@
 fn outcomes_release_or_cancel_dependents() {
     let now = Instant::now();
     let mut cluster = new_cluster(1, now);
-    let job_with_needs = |id: &str, needs: &[&str]| {
+    let job_with_dependencies = |id: &str, needs: &[&str]| {
         let dependencies = needs.iter().map(|needed| Name::from(*needed)).collect();
         Arc::new(JobSpec { dependencies, ..(*job_array(id, 1)).clone() })
     };
     cluster.add_job(job_array("j-1", 1), 1, None, now);
     cluster.add_job(job_array("j-2", 1), 2, None, now);
-    cluster.add_job(job_with_needs("j-3", &["j-1"]), 3, None, now);
+    cluster.add_job(job_with_dependencies("j-3", &["j-1"]), 3, None, now);
     for revision in 10..30 {
-        cluster.add_job(job_with_needs(&format!("j-{revision}"), &["j-2"]), revision, None, now);
+        cluster.add_job(job_with_dependencies(&format!("j-{revision}"), &["j-2"]), revision, None, now);
     }
     assert_eq!((cluster.jobs.len(), cluster.dependencies.len()), (2, 21));
     cluster.mark_completed(&Task { job: "j-1".into(), index: 0 }, now);
--- a/packages/core/src/sim/users.rs
+++ b/packages/core/src/sim/users.rs
@@ -80,7 +80,7 @@
         // some arrays have many of the smallest tasks
         let is_tiny = is_single || shape == Shape::Array && self.rng.u32(0..6) == 0;
         let tasks = if is_single { 1 } else { self.rng.u32(if is_tiny { 20..60 } else { 1..6 }) };
-        let dependencies = if is_single || shape == Shape::Service { Vec::new() } else { self.random_needs() };
+        let dependencies = if is_single || shape == Shape::Service { Vec::new() } else { self.random_dependencies() };
         let mut job = JobSpec {
             dependencies,
             team: if self.rng.bool() { "x" } else { "y" }.into(),
@@ -102,7 +102,7 @@
 
     /// Returns up to three recent jobs, in whatever state, as dependencies.  Services are
     /// excluded: they never end, so a job that depends on one would never start.
-    fn random_needs(&mut self) -> Vec<Name> {
+    fn random_dependencies(&mut self) -> Vec<Name> {
         let submitted = self.jobs.len();
         if submitted == 0 {
             return Vec::new();
--- a/packages/wire/src/model/tests.rs
+++ b/packages/wire/src/model/tests.rs
@@ -31,11 +31,11 @@
     /// The dependencies of a job are decoded without duplicates.  An empty list is not encoded, null
     /// is decoded as an empty list, and a value that is no list is rejected.
     #[test]
-    fn needs_are_decoded_without_duplicates_and_omitted_if_empty(ids in prop::collection::vec(0u32..30, 0..12)) {
+    fn dependencies_are_decoded_without_duplicates_and_omitted_if_empty(ids in prop::collection::vec(0u32..30, 0..12)) {
         let names: Vec<Name> = ids.iter().map(|number| format!("j-{number}").into()).collect();
-        let without_needs = crate::example::job_array("j-000001", 1);
-        let with_needs = JobSpec { dependencies: names.clone(), ..(*without_needs).clone() };
-        let bytes = crate::http::encode(&with_needs);
+        let without_dependencies = crate::example::job_array("j-000001", 1);
+        let with_dependencies = JobSpec { dependencies: names.clone(), ..(*without_dependencies).clone() };
+        let bytes = crate::http::encode(&with_dependencies);
         let decoded: JobSpec = crate::http::decode(&bytes).expect("an encoded job decodes");
         let mut seen = std::collections::HashSet::new();
         let expected: Vec<Name> = names.into_iter().filter(|name| seen.insert(name.clone())).collect();
