--- a/packages/core/src/key.rs
+++ b/packages/core/src/key.rs
@@ -1,4 +1,4 @@
-//! Keys in the state store.  The first part of a key is the version of the layout.  Every
+//! Keys in the state service.  The first part of a key is the version of the layout.  Every
 //! controller watches the keys below `c2/w/`; only new leaders read the others.
 
 use coralnotch_wire::model::{JobOutcome, OutcomeRecord};
--- a/packages/core/src/lookup.rs
+++ b/packages/core/src/lookup.rs
@@ -1,5 +1,5 @@
 //! Lookup of job ids that a controller does not know: determines which transactions to send to the
-//! state store, and what the responses prove.
+//! state service, and what the responses prove.
 
 use coralnotch_wire::model::{JobOutcome, Name};
 use coralnotch_wire::state::Txn;
--- a/packages/core/src/sim/request_history/watched_store.rs
+++ b/packages/core/src/sim/request_history/watched_store.rs
@@ -12,7 +12,7 @@
     pub(super) is_truncated: bool,
 }
 
-/// A state store that also keeps its recent changes for watches.
+/// A simulated state service that also keeps its recent changes for watches.
 #[derive(Default)]
 pub(super) struct WatchedStore {
     pub(super) store: StateStore,
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -38,7 +38,7 @@
     pub config: Config,
     /// The tunables, as set by the operators' policy file or by the default policy.
     pub policy: Arc<Policy>,
-    /// Client of the state store, limited to this controller's share of the store's rate limits.
+    /// Client of the state service, limited to this controller's share of the store's rate limits.
     pub store: StateStore,
     /// HTTP client for the cloud.
     pub cloud_client: http::Client,
@@ -66,7 +66,7 @@
     pub cancellation_known: event_listener::Event,
     /// Wakes the election loop when the leader has changed or the initial read is complete.
     pub election_wake: WakeUp,
-    /// Queues of user requests that wait for the state store.
+    /// Queues of user requests that wait for the state service.
     pub user_requests: UserRequestQueues,
     /// Queue of heartbeats that wait to be forwarded to the leader.
     pub heartbeat_queue: HeartbeatQueue,
@@ -77,7 +77,7 @@
 }
 
 impl Controller {
-    /// Creates a controller that has not read the state store and runs no tasks.
+    /// Creates a controller that has not read the state service and runs no tasks.
     pub fn new(config: Config, policy: Policy, now: Instant) -> Controller {
         let policy = Arc::new(policy);
         // The store's limits change without an announcement, so the controller keeps within both
--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -12,7 +12,7 @@
 use crate::leadership::lease::{LeaderLease, LeaderRecord};
 use crate::model::*;
 
-/// The leader, as last read from the state store or shown by the watch.
+/// The leader, as last read from the state service or shown by the watch.
 #[derive(Debug, Clone)]
 pub struct ObservedLeader {
     /// Name and term of the leader.
@@ -25,7 +25,7 @@
 pub struct ControllerState {
     /// The unfinished jobs, and a limited number of ended jobs.
     pub jobs: JobIndex,
-    /// Whether the initial read of the state store has been completed once.
+    /// Whether the initial read of the state service has been completed once.
     pub synced: bool,
     /// Whether the feature of job dependencies is enabled.
     pub dependencies_enabled: bool,
@@ -34,7 +34,7 @@
     /// Whether the leader requests that the other controllers accept and forward heartbeats, as
     /// last known here.
     pub forwarding_requested: bool,
-    /// Revision of the state store up to which the watch has shown all changes.
+    /// Revision of the state service up to which the watch has shown all changes.
     pub revision: u64,
     /// The cancellations known to this controller, from which peers are notified.
     pub cancellations: CancellationLog,
@@ -49,14 +49,14 @@
     pub notices_enabled_at: Option<Instant>,
     /// Revision of the stored feature gates, as last seen; 0 if there are none.
     pub features_revision: u64,
-    /// The current leader, as observed in the state store; `None` if there is none.
+    /// The current leader, as observed in the state service; `None` if there is none.
     pub leader: Option<ObservedLeader>,
     /// This controller's leadership lease; `None` while it does not lead.
     pub lease: Option<LeaderLease>,
     /// The leader's state of the cluster; `None` while this controller does not lead or is still
     /// loading the state.
     pub cluster: Option<Cluster>,
-    /// The machine types, as last reported by the cloud, or read from the state store until then.
+    /// The machine types, as last reported by the cloud, or read from the state service until then.
     pub machine_types: Vec<MachineType>,
     /// The demand that the last placement pass could not place.
     pub unmet_demand: Vec<UnmetDemand>,
--- a/src/leader/commit.rs
+++ b/src/leader/commit.rs
@@ -1,4 +1,4 @@
-//! The loop in which the leader commits changes of its state to the state store.
+//! The loop in which the leader commits changes of its state to the state service.
 
 use std::time::{Duration, Instant};
 
@@ -16,8 +16,8 @@
 const CONFLICT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 impl Controller {
-    /// Commits changes to the state store, one transaction at a time.  Returns when the leader key
-    /// no longer has the revision of this lease.
+    /// Commits changes to the state service, one transaction at a time.  Returns when the leader
+    /// key no longer has the revision of this lease.
     pub(super) async fn run_commits(&self, lease: LeaderLease) -> StepDownReason {
         let mut limits = self.store.txn_limits;
         loop {
@@ -49,7 +49,7 @@
                         let shard_bytes = limits.shard_bytes;
                         tracing::error!(
                             shard_bytes,
-                            "state store refused the transaction as too large, shard size limit reduced"
+                            "state service refused the transaction as too large, shard size limit reduced"
                         );
                     }
                     smol::Timer::after(self.policy.renew / 4).await;
@@ -82,7 +82,7 @@
                         cluster.reconcile_key(&key, item.as_ref(), now);
                     }
                 }
-                Err(error) => tracing::debug!(key, %error, "cannot read a conflicting key from the state store"),
+                Err(error) => tracing::debug!(key, %error, "cannot read a conflicting key from the state service"),
             }
         }
         smol::Timer::after(CONFLICT_RETRY_DELAY).await;
--- a/src/leader/fleet.rs
+++ b/src/leader/fleet.rs
@@ -62,7 +62,7 @@
     }
 
     /// Deletes and rents machines concurrently.  Rentals are requested only after they are recorded
-    /// in the state store.
+    /// in the state service.
     async fn apply_fleet_plan(&self, plan: FleetPlan, lease: LeaderLease) {
         let rentals = async {
             if self.record_rentals(&plan.rentals, lease).await {
--- a/src/leader/load.rs
+++ b/src/leader/load.rs
@@ -1,4 +1,4 @@
-//! Reads the state of the cluster from the state store at the beginning of a term.
+//! Reads the state of the cluster from the state service at the beginning of a term.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/src/leader/machine_list.rs
+++ b/src/leader/machine_list.rs
@@ -90,8 +90,9 @@
         }
     }
 
-    /// Writes the machine types to the state store, unless `stored`, the list last written, has the
-    /// same sizes.  A controller that starts during an outage of the cloud uses the stored types.
+    /// Writes the machine types to the state service, unless `stored`, the list last written, has
+    /// the same sizes.  A controller that starts during an outage of the cloud uses the stored
+    /// types.
     async fn store_machine_types(&self, stored: &mut Option<Vec<MachineType>>, lease: LeaderLease) {
         let mut types = self.lock().machine_types.clone();
         for machine_type in &mut types {
--- a/src/leader/mod.rs
+++ b/src/leader/mod.rs
@@ -1,6 +1,6 @@
 //! The leader's control loops.
 //!
-//! A new leader loads the cluster's state from the state store.  Then it runs one loop each for
+//! A new leader loads the cluster's state from the state service.  Then it runs one loop each for
 //! commits, placement, direct commands, feature gates, outcomes of dependencies, the machine list,
 //! the fleet and the contact to workers.  All of them stop at the end of the term.  Heartbeats are
 //! handled by the `heartbeats` module.
--- a/src/leader/rental_records.rs
+++ b/src/leader/rental_records.rs
@@ -1,4 +1,4 @@
-//! Records of rentals in the state store, which keep rental requests idempotent across failovers.
+//! Records of rentals in the state service, which keep rental requests idempotent across failovers.
 
 use std::time::Instant;
 
@@ -33,7 +33,7 @@
                     return true;
                 }
                 RecordProgress::NotStored => {
-                    tracing::debug!(?attempt, "rentals not recorded in the state store, they will be planned again");
+                    tracing::debug!(?attempt, "rentals not recorded in the state service, they will be planned again");
                     return false;
                 }
             }
--- a/src/leader/takeover.rs
+++ b/src/leader/takeover.rs
@@ -1,5 +1,5 @@
 //! Builds a new leader's state of the cluster from the job index and from what was read from the
-//! state store.
+//! state service.
 
 use std::collections::{BTreeSet, HashSet};
 use std::time::Instant;
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -1,5 +1,5 @@
 //! Leader election: candidates write the leader key, attached to a lease, with a compare-and-swap
-//! transaction in the consensus-backed state store.
+//! transaction in the consensus-backed state service.
 
 use std::time::Instant;
 
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the state store does not serve one of the requests.  The election may have
+    /// Fails if the state service does not serve one of the requests.  The election may have
     /// succeeded all the same; the lease then expires unused.
     async fn acquire_lease(&self) -> Result<Option<LeaderLease>, StoreError> {
         let Some(view) = self.read_election_view().await? else { return Ok(None) };
--- a/src/leadership/feature_gate.rs
+++ b/src/leadership/feature_gate.rs
@@ -1,8 +1,8 @@
 //! Feature gates, which enable a feature only after all controllers support it.
 //!
 //! Each controller advertises the features that it supports to its peers, and in a member record in
-//! the state store.  The leader enables a feature once all controllers support it; that decision is
-//! made in `coralnotch_core`.  This module advertises and collects the supported features, and
+//! the state service.  The leader enables a feature once all controllers support it; that decision
+//! is made in `coralnotch_core`.  This module advertises and collects the supported features, and
 //! stores and applies the feature gates.
 
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 use crate::peers::links::lock;
 use crate::state_store::client::{decode_value, key, StoreError, Txn, TxnOutcome, Write};
 
-/// The longest time to live that the state store grants a lease.
+/// The longest time to live that the state service grants a lease.
 const MAX_LEASE_TTL: Duration = Duration::from_secs(600);
 
 /// The version of this program, which is shown to operators and peers.
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Keeps this controller's member record in the state store until all features are enabled.
+    /// Keeps this controller's member record in the state service until all features are enabled.
     ///
     /// The record is attached to a lease of its own that outlives a network partition, because a
     /// controller that is partitioned or briefly down still runs the same version.
@@ -148,7 +148,7 @@
         let members = match self.store.list(key::MEMBER).await {
             Ok(members) => members,
             Err(error) => {
-                tracing::debug!(%error, "cannot list the member records in the state store");
+                tracing::debug!(%error, "cannot list the member records in the state service");
                 return;
             }
         };
--- a/src/leadership/isolation.rs
+++ b/src/leadership/isolation.rs
@@ -44,12 +44,13 @@
     }
 }
 
-/// What a controller that gets no responses from the state store knows about who still reaches it.
+/// What a controller that gets no responses from the state service knows about who still reaches
+/// it.
 #[derive(Debug, Clone, Copy)]
 pub struct PartitionSuspicion {
-    /// Time since the state store last served a request of this controller.
+    /// Time since the state service last served a request of this controller.
     pub since_store_response: Duration,
-    /// Whether the state store or a peer responds, even if only with an error status.
+    /// Whether the state service or a peer responds, even if only with an error status.
     pub any_response: bool,
     /// Time since the last heartbeat from a worker in another zone; `None` if there was none.
     pub since_remote_zone_heartbeat: Option<Duration>,
@@ -60,7 +61,7 @@
 
 impl PartitionSuspicion {
     /// Reports whether the whole zone, rather than this controller alone, is partitioned from the
-    /// others: for longer than `after`, the state store has served nothing, nothing outside the
+    /// others: for longer than `after`, the state service has served nothing, nothing outside the
     /// zone has reached this controller, and no peer responds.
     ///
     /// A controller that is isolated alone must not assume a partition of its zone, or it would
--- a/src/leadership/isolation/tests.rs
+++ b/src/leadership/isolation/tests.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// A controller that reaches neither the state store nor its peers, but is reached by users, is
+/// A controller that reaches neither the state service nor its peers, but is reached by users, is
 /// isolated alone: another controller leads, and the zone's workers can reach it.  When no worker
 /// of another zone contacts it any more, it must not assume that its whole zone is partitioned.
 #[test]
--- a/src/leadership/lease.rs
+++ b/src/leadership/lease.rs
@@ -20,7 +20,7 @@
     pub term: u64,
     /// Revision of the leader key; every write of the term has this revision as a precondition.
     pub revision: u64,
-    /// ID of the lease in the state store to which the leader key is attached.
+    /// ID of the lease in the state service to which the leader key is attached.
     pub lease_id: u64,
     /// From this time on the controller must not act as the leader.
     pub valid_until: Instant,
@@ -31,7 +31,8 @@
 /// `drift` is the largest relative error of one clock, for example 0.001 for one millisecond a
 /// second.
 pub fn lease_valid_until(sent_at: Instant, ttl: Duration, drift: f64) -> Instant {
-    // The controller's clock may run slow while the state store's runs fast, so the errors add up.
+    // The controller's clock may run slow while the state service's runs fast, so the errors
+    // add up.
     sent_at + ttl.mul_f64(1.0 - 2.0 * drift)
 }
 
--- a/src/leadership/step_down.rs
+++ b/src/leadership/step_down.rs
@@ -5,17 +5,17 @@
 /// Why a leader's term ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum StepDownReason {
-    /// The state store no longer has the leader's lease.
-    #[error("the leader's lease expired in the state store")]
+    /// The state service no longer has the leader's lease.
+    #[error("the leader's lease expired in the state service")]
     LeaseExpired,
     /// The lease is renewed, but the view from the watch is too old to lead.
-    #[error("the watch of the state store is stale although the lease is renewed")]
+    #[error("the watch of the state service is stale although the lease is renewed")]
     WatchStale,
     /// The watch has shown another leader of a later term.
     #[error("another controller leads a later term")]
     Superseded,
     /// A transaction failed because the leader key has another revision.
-    #[error("the leader key has changed in the state store")]
+    #[error("the leader key has changed in the state service")]
     LeaderKeyChanged,
     /// No heartbeat reaches this controller, while heartbeats reach peers or no peer responds.
     #[error("no heartbeats of workers reach this controller")]
--- a/src/runtime/executor.rs
+++ b/src/runtime/executor.rs
@@ -22,7 +22,7 @@
 /// A single-threaded executor with two priorities: control tasks and requests.
 #[derive(Clone, Default)]
 pub struct PriorityExecutor {
-    /// Executor of control tasks, on which all requests depend: leadership, the state store,
+    /// Executor of control tasks, on which all requests depend: leadership, the state service,
     /// placement, the fleet and the peers.
     pub control: Rc<LocalExecutor<'static>>,
     /// Executor of requests: the connections of users and workers.
--- a/src/state_store/client.rs
+++ b/src/state_store/client.rs
@@ -61,28 +61,28 @@
     ttl_ms: u64,
 }
 
-/// Why a request to the state store failed.
+/// Why a request to the state service failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// There was no response that can be decoded.  The request may have been served, or may still
     /// be.
-    #[error("no usable response from the state store, the request may have been served: {0}")]
+    #[error("no usable response from the state service, the request may have been served: {0}")]
     Indeterminate(#[from] http::Error),
-    /// The state store refused the request with this HTTP status, and did not serve it.
-    #[error("state store refused the request with HTTP status {0}")]
+    /// The state service refused the request with this HTTP status, and did not serve it.
+    #[error("state service refused the request with HTTP status {0}")]
     Refused(u16),
     /// The lease of the request has expired, was revoked or never existed.
-    #[error("the lease does not exist in the state store")]
+    #[error("the lease does not exist in the state service")]
     NoLease,
-    /// The state store no longer has the changes after the requested revision.
-    #[error("the state store no longer has the changes after the requested revision")]
+    /// The state service no longer has the changes after the requested revision.
+    #[error("the state service no longer has the changes after the requested revision")]
     WatchExpired,
     /// The response holds a record that this version cannot decode.
-    #[error("cannot decode a record of the state store")]
+    #[error("cannot decode a record of the state service")]
     Unreadable,
 }
 
-/// The outcome of a transaction, as the state store reported it.
+/// The outcome of a transaction, as the state service reported it.
 #[derive(Debug)]
 pub enum TxnOutcome {
     /// The transaction was applied at this revision.
@@ -91,7 +91,7 @@
     Conflict(Vec<String>),
 }
 
-/// Client of the state store for one controller.
+/// Client of the state service for one controller.
 pub struct StateStore {
     addr: SocketAddr,
     http: http::Client,
@@ -108,7 +108,7 @@
 /// transactions.
 const MAX_SHARD_BYTES: usize = 6 * 1024;
 
-/// Most keys that the state store returns in one page.
+/// Most keys that the state service returns in one page.
 const MAX_PAGE_KEYS: usize = 1000;
 
 /// Timeout of a request.  Reading a page of keys may take twice as long, and a watch request may
@@ -120,7 +120,7 @@
 
 impl StateStore {
     /// Creates a client that keeps to this controller's share of the rate limits of the state
-    /// store.
+    /// service.
     ///
     /// Reads of many pages are limited to `read_rate` requests a second, so that they leave
     /// capacity for lease renewals and transactions of this and other controllers, however long
@@ -165,7 +165,7 @@
         self.health.reset(now);
     }
 
-    /// Returns when the state store last served a request of this controller.
+    /// Returns when the state service last served a request of this controller.
     pub fn last_served(&self) -> Instant {
         self.health.last_served()
     }
@@ -221,7 +221,7 @@
             409 => Ok(TxnOutcome::Conflict(http::decode::<ConflictResponse>(&body)?.keys)),
             400 if String::from_utf8_lossy(&body).contains("no such lease") => Err(StoreError::NoLease),
             status => {
-                tracing::error!(status, writes, "state store refused a transaction");
+                tracing::error!(status, writes, "state service refused a transaction");
                 Err(StoreError::Refused(status))
             }
         }
--- a/src/state_store/client/health.rs
+++ b/src/state_store/client/health.rs
@@ -1,4 +1,4 @@
-//! Health of the state store as seen by one controller, derived from the last requests.
+//! Health of the state service as seen by one controller, derived from the last requests.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Mutex;
@@ -9,7 +9,7 @@
 /// An HTTP status and body, or why there was no response.
 type Response = Result<(u16, Vec<u8>), http::Error>;
 
-/// The health of the state store.
+/// The health of the state service.
 pub(super) struct StoreHealth {
     last_served: Mutex<Instant>,
     failing: AtomicBool,
--- a/src/state_store/initial_read.rs
+++ b/src/state_store/initial_read.rs
@@ -1,4 +1,4 @@
-//! The initial read of the state store, after which the watch continues.
+//! The initial read of the state service, after which the watch continues.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -8,7 +8,7 @@
 use crate::model::Name;
 use crate::state_store::client::{key, KeyValue, StoreError, WatchEvent};
 
-/// The state store holds keys in the layout of an earlier version, which this version does not
+/// The state service holds keys in the layout of an earlier version, which this version does not
 /// support.  Two versions that use different layouts at the same time would run tasks twice.
 #[derive(Debug, Clone, Copy, thiserror::Error)]
 #[error(
@@ -18,7 +18,7 @@
 pub struct UnsupportedLayout;
 
 impl Controller {
-    /// Checks that the state store does not hold the layout of an earlier version.  Retries until
+    /// Checks that the state service does not hold the layout of an earlier version.  Retries until
     /// the store responds.
     ///
     /// # Errors
@@ -30,7 +30,7 @@
                 Ok(true) => return Err(UnsupportedLayout),
                 Ok(false) => return Ok(()),
                 Err(error) => {
-                    tracing::debug!(%error, "cannot check the layout of the state store, retrying");
+                    tracing::debug!(%error, "cannot check the layout of the state service, retrying");
                     smol::Timer::after(self.policy.renew / 2).await;
                 }
             }
@@ -109,7 +109,10 @@
                 // Only this page is read again, so that a long read completes although single
                 // requests fail.
                 Err(error) => {
-                    tracing::debug!(prefix = request.prefix, %error, "cannot read a page of the state store, retrying");
+                    tracing::debug!(
+                        prefix = request.prefix, %error,
+                        "cannot read a page of the state service, retrying"
+                    );
                     smol::Timer::after(self.policy.renew / 2).await;
                 }
             }
--- a/src/state_store/watch.rs
+++ b/src/state_store/watch.rs
@@ -1,4 +1,4 @@
-//! The watch of the state store, which applies every change to a controller's view.
+//! The watch of the state service, which applies every change to a controller's view.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::state_store::initial_read::UnsupportedLayout;
 
 impl Controller {
-    /// Keeps the view of the state store current for as long as the controller runs: reads the
+    /// Keeps the view of the state service current for as long as the controller runs: reads the
     /// store, then watches it, and reads it again whenever the watch expires.
     ///
     /// # Errors
@@ -29,7 +29,7 @@
                     self.watch_until_expired(revision).await;
                 }
                 Err(error) => {
-                    tracing::debug!(%error, "initial read of the state store failed, retrying");
+                    tracing::debug!(%error, "initial read of the state service failed, retrying");
                     smol::Timer::after(self.policy.renew / 2).await;
                 }
             }
@@ -79,15 +79,18 @@
         state.revision = state.revision.max(revision);
         if !state.synced {
             let unfinished_jobs = state.jobs.len();
-            tracing::info!(revision, unfinished_jobs, "initial read of the state store complete");
+            tracing::info!(revision, unfinished_jobs, "initial read of the state service complete");
         }
         state.synced = true;
         self.election_wake.wake();
     }
 
-    /// Applies all changes up to a revision in their order, and returns the revision.  There is no
-    /// await between the changes, because the job index's floor covers all of them only when it is
-    /// raised at the end.
+    /// Applies all changes up to a revision in their order, and returns the revision.
+    ///
+    /// There is no await between the changes, so that no other task runs before the
+    /// `covered_revision` of the job index is raised at the end.  Otherwise a late response to a
+    /// submission could insert a job as unfinished again that one of the changes has ended and that
+    /// the index has evicted since.
     pub(super) fn apply_changes(&self, mut events: Vec<WatchEvent>, revision: u64) -> u64 {
         // One transaction may write a job and its outcome.  An outcome that is applied first would
         // find no job, and the job would never end in this view.
@@ -105,7 +108,7 @@
         match (event.set_key, event.deleted_key, event.value) {
             (Some(path), _, Some(value)) => self.apply_write(&path, value, event.revision),
             (_, Some(path), _) if path == key::LEADER => {
-                tracing::info!("leader key deleted from the state store");
+                tracing::info!("leader key deleted from the state service");
                 self.lock().leader = None;
                 self.election_wake.wake();
             }
